--- a/bench/tapped.py
+++ b/bench/tapped.py
@@ -41,13 +41,19 @@
                 instances[manager] = Instance(manager, codec.read_start(body))
                 events[manager] = []
             elif manager in instances:
-                events.setdefault(manager, []).append(codec.read_event(verb, body, instances[manager].fields))
+                events.setdefault(manager, []).append(
+                    codec.read_event(verb, body, instances[manager].fields)
+                )
         for manager, happened in events.items():
             yield batch.now, instances[manager], happened
 
 
 def judge(path: Path) -> None:
-    orders, refused, examples = 0, Counter[tuple[str, str, bool]](), dict[tuple[str, str, bool], str]()
+    orders, refused, examples = (
+        0,
+        Counter[tuple[str, str, bool]](),
+        dict[tuple[str, str, bool], str](),
+    )
     for now, it, happened in batches(path):
         reply = it.module.decide(now, happened)
         it.judge.hear(now, happened)
@@ -60,7 +66,9 @@
     print(f"{orders} orders judged, {sum(refused.values())} refused or passed as the lesser harm")
     for key, count in refused.most_common():
         rule, kind, passed = key
-        print(f"  {count:6d}  {rule:7s} {kind:9s} {'passed  ' if passed else 'refused '} {examples[key]}")
+        print(
+            f"  {count:6d}  {rule:7s} {kind:9s} {'passed  ' if passed else 'refused '} {examples[key]}"
+        )
 
 
 def main() -> None:
--- a/dunlinlug/ads/desk.py
+++ b/dunlinlug/ads/desk.py
@@ -22,15 +22,23 @@
     sent: set[str] = field(default_factory=set)
     stale: set[str] = field(default_factory=set)  # tables to be taken away with the next message
     out_version: str = ""  # of OUT as last sent on this stream
-    former: set[tuple[int, int]] = field(default_factory=set)  # product and table, of the full form, as bound before
+    former: set[tuple[int, int]] = field(
+        default_factory=set
+    )  # product and table, of the full form, as bound before
 
 
 class Desk(Laying[Seat]):
     """`epoch` names this manager's life; `usual_retry` is the way where a table says none; a try that may be
     followed after any failure may take `try_aims` SLA times (0: no bound)."""
 
-    def __init__(self, epoch: int, products: tuple[face.Product, ...], usual_retry: int, message_lines: float,
-                 try_aims: float = 0.0) -> None:
+    def __init__(
+        self,
+        epoch: int,
+        products: tuple[face.Product, ...],
+        usual_retry: int,
+        message_lines: float,
+        try_aims: float = 0.0,
+    ) -> None:
         super().__init__(len(products))
         self.epoch, self.products, self.usual = epoch, products, usual_retry
         self.try_aims = try_aims
@@ -38,7 +46,9 @@
         self.zones: dict[str, str] = {}
         self._start()
 
-    def restore(self, epoch: int, tables: dict[int, Laid], out: set[str], zones: dict[str, str]) -> None:
+    def restore(
+        self, epoch: int, tables: dict[int, Laid], out: set[str], zones: dict[str, str]
+    ) -> None:
         """Stand where another manager stood; nobody is joined."""
         self.epoch, self.tables, self.out, self.zones = epoch, tables, out, zones
         self.seats, self.users = {}, {}
@@ -59,9 +69,13 @@
     def join(self, proxy: int, overlay: bool, holds: Iterable[str], full: bool = False) -> None:
         """A proxy's stream stands; `holds` names the tables it still has from earlier streams."""
         self.leave(proxy)
-        self.seats[proxy] = Seat(overlay=overlay, full=full, stale={name for name in holds if name != names.OUT})
+        self.seats[proxy] = Seat(
+            overlay=overlay, full=full, stale={name for name in holds if name != names.OUT}
+        )
 
-    def obey(self, orders: Iterable[face.Order], now: float, concerned: Iterable[int] = ()) -> dict[int, Parcel]:
+    def obey(
+        self, orders: Iterable[face.Order], now: float, concerned: Iterable[int] = ()
+    ) -> dict[int, Parcel]:
         """Carry out the orders that concern proxies; the rest are the host's. `concerned` get the reply's mark
         whatever else they get: the module awaits their answers for orders that were refused."""
         self._start()
@@ -101,7 +115,12 @@
             if seat.full:
                 parcel.full = self.offer(seat)
             parcel.lines = lines + self.message_lines + (mark is not None)
-            if shut is not None and proxy in self.reshut_at and seat.overlay and seat.out_version != shut.version:
+            if (
+                shut is not None
+                and proxy in self.reshut_at
+                and seat.overlay
+                and seat.out_version != shut.version
+            ):
                 seat.out_version, parcel.tables[names.OUT] = shut.version, shut
             for tbl in sorted(self.resent.get(proxy, ())):
                 if tbl in self.tables and tbl in seat.bound.values():
@@ -132,9 +151,12 @@
         return render.table(laid.name, laid.lines, self.zones, levels, () if overlay else self.out)
 
     def routes(self, seat: Seat) -> render.Resource:
-        return render.routes(tuple(
-            (self.products[k].name, self.tables[tbl].name, self._way(k, tbl))
-            for k, tbl in sorted(seat.bound.items())))
+        return render.routes(
+            tuple(
+                (self.products[k].name, self.tables[tbl].name, self._way(k, tbl))
+                for k, tbl in sorted(seat.bound.items())
+            )
+        )
 
     def offer(self, seat: Seat) -> full.Offer:
         """All four types for a client of the full form: each product's table under a name of its own."""
@@ -143,12 +165,17 @@
         seat.former = {(k, tbl) for k, tbl in seat.former if tbl in self.tables}
         for k, tbl in sorted(seat.former):
             product, laid = self.products[k].name, self.tables[tbl]
-            name, level = names.cluster_name(laid.name, product), laid.levels.get(k, (self.usual, 1.0))[1]
+            name, level = (
+                names.cluster_name(laid.name, product),
+                laid.levels.get(k, (self.usual, 1.0))[1],
+            )
             if seat.bound.get(k) == tbl:
                 made[names.LISTENERS][product] = full.listener(product)
                 made[names.ROUTES][product] = full.routes(product, name)
             made[names.CLUSTERS][name] = full.cluster(name)
-            made[names.ENDPOINTS][name] = full.endpoints(name, laid.lines, self.zones, level, self.out)
+            made[names.ENDPOINTS][name] = full.endpoints(
+                name, laid.lines, self.zones, level, self.out
+            )
         return made
 
     def _way(self, product: int, tbl: int) -> render.Way:
--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -58,19 +58,33 @@
 class Manager:
     """One manager; `make` builds its decision module."""
 
-    def __init__(self, path: Path, book: Book, make: Callable[[face.Trade], Decider] = Balancer) -> None:
+    def __init__(
+        self, path: Path, book: Book, make: Callable[[face.Trade], Decider] = Balancer
+    ) -> None:
         self.path, self.book = path, book
         self.trade = terms.trade(book)
         self.note: Any = log.logger("manager").info
         self.kept = Kept(Path(book.one(terms.Desk).store))
         own, outlet, hearing = book.one(terms.Desk), book.one(terms.Outlet), book.one(terms.Hearing)
         self.epoch = self.kept.next_epoch()
-        self.desk = Desk(self.epoch, self.trade.products, self.trade.usual_retry, outlet.message_lines, own.try_aims)
-        self.channel = Channel(outlet.pace or outlet.lines_per_s, outlet.waiting_most, outlet.messages_most,
-                               outlet.messages_span)
+        self.desk = Desk(
+            self.epoch,
+            self.trade.products,
+            self.trade.usual_retry,
+            outlet.message_lines,
+            own.try_aims,
+        )
+        self.channel = Channel(
+            outlet.pace or outlet.lines_per_s,
+            outlet.waiting_most,
+            outlet.messages_most,
+            outlet.messages_span,
+        )
         self.ledger = Ledger(hearing.lines_per_s, frozenset(p.name for p in self.trade.products))
         self.watch = self._watch()
-        self.loop = Loop(make(self.trade), self.desk, self.channel, self._deliver, self.note, self.watch)
+        self.loop = Loop(
+            make(self.trade), self.desk, self.channel, self._deliver, self.note, self.watch
+        )
         self.service = Service(self.loop, self.desk, self.ledger, hearing.cycle, self.note)
         self.follower = self._follower(book.one(terms.Source), Random(own.seed))
         probing = book.one(terms.Probing)
@@ -99,17 +113,35 @@
         if guarding.mode == "off":
             return None
         obeyed = guarding.mode == "on"
-        return Watch(Judge(self.trade, obeyed), obeyed, self.note,
-                     lambda refusals: self.kept.put_refusals(refusals, guarding.remember))
+        return Watch(
+            Judge(self.trade, obeyed),
+            obeyed,
+            self.note,
+            lambda refusals: self.kept.put_refusals(refusals, guarding.remember),
+        )
 
     def _helm(self, own: terms.Succession) -> Helm:
         """Our part in a set of managers; its clocks begin now."""
         chance = Random(f"{self.book.one(terms.Desk).seed} {own.member}")
         members = self.book.many(terms.Member)
-        places: dict[str, tuple[str, int]] = {name: member.peers for name, member in members.items()}
+        places: dict[str, tuple[str, int]] = {
+            name: member.peers for name, member in members.items()
+        }
         timing = {"lease": own.lease, "beat": own.beat, "drift": own.drift, "forgets": own.forgets}
-        helm = Helm(own.member, places, self.keys, timing, own.first, self.kept, self.trade,
-                    self.loop, self.desk, self.service, chance, lambda event, **said: self.note(event, **said))
+        helm = Helm(
+            own.member,
+            places,
+            self.keys,
+            timing,
+            own.first,
+            self.kept,
+            self.trade,
+            self.loop,
+            self.desk,
+            self.service,
+            chance,
+            lambda event, **said: self.note(event, **said),
+        )
         helm.begin, helm.end = self._begin, self._end
         if self.office is not None:
             board = self.office.board
@@ -119,16 +151,24 @@
     def _membership(self, own: terms.Members) -> Membership:
         """Our part among managers that know each other. The set agreed is succession's, where there is one."""
         places: dict[str, tuple[str, int]] = {
-            name: member.knows for name, member in self.book.many(terms.Member).items()}
+            name: member.knows for name, member in self.book.many(terms.Member).items()
+        }
         helm = self.helm
 
         def roll() -> tuple[str, ...]:
             return helm.machine.roll.members if helm is not None else tuple(places)
 
-        made = Membership(own.me, self.epoch, places, self.member_keys, own.beat,
-                          Random(f"{self.book.one(terms.Desk).seed} members {own.me}"),
-                          lambda event, **said: self.note(event, **said), roll,
-                          binds=own.binds if own.binds[1] else None)
+        made = Membership(
+            own.me,
+            self.epoch,
+            places,
+            self.member_keys,
+            own.beat,
+            Random(f"{self.book.one(terms.Desk).seed} members {own.me}"),
+            lambda event, **said: self.note(event, **said),
+            roll,
+            binds=own.binds if own.binds[1] else None,
+        )
         made.told = lambda name, means: self._narrow()
         made.learnt, made.listed = self.loop.tell, lambda: self.follower.known
         self.service.told, made.carries = made.met, self._burden
@@ -154,17 +194,29 @@
         if not own.on:
             return None
         timing = {"lease": own.lease, "beat": own.beat, "drift": own.drift, "forgets": own.forgets}
-        made = Ownership(me, places, self.member_keys, timing, self.kept,
-                         Random(f"{self.book.one(terms.Desk).seed} owners {me} {self.epoch}"),
-                         lambda event, **said: self.note(event, **said))
-        self.probing = Probing(made, self.prober.within, self.prober.probe, self.loop.tell, self.nursery.start_soon)
+        made = Ownership(
+            me,
+            places,
+            self.member_keys,
+            timing,
+            self.kept,
+            Random(f"{self.book.one(terms.Desk).seed} owners {me} {self.epoch}"),
+            lambda event, **said: self.note(event, **said),
+        )
+        self.probing = Probing(
+            made, self.prober.within, self.prober.probe, self.loop.tell, self.nursery.start_soon
+        )
         self.prober.tell = self.probing.done
         if self.office is not None:
             self.office.owners = made
             if self.helm is None:  # with succession the master's pins go with its batches
                 self.office.shared = self.shared = SharedPins(
-                    made, self.office.board, (PinFault, Refused), lambda event, **said: self.note(event, **said),
-                    time.time)
+                    made,
+                    self.office.board,
+                    (PinFault, Refused),
+                    lambda event, **said: self.note(event, **said),
+                    time.time,
+                )
         return made
 
     def _probe(self, worker: str) -> None:
@@ -184,17 +236,31 @@
         now, spent = trio.current_time(), time.process_time()
         (before, used), self.measured = self.measured, (now, spent)
         most, module = self.book.one(terms.Outlet).waiting_most, self.loop.module
-        rates = [proxy.rate for proxy in module.seating.proxies.values()] if isinstance(module, Balancer) else []
-        return Burden(len(self.desk.seats), sum(rates), self.channel.waiting / most if most else 0.0,
-                      (spent - used) / (now - before) if now > before else 0.0)
+        rates = (
+            [proxy.rate for proxy in module.seating.proxies.values()]
+            if isinstance(module, Balancer)
+            else []
+        )
+        return Burden(
+            len(self.desk.seats),
+            sum(rates),
+            self.channel.waiting / most if most else 0.0,
+            (spent - used) / (now - before) if now > before else 0.0,
+        )
 
     def _begin(self, fresh: bool) -> None:
         """We lead: judge anew by what stands, follow the roster, and go on where the former master was."""
         if self.watch is not None:
             judge = Judge(self.trade, self.watch.obeyed)
-            workers = listed(self.loop.module.fleet) if isinstance(self.loop.module, Balancer) else []
-            judge.inherit(self.loop.shift + trio.current_time(), workers, {
-                tbl: (laid.lines, laid.levels) for tbl, laid in self.desk.tables.items()}, self.desk.out)
+            workers = (
+                listed(self.loop.module.fleet) if isinstance(self.loop.module, Balancer) else []
+            )
+            judge.inherit(
+                self.loop.shift + trio.current_time(),
+                workers,
+                {tbl: (laid.lines, laid.levels) for tbl, laid in self.desk.tables.items()},
+                self.desk.out,
+            )
             self.watch.judge = judge
             if self.office is not None:
                 self.office.board.pins.judge = judge
@@ -207,7 +273,9 @@
         if self.book.one(terms.Source).mode == "pushed":
             self.nursery.start_soon(self._only_leading, self.follower.follow, True)
         elif not fresh:
-            self.loop.tell(face.Listed("failed"))  # what the former master asked for does not come to us
+            self.loop.tell(
+                face.Listed("failed")
+            )  # what the former master asked for does not come to us
 
     def _end(self) -> None:
         for scope in self.leading:
@@ -229,19 +297,38 @@
         if not self.operators.token_file or self.watch is None:
             return None
         watch, pins = self.watch, Pins(self.watch.judge, self.operators.longest)
-        board = Board(pins, watch.obeyed, self.loop.tell, lambda event, **said: self.note(event, **said),
-                      self.kept.put_pins, watch.record)
+        board = Board(
+            pins,
+            watch.obeyed,
+            self.loop.tell,
+            lambda event, **said: self.note(event, **said),
+            self.kept.put_pins,
+            watch.record,
+        )
         watch.after = board.review
-        return Office(read_token(Path(self.operators.token_file)), self.trade.products, board,
-                      lambda: view.tables(trio.current_time(), self.trade.products, self.desk, watch.judge, pins),
-                      lambda: {"epoch": self.epoch, "proxies": len(self.desk.seats), "workers": len(self.desk.zones),
-                               "waiting": round(self.channel.waiting), "pins": len(pins.standing)})
+        return Office(
+            read_token(Path(self.operators.token_file)),
+            self.trade.products,
+            board,
+            lambda: view.tables(
+                trio.current_time(), self.trade.products, self.desk, watch.judge, pins
+            ),
+            lambda: {
+                "epoch": self.epoch,
+                "proxies": len(self.desk.seats),
+                "workers": len(self.desk.zones),
+                "waiting": round(self.channel.waiting),
+                "pins": len(pins.standing),
+            },
+        )
 
     async def _open_office(self, nursery: trio.Nursery) -> None:
         """Raises OSError if its port is taken."""
         if self.office is None:
             return
-        doors = await trio.open_tcp_listeners(self.operators.listen[1], host=self.operators.listen[0])
+        doors = await trio.open_tcp_listeners(
+            self.operators.listen[1], host=self.operators.listen[0]
+        )
         self.office_at = doors[0].socket.getsockname()[:2]
         if self.helm is None:
             self.office.board.restore(trio.current_time(), self.kept.pins())
@@ -252,11 +339,21 @@
     def _follower(self, source: terms.Source, chance: Random) -> Follower:
         client = http.Client(*source.address, idle_most=1)
         state = Following(source.service, source.wait, chance.uniform)
-        return Follower(client, state, source.within, lambda: wall_offset() + self.loop.shift, self.loop.tell,
-                        self.kept.put_list, self.note)
-
-    async def run(self, signals: Signals | None = None,
-                  task_status: trio.TaskStatus[tuple[str, int]] = trio.TASK_STATUS_IGNORED) -> None:
+        return Follower(
+            client,
+            state,
+            source.within,
+            lambda: wall_offset() + self.loop.shift,
+            self.loop.tell,
+            self.kept.put_list,
+            self.note,
+        )
+
+    async def run(
+        self,
+        signals: Signals | None = None,
+        task_status: trio.TaskStatus[tuple[str, int]] = trio.TASK_STATUS_IGNORED,
+    ) -> None:
         """Serve until SIGTERM or SIGINT, or until cancelled; raises OSError if the port is taken."""
         own, source = self.book.one(terms.Desk), self.book.one(terms.Source)
         listeners = await trio.open_tcp_listeners(own.listen[1], host=own.listen[0])
@@ -282,18 +379,30 @@
                 self._remember()
             else:
                 host, port = self.helm.peers.places[self.helm.me]
-                nursery.start_soon(self.helm.run, await trio.open_tcp_listeners(port, host=host) if port else [])
+                nursery.start_soon(
+                    self.helm.run, await trio.open_tcp_listeners(port, host=host) if port else []
+                )
             self.loop.others = {
                 face.Probe: lambda o: self._probe(o.worker),
-                face.Follow: lambda o: nursery.start_soon(self._only_leading, self.follower.follow, False),
-                face.Fetch: lambda o: nursery.start_soon(self._only_leading, self.follower.fetch)}
+                face.Follow: lambda o: nursery.start_soon(
+                    self._only_leading, self.follower.follow, False
+                ),
+                face.Fetch: lambda o: nursery.start_soon(self._only_leading, self.follower.fetch),
+            }
             nursery.start_soon(self.loop.run)
             nursery.start_soon(self.service.tell_reports)
             if source.mode == "pushed" and self.helm is None:
                 nursery.start_soon(self.follower.follow, True)
-            nursery.start_soon(grpc.serve, listeners, self.service.answer, own.hello_within, own.quiet_most,
-                               self._link_fault, lambda: self.context,
-                               lambda why: self.note("proxy.unproven", why=why))
+            nursery.start_soon(
+                grpc.serve,
+                listeners,
+                self.service.answer,
+                own.hello_within,
+                own.quiet_most,
+                self._link_fault,
+                lambda: self.context,
+                lambda why: self.note("proxy.unproven", why=why),
+            )
             self.note("manager.ready", epoch=self.epoch, listen=f"{own.listen[0]}:{own.listen[1]}")
             task_status.started(listeners[0].socket.getsockname()[:2])
             await self._until_ended(signals or Signals())
@@ -301,7 +410,11 @@
             if self.membership is not None:
                 self.membership.leave()
             nursery.cancel_scope.cancel()
-        self.note("manager.stopped", batches=self.loop.batches, most_waited=round(self.channel.most_waited))
+        self.note(
+            "manager.stopped",
+            batches=self.loop.batches,
+            most_waited=round(self.channel.most_waited),
+        )
         self.kept.close()
 
     def _remember(self) -> None:
@@ -344,7 +457,9 @@
             return
         fixed = self._fixed(fresh)
         if fixed:
-            self.note("reload.refused", why=f"a restart is needed for what changed in {', '.join(fixed)}")
+            self.note(
+                "reload.refused", why=f"a restart is needed for what changed in {', '.join(fixed)}"
+            )
             return
         try:
             context = self._secure()  # streams that stand go on under the keys that they began with
@@ -362,7 +477,9 @@
         self.note("reload.done", pace=self.channel.pace)
 
 
-def serve(path: Path, make: Callable[[face.Trade], Decider] = Balancer, clock_rate: float = 1.0) -> int:
+def serve(
+    path: Path, make: Callable[[face.Trade], Decider] = Balancer, clock_rate: float = 1.0
+) -> int:
     """Run a manager by its file; gives the exit status: 2 for a file or store that cannot be used. `clock_rate` is for
     days on which clocks drift apart."""
     signals = Signals()
--- a/dunlinlug/ads/service.py
+++ b/dunlinlug/ads/service.py
@@ -37,7 +37,9 @@
 class Service:
     """Numbers proxies by their node's name, for as long as the process lives."""
 
-    def __init__(self, loop: Loop, desk: Desk, ledger: Ledger, cycle: float, note: Callable[..., None]) -> None:
+    def __init__(
+        self, loop: Loop, desk: Desk, ledger: Ledger, cycle: float, note: Callable[..., None]
+    ) -> None:
         self.loop, self.desk, self.ledger, self.cycle, self.note = loop, desk, ledger, cycle, note
         self.numbers: dict[str, int] = {}
         self.fresh: dict[str, int] = {}  # numbers given since they were last taken
@@ -46,7 +48,9 @@
         self.open = trio.Event()  # while not set, calls wait: another manager is master
         self.open.set()
         self.control, self.term = "dunlinlug", 0
-        self.told: Callable[[list[face.Event]], None] = lambda events: None  # of reports that the module hears
+        self.told: Callable[[list[face.Event]], None] = lambda events: (
+            None
+        )  # of reports that the module hears
         self.fenced: Callable[[int], None] = lambda term: None  # told of a higher term than ours
 
     def close(self, why: str) -> None:
@@ -65,8 +69,11 @@
         elif call.path == names.LRS:
             await self._lrs(call)
         else:
-            call.finish(Status.UNIMPLEMENTED, f"{call.path} is not served; served are {names.ADS}, "
-                        f"{names.FULL}, {', '.join(names.APART)}, {names.LRS}")
+            call.finish(
+                Status.UNIMPLEMENTED,
+                f"{call.path} is not served; served are {names.ADS}, "
+                f"{names.FULL}, {', '.join(names.APART)}, {names.LRS}",
+            )
 
     def deliver(self, proxy: int, parcel: Parcel) -> None:
         """Hand a parcel that has left the channel to its stream; one for an earlier stream is lost."""
@@ -74,7 +81,9 @@
         if session is not None and parcel.ordered >= session.joined_at:
             if parcel.routes is not None and proxy in self.desk.seats:
                 seat = self.desk.seats[proxy]
-                session.unused({names.table_name(self.desk.epoch, tbl) for tbl in seat.bound.values()})
+                session.unused(
+                    {names.table_name(self.desk.epoch, tbl) for tbl in seat.bound.values()}
+                )
             session.owe(parcel)
 
     async def _ads(self, call: Call, stream: DeltaStream | FullStream) -> None:
@@ -150,7 +159,12 @@
         if group is None:
             self._greeted(first.node, first, call.link.identity)
             fresh = FullStream()
-            fresh.node, fresh.zone, fresh.metadata, fresh.control = first.node, first.zone, first.metadata, self.control
+            fresh.node, fresh.zone, fresh.metadata, fresh.control = (
+                first.node,
+                first.zone,
+                first.metadata,
+                self.control,
+            )
             group = self.groups[first.node] = Group(fresh)
         elif call.link.identity not in ("", first.node):
             raise Impostor(f"{first.node} is not who its certificate names: {call.link.identity}")
@@ -197,9 +211,14 @@
         self.sessions[proxy], session.fenced = session, self.fenced
         self.desk.join(proxy, names.OVERLAY in stream.features, held, stream.full)
         rate = stream.metadata.get("txns_per_s", 0.0)
-        self.loop.tell(face.Joined(proxy, stream.zone, float(rate) if isinstance(rate, int | float) else 0.0,
-                                   not held))
-        self.note("proxy.joined", proxy=stream.node, number=proxy, zone=stream.zone, tables_held=len(held))
+        self.loop.tell(
+            face.Joined(
+                proxy, stream.zone, float(rate) if isinstance(rate, int | float) else 0.0, not held
+            )
+        )
+        self.note(
+            "proxy.joined", proxy=stream.node, number=proxy, zone=stream.zone, tables_held=len(held)
+        )
         return session
 
     def _leave(self, session: Session | WideSession) -> None:
@@ -230,10 +249,14 @@
                 call.send(loads.answer(self.cycle))
             proxy = self.numbers.get(node)
             # Danger: a peer could make up workers and fill the ledger, and the module's share of reports, with them.
-            report.workers = {worker: at for worker, at in report.workers.items() if worker in self.desk.zones}
+            report.workers = {
+                worker: at for worker, at in report.workers.items() if worker in self.desk.zones
+            }
             if proxy in self.sessions:
                 assert proxy is not None
-                self.ledger.add(trio.current_time(), proxy, self.sessions[proxy].stream.zone, report)
+                self.ledger.add(
+                    trio.current_time(), proxy, self.sessions[proxy].stream.zone, report
+                )
 
     async def tell_reports(self) -> None:
         """Each cycle, what the ledger lets the module hear."""
--- a/dunlinlug/ads/session.py
+++ b/dunlinlug/ads/session.py
@@ -29,8 +29,15 @@
 class Session:
     """Feed `owe` and `said`; run `send`. Events for the module go to `tell`, log lines to `note`."""
 
-    def __init__(self, proxy: int, call: Call, stream: DeltaStream, now: float,
-                 tell: Callable[[face.Event], None], note: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        proxy: int,
+        call: Call,
+        stream: DeltaStream,
+        now: float,
+        tell: Callable[[face.Event], None],
+        note: Callable[..., None],
+    ) -> None:
         self.proxy, self.call, self.stream, self.joined_at = proxy, call, stream, now
         self.tell, self.note = tell, note
         self.owed: Parcel | None = None
@@ -68,16 +75,25 @@
 
     def _send(self, parcel: Parcel) -> None:
         tables = tuple(r for r in parcel.tables.values() if self.refused.get(r.name) != r.version)
-        routes = (parcel.routes,) if parcel.routes and self.refused.get(names.ROUTE) != parcel.routes.version else ()
+        routes = (
+            (parcel.routes,)
+            if parcel.routes and self.refused.get(names.ROUTE) != parcel.routes.version
+            else ()
+        )
         gone = tuple(sorted(parcel.gone))
         steps: list[tuple[str, tuple[Resource, ...], tuple[str, ...]]]
         # Danger: a response is refused whole; who is withdrawn travels apart from tables that may be refused.
-        parts = [tuple(r for r in tables if r.name == names.OUT), tuple(r for r in tables if r.name != names.OUT)]
+        parts = [
+            tuple(r for r in tables if r.name == names.OUT),
+            tuple(r for r in tables if r.name != names.OUT),
+        ]
         steps = [(names.ENDPOINTS, part, ()) for part in parts if part]
         steps += [(names.ROUTES, routes, ())] if routes else []
         steps += [(names.ENDPOINTS, (), gone)] if gone else []
         flight = Flight(set(), parcel.marks)
-        ordered = parcel.ordered - trio.current_time() + time.monotonic()  # a clock that records share
+        ordered = (
+            parcel.ordered - trio.current_time() + time.monotonic()
+        )  # a clock that records share
         steps = steps or [(names.ENDPOINTS, (), ())]
         for n, (type_url, resources, removed) in enumerate(steps, 1):
             # The tag lets a proxy's record show when the first of it was ordered, and how many lines it is.
@@ -99,7 +115,9 @@
                 return
             fresh = {r.name: r.version for r in resources}
             if any(self.refused.get(name) != version for name, version in fresh.items()):
-                self.note("proxy.refused", proxy=self.stream.node, resources=sorted(fresh), why=word.why)
+                self.note(
+                    "proxy.refused", proxy=self.stream.node, resources=sorted(fresh), why=word.why
+                )
             self.refused.update(fresh)
         else:
             for resource in resources:
@@ -117,4 +135,6 @@
 
     def unused(self, used: set[str]) -> None:
         """Forget refusals of tables that the proxy is no longer to go by."""
-        self.refused = {n: v for n, v in self.refused.items() if n in used or n in (names.OUT, names.ROUTE)}
+        self.refused = {
+            n: v for n, v in self.refused.items() if n in used or n in (names.OUT, names.ROUTE)
+        }
--- a/dunlinlug/ads/wide.py
+++ b/dunlinlug/ads/wide.py
@@ -17,8 +17,15 @@
     """As `Session`, for the other form. A mark is answered once the client holds all that was offered with it, down to
     the endpoints of each product that it asks for."""
 
-    def __init__(self, proxy: int, call: Call, stream: FullStream, now: float,
-                 tell: Callable[[face.Event], None], note: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        proxy: int,
+        call: Call,
+        stream: FullStream,
+        now: float,
+        tell: Callable[[face.Event], None],
+        note: Callable[..., None],
+    ) -> None:
         self.proxy, self.call, self.stream, self.joined_at = proxy, call, stream, now
         self.tell, self.note = tell, note
         self.calls: dict[str, Call] = {}  # by type, where each has a stream of its own
@@ -65,7 +72,9 @@
         if isinstance(word, Refused):
             if term := fence.refused_for(word.why):
                 self.fenced(term)
-            self.note("proxy.refused", proxy=self.stream.node, resources=sorted(named), why=word.why)
+            self.note(
+                "proxy.refused", proxy=self.stream.node, resources=sorted(named), why=word.why
+            )
         self.push()
 
     def _settle(self, now: float) -> None:
