--- a/dunlinlug/balance.py
+++ b/dunlinlug/balance.py
@@ -26,19 +26,30 @@
 class Account(Outstanding):
     """The channel account: how many lines may still wait, by what was ordered and what answers show."""
 
-    SAMPLE, SLOWEST, LATER = 0.1, 0.1, 0.3  # seconds of drain for a sample; its least part; a message's delay
-    KEPT_BACK, KEPT = (0.08, 0.12, 0.2, 0.4), (0.0, 0.4, 0.4, 0.5)  # parts: rules, health, levels, rest
+    SAMPLE, SLOWEST, LATER = (
+        0.1,
+        0.1,
+        0.3,
+    )  # seconds of drain for a sample; its least part; a message's delay
+    KEPT_BACK, KEPT = (
+        (0.08, 0.12, 0.2, 0.4),
+        (0.0, 0.4, 0.4, 0.5),
+    )  # parts: rules, health, levels, rest
 
     def __init__(self, channel: face.Channel) -> None:
         most = channel.messages_most
         super().__init__(most or 1)
         self.channel, self.rate = channel, channel.lines_per_s
         # By rank, the messages within the span from which on a proxy gets no more; 0: no bound.
-        self.few = [next((n for n in range(1, most + 1) if 1.0 - n / most <= kept), 0) for kept in self.KEPT]
+        self.few = [
+            next((n for n in range(1, most + 1) if 1.0 - n / most <= kept), 0) for kept in self.KEPT
+        ]
 
     def scarce(self, proxy: int, now: float, rank: int) -> bool:
         times, few = self.written.get(proxy, ()), self.few[rank]
-        return 0 < few <= len(times) and times[-few] >= now - self.channel.messages_span - self.LATER
+        return (
+            0 < few <= len(times) and times[-few] >= now - self.channel.messages_span - self.LATER
+        )
 
     def heard(self, proxy: int, mark: int, took: float) -> list[int]:
         """An answer: tells which marks it settles."""
@@ -58,7 +69,9 @@
         self.orders: list[face.Order] = []
         self.lines: dict[int, float] = {}
         self.spent, self.head = 0.0, account.channel.message_lines + 1.0
-        self.left = False  # something, for want of messages. Danger: not looked at again before an event
+        self.left = (
+            False  # something, for want of messages. Danger: not looked at again before an event
+        )
 
     def full(self, budget: float, proxy: int | None = None) -> bool:
         # Danger: counted against itself, a reply whose heads are paid would leave changes for another.
@@ -69,7 +82,9 @@
         most = self.account.channel.waiting_most * (1.0 - Account.KEPT_BACK[rank])
         return self.account.waits + self.spent + lines <= most
 
-    def price(self, who: Collection[int], each: float, rank: int, budget: float = inf) -> float | None:
+    def price(
+        self, who: Collection[int], each: float, rank: int, budget: float = inf
+    ) -> float | None:
         """What so many lines for each of these proxies take; None if channel or limits forbid them."""
         if self.full(budget) or not self.fits(each * len(who), rank):
             return None
@@ -92,24 +107,52 @@
 class Health(Evidence):
     """Judges workers by what proxies met, in contrast to the others and to what is usual."""
 
-    HALF, ENOUGH = 0.8, 3.0  # seconds in which evidence halves: a report cycle; voided tries to judge by
+    HALF, ENOUGH = (
+        0.8,
+        3.0,
+    )  # seconds in which evidence halves: a report cycle; voided tries to judge by
     FAILING = 0.35  # voided part of the tries from which a worker is failing ...
-    CONTRAST = 3.0  # ... if also this many times the best quarter's part, so that overload condemns none
-    PACE, SILENT = 1.6, 0.9  # times the usual pace beyond which a worker may be overfull; a silent one's part
-    WELL, BUSY = 0.15, 0.08  # voided part up to which one is raised; the median's from which shares stay put
+    CONTRAST = (
+        3.0  # ... if also this many times the best quarter's part, so that overload condemns none
+    )
+    PACE, SILENT = (
+        1.6,
+        0.9,
+    )  # times the usual pace beyond which a worker may be overfull; a silent one's part
+    WELL, BUSY = (
+        0.15,
+        0.08,
+    )  # voided part up to which one is raised; the median's from which shares stay put
     LEARN = 0.03  # of each report goes into what is usual: dozens of reports
     CEILING = 0.2  # of the ready weight may be lost to health: more that fail in part have a common cause ...
     CUT_OFF = 0.8  # ... but for silent ones, while a quarter of the fleet does well: zones cut off or lost
-    TRIAL, TRIAL_SHARE = 3.0, 0.25  # seconds on trial, a few report cycles, at a share that a cold one bears
+    TRIAL, TRIAL_SHARE = (
+        3.0,
+        0.25,
+    )  # seconds on trial, a few report cycles, at a share that a cold one bears
     JAMMED_SHARE = 0.5  # for a jammed or slow worker; a quarter pushed too much onto the rest
     LATE, PLENTY = 2.5, 8.0  # times the median pace, over so many settled tries: a jam is near
-    WEAK_SHARE, WEAK = 0.75, 60.0  # share, and seconds of it, after or ahead of a jam: listed too high
-    REST, REST_MOST, AGAIN = 4.0, 16.0, 1.0  # seconds out before a trial, doubled by failures; between probes
+    WEAK_SHARE, WEAK = (
+        0.75,
+        60.0,
+    )  # share, and seconds of it, after or ahead of a jam: listed too high
+    REST, REST_MOST, AGAIN = (
+        4.0,
+        16.0,
+        1.0,
+    )  # seconds out before a trial, doubled by failures; between probes
 
     def __init__(self, uniform: Callable[[float, float], float], proof: float) -> None:
         super().__init__(self.HALF, self.REST, self.JAMMED_SHARE, 1.0, self.ENOUGH, self.FAILING)
-        self.uniform, self.proof, self.proven = uniform, proof, inf  # seconds of calm that prove it, and when
-        self.calm, self.ceiling = 0.0, self.CEILING  # the median worker's pace when few void; what may go
+        self.uniform, self.proof, self.proven = (
+            uniform,
+            proof,
+            inf,
+        )  # seconds of calm that prove it, and when
+        self.calm, self.ceiling = (
+            0.0,
+            self.CEILING,
+        )  # the median worker's pace when few void; what may go
 
     def judge(self, now: float, weight: dict[int, float], whole: float) -> None:
         """Step caps down on evidence, the worst worker first, and up again after a while of good evidence."""
@@ -117,17 +160,23 @@
             return
         best, busy = self.peers[len(self.peers) // 4], middle(self.peers) >= self.BUSY
         lost, pace = sum(weight[i] * (1.0 - self.cap[i]) for i in sorted(self.reduced)), self.beat()
-        if now < self.proven:  # Danger: voids are reported late, so quick first answers are no proof of calm
+        if (
+            now < self.proven
+        ):  # Danger: voids are reported late, so quick first answers are no proof of calm
             self.proven = now + self.proof if busy else min(self.proven, now + self.proof)
         if not busy:
             self.calm += self.LEARN * (pace - self.calm) if self.calm else pace
         elif not self.calm:
             return  # Danger: a manager that began in a jam would take the jammed for silent
         slow = self.slower(self.LATE * pace) if pace and not busy else ()
-        moving = sorted({*self.suspects, *slow, *self.rising(now)}, key=lambda i: (-self.voided[i], i))
+        moving = sorted(
+            {*self.suspects, *slow, *self.rising(now)}, key=lambda i: (-self.voided[i], i)
+        )
         for i in moving:  # nobody else can move
             part, cap, settled = self.part(i), self.cap[i], self.tries[i] - self.voided[i]
-            failing = self.voided[i] >= self.ENOUGH and part >= max(self.FAILING, self.CONTRAST * best)
+            failing = self.voided[i] >= self.ENOUGH and part >= max(
+                self.FAILING, self.CONTRAST * best
+            )
             brisk = self.pace(i) <= self.PACE * self.calm
             late = settled >= self.PLENTY and 0.0 < self.LATE * pace <= self.pace(i)
             if failing and (brisk or settled < 0.5):
@@ -155,24 +204,53 @@
     """How much of each product is let in: under overload the least revenue per work is refused first."""
 
     BEAT = 1.0  # seconds between steps: about the time in which a step's effect can be heard
-    VOIDED, SLOW = 0.08, 0.45  # median voided part, and settling time in SLA times, from which on is overload
-    NEAR = 0.8  # of the bound on settling time: voids at a usual pace have other causes than overload
+    VOIDED, SLOW = (
+        0.08,
+        0.45,
+    )  # median voided part, and settling time in SLA times, from which on is overload
+    NEAR = (
+        0.8  # of the bound on settling time: voids at a usual pace have other causes than overload
+    )
     MOST = 0.4  # voided part that is overload at any pace: slow handshakes and lost answers stay below it
     CALM = 0.85  # of either bound: below it more is let in again (hysteresis)
     LESS = 0.7  # times what is let in for each beat in overload
-    BACK, MORE = 1.25, 1.04  # for each calm beat, up to near the share at which overload began, and beyond it
-    KNEE, LEAST, FORGET = 0.5, 0.5, 0.98  # what is near it; of the best settled rate, the least and kept
-    FLOOR, RECENT, SPARE = 0.05, 16, 1.5  # least let in; queues that tell a jam's end; a zone of three spare
+    BACK, MORE = (
+        1.25,
+        1.04,
+    )  # for each calm beat, up to near the share at which overload began, and beyond it
+    KNEE, LEAST, FORGET = (
+        0.5,
+        0.5,
+        0.98,
+    )  # what is near it; of the best settled rate, the least and kept
+    FLOOR, RECENT, SPARE = (
+        0.05,
+        16,
+        1.5,
+    )  # least let in; queues that tell a jam's end; a zone of three spare
 
     def __init__(self, products: tuple[face.Product, ...]) -> None:
         # Work is not told; the SLA time stands for it, as longer work is given more time.
         self.sla = [product.sla for product in products]
-        self.order = sorted(range(len(products)), key=lambda k: products[k].revenue / products[k].sla)
+        self.order = sorted(
+            range(len(products)), key=lambda k: products[k].revenue / products[k].sla
+        )
         self.asked = [1.0] * len(products)  # txns a second of each product, smoothed
-        self.came = dict.fromkeys((product.name for product in products), 0)  # txns since the last beat
-        self.settled = self.rate = self.best = 0.0  # tries since the last beat; a second; the best of late
-        self.share, self.knee, self.last, self.calm = 1.0, 1.0, inf, True  # the last two: of the last beat
-        self.queues = deque[float](maxlen=self.RECENT)  # where workers tell how many txns wait at them
+        self.came = dict.fromkeys(
+            (product.name for product in products), 0
+        )  # txns since the last beat
+        self.settled = self.rate = self.best = (
+            0.0  # tries since the last beat; a second; the best of late
+        )
+        self.share, self.knee, self.last, self.calm = (
+            1.0,
+            1.0,
+            inf,
+            True,
+        )  # the last two: of the last beat
+        self.queues = deque[float](
+            maxlen=self.RECENT
+        )  # where workers tell how many txns wait at them
 
     def step(self, now: float, voided: float, pace: float) -> None:
         """Go by the median worker's voided part and pace, which a few bad workers don't move."""
@@ -190,10 +268,16 @@
         slow = pace / self.SLOW * sum(self.asked) / sum(self.work())
         # And voids told seconds late tell of a jam that is over, where nothing waits any more.
         idle = len(self.queues) == self.RECENT and median(self.queues) < 1.0
-        stress = 0.0 if idle else max(slow, voided / self.VOIDED * (slow >= self.NEAR or voided >= self.MOST))
+        stress = (
+            0.0
+            if idle
+            else max(slow, voided / self.VOIDED * (slow >= self.NEAR or voided >= self.MOST))
+        )
         if stress > 1.0:
             self.knee = self.share if self.calm else self.knee
-            self.share = max(self.LESS * self.share, min(self.LEAST * self.best / sum(self.asked), 1.0))
+            self.share = max(
+                self.LESS * self.share, min(self.LEAST * self.best / sum(self.asked), 1.0)
+            )
         elif stress < self.CALM:
             more = self.BACK if idle or self.share < self.KNEE * self.knee else self.MORE
             self.share = min(self.share * more, 1.0)
@@ -217,30 +301,64 @@
     """One manager's decisions."""
 
     WINDOW = 4  # versions: the paper's four status bits
-    SILENT, LIFETIME = 3.0, 2.0  # seconds for an answer beyond the channel's delay; to clearing: the design's
-    LATENESS, STORM = 2.0, 0.1  # seconds to a void's report; median voided part for each share a cold bears
+    SILENT, LIFETIME = (
+        3.0,
+        2.0,
+    )  # seconds for an answer beyond the channel's delay; to clearing: the design's
+    LATENESS, STORM = (
+        2.0,
+        0.1,
+    )  # seconds to a void's report; median voided part for each share a cold bears
     ROUGH = 0.1  # voided part of all tries from which cold workers wait outside: a load on the rise had 0.14
-    STEP, RAISE = 0.25, 5.0  # a fresh worker's first share and each raise, and seconds between: the design's
+    STEP, RAISE = (
+        0.25,
+        5.0,
+    )  # a fresh worker's first share and each raise, and seconds between: the design's
     TURN = 0.5  # seconds of drain that may wait at a change; twice or thrice at a bind, else four times
     ONLY_COLD = 0.3  # share let in while a table has but workers that should be out
-    BEAT, ASK_WAIT = 0.25, 0.5  # seconds between looks while busy; before the list is asked again, doubled
+    BEAT, ASK_WAIT = (
+        0.25,
+        0.5,
+    )  # seconds between looks while busy; before the list is asked again, doubled
     HOT = 1.25  # times what is usually asked of a worker, from which on a small table gets one more: a raise
 
     def __init__(self, trade: face.Trade) -> None:
         self.uniform = Random(trade.seed).uniform
         self.products, self.usual_retry = len(trade.products), trade.usual_retry
-        self.ask_every, self.warm_after = trade.duties.ask_every, trade.duties.warm_after or 1e-6  # divides
-        cold, rise = trade.duties.cold_share, (1.0 - trade.duties.cold_share) * self.RAISE / self.warm_after
-        self.bears = trade.duties.fall_multiple * min(  # times its share, at the weakest moment of its ramp
-            min(1.0, cold + n * rise) / self.STEP / (n + 1) for n in range(round(1 / self.STEP)))
-        self.may_probe, self.sliced, self.standing = trade.may_probe, trade.slices > 0, trade.standing
-        self.home = [k for k, product in enumerate(trade.products) if product.home_only]  # their zone's alone
-        self.each = 2.0 if 0 < len(self.home) < self.products else 1.0  # lines for a worker: those apart
-        self.fleet = Fleet(lambda told: sum(told) / len(told))  # a worker with no weight told has the mean
+        self.ask_every, self.warm_after = (
+            trade.duties.ask_every,
+            trade.duties.warm_after or 1e-6,
+        )  # divides
+        cold, rise = (
+            trade.duties.cold_share,
+            (1.0 - trade.duties.cold_share) * self.RAISE / self.warm_after,
+        )
+        self.bears = (
+            trade.duties.fall_multiple
+            * min(  # times its share, at the weakest moment of its ramp
+                min(1.0, cold + n * rise) / self.STEP / (n + 1) for n in range(round(1 / self.STEP))
+            )
+        )
+        self.may_probe, self.sliced, self.standing = (
+            trade.may_probe,
+            trade.slices > 0,
+            trade.standing,
+        )
+        self.home = [
+            k for k, product in enumerate(trade.products) if product.home_only
+        ]  # their zone's alone
+        self.each = (
+            2.0 if 0 < len(self.home) < self.products else 1.0
+        )  # lines for a worker: those apart
+        self.fleet = Fleet(
+            lambda told: sum(told) / len(told)
+        )  # a worker with no weight told has the mean
         self.account, self.lines, self.cold = Account(trade.channel), Lines(), set[int]()
         self.health = Health(self.uniform, max(p.deadline for p in trade.products) + self.LATENESS)
         self.gate, self.admits = Gate(trade.products), trade.admits == "share"
-        self.all_in = 1.0 if self.admits else 1e6  # where levels are rates, a share of 1 would shut a proxy
+        self.all_in = (
+            1.0 if self.admits else 1e6
+        )  # where levels are rates, a share of 1 would shut a proxy
         self.seating, self.current = Seating(self.products), dict[int, Table]()
         self.changes, self.armed = dict[int, Change](), set[float]()
         self.versions = self.last_mark = self.last_number = self.last_token = 0
@@ -251,7 +369,10 @@
         self.barred: dict[int, float] = {}  # by worker, until when what was refused of it stays so
         self.kept: dict[int, float] = {}  # by product, until when levels stay after one was refused
         self.pins: dict[int, face.Pinned] = {}  # by product, an operator's word
-        self.means, self.moved = face.Trusted(Health.CEILING), set[int]()  # workers to be planned anew
+        self.means, self.moved = (
+            face.Trusted(Health.CEILING),
+            set[int](),
+        )  # workers to be planned anew
 
     # Events: what is known.
 
@@ -270,7 +391,9 @@
                 self.ask_wait = min(2 * self.ask_wait, max(self.ask_every / 4, self.ASK_WAIT))
             case face.Listed():
                 self.ask_wait = self.ASK_WAIT
-                for i, new in self.fleet.fold(event, lambda: self.seating.named(self.out, self.barred)):
+                for i, new in self.fleet.fold(
+                    event, lambda: self.seating.named(self.out, self.barred)
+                ):
                     if new:
                         self.health.admit(i)
                         self.noted.pop(i, None)
@@ -286,7 +409,9 @@
                     back = all(other.zone != event.zone for other in self.seating.proxies.values())
                     for i, cap in enumerate(self.health.cap if back else ()):
                         if not cap and self.fleet.zones[i] == event.zone:
-                            self.health.start(i, 1.0, now)  # first proxy back: the zone is in reach again
+                            self.health.start(
+                                i, 1.0, now
+                            )  # first proxy back: the zone is in reach again
                     self.seating.join(proxy, event.zone, event.txns_per_s)
             case face.Answered(proxy, mark, took) if mark in self.account.asked.get(proxy, ()):
                 passed = self.account.heard(proxy, mark, took)
@@ -296,12 +421,16 @@
             case face.Met(worker=worker) if worker in self.fleet.index:
                 i = self.fleet.index[worker]
                 self.gate.settled += (event.tries - event.voided) * event.own
-                self.gate.queues.extend([event.load["queue"]] if self.scant and "queue" in event.load else ())
+                self.gate.queues.extend(
+                    [event.load["queue"]] if self.scant and "queue" in event.load else ()
+                )
                 if self.health.cap[i]:
                     self.health.met(i, now, event.tries, event.voided, event.took)
             case face.Probed(worker=worker) if worker in self.fleet.index:
                 if not self.health.cap[i := self.fleet.index[worker]]:
-                    share, pause = (Health.TRIAL_SHARE, Health.TRIAL) if event.ok else (0.0, Health.AGAIN)
+                    share, pause = (
+                        (Health.TRIAL_SHARE, Health.TRIAL) if event.ok else (0.0, Health.AGAIN)
+                    )
                     self.health.start(i, share, now + pause)
             case face.Asked(product=name) if name in self.gate.came:
                 self.gate.came[name] += event.txns
@@ -333,7 +462,9 @@
                 self.kept[k] = now + self.RAISE
                 if tbl in tables:
                     tables[tbl].levels[k] = tables[tbl].were.get(k, (self.all_in, self.usual_retry))
-            case face.Clear(tbl) if tbl not in tables:  # Danger: a number in use would be given out again
+            case face.Clear(tbl) if (
+                tbl not in tables
+            ):  # Danger: a number in use would be given out again
                 self.seating.lay(Table(tbl, {}, {}, []))
 
     # The wanted state.
@@ -348,18 +479,30 @@
         # Word of a storm comes seconds late: no other cold worker is let in while tries fail anywhere.
         tries, voids = health.heard(self.ROUGH)
         rough = not self.gate.calm or voids >= self.ROUGH * tries > 0.0
-        tables = [*dict.fromkeys([*self.seating.in_use(), *self.current.values(), *(
-            c.table for c in self.changes.values())])]
+        tables = [
+            *dict.fromkeys(
+                [
+                    *self.seating.in_use(),
+                    *self.current.values(),
+                    *(c.table for c in self.changes.values()),
+                ]
+            )
+        ]
         self._share(now)
         parts, out = self.lines.parts, health.idle.union(*(table.absent for table in tables))
         # Danger: a cold worker pushed over, a drained one sent to. Out while any table gives it too much.
         # Danger: a storm of repeats brings cold workers many times their share, more so to a new manager.
         most = {i: health.cap[i] for i in health.trials}
         for i in self.cold - health.idle:
-            shut = storm or rough and (i in self.out or not any(i in table.parts for table in tables))
+            shut = (
+                storm or rough and (i in self.out or not any(i in table.parts for table in tables))
+            )
             most[i] = min(most.get(i, inf), 0.0 if shut else self._ramp(i, now))
-        out |= {i for i, bound in most.items() if parts[i] > bound or any(
-            table.parts.get(i, 0.0) > bound for table in tables)}
+        out |= {
+            i
+            for i, bound in most.items()
+            if parts[i] > bound or any(table.parts.get(i, 0.0) > bound for table in tables)
+        }
         self._advance(now)
         shares = [self.all_in] * self.products
         if self.admits and health.parts:
@@ -368,9 +511,13 @@
         # Danger: an effect twice. Only on proof that none ran; not in overload or before a calm was seen.
         retry = min(self.usual_retry, 1) if health.calm and min(shares) >= 1.0 else 0
         plain = self.lines.in_order() if self.pins else self.lines.plain
-        wanted = [self._pinned(k, plain, out) if k in self.pins else plain for k in range(self.products)]
+        wanted = [
+            self._pinned(k, plain, out) if k in self.pins else plain for k in range(self.products)
+        ]
         standing = set(self.current.values())
-        for table in tables:  # Danger: nobody left. Where all of a table are out, the cold come in, or any
+        for (
+            table
+        ) in tables:  # Danger: nobody left. Where all of a table are out, the cold come in, or any
             current, empty = table in standing, len(table.parts) == len(table.absent)
             if not self.home and not (weight if current and empty else table.parts).keys() <= out:
                 continue
@@ -379,14 +526,22 @@
                 out -= ready & most.keys() or ready
                 shares = [min(s, self.ONLY_COLD * self.all_in) if current else s for s in shares]
             for near in self.fleet.by_zone(ready).values() if self.home else ():
-                warm = [i for i in near if now - self.fleet.since[i] >= self.warm_after]  # one will do
-                out -= {min(warm, key=lambda i: (health.part(i), i))} if warm and near <= out else set()
+                warm = [
+                    i for i in near if now - self.fleet.since[i] >= self.warm_after
+                ]  # one will do
+                out -= (
+                    {min(warm, key=lambda i: (health.part(i), i))}
+                    if warm and near <= out
+                    else set()
+                )
         self.barred = {i: at for i, at in self.barred.items() if at > now}
         return Wanted(wanted, parts, [level(share, retry) for share in shares], out)
 
     def _ramp(self, i: int, now: float) -> float:
         age = now - self.fleet.since[i]
-        return min(1.0, self.STEP * (1 + max(0, age // self.RAISE))) if age < self.warm_after else 1.0
+        return (
+            min(1.0, self.STEP * (1 + max(0, age // self.RAISE))) if age < self.warm_after else 1.0
+        )
 
     def _share(self, now: float) -> None:
         """Each worker's part of its weight, and its share, of those for whom something changed."""
@@ -394,29 +549,45 @@
         self.moved |= fleet.news() | health.news()
         due = {*self.moved, *self.cold, *self.barred}
         self.lines.drop(i for i in due if i not in fleet.weights)
-        self.cold = {i for i in due & fleet.weights.keys() if now - fleet.since[i] < self.warm_after}
+        self.cold = {
+            i for i in due & fleet.weights.keys() if now - fleet.since[i] < self.warm_after
+        }
         for i in due & fleet.weights.keys():
             full = self._ramp(i, now)
-            part = min(full, health.cap[i] or Health.TRIAL_SHARE)  # ahead of its trial: needs no change then
+            part = min(
+                full, health.cap[i] or Health.TRIAL_SHARE
+            )  # ahead of its trial: needs no change then
             if not self.means.begin or not self.means.raises and i in self.cold:  # cut off
                 part = min(part if self.means.begin else full, parts.get(i, full))
-            self.lines.put(i, part, None if self.barred.get(i, 0.0) > now else fleet.weights[i] * part)
+            self.lines.put(
+                i, part, None if self.barred.get(i, 0.0) > now else fleet.weights[i] * part
+            )
 
     def _pinned(self, k: int, plain: Shares, out: set[int]) -> Shares:
         """A product's shares as pinned: other weights, the same ramp. Danger: all its workers out."""
         pin, parts = self.pins[k], self.lines.parts
-        weights = {self.fleet.index[w]: weight for w, weight in pin.weights if w in self.fleet.index}
+        weights = {
+            self.fleet.index[w]: weight for w, weight in pin.weights if w in self.fleet.index
+        }
         if not weights and pin.others:
             return plain
-        given = {i: weight * parts[i] for i, weight in weights.items() if weight is not None and i in plain}
+        given = {
+            i: weight * parts[i]
+            for i, weight in weights.items()
+            if weight is not None and i in plain
+        }
         shares = {i: n for i, n in {**plain, **given}.items() if n and (pin.others or i in weights)}
         return plain if out >= shares.keys() else shares
 
     def _advance(self, now: float) -> None:
         """Move each change on as far as answers and timers let it."""
-        patience = self.SILENT + self.account.waits / self.account.rate + 2 * self.account.channel.transit
+        patience = (
+            self.SILENT + self.account.waits / self.account.rate + 2 * self.account.channel.transit
+        )
         self.since = now - patience
-        lag = self.seating.late({k: (c.old, c.table) for k, c in self.changes.items() if c.bound}, self.since)
+        lag = self.seating.late(
+            {k: (c.old, c.table) for k, c in self.changes.items() if c.bound}, self.since
+        )
         for k, change in list(self.changes.items()):
             if change.asked_at <= self.since:
                 change.awaited.clear()  # silent proxies leave the awaited set
@@ -433,10 +604,18 @@
         for i in sorted({*self.moved, *health.awake(now)} & wanted.parts.keys()):
             if health.cap[i] != self.noted.get(i, 1.0):
                 self.noted[i] = health.cap[i]
-                reply.orders.append(face.Note(
-                    f"{self.fleet.ids[i]} to {health.cap[i]}: {health.part(i):.2f} of {health.tries[i]:.0f} "
-                    f"tries voided, pace {health.pace(i):.2f} s"))
-            if self.may_probe and not health.cap[i] and health.due[i] <= now and i not in self.barred:
+                reply.orders.append(
+                    face.Note(
+                        f"{self.fleet.ids[i]} to {health.cap[i]}: {health.part(i):.2f} of {health.tries[i]:.0f} "
+                        f"tries voided, pace {health.pace(i):.2f} s"
+                    )
+                )
+            if (
+                self.may_probe
+                and not health.cap[i]
+                and health.due[i] <= now
+                and i not in self.barred
+            ):
                 health.put_off(i)  # until the probe's result
                 reply.orders.append(face.Probe(self.fleet.ids[i]))
         self.moved.clear()
@@ -458,7 +637,9 @@
         if self.scant and not reply.full(self.TURN):
             self._tend(reply, wanted)
         self._switch(reply, largest, crowded)
-        reply.orders.extend(map(face.Clear, self.seating.cleared(now)))  # no line: nobody is bound there
+        reply.orders.extend(
+            map(face.Clear, self.seating.cleared(now))
+        )  # no line: nobody is bound there
         if reply.lines:
             reply.orders.append(face.Mark(reply.mark, everyone))
             self.account.book(reply.mark, now, reply.lines)
@@ -469,10 +650,21 @@
         return reply.orders
 
     def _cost(self, table: Table) -> float:  # lines of a bind to it
-        return self.products + self.each * (1.0 + len(table.shares)) + len(self.out & table.shares.keys())
-
-    def _bind(self, reply: Reply, p: int, products: tuple[int, ...], table: Table, rank: int,
-              budget: float = inf) -> bool:
+        return (
+            self.products
+            + self.each * (1.0 + len(table.shares))
+            + len(self.out & table.shares.keys())
+        )
+
+    def _bind(
+        self,
+        reply: Reply,
+        p: int,
+        products: tuple[int, ...],
+        table: Table,
+        rank: int,
+        budget: float = inf,
+    ) -> bool:
         if spent := reply.spend((p,), self._cost(table), rank, budget):
             reply.orders.append(face.Bind(p, products, table.number))
             self.seating.bind(p, products, table, reply.mark, reply.now)
@@ -493,19 +685,32 @@
             if not top or usable and any(t <= shut or mass and len(t & fresh) > few for t in top):
                 bare.append(members)
             elif near:
-                bare.append([p for p in members if self.seating.far(p, near, [tops[k] for k in self.home])])
+                bare.append(
+                    [p for p in members if self.seating.far(p, near, [tops[k] for k in self.home])]
+                )
         for p in self.seating.in_order(bare):
             joiner = not any(self.seating.proxies[p].tops)
-            if whole and joiner and not reply.full(self.TURN, p) and self._bind(
-                    reply, p, tuple(self.current), whole, 1, self.TURN):
+            if (
+                whole
+                and joiner
+                and not reply.full(self.TURN, p)
+                and self._bind(reply, p, tuple(self.current), whole, 1, self.TURN)
+            ):
                 continue  # a short queue carries it whole at once
             bears = bears or self._dealt(reply, wanted)
             least = least or reply.head + min(map(self._cost, bears))
             if not reply.fits(least, 0):
                 break
-            table = min(bears, key=lambda table: (self.seating.far(p, near, [table]), (
-                table.load + self.seating.proxies[p].rate) / bears[table]))
-            if not near or table is not self.seating.proxies[p].tops[0]:  # kept up in place, see _tend
+            table = min(
+                bears,
+                key=lambda table: (
+                    self.seating.far(p, near, [table]),
+                    (table.load + self.seating.proxies[p].rate) / bears[table],
+                ),
+            )
+            if (
+                not near or table is not self.seating.proxies[p].tops[0]
+            ):  # kept up in place, see _tend
                 self._bind(reply, p, tuple(range(self.products)), table, 0)
 
     def _dealt(self, reply: Reply, wanted: Wanted) -> dict[Table, float]:
@@ -515,25 +720,38 @@
         want, used = wanted.common(), [table for table in self.small if table.users]
         best = [i for i in want if i not in wanted.out and (self.home or wanted.parts[i] == 1.0)]
         best = best or [i for i in want if i not in wanted.out] or list(want)
-        zones = self.fleet.by_zone(best).values() if self.home else ()  # somebody of every zone is in each
+        zones = (
+            self.fleet.by_zone(best).values() if self.home else ()
+        )  # somebody of every zone is in each
         whole, bears = set(best), self.lines.bearing(self.small, wanted.shares[0])
-        stale = any(not table.parts.keys() <= whole for table in self.small if not table.users) or any(
-            all(near.isdisjoint(table.shares) for table in self.small) for near in zones)
+        stale = any(
+            not table.parts.keys() <= whole for table in self.small if not table.users
+        ) or any(all(near.isdisjoint(table.shares) for table in self.small) for near in zones)
         if stale or 2 * sum(bears.values()) < sum(want[i] for i in best) or not self.small:
             self.seating.retire(self.small, reply.now)
-            best.sort(key=lambda i: (self.fleet.zones[i] if self.home else "", self.uniform(0.0, 1.0)))
+            best.sort(
+                key=lambda i: (self.fleet.zones[i] if self.home else "", self.uniform(0.0, 1.0))
+            )
             count = min([-(-len(best) // self.standing) or 1, *map(len, zones)])
             dealt = ({i: want[i] for i in best[n::count]} for n in range(count))
-            self.small = self.seating.deal(used + [self._lay(reply, wanted, part) for part in dealt])
+            self.small = self.seating.deal(
+                used + [self._lay(reply, wanted, part) for part in dealt]
+            )
         return self.lines.bearing(self.small, wanted.shares[0])
 
     def _tend(self, reply: Reply, wanted: Wanted) -> None:
         """Small tables follow in place. A worker that is in none joins where most is asked, and one of which
         least is asked where that is HOT times the usual."""
         want, tables = wanted.common(), self.seating.small()
-        able = {table for table in tables if not self.seating.lagging(0, table, table, self.since) and (
-            reply.price(self.seating.bound(table), self.each, 3, self.TURN) is not None)}
-        asks = {table: table.load / bears for table, bears in self.lines.bearing(tables, want).items()}
+        able = {
+            table
+            for table in tables
+            if not self.seating.lagging(0, table, table, self.since)
+            and (reply.price(self.seating.bound(table), self.each, 3, self.TURN) is not None)
+        }
+        asks = {
+            table: table.load / bears for table, bears in self.lines.bearing(tables, want).items()
+        }
         usual = cache(lambda: sum(table.load for table in tables) / (self.lines.live(want) or 1.0))
         new = iter([*islice(self.lines.free(self.seating.cover, want), len(tables))])
         least = cache(lambda: self.lines.by_asked(want, asks))
@@ -545,9 +763,14 @@
             if joins[table] is None and table in able and self.HOT * usual() < asks[table]:
                 joins[table] = next((i for i in least() if i not in table.shares), None)
         for table, more in joins.items():
-            if table in able and (more is not None or self.lines.differing(table, want, lacking=False)) and (
-                    reply.price(self.seating.bound(table), self.each, 3, self.TURN) is not None):
-                self._amend(reply, wanted, table, {i: want[i] for i in (*table.shares, more) if i in want})
+            if (
+                table in able
+                and (more is not None or self.lines.differing(table, want, lacking=False))
+                and (reply.price(self.seating.bound(table), self.each, 3, self.TURN) is not None)
+            ):
+                self._amend(
+                    reply, wanted, table, {i: want[i] for i in (*table.shares, more) if i in want}
+                )
 
     def _withdraw(self, reply: Reply, wanted: Wanted) -> None:
         """Withdrawals first, without stages, the rules' ahead. Danger: all else in a slow channel's way."""
@@ -556,17 +779,23 @@
         for i in sorted(moved, key=lambda i: (i in wanted.parts, i)):
             ruled = i in wanted.out and (i not in wanted.parts or self.health.cap[i] > 0.0)
             rank, budget = (0, inf) if ruled else (1, 4 * self.TURN)
-            if (i not in self.barred and reply.fits(sum(map(len, users[i])), rank)
-                    and reply.spend([*chain.from_iterable(users[i])], 1.0, rank, budget)):
+            if (
+                i not in self.barred
+                and reply.fits(sum(map(len, users[i])), rank)
+                and reply.spend([*chain.from_iterable(users[i])], 1.0, rank, budget)
+            ):
                 reply.orders.append(face.Withdraw(self.fleet.ids[i], i in wanted.out))
                 self.out ^= {i}
 
     def _level(self, reply: Reply, wanted: Wanted) -> None:
         for k, table, groups in self.seating.unlike(wanted.levels):
             if reply.now >= self.kept.get(k, 0.0) and reply.spend(
-                    [*chain.from_iterable(groups)], 1.0, 2, 4 * self.TURN):
+                [*chain.from_iterable(groups)], 1.0, 2, 4 * self.TURN
+            ):
                 table.were[k], table.levels[k] = table.levels[k], wanted.levels[k]
-                reply.orders.append(face.Admit(table.number, k, table.levels[k][1], table.levels[k][0]))
+                reply.orders.append(
+                    face.Admit(table.number, k, table.levels[k][1], table.levels[k][0])
+                )
 
     def _begin(self, reply: Reply, wanted: Wanted, largest: list[int], crowded: bool) -> bool:
         """Begin changes, laid where nobody is bound; tells if all are asked. Departure: where all tables to
@@ -576,8 +805,14 @@
             if k not in self.changes:
                 groups.setdefault(id(wants[k]) if crowded else k, []).append(k)
         for group in groups.values():
-            olds, table, want = {k: self.current[k] for k in group}, self.current[group[0]], wants[group[0]]
-            torn = wanted.mixed() and any(wants[k] is not want for k, t in self.current.items() if t is table)
+            olds, table, want = (
+                {k: self.current[k] for k in group},
+                self.current[group[0]],
+                wants[group[0]],
+            )
+            torn = wanted.mixed() and any(
+                wants[k] is not want for k, t in self.current.items() if t is table
+            )
             if crowded and len(set(olds.values())) == 1 and not torn:
                 if not self._amend(reply, wanted, table, want):
                     continue
@@ -588,7 +823,9 @@
             for k in group:
                 self.versions, bound = self.versions + 1, table is olds[k]
                 awaited = set() if bound else set(self.seating.proxies)
-                self.changes[k] = Change(self.versions, table, olds[k], reply.mark, reply.now, awaited, bound)
+                self.changes[k] = Change(
+                    self.versions, table, olds[k], reply.mark, reply.now, awaited, bound
+                )
         return everyone
 
     def _amend(self, reply: Reply, wanted: Wanted, table: Table, want: dict[int, float]) -> bool:
@@ -599,7 +836,8 @@
         moved = self._moved(table, want, wanted.out)[:most]
         # Who is out gets nothing whatever its line says: it waits for a message that goes anyway.
         idly = not any(i in want and self.health.cap[i] for i in moved) and any(
-            p not in reply.lines for p in bound)
+            p not in reply.lines for p in bound
+        )
         if not moved or idly or not reply.spend(bound, self.each * len(moved), 3, self.TURN):
             return False
         for i in moved:
@@ -611,18 +849,33 @@
     def _switch(self, reply: Reply, largest: list[int], crowded: bool) -> None:
         """Ready changes become current within the window; then whoever is on another table is bound."""
         for k, change in self.changes.items():
-            if not change.bound and not change.awaited and not any(
-                    c.awaited for c in self.changes.values() if c.version < change.version - self.WINDOW):
+            if (
+                not change.bound
+                and not change.awaited
+                and not any(
+                    c.awaited
+                    for c in self.changes.values()
+                    if c.version < change.version - self.WINDOW
+                )
+            ):
                 change.bound, self.current[k] = True, change.table
         for joiners in (True, False)[crowded:] if not self.scant else ():
             rank, budget = (1, 2 * self.TURN) if joiners else (3, (3 if crowded else 2) * self.TURN)
             for table in dict.fromkeys(self.current[k] for k in largest):
                 cost = self._cost(table)
-                others = self.seating.others(self.current, table, joiners) if reply.fits(cost, rank) else {}
+                others = (
+                    self.seating.others(self.current, table, joiners)
+                    if reply.fits(cost, rank)
+                    else {}
+                )
                 for p in self.seating.in_order(self.seating.groups[tops] for tops in others):
                     proxy = self.seating.proxies[p]
-                    begun = crowded and proxy.bound_at == reply.now  # with a small table in this very reply
-                    if not (begun or reply.full(budget, p) or proxy.wait > reply.now):  # its last was refused
+                    begun = (
+                        crowded and proxy.bound_at == reply.now
+                    )  # with a small table in this very reply
+                    if not (
+                        begun or reply.full(budget, p) or proxy.wait > reply.now
+                    ):  # its last was refused
                         self._bind(reply, p, others[proxy.tops], table, rank, budget)
                     if not reply.fits(cost, rank):
                         break
@@ -632,7 +885,9 @@
         self.last_number = number = free(self.last_number, self.seating.tables)
         parts = {i: wanted.parts.get(i, 1.0) for i in shares}
         table = self.seating.lay(Table(number, dict(shares), parts, list(wanted.levels)))
-        reply.orders.extend(face.Share(number, self.fleet.ids[i], share) for i, share in table.shares.items())
+        reply.orders.extend(
+            face.Share(number, self.fleet.ids[i], share) for i, share in table.shares.items()
+        )
         for k, (share, retry) in enumerate(table.levels):
             if (share, retry) != (self.all_in, self.usual_retry):
                 reply.orders.append(face.Admit(number, k, retry, share))
@@ -643,12 +898,21 @@
         have = table.shares
         # Danger: a new line for one that must stay out, as nobody may have been told of its withdrawal.
         moved = self.lines.differing(table, want) - (out - have.keys())
-        return sorted(moved, key=lambda i: (i not in want, -abs(want.get(i, 0.0) - have.get(i, 0.0)), i))
+        return sorted(
+            moved, key=lambda i: (i not in want, -abs(want.get(i, 0.0) - have.get(i, 0.0)), i)
+        )
 
     def _wake(self, reply: Reply, wanted: Wanted) -> None:
         """One timer at the next time at which something is due of itself."""
-        now, busy = reply.now, self.changes or self.account.sent or reply.left or wanted.out ^ self.out
-        due = [now + self.BEAT if busy or self.seating.ending() else inf, self.ask_at, *self.barred.values()]
+        now, busy = (
+            reply.now,
+            self.changes or self.account.sent or reply.left or wanted.out ^ self.out,
+        )
+        due = [
+            now + self.BEAT if busy or self.seating.ending() else inf,
+            self.ask_at,
+            *self.barred.values(),
+        ]
         due += [max(at, now + self.BEAT) for at, _ in self.health.asleep[:1]]
         due += [now + self.RAISE - (now - self.fleet.since[i]) % self.RAISE for i in self.cold]
         self.armed = {at for at in self.armed if at > now}
--- a/dunlinlug/bookkeeping/cover.py
+++ b/dunlinlug/bookkeeping/cover.py
@@ -6,8 +6,13 @@
 class Cover:
     def __init__(self) -> None:
         self.counts: dict[int, int] = {}  # by row, in how many tables it is
-        self.turned = set[int]()  # rows that came into the first or went out of the last since `free` was asked
-        self.bare, self.seen = list[int](), 0  # rows wanted and in no table, in order; how far the log was read
+        self.turned = set[
+            int
+        ]()  # rows that came into the first or went out of the last since `free` was asked
+        self.bare, self.seen = (
+            list[int](),
+            0,
+        )  # rows wanted and in no table, in order; how far the log was read
 
     def count(self, i: int, more: int) -> None:
         self.counts[i] = self.counts.get(i, 0) + more
@@ -20,7 +25,7 @@
         its first `cut` entries. Not to be changed."""
         if self.seen < cut:
             self.bare = sorted(wanted.keys() - self.counts.keys())
-        for i in {*log[max(self.seen - cut, 0):], *self.turned} if self.seen >= cut else ():
+        for i in {*log[max(self.seen - cut, 0) :], *self.turned} if self.seen >= cut else ():
             place = bisect_left(self.bare, i)
             there = place < len(self.bare) and self.bare[place] == i
             if there != (i in wanted and i not in self.counts):
--- a/dunlinlug/bookkeeping/evidence.py
+++ b/dunlinlug/bookkeeping/evidence.py
@@ -10,7 +10,9 @@
 from math import inf
 from typing import Any
 
-POINT = 2.0 ** 80  # sums are whole numbers of this part: however long they are kept up, nothing drifts
+POINT = (
+    2.0**80
+)  # sums are whole numbers of this part: however long they are kept up, nothing drifts
 TIE = 1e-9  # part by which two sums differ at least, if it is not by rounding
 Timed = tuple[float, int]  # a figure and a row
 
@@ -32,26 +34,53 @@
     `idle` are out, `trials` below `cap`, `reduced` not in with all; `suspects` have `enough` voided tries that are
     `most` of all or more. Times are seconds, evidence halves in `half`; `rest` is what a new row begins with."""
 
-    DERIVED = ("parts", "paces", "peers", "rhythm", "asleep", "climbing", "suspects", "reduced", "trials", "idle",
-               "sums", "booked")
-
-    def __init__(self, half: float, rest: float, cap: float, least: float, enough: float, most: float) -> None:
+    DERIVED = (
+        "parts",
+        "paces",
+        "peers",
+        "rhythm",
+        "asleep",
+        "climbing",
+        "suspects",
+        "reduced",
+        "trials",
+        "idle",
+        "sums",
+        "booked",
+    )
+
+    def __init__(
+        self, half: float, rest: float, cap: float, least: float, enough: float, most: float
+    ) -> None:
         self.half, self.first, self.bounds = half, rest, (cap, least, enough, most)
-        self.tries, self.voided, self.took = list[float](), list[float](), list[float]()  # fading sums
-        self.heard_at, self.rest, self.due = list[float](), list[float](), list[float]()  # due: next step up
-        self.cap, self.full = list[float](), list[float]()  # most of its weight, 0 if out; what it returns to
+        self.tries, self.voided, self.took = (
+            list[float](),
+            list[float](),
+            list[float](),
+        )  # fading sums
+        self.heard_at, self.rest, self.due = (
+            list[float](),
+            list[float](),
+            list[float](),
+        )  # due: next step up
+        self.cap, self.full = (
+            list[float](),
+            list[float](),
+        )  # most of its weight, 0 if out; what it returns to
         self.listed, self.moved = set[int](), set[int]()
         self.parts, self.paces, self.peers = list[float](), list[float](), list[float]()
         self.rhythm, self.asleep, self.climbing = list[Timed](), list[Timed](), list[Timed]()
         self.suspects, self.reduced, self.trials, self.idle = (set[int]() for _ in range(4))
         self.sums = [0, 0]  # of tries and voided ones of who is heard, in POINTs
-        self.booked: dict[int, tuple[float, ...]] = {}  # the columns by which a row stands in the books
+        self.booked: dict[
+            int, tuple[float, ...]
+        ] = {}  # the columns by which a row stands in the books
 
     def admit(self, i: int) -> None:
         """A worker of which nothing was heard yet, in a row of its own or in a former one's."""
         for column in (self.tries, self.voided, self.took, self.heard_at, self.due):
-            column[i:i + 1] = [0.0]
-        self.cap[i:i + 1], self.full[i:i + 1], self.rest[i:i + 1] = [1.0], [1.0], [self.first]
+            column[i : i + 1] = [0.0]
+        self.cap[i : i + 1], self.full[i : i + 1], self.rest[i : i + 1] = [1.0], [1.0], [self.first]
         self.book(i)
 
     def enlist(self, rows: Iterable[int], ready: list[bool]) -> None:
@@ -170,15 +199,15 @@
 
     def awake(self, now: float) -> list[int]:
         """Who is out and due, by row."""
-        return sorted(i for _, i in self.asleep[:bisect_right(self.asleep, (now, inf))])
+        return sorted(i for _, i in self.asleep[: bisect_right(self.asleep, (now, inf))])
 
     def rising(self, now: float) -> list[int]:
         """Who is in, not in full, and due."""
-        return [i for _, i in self.climbing[:bisect_right(self.climbing, (now, inf))]]
+        return [i for _, i in self.climbing[: bisect_right(self.climbing, (now, inf))]]
 
     def slower(self, pace: float) -> list[int]:
         """Peers at this pace or a slower one."""
-        return [i for _, i in self.rhythm[bisect_left(self.rhythm, (pace, -1)):]]
+        return [i for _, i in self.rhythm[bisect_left(self.rhythm, (pace, -1)) :]]
 
     def beat(self) -> float:
         """The median pace of peers."""
--- a/dunlinlug/bookkeeping/lines.py
+++ b/dunlinlug/bookkeeping/lines.py
@@ -21,10 +21,16 @@
 
     def __init__(self) -> None:
         self.parts, self.plain = Shares(), Shares()
-        self.log, self.cut = list[int](), 0  # rows whose share changed, and how many were cut off before them
+        self.log, self.cut = (
+            list[int](),
+            0,
+        )  # rows whose share changed, and how many were cut off before them
         self.out = set[int]()
         self.sum, self.summed = 0.0, -1  # of the shares of who is in, and how long the log was then
-        self.last, self.loose = -1, False  # the greatest row of `plain` so far, and whether its order is another
+        self.last, self.loose = (
+            -1,
+            False,
+        )  # the greatest row of `plain` so far, and whether its order is another
 
     def drop(self, rows: Iterable[int]) -> None:
         """They are not ready."""
@@ -74,20 +80,32 @@
             rows: Iterable[int] = {**have, **want} if lacking else have
             return {i for i in rows if have.get(i) != want.get(i)}
         if table.seen < self.cut or table.lacking != lacking:
-            rows, table.lacking, table.differs = {**have, **want} if lacking else have, lacking, set()
+            rows, table.lacking, table.differs = (
+                {**have, **want} if lacking else have,
+                lacking,
+                set(),
+            )
         else:
-            rows = {*self.log[table.seen - self.cut:], *table.changed}
+            rows = {*self.log[table.seen - self.cut :], *table.changed}
         for i in rows:
             mine, wanted = have.get(i), want.get(i)
-            (table.differs.add if mine != wanted and (lacking or mine is not None) else table.differs.discard)(i)
+            (
+                table.differs.add
+                if mine != wanted and (lacking or mine is not None)
+                else table.differs.discard
+            )(i)
         table.changed.clear()
         table.seen = self.cut + len(self.log)
         return table.differs
 
     def bears(self, table: Table, want: Shares) -> float:
         """What a table's workers that are not out take, in weight; a little where there is nobody."""
-        if want is self.plain and table.borne is not None and table.borne_at >= self.cut and table.shares.keys(
-                ).isdisjoint(self.log[table.borne_at - self.cut:]):
+        if (
+            want is self.plain
+            and table.borne is not None
+            and table.borne_at >= self.cut
+            and table.shares.keys().isdisjoint(self.log[table.borne_at - self.cut :])
+        ):
             table.borne_at = self.cut + len(self.log)
             return table.borne
         borne = sum(want.get(i, 0.0) for i in table.shares if i not in self.out) or self.LITTLE
@@ -100,8 +118,11 @@
 
     def free(self, cover: Cover, want: Shares) -> Iterable[int]:
         """Rows that are in, that have a share and no line in the tables covered, in order."""
-        rows = cover.free(self.plain, self.log, self.cut) if want is self.plain else sorted(
-            want.keys() - cover.counts.keys())
+        rows = (
+            cover.free(self.plain, self.log, self.cut)
+            if want is self.plain
+            else sorted(want.keys() - cover.counts.keys())
+        )
         return (i for i in rows if i not in self.out)
 
     def live(self, want: Shares) -> float:
@@ -125,14 +146,23 @@
     def apart(self, tables: Iterable[Table], wants: list[Shares]) -> list[float]:
         """How far each of these tables is from what is wanted of it: the sum over its lines."""
         pairs = [*zip(tables, map(id, wants), strict=True)]
-        unlike = {pair: (pair[0], want, self.differing(pair[0], want))
-                  for pair, want in dict(zip(pairs, wants, strict=True)).items()}
-        far = {pair: self._sum(table, want, sorted(rows)) for pair, (table, want, rows) in unlike.items() if rows}
+        unlike = {
+            pair: (pair[0], want, self.differing(pair[0], want))
+            for pair, want in dict(zip(pairs, wants, strict=True)).items()
+        }
+        far = {
+            pair: self._sum(table, want, sorted(rows))
+            for pair, (table, want, rows) in unlike.items()
+            if rows
+        }
         sums = sorted(far.values())
         if any(b - a < TIE * b for a, b in zip(sums, sums[1:], strict=False)):
             # Danger: equal ones told apart by rounding. Added up in the order of lines, they are alike as tables are.
             self.in_order()
-            far = {pair: self._sum(*unlike[pair][:2], [*{**pair[0].shares, **unlike[pair][1]}]) for pair in far}
+            far = {
+                pair: self._sum(*unlike[pair][:2], [*{**pair[0].shares, **unlike[pair][1]}])
+                for pair in far
+            }
         return [far.get(pair, 0.0) for pair in pairs] if far else [0.0] * len(pairs)
 
     @staticmethod
--- a/dunlinlug/bookkeeping/listing.py
+++ b/dunlinlug/bookkeeping/listing.py
@@ -21,7 +21,10 @@
         self.since: list[float] = []
         self.usual, self.moved, self.turned = usual, set[int](), set[int]()
         self.weights, self.untold = dict[int, float](), set[int]()
-        self.rows, self.sum = list[int](), 0.0  # the ready ones in order; of their weights, negative: to be made anew
+        self.rows, self.sum = (
+            list[int](),
+            0.0,
+        )  # the ready ones in order; of their weights, negative: to be made anew
 
     def fold(self, news: face.Listed, held: Callable[[], set[int]]) -> list[tuple[int, bool]]:
         """Take in news of the list; tells who has a new start, and whether it is new itself. The row of one
@@ -37,20 +40,39 @@
                 spare = (self._spare(held(), named) if few else []) if spare is None else spare
                 i = self.index[entry.id] = spare.pop(0) if spare else len(self.ids)
                 self.index.pop(self.ids[i] if i < len(self.ids) else "", None)
-                self.ids[i:i + 1], self.zones[i:i + 1] = [entry.id], [entry.zone]
-                self.ready[i:i + 1], self.weight[i:i + 1], self.since[i:i + 1] = [False], [None], [since]
+                self.ids[i : i + 1], self.zones[i : i + 1] = [entry.id], [entry.zone]
+                self.ready[i : i + 1], self.weight[i : i + 1], self.since[i : i + 1] = (
+                    [False],
+                    [None],
+                    [since],
+                )
             i = self.index[entry.id]
             if new or since > self.since[i]:
                 fresh.append((i, new))
-            if new or since > self.since[i] or (entry.zone, entry.weight) != (self.zones[i], self.weight[i]):
+            if (
+                new
+                or since > self.since[i]
+                or (entry.zone, entry.weight) != (self.zones[i], self.weight[i])
+            ):
                 moved.add(i)
-            self.zones[i], self.weight[i], self.ready[i] = entry.zone, entry.weight, entry.state == "ready"
+            self.zones[i], self.weight[i], self.ready[i] = (
+                entry.zone,
+                entry.weight,
+                entry.state == "ready",
+            )
             self.since[i] = max(since, self.since[i])
-        self._weigh(moved, range(len(self.ids)) if whole else {self.index[entry.id] for entry in news.workers})
+        self._weigh(
+            moved,
+            range(len(self.ids)) if whole else {self.index[entry.id] for entry in news.workers},
+        )
         return fresh
 
     def _spare(self, held: set[int], named: set[str]) -> list[int]:
-        return [i for i, ready in enumerate(self.ready) if not (ready or i in held or self.ids[i] in named)]
+        return [
+            i
+            for i, ready in enumerate(self.ready)
+            if not (ready or i in held or self.ids[i] in named)
+        ]
 
     def _weigh(self, moved: set[int], told: Iterable[int]) -> None:
         self.turned = {i for i in told if self.ready[i] != (i in self.weights)}
@@ -84,9 +106,14 @@
     def served(self, out: set[int], doubt: float) -> float:
         """The part of the weight that these leave. Danger: a level tips by the last digit, so a part below `doubt` is
         added up worker by worker."""
-        part = (self.total() - sum(self.weights[i] for i in out if i in self.weights)) / self.total()
-        return part if part >= doubt else sum(
-            self.weights[i] for i in dict.fromkeys(self.rows).keys() - out) / self.total()
+        part = (
+            self.total() - sum(self.weights[i] for i in out if i in self.weights)
+        ) / self.total()
+        return (
+            part
+            if part >= doubt
+            else sum(self.weights[i] for i in dict.fromkeys(self.rows).keys() - out) / self.total()
+        )
 
     def by_zone(self, workers: Iterable[int]) -> dict[str, set[int]]:
         """These workers parted by zone."""
--- a/dunlinlug/bookkeeping/outstanding.py
+++ b/dunlinlug/bookkeeping/outstanding.py
@@ -33,9 +33,15 @@
     def __init__(self, messages_kept: int) -> None:
         self.kept, self.waits = messages_kept, 0.0
         self.sent: dict[int, Stretch] = {}  # by mark, oldest first
-        self.queue: deque[int] = deque()  # marks whose lines may wait, oldest first, and some settled since
-        self.asked: dict[int, dict[int, None]] = {}  # by joined proxy, the marks it has yet to answer, oldest first
-        self.written: dict[int, deque[float]] = {}  # by proxy, joined or not, when it was written its last messages
+        self.queue: deque[int] = (
+            deque()
+        )  # marks whose lines may wait, oldest first, and some settled since
+        self.asked: dict[
+            int, dict[int, None]
+        ] = {}  # by joined proxy, the marks it has yet to answer, oldest first
+        self.written: dict[
+            int, deque[float]
+        ] = {}  # by proxy, joined or not, when it was written its last messages
 
     def book(self, mark: int, now: float, lines: dict[int, float]) -> None:
         """One reply's lines by proxy, under its mark."""
--- a/dunlinlug/bookkeeping/seating.py
+++ b/dunlinlug/bookkeeping/seating.py
@@ -29,14 +29,20 @@
     parts: dict[int, float]
     levels: list[tuple[float, int]]  # by product the share let in, and the way of trying again
     clear_at: float = inf  # to be changed by `Seating.end` alone
-    were: dict[int, tuple[float, int]] = field(default_factory=dict)  # levels before those ordered last
+    were: dict[int, tuple[float, int]] = field(
+        default_factory=dict
+    )  # levels before those ordered last
     users: int = 0
     load: float = 0.0
     place: int = 0  # in the order of laying
     small: bool = False
     counted: bool = False  # its rows are in the cover
-    absent: set[int] = field(default_factory=set)  # rows that it has a part for and that are not ready
-    differs: set[int] = field(default_factory=set)  # this and the next three are kept by `Lines.differing`
+    absent: set[int] = field(
+        default_factory=set
+    )  # rows that it has a part for and that are not ready
+    differs: set[int] = field(
+        default_factory=set
+    )  # this and the next three are kept by `Lines.differing`
     lacking: bool = False
     changed: set[int] = field(default_factory=set)
     seen: int = -1  # the log's length then
@@ -44,9 +50,13 @@
     borne_at: int = 0
 
 
-Tops = tuple[Table | None, ...]  # by product the table that a proxy was bound to last, None where there is none
+Tops = tuple[
+    Table | None, ...
+]  # by product the table that a proxy was bound to last, None where there is none
 NONE: list[tuple[Table, int]] = []  # what one holds that holds nothing; not to be changed
-Holds = dict[int, list[tuple[Table, int]]]  # by product the tables in use, newest last, with the mark awaited or 0
+Holds = dict[
+    int, list[tuple[Table, int]]
+]  # by product the tables in use, newest last, with the mark awaited or 0
 
 
 @dataclass(eq=False)
@@ -73,13 +83,20 @@
         self.products, self.joins = products, 0
         self.proxies: dict[int, Proxy] = {}
         self.groups: dict[Tops, dict[int, None]] = {}  # joined proxies by their tops; none is empty
-        self.at: dict[Table, dict[Tops, None]] = {}  # by table bound to last the tops with it, in the groups' order
+        self.at: dict[
+            Table, dict[Tops, None]
+        ] = {}  # by table bound to last the tops with it, in the groups' order
         self.tables: dict[int, Table] = {}  # laid and not cleared, by number
         self.used: dict[int, Table] = {}  # those of them that a proxy may be using, by place
         self.kept: dict[int, Table] = {}  # those laid but for small ones that nobody uses, by place
-        self.gone = set[int]()  # workers that were ready and are not; the absent are told of tables kept alone
+        self.gone = set[
+            int
+        ]()  # workers that were ready and are not; the absent are told of tables kept alone
         self.ends: dict[int, Table] = {}  # tables that are to be cleared, by place
-        self.laid, self.cover = 0, Cover()  # tables so far; rows of small tables in use that something is asked of
+        self.laid, self.cover = (
+            0,
+            Cover(),
+        )  # tables so far; rows of small tables in use that something is asked of
 
     def restore(self) -> None:
         """Products that hold the same go on as one again, where each was read by itself."""
@@ -113,8 +130,13 @@
         for table, uses in more.items():
             if uses:
                 self._use(table, uses)
-        if any((entries[-1][0] if entries else None) is not proxy.tops[k] for k, entries in holds.items()):
-            tops = tuple(proxy.holds[k][-1][0] if k in proxy.holds else None for k in range(self.products))
+        if any(
+            (entries[-1][0] if entries else None) is not proxy.tops[k]
+            for k, entries in holds.items()
+        ):
+            tops = tuple(
+                proxy.holds[k][-1][0] if k in proxy.holds else None for k in range(self.products)
+            )
             self._ungroup(p, proxy.tops)
             for sign, those in ((-1.0, proxy.tops), (1.0, tops)):
                 for top in those:
@@ -215,7 +237,13 @@
     def drop(self, p: int, products: Iterable[int], number: int) -> None:
         """It never got this table."""
         holds = self.proxies[p].holds
-        self.hold(p, {k: [entry for entry in holds.get(k, ()) if entry[0].number != number] for k in products})
+        self.hold(
+            p,
+            {
+                k: [entry for entry in holds.get(k, ()) if entry[0].number != number]
+                for k in products
+            },
+        )
 
     def amended(self, table: Table, users: Iterable[int], mark: int, now: float) -> None:
         """These proxies, which are bound to the table, are sent lines of it."""
@@ -229,13 +257,18 @@
         """It has applied all up to these marks: the tables before the newest of them are out of use."""
         new: dict[int, list[tuple[Table, int]]] = {}
         for held in self.proxies[p].lists():
-            sure = max((n for n, (_, mark) in enumerate(held) if not mark or mark in passed), default=None)
+            sure = max(
+                (n for n, (_, mark) in enumerate(held) if not mark or mark in passed), default=None
+            )
             if sure:
-                new[id(held)] = [(held[sure][0], 0), *held[sure + 1:]]
+                new[id(held)] = [(held[sure][0], 0), *held[sure + 1 :]]
             elif sure == 0:
                 held[0] = (held[0][0], 0)
         if new:
-            self.hold(p, {k: new[id(held)] for k, held in self.proxies[p].holds.items() if id(held) in new})
+            self.hold(
+                p,
+                {k: new[id(held)] for k, held in self.proxies[p].holds.items() if id(held) in new},
+            )
 
     def retire(self, tables: Iterable[Table], now: float) -> None:
         """Those of them that nobody may be using are cleared next, the others are not."""
@@ -247,7 +280,11 @@
 
     def cleared(self, now: float) -> list[int]:
         """Takes away the tables whose time has come and that nobody may be using; gives their numbers."""
-        past = [self.ends[n] for n in sorted(self.ends) if self.ends[n].clear_at <= now and not self.ends[n].users]
+        past = [
+            self.ends[n]
+            for n in sorted(self.ends)
+            if self.ends[n].clear_at <= now and not self.ends[n].users
+        ]
         for table in past:
             del self.tables[table.number], self.ends[table.place]
             self.kept.pop(table.place, None)
@@ -274,7 +311,9 @@
         """Whether a proxy that was written to after `since` may not use this table of the product, and no other; where
         it was changed in place, that is asked of who is bound to it alone."""
         sure, users = [(table, 0)], self.bound(table) if old is table else self.proxies
-        return any(self.proxies[p].bound_at > since and self.proxies[p].holds.get(k) != sure for p in users)
+        return any(
+            self.proxies[p].bound_at > since and self.proxies[p].holds.get(k) != sure for p in users
+        )
 
     def late(self, changes: Mapping[int, tuple[Table, Table]], since: float) -> set[int]:
         """The same of many, by product the old table and the new: products of which it is so."""
@@ -283,7 +322,9 @@
             alike.setdefault((table if old is table else None, table), []).append(k)
         found = set[int]()
         for (only, table), left in alike.items():
-            for proxy in map(self.proxies.__getitem__, self.bound(only)) if only else self.proxies.values():
+            for proxy in (
+                map(self.proxies.__getitem__, self.bound(only)) if only else self.proxies.values()
+            ):
                 if proxy.bound_at > since and left:
                     sure = {id(held) for held in proxy.lists() if held == [(table, 0)]}
                     found.update(k for k in left if id(proxy.holds.get(k)) not in sure)
@@ -299,11 +340,15 @@
         for tops, members in self.groups.items() if workers else ():
             tables = dict.fromkeys(tops)
             for i in workers:
-                if None in tables or any(table is not None and i in table.shares for table in tables):
+                if None in tables or any(
+                    table is not None and i in table.shares for table in tables
+                ):
                     users[i].append(members)
         return users
 
-    def unlike(self, levels: list[tuple[float, int]]) -> list[tuple[int, Table, list[dict[int, None]]]]:
+    def unlike(
+        self, levels: list[tuple[float, int]]
+    ) -> list[tuple[int, Table, list[dict[int, None]]]]:
         """Products and tables whose level is another, with the groups that are bound to them."""
         users: dict[tuple[int, Table], list[dict[int, None]]] = {}
         other = {table for table in self.used.values() if table.levels != levels}
@@ -313,12 +358,18 @@
                     users.setdefault((k, table), []).append(members)
         return [(k, table, groups) for (k, table), groups in users.items()]
 
-    def others(self, current: Mapping[int, Table], table: Table, joiners: bool) -> dict[Tops, tuple[int, ...]]:
+    def others(
+        self, current: Mapping[int, Table], table: Table, joiners: bool
+    ) -> dict[Tops, tuple[int, ...]]:
         """Groups that are not bound to this current table for all its products, and what of it they lack: those that
         have no table for the first of that, or those that have another."""
         here, found = tuple(current.values()), dict[Tops, tuple[int, ...]]()
         for tops in self.groups:
-            other = tuple(k for k, now in current.items() if now is table is not tops[k]) if tops != here else ()
+            other = (
+                tuple(k for k, now in current.items() if now is table is not tops[k])
+                if tops != here
+                else ()
+            )
             if other and joiners == (tops[other[0]] is None):
                 found[tops] = other
         return found
@@ -326,7 +377,9 @@
     def far(self, p: int, near: Mapping[str, set[int]], tables: Iterable[Table | None]) -> bool:
         """Whether a table among these has nobody of the proxy's zone, though by `near` (by zone) there is somebody."""
         own = near.get(self.proxies[p].zone, set())
-        return bool(own) and any(table is not None and own.isdisjoint(table.shares) for table in tables)
+        return bool(own) and any(
+            table is not None and own.isdisjoint(table.shares) for table in tables
+        )
 
     def in_order(self, groups: Iterable[Iterable[int]]) -> list[int]:
         """Their members in the order of joining."""
--- a/dunlinlug/cli.py
+++ b/dunlinlug/cli.py
@@ -24,6 +24,7 @@
 
 def end_with_input() -> None:
     """End this process when standard input closes: whoever started it is gone."""
+
     def watch() -> None:
         while os.read(0, 4096):
             pass
@@ -35,8 +36,13 @@
 @main.command()
 @click.argument("file", type=FILE)
 @click.option("--until-input-closes", is_flag=True, help="Stop when standard input closes.")
-@click.option("--clock-rate", type=click.FloatRange(0.5, 2.0), default=1.0, hidden=True,
-              help="For days: seconds of its clock for one true second.")
+@click.option(
+    "--clock-rate",
+    type=click.FloatRange(0.5, 2.0),
+    default=1.0,
+    hidden=True,
+    help="For days: seconds of its clock for one true second.",
+)
 def manager(file: Path, until_input_closes: bool, clock_rate: float) -> None:
     """Run a manager by its INI file until SIGTERM; SIGHUP reloads what may change."""
     from dunlinlug.ads.main import serve
@@ -67,7 +73,11 @@
 
 @day.command("play")
 @click.argument("file", type=FILE)
-@click.option("--records", type=FILE, help="Folder for the records (default: a new one in the temporary folder).")
+@click.option(
+    "--records",
+    type=FILE,
+    help="Folder for the records (default: a new one in the temporary folder).",
+)
 def day_play(file: Path, records: Path | None) -> None:
     """Play a day and judge it; exit status 1 if a rule was broken."""
     import trio
--- a/dunlinlug/client/carry.py
+++ b/dunlinlug/client/carry.py
@@ -34,7 +34,9 @@
     last: Tried | None = None
 
 
-Attempt = Callable[[str, float, int], Awaitable[Tried]]  # worker, seconds for this try, which try it is
+Attempt = Callable[
+    [str, float, int], Awaitable[Tried]
+]  # worker, seconds for this try, which try it is
 
 
 class Carrier:
--- a/dunlinlug/client/follow.py
+++ b/dunlinlug/client/follow.py
@@ -22,9 +22,19 @@
     """`joined` and `left` are called as streams to a master come and go, `applied` for each response. `reaches` says
     whether managers are in reach at all (a test may cut them off)."""
 
-    def __init__(self, node: str, zone: str, managers: Sequence[Place], holdings: Holdings, tally: Tally,
-                 rate: float = 0.0, redial: float = 0.5, within: float = 1.0, chance: Random | None = None,
-                 context: ssl.SSLContext | None = None) -> None:
+    def __init__(
+        self,
+        node: str,
+        zone: str,
+        managers: Sequence[Place],
+        holdings: Holdings,
+        tally: Tally,
+        rate: float = 0.0,
+        redial: float = 0.5,
+        within: float = 1.0,
+        chance: Random | None = None,
+        context: ssl.SSLContext | None = None,
+    ) -> None:
         self.node, self.zone, self.managers, self.rate = node, zone, managers, rate
         self.holdings, self.tally, self.redial, self.within = holdings, tally, redial, within
         self.uniform, self.context = (chance or Random(node)).uniform, context
@@ -66,7 +76,10 @@
             try:
                 await self._stream(link, place)
             except* grpc.CallEnded as ends:
-                if any(isinstance(end, grpc.CallEnded) and end.status is None for end in ends.exceptions):
+                if any(
+                    isinstance(end, grpc.CallEnded) and end.status is None
+                    for end in ends.exceptions
+                ):
                     raise
             finally:
                 if self.current == place:
--- a/dunlinlug/config/__init__.py
+++ b/dunlinlug/config/__init__.py
@@ -3,4 +3,14 @@
 from dunlinlug.config.reader import Book, ConfigFault, read_book
 from dunlinlug.config.units import Address, Count, PerSecond, Seconds, Share, Words
 
-__all__ = ["Address", "Book", "ConfigFault", "Count", "PerSecond", "Seconds", "Share", "Words", "read_book"]
+__all__ = [
+    "Address",
+    "Book",
+    "ConfigFault",
+    "Count",
+    "PerSecond",
+    "Seconds",
+    "Share",
+    "Words",
+    "read_book",
+]
--- a/dunlinlug/config/reader.py
+++ b/dunlinlug/config/reader.py
@@ -41,13 +41,19 @@
             text = path.read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
             raise ConfigFault(f"{path}: cannot be read: {error}") from None
-        self.parsed = configparser.ConfigParser(interpolation=None, strict=True, comment_prefixes=("#", ";"),
-                                                inline_comment_prefixes=("#", ";"))
+        self.parsed = configparser.ConfigParser(
+            interpolation=None,
+            strict=True,
+            comment_prefixes=("#", ";"),
+            inline_comment_prefixes=("#", ";"),
+        )
         self.parsed.optionxform = str  # type: ignore[assignment,method-assign]  # keys keep their case
         try:
             self.parsed.read_string(text, source=str(path))
         except configparser.Error as error:
-            line = getattr(error, "lineno", None) or next((n for n, _ in getattr(error, "errors", ())), 1)
+            line = getattr(error, "lineno", None) or next(
+                (n for n, _ in getattr(error, "errors", ())), 1
+            )
             said = " ".join(str(error).split())
             raise ConfigFault(f"{path}:{line}: not an INI file: {said}") from None
         self.lines = self._find(text)
@@ -74,8 +80,12 @@
     return f"; did you mean {close[0]!r}?" if close else f"; known are {', '.join(known)}"
 
 
-def read_book(path: Path, single: Mapping[str, type], named: Mapping[str, type] | None = None,
-              optional: frozenset[str] = frozenset()) -> Book:
+def read_book(
+    path: Path,
+    single: Mapping[str, type],
+    named: Mapping[str, type] | None = None,
+    optional: frozenset[str] = frozenset(),
+) -> Book:
     """Read `path`; `single` has a class by section, `named` by the first word of `[word name]` sections.
 
     Raises ConfigFault at the first mistake: an unknown section or key, a missing one, a value of the wrong form.
--- a/dunlinlug/config/units.py
+++ b/dunlinlug/config/units.py
@@ -29,7 +29,9 @@
 
 def seconds(text: str) -> Seconds:
     """A span in seconds; a bare number is refused, as its unit would be a guess."""
-    found = _match(NUMBER + r"\s*(us|ms|s|min|h)", text, "a time with its unit, such as 250ms, 2s or 5min")
+    found = _match(
+        NUMBER + r"\s*(us|ms|s|min|h)", text, "a time with its unit, such as 250ms, 2s or 5min"
+    )
     return Seconds(float(found[1]) * SPANS[found[2]])
 
 
@@ -76,8 +78,17 @@
 def converter() -> cattrs.Converter:
     """Structures one value's text by the type of its field; choices come as `Literal`."""
     made = cattrs.Converter()
-    for kind, read in ((Seconds, seconds), (PerSecond, per_second), (Share, share), (Count, count),
-                       (Address, address), (Words, words), (float, number), (bool, switch), (str, str.strip)):
+    for kind, read in (
+        (Seconds, seconds),
+        (PerSecond, per_second),
+        (Share, share),
+        (Count, count),
+        (Address, address),
+        (Words, words),
+        (float, number),
+        (bool, switch),
+        (str, str.strip),
+    ):
         hook: Any = read
         made.register_structure_hook(kind, lambda text, _, hook=hook: hook(text))
     return made
--- a/dunlinlug/day/relay.py
+++ b/dunlinlug/day/relay.py
@@ -65,15 +65,21 @@
         self.weather, self.real = weather, dict(real)
         self.names = {place: name for name, place in self.real.items()}
 
-    async def serve(self, member: str, door: Place,
-                    task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+    async def serve(
+        self,
+        member: str,
+        door: Place,
+        task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
+    ) -> None:
         """What is sent to this door goes to the member; who sent it is known by the place that a datagram came from,
         and on a stream by what a frame says of itself or a call begins with."""
         ways = await trio.open_tcp_listeners(door[1], host=door[0])
         with trio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as here:
             await here.bind(door)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(trio.serve_listeners, lambda stream: self._stream(member, stream), ways)
+                nursery.start_soon(
+                    trio.serve_listeners, lambda stream: self._stream(member, stream), ways
+                )
                 task_status.started()
                 while True:
                     try:
@@ -100,9 +106,11 @@
                     if data[:1] in (CALL, OWNERS) and len(data) > 1 and len(data) >= 2 + data[1]:
                         break
             if data[:1] in (CALL, OWNERS):
-                await self._connection(data[2:2 + data[1]].decode(), member, stream, data)
+                await self._connection(data[2 : 2 + data[1]].decode(), member, stream, data)
                 return
-            own = msgspec.msgpack.decode(data[codec.LENGTH.size + codec.SMALLEST:], type=Message).own.name
+            own = msgspec.msgpack.decode(
+                data[codec.LENGTH.size + codec.SMALLEST :], type=Message
+            ).own.name
             delay = self.weather.stream(own, member)
             if delay is None:
                 return
@@ -114,14 +122,25 @@
         finally:
             await trio.aclose_forcefully(stream)
 
-    async def _connection(self, sender: str, to: str, stream: trio.SocketStream, begun: bytes) -> None:
-        async with await trio.open_tcp_stream(*self.real[to]) as onward, trio.open_nursery() as nursery:
+    async def _connection(
+        self, sender: str, to: str, stream: trio.SocketStream, begun: bytes
+    ) -> None:
+        async with (
+            await trio.open_tcp_stream(*self.real[to]) as onward,
+            trio.open_nursery() as nursery,
+        ):
             await onward.send_all(begun)
             nursery.start_soon(self._pump, sender, to, stream, onward, nursery.cancel_scope)
             nursery.start_soon(self._pump, to, sender, onward, stream, nursery.cancel_scope)
 
-    async def _pump(self, a: str, b: str, source: trio.SocketStream, target: trio.SocketStream,
-                    scope: trio.CancelScope) -> None:
+    async def _pump(
+        self,
+        a: str,
+        b: str,
+        source: trio.SocketStream,
+        target: trio.SocketStream,
+        scope: trio.CancelScope,
+    ) -> None:
         try:
             while data := await source.receive_some(BUFFER):
                 while (delay := self.weather.stream(a, b)) is None:
--- a/dunlinlug/day/terms.py
+++ b/dunlinlug/day/terms.py
@@ -10,10 +10,36 @@
 from dunlinlug import terms as manager_terms
 from dunlinlug.config import Address, Book, Count, PerSecond, Seconds, Share, Words, read_book
 
-Kind = Literal["drain", "deploy", "slow", "silent", "voiding", "flapping", "answers_lost", "zone_loss", "zone_cut",
-               "reconnect", "proxy_restart", "manager_kill", "manager_stall", "manager_slow", "channel_slow", "deaf",
-               "readdress", "roster_stale", "roster_gone", "roster_cut_short", "roster_back", "roster_double",
-               "members_cut", "members_mute", "members_deaf", "members_loss", "members_late", "members_double"]
+Kind = Literal[
+    "drain",
+    "deploy",
+    "slow",
+    "silent",
+    "voiding",
+    "flapping",
+    "answers_lost",
+    "zone_loss",
+    "zone_cut",
+    "reconnect",
+    "proxy_restart",
+    "manager_kill",
+    "manager_stall",
+    "manager_slow",
+    "channel_slow",
+    "deaf",
+    "readdress",
+    "roster_stale",
+    "roster_gone",
+    "roster_cut_short",
+    "roster_back",
+    "roster_double",
+    "members_cut",
+    "members_mute",
+    "members_deaf",
+    "members_loss",
+    "members_late",
+    "members_double",
+]
 
 
 @attrs.frozen
@@ -123,8 +149,21 @@
     rate: float
 
 
-SINGLE = {"day": Day, "faults": Faults, "fleet": Fleet, "proxies": Proxies, "load": Load, **manager_terms.SINGLE}
-NAMED = {"mix": Mix, "trouble": Trouble, "worker": WorkerPlace, "proxy": ProxyPlace, **manager_terms.NAMED}
+SINGLE = {
+    "day": Day,
+    "faults": Faults,
+    "fleet": Fleet,
+    "proxies": Proxies,
+    "load": Load,
+    **manager_terms.SINGLE,
+}
+NAMED = {
+    "mix": Mix,
+    "trouble": Trouble,
+    "worker": WorkerPlace,
+    "proxy": ProxyPlace,
+    **manager_terms.NAMED,
+}
 OPTIONAL = manager_terms.OPTIONAL | {"faults"}
 
 
@@ -133,8 +172,9 @@
     return read_book(path, SINGLE, NAMED, OPTIONAL)
 
 
-def copy_sections(source: Path, extra: Mapping[str, Mapping[str, str]], only: frozenset[str] | None,
-                  target: Path) -> None:
+def copy_sections(
+    source: Path, extra: Mapping[str, Mapping[str, str]], only: frozenset[str] | None, target: Path
+) -> None:
     """Write `target` from `source`'s sections (all, or those whose first word is in `only`) with `extra` laid over."""
     made = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
     made.optionxform = str  # type: ignore[assignment,method-assign]
--- a/dunlinlug/drill/host.py
+++ b/dunlinlug/drill/host.py
@@ -42,7 +42,9 @@
             trade = codec.read_start(body)
             instances[manager] = Hosted(Balancer(trade), trade.report_fields)
         elif manager in instances:
-            pending.setdefault(manager, []).append(codec.read_event(verb, body, instances[manager].fields))
+            pending.setdefault(manager, []).append(
+                codec.read_event(verb, body, instances[manager].fields)
+            )
     decisions: list[dict] = []
     for manager, events in pending.items():
         try:
--- a/dunlinlug/fleet/members/burden.py
+++ b/dunlinlug/fleet/members/burden.py
@@ -9,7 +9,10 @@
 
 EVERY = 1.0  # seconds between tellings: whom proxies choose next is a matter of seconds
 STALE = 10.0  # seconds after which what was told is not shown as present any more
-OVER, BACK = 0.8, 0.6  # part of its means from which a manager says that it is over them, and below which no longer
+OVER, BACK = (
+    0.8,
+    0.6,
+)  # part of its means from which a manager says that it is over them, and below which no longer
 MOST = 1024  # managers whose burden is kept
 
 Part = Annotated[float, Meta(ge=0.0)]
@@ -32,7 +35,9 @@
 
     def __init__(self, me: str, born: int) -> None:
         self.me, self.born, self.number = me, born, 0
-        self.told: dict[str, tuple[tuple[int, int], Burden, float]] = {}  # by name: start and number, what, and when
+        self.told: dict[
+            str, tuple[tuple[int, int], Burden, float]
+        ] = {}  # by name: start and number, what, and when
         self.next_at, self.over = 0.0, set[str]()
 
     def due(self, now: float, burden: Burden) -> Extra | None:
@@ -73,4 +78,6 @@
         return True
 
     def present(self, now: float) -> dict[str, Burden]:
-        return {name: burden for name, (_, burden, at) in sorted(self.told.items()) if now - at < STALE}
+        return {
+            name: burden for name, (_, burden, at) in sorted(self.told.items()) if now - at < STALE
+        }
--- a/dunlinlug/fleet/members/codec.py
+++ b/dunlinlug/fleet/members/codec.py
@@ -19,7 +19,10 @@
 MAC = 16
 HEAD = struct.Struct(f">B{NAME}s8sQ")
 LENGTH = struct.Struct(">I")
-SMALLEST, DATAGRAM = HEAD.size + MAC, 1500  # bytes: of nothing; of what one path carries at the most
+SMALLEST, DATAGRAM = (
+    HEAD.size + MAC,
+    1500,
+)  # bytes: of nothing; of what one path carries at the most
 FRAME = 2**19  # bytes of a frame on a stream: all that can be known of as many as ever are
 WINDOW = 1024  # numbers behind the highest within which order may change: some seconds of the fastest sender
 
@@ -54,8 +57,11 @@
     def fresh(self, number: int) -> bool:
         """Marks it as seen; false if it was, or if it is too old to tell."""
         if number > self.highest:
-            self.seen = (self.seen << number - self.highest | 1) & (1 << WINDOW) - 1 if (
-                number - self.highest < WINDOW) else 1
+            self.seen = (
+                (self.seen << number - self.highest | 1) & (1 << WINDOW) - 1
+                if (number - self.highest < WINDOW)
+                else 1
+            )
             self.highest = number
             return True
         back = self.highest - number
@@ -82,8 +88,10 @@
             raise Refused("version")
         if name not in self.keys:
             raise Refused("key")
-        head, mac, body = data[:HEAD.size], data[HEAD.size:SMALLEST], data[SMALLEST:]
-        if not hmac.compare_digest(blake2b(head + body, key=self.keys[name], digest_size=MAC).digest(), mac):
+        head, mac, body = data[: HEAD.size], data[HEAD.size : SMALLEST], data[SMALLEST:]
+        if not hmac.compare_digest(
+            blake2b(head + body, key=self.keys[name], digest_size=MAC).digest(), mac
+        ):
             raise Refused("seal")
         window = self.windows.get(boot)
         if window is None:
--- a/dunlinlug/fleet/members/evidence.py
+++ b/dunlinlug/fleet/members/evidence.py
@@ -15,7 +15,9 @@
 from dunlinlug import interface as face
 from dunlinlug.fleet.members.words import Extra
 
-EVERY = 0.25  # seconds between tellings: a part of a report cycle, so that they add little to its delay
+EVERY = (
+    0.25  # seconds between tellings: a part of a report cycle, so that they add little to its delay
+)
 AT_ONCE = 16  # workers told of in one telling: what one datagram carries
 FOLLOWED = 8.0  # seconds that a worker is told of after it stood out last, so that its recovery is told as well
 HALF = 0.8  # seconds in which evidence from others loses half its weight, as the module's own does
@@ -50,7 +52,9 @@
     def __init__(self, me: str, born: int) -> None:
         self.mine = f"met/{me}/{born}"
         self.met: dict[str, Met] = {}
-        self.others: dict[str, tuple[Count, float]] = {}  # by key, the largest count and when it came
+        self.others: dict[
+            str, tuple[Count, float]
+        ] = {}  # by key, the largest count and when it came
         self.next_at = 0.0
 
     def hear(self, now: float, events: Iterable[face.Event]) -> None:
@@ -74,8 +78,11 @@
         if now < self.next_at:
             return []
         self.next_at = now + EVERY
-        fresh = [(worker, met) for worker, met in self.met.items()
-                 if met.tries != met.told and now - met.stood_out < FOLLOWED]
+        fresh = [
+            (worker, met)
+            for worker, met in self.met.items()
+            if met.tries != met.told and now - met.stood_out < FOLLOWED
+        ]
         fresh.sort(key=lambda pair: (-pair[1].voided / max(pair[1].tries, 1), pair[0]))
         made = []
         for worker, met in fresh[:AT_ONCE]:
--- a/dunlinlug/fleet/members/host.py
+++ b/dunlinlug/fleet/members/host.py
@@ -23,9 +23,19 @@
     """`places` are where the members of the configured set hear each other, by name, `roll` gives the names of the set
     last agreed; `told` hears each new standing, `learnt` what other managers' proxies met, as events for the module."""
 
-    def __init__(self, me: str, born: int, places: dict[str, tuple[str, int]], keys: list[bytes], beat: float,
-                 chance: Random, note: Callable[..., None], roll: Callable[[], tuple[str, ...]],
-                 clock: Callable[[], float] = trio.current_time, binds: tuple[str, int] | None = None) -> None:
+    def __init__(
+        self,
+        me: str,
+        born: int,
+        places: dict[str, tuple[str, int]],
+        keys: list[bytes],
+        beat: float,
+        chance: Random,
+        note: Callable[..., None],
+        roll: Callable[[], tuple[str, ...]],
+        clock: Callable[[], float] = trio.current_time,
+        binds: tuple[str, int] | None = None,
+    ) -> None:
         self.me, self.note, self.roll, self.clock, self.beat = me, note, roll, clock, beat
         seeds = [place for name, place in sorted(places.items()) if name != me]
         self.places = places
@@ -33,7 +43,9 @@
         self.evidence = Evidence(me, born)
         self.burdens, self.lists = Burdens(me, born), Lists(me, born)
         self.carries: Callable[[], Burden] = lambda: Burden(0, 0.0, 0.0, 0.0)
-        self.listed: Callable[[], Mapping[str, face.Worker] | None] = lambda: None  # what the roster told us ourselves
+        self.listed: Callable[[], Mapping[str, face.Worker] | None] = lambda: (
+            None
+        )  # what the roster told us ourselves
         self.learnt: Callable[[face.Event], None] = lambda event: None
         self.told: Callable[[str, sides.Means], None] = lambda name, means: None
         self.changed: Callable[[Changed], None] = lambda change: None
@@ -67,10 +79,16 @@
     def _tell(self) -> None:
         """Facts go straight to each other member: they are soon worth nothing."""
         now, listed = self.clock(), self.listed()
-        facts = [*self.evidence.due(now), self.burdens.due(now, self.carries()), self.lists.due(now, listed)]
+        facts = [
+            *self.evidence.due(now),
+            self.burdens.due(now, self.carries()),
+            self.lists.due(now, listed),
+        ]
         for name, burden, said in self.burdens.turned(now):
             self.note("members.burden", member=name, said=said)
-            self.learnt(face.Laden(name, name in self.burdens.over, burden.proxies, burden.txns_per_s))
+            self.learnt(
+                face.Laden(name, name in self.burdens.over, burden.proxies, burden.txns_per_s)
+            )
         for name, said in self.lists.changed(now, listed):
             self.note("members.lists", member=name, said=said)
         told = tuple(fact for fact in facts if fact is not None)
@@ -104,8 +122,13 @@
     def _look(self) -> None:
         before, touch = self.standing, self.touch()
         if self.held.look(self.clock(), sides.standing(self.roll(), touch)):
-            self.note("members.standing", before=before, now=self.standing, touch=sorted(touch),
-                      of=sorted(self.roll()))
+            self.note(
+                "members.standing",
+                before=before,
+                now=self.standing,
+                touch=sorted(touch),
+                of=sorted(self.roll()),
+            )
             self.told(self.standing, self.means)
 
     def bar(self, name: str, on: bool) -> None:
@@ -118,21 +141,56 @@
         table, living = machine.table, machine.table.living()
         names = sorted(table.told)
         return {
-            "member": self.me, "state": machine.state, "standing": self.standing,
-            "since": round(now - self.held.since, 3), "set": sorted(self.roll()),
-            "digest": table.digest().hex(), "distrust": machine.dull,
-            "members": [{
-                "member": name, "start": table.told[name].life[0], "word": table.told[name].life[1],
-                "state": "barred" if table.barred(name) else STATES[table.told[name].state],
-                "place": "{}:{}".format(*table.told[name].place), "touch": machine.in_touch(name),
-                "sees": {other: sides.seen(name, other, table.rows, living) for other in names},
-                "between": sides.named(self.me, name, table.rows, living) if name != self.me else "",
-            } for name in names],
-            "burdens": {name: {"proxies": burden.proxies, "txns_per_s": round(burden.txns_per_s, 1),
-                               "channel": round(burden.channel, 3), "processor": round(burden.processor, 3)}
-                        for name, burden in self.burdens.present(now).items()},
-            "lists": {name: {"workers": digest.workers, "for": round(now - self.lists.since.get(name, now), 3)}
-                      for name, digest in self.lists.apart(now).items()},
-            "verdicts": [{"ago": round(now - at, 3), "member": change.name, "before": change.before, "now": change.now,
-                          "why": change.why} for at, change in self.verdicts],
-            "counts": {**self.link.counts, **{f"refused_{why}": n for why, n in self.link.refused.items()}}}
+            "member": self.me,
+            "state": machine.state,
+            "standing": self.standing,
+            "since": round(now - self.held.since, 3),
+            "set": sorted(self.roll()),
+            "digest": table.digest().hex(),
+            "distrust": machine.dull,
+            "members": [
+                {
+                    "member": name,
+                    "start": table.told[name].life[0],
+                    "word": table.told[name].life[1],
+                    "state": "barred" if table.barred(name) else STATES[table.told[name].state],
+                    "place": "{}:{}".format(*table.told[name].place),
+                    "touch": machine.in_touch(name),
+                    "sees": {other: sides.seen(name, other, table.rows, living) for other in names},
+                    "between": sides.named(self.me, name, table.rows, living)
+                    if name != self.me
+                    else "",
+                }
+                for name in names
+            ],
+            "burdens": {
+                name: {
+                    "proxies": burden.proxies,
+                    "txns_per_s": round(burden.txns_per_s, 1),
+                    "channel": round(burden.channel, 3),
+                    "processor": round(burden.processor, 3),
+                }
+                for name, burden in self.burdens.present(now).items()
+            },
+            "lists": {
+                name: {
+                    "workers": digest.workers,
+                    "for": round(now - self.lists.since.get(name, now), 3),
+                }
+                for name, digest in self.lists.apart(now).items()
+            },
+            "verdicts": [
+                {
+                    "ago": round(now - at, 3),
+                    "member": change.name,
+                    "before": change.before,
+                    "now": change.now,
+                    "why": change.why,
+                }
+                for at, change in self.verdicts
+            ],
+            "counts": {
+                **self.link.counts,
+                **{f"refused_{why}": n for why, n in self.link.refused.items()},
+            },
+        }
--- a/dunlinlug/fleet/members/link.py
+++ b/dunlinlug/fleet/members/link.py
@@ -9,10 +9,22 @@
 
 from dunlinlug.fleet.members import codec
 from dunlinlug.fleet.members.machine import Machine
-from dunlinlug.fleet.members.words import Changed, Extra, Heard, Late, Message, Order, Send, Whole, Yielded
+from dunlinlug.fleet.members.words import (
+    Changed,
+    Extra,
+    Heard,
+    Late,
+    Message,
+    Order,
+    Send,
+    Whole,
+    Yielded,
+)
 
 DRAINED = 256  # datagrams read in one turn before timers are looked at
-A_SECOND = 4000  # datagrams that are looked at in a second: twenty times what a thousand members send one
+A_SECOND = (
+    4000  # datagrams that are looked at in a second: twenty times what a thousand members send one
+)
 STREAMS, WITHIN = 16, 2.0  # frames under way at once, each way, and seconds for one
 CALLS = 64  # connections of other parts of ours at once: a few for each member of the largest set that votes
 SAID = 60.0  # seconds between two log lines on what was refused
@@ -21,18 +33,33 @@
 class Link:
     """One member's sockets. `heard` gets the host's facts that come in, `changed` each change after it was noted."""
 
-    def __init__(self, machine: Machine, keys: list[bytes], note: Callable[..., None],
-                 heard: Callable[[Extra], None], changed: Callable[[Changed], None],
-                 clock: Callable[[], float] = trio.current_time, binds: tuple[str, int] | None = None) -> None:
+    def __init__(
+        self,
+        machine: Machine,
+        keys: list[bytes],
+        note: Callable[..., None],
+        heard: Callable[[Extra], None],
+        changed: Callable[[Changed], None],
+        clock: Callable[[], float] = trio.current_time,
+        binds: tuple[str, int] | None = None,
+    ) -> None:
         self.binds = binds or machine.own.place
-        self.machine, self.note, self.heard, self.changed, self.clock = machine, note, heard, changed, clock
+        self.machine, self.note, self.heard, self.changed, self.clock = (
+            machine,
+            note,
+            heard,
+            changed,
+            clock,
+        )
         self.sealer, self.opener = codec.Sealer(keys[0], secrets.token_bytes(8)), codec.Opener(keys)
         self.refused, self.counts = Counter[str](), Counter[str]()
         self.said_at, self.second, self.looked = -SAID, 0.0, 0
         self.streams = {"in": 0, "out": 0, "calls": 0}
         # By first byte, who takes connections that are not ours, with what was read of them; no frame begins like it.
         self.calls: dict[bytes, Callable[[trio.SocketStream, bytes], Awaitable[None]]] = {}
-        self.cut: Callable[[tuple[str, int]], bool] = lambda place: False  # nothing goes there: for tests
+        self.cut: Callable[[tuple[str, int]], bool] = lambda place: (
+            False
+        )  # nothing goes there: for tests
         self.door: socket.socket | None = None
         self.wake = trio.Event()
 
@@ -169,8 +196,11 @@
         if data[:1] in self.calls:
             await self._call(stream, data)
             return
-        if len(data) >= codec.LENGTH.size and codec.LENGTH.unpack_from(data)[0] == len(data) - codec.LENGTH.size:
-            self._open(data[codec.LENGTH.size:])
+        if (
+            len(data) >= codec.LENGTH.size
+            and codec.LENGTH.unpack_from(data)[0] == len(data) - codec.LENGTH.size
+        ):
+            self._open(data[codec.LENGTH.size :])
             self.wake.set()
         else:
             self.refused["frame"] += 1
--- a/dunlinlug/fleet/members/lists.py
+++ b/dunlinlug/fleet/members/lists.py
@@ -88,10 +88,15 @@
         own = self.told.get(self.me)
         if own is None:
             return {}
-        return {name: digest for name, (digest, at) in sorted(self.told.items())
-                if name != self.me and now - at < STALE and digest.prints != own[0].prints}
-
-    def changed(self, now: float, listed: Mapping[str, face.Worker] | None) -> list[tuple[str, str]]:
+        return {
+            name: digest
+            for name, (digest, at) in sorted(self.told.items())
+            if name != self.me and now - at < STALE and digest.prints != own[0].prints
+        }
+
+    def changed(
+        self, now: float, listed: Mapping[str, face.Worker] | None
+    ) -> list[tuple[str, str]]:
         """Managers whose list has differed from ours for long, and those whose has no more, each once, in words."""
         found, lines = self.apart(now), list[tuple[str, str]]()
         self.since = {name: self.since.get(name, now) for name in found}
@@ -108,6 +113,10 @@
         own = self.told[self.me][0]
         parts = {n for n in range(PARTS) if digest.prints[n] != own.prints[n]}
         named = sorted(worker for worker in listed if part_of(worker) in parts)
-        among = ", ".join(named[:NAMED]) + (f" and {len(named) - NAMED} more" if len(named) > NAMED else "")
-        return (f"it was told of {digest.workers} workers, we of {own.workers}; {len(parts)} of {PARTS} parts differ, "
-                f"among ours in them: {among or 'none'}")
+        among = ", ".join(named[:NAMED]) + (
+            f" and {len(named) - NAMED} more" if len(named) > NAMED else ""
+        )
+        return (
+            f"it was told of {digest.workers} workers, we of {own.workers}; {len(parts)} of {PARTS} parts differ, "
+            f"among ours in them: {among or 'none'}"
+        )
--- a/dunlinlug/fleet/members/machine.py
+++ b/dunlinlug/fleet/members/machine.py
@@ -41,8 +41,13 @@
 
 DIRECT = 0.4  # part of a beat in which a direct answer is waited for: some hundred times a way within a site
 HELPERS = 3  # members asked to probe for us, as in SWIM's paper
-WITNESSES = 3  # others that bear witness until a suspicion is as short as it gets, as in Lifeguard's paper
-SHORT, LONG = 2.0, 12.0  # beats of a suspicion, with all witnesses and with none, for each tenfold size
+WITNESSES = (
+    3  # others that bear witness until a suspicion is as short as it gets, as in Lifeguard's paper
+)
+SHORT, LONG = (
+    2.0,
+    12.0,
+)  # beats of a suspicion, with all witnesses and with none, for each tenfold size
 DULL = 8  # most that a member distrusts itself, as in Lifeguard's paper: its beats are that much longer
 DEAF = 3  # beats, each longer than the one before, in which who hears nobody condemns nobody: two seconds or so
 FAN = 3  # members that are told at once of what is new
@@ -50,8 +55,12 @@
 KNOCK = 4.0  # beats between knocks at a failed member or a seed, so that cuts heal by themselves
 EXCHANGE = 50.0  # beats between exchanges of all that is known
 APART = 10.0  # beats that a peer's digest may differ before all is exchanged with it
-FORGET = 600.0  # beats until who has failed or left is forgotten: far beyond what any message travels
-SMALL = 32  # members up to which each hears each other one often enough to say whom it does not hear
+FORGET = (
+    600.0  # beats until who has failed or left is forgotten: far beyond what any message travels
+)
+SMALL = (
+    32  # members up to which each hears each other one often enough to say whom it does not hear
+)
 
 
 @dataclass
@@ -99,8 +108,16 @@
     """One member. `beat` is seconds from probe to probe; `born` numbers the starts of a process under this name, and
     `seeds` are places where others may be found. Times are the host's, and may jump."""
 
-    def __init__(self, me: str, born: int, place: tuple[str, int], seeds: Iterable[tuple[str, int]], now: float,
-                 beat: float, chance: Random) -> None:
+    def __init__(
+        self,
+        me: str,
+        born: int,
+        place: tuple[str, int],
+        seeds: Iterable[tuple[str, int]],
+        now: float,
+        beat: float,
+        chance: Random,
+    ) -> None:
         self.me, self.beat, self.chance = me, beat, chance
         self.own = Told(me, (born, 0), ALIVE, place, me)
         self.seeds = [seed for seed in seeds if seed != place]
@@ -154,7 +171,9 @@
             began = self.suspicions[name].began
             witnesses = ", ".join(sorted(self.suspicions[name].by))
             failed = self._with(name, FAILED)
-            orders += self._take(now, failed, f"suspected for {now - began:.2f} s, witnesses: {witnesses}")
+            orders += self._take(
+                now, failed, f"suspected for {now - began:.2f} s, witnesses: {witnesses}"
+            )
         if self.beat_at <= now:
             self.beat_at = now + self.beat * (1 + self.dull)
             orders += self._beat(now)
@@ -193,7 +212,11 @@
         orders: list[Order] = []
         for name in list(self.table.gone()):
             if name != self.me and now >= self.peers[name].since + FORGET * self.beat:
-                orders.append(Changed(name, STATES[self.table.told[name].state], "gone", "failed or left long ago"))
+                orders.append(
+                    Changed(
+                        name, STATES[self.table.told[name].state], "gone", "failed or left long ago"
+                    )
+                )
                 self.table.forget(name)
                 del self.peers[name]
         known = set(self._others())
@@ -205,19 +228,30 @@
         orders += self._probe(now, self.round.pop()) if self.round else []
         return orders + self._row(now)
 
-    def _probe(self, now: float, name: str, extra: bool = False, verify: Told | None = None) -> list[Order]:
+    def _probe(
+        self, now: float, name: str, extra: bool = False, verify: Told | None = None
+    ) -> list[Order]:
         self.seq += 1
         told, slow = self.table.told[name], 1 + self.dull
         ends = now + (DIRECT if verify else 1.0) * self.beat * slow
-        self.probes[self.seq] = Probe(name, told.life[0], now, ends, inf if verify else now + DIRECT * self.beat * slow,
-                                      extra=extra, verify=verify)
+        self.probes[self.seq] = Probe(
+            name,
+            told.life[0],
+            now,
+            ends,
+            inf if verify else now + DIRECT * self.beat * slow,
+            extra=extra,
+            verify=verify,
+        )
         return [self._ping(name, self.seq, verify)]
 
     def _ping(self, name: str, seq: int, rumour: Told | None = None) -> Send:
         told = self.table.told[name]
         # Who is spoken of badly hears it from us first, so that it can speak against it.
         about: tuple[Item, ...] = (rumour,) if rumour else (told,) if told.state != ALIVE else ()
-        return Send(told.place, Ping(self.own, name, seq, self.table.digest(), self.table.gossip(about)))
+        return Send(
+            told.place, Ping(self.own, name, seq, self.table.digest(), self.table.gossip(about))
+        )
 
     def _ask_helpers(self, seq: int) -> list[Order]:
         probe = self.probes[seq]
@@ -226,27 +260,39 @@
         chosen = self.chance.sample(others, min(HELPERS, len(others)))
         probe.helpers = len(chosen)
         about = self.table.told[probe.name]
-        return [Send(self.table.told[name].place, Ask(self.own, name, seq, about, self.table.gossip()))
-                for name in chosen]
+        return [
+            Send(self.table.told[name].place, Ask(self.own, name, seq, about, self.table.gossip()))
+            for name in chosen
+        ]
 
     def _unanswered(self, now: float, probe: Probe) -> list[Order]:
         told, peer = self.table.told.get(probe.name), self.peers.get(probe.name)
         if told is None or peer is None or told.life[0] != probe.born or told.state > SUSPECTED:
             return []
         if probe.verify is not None:
-            return self._take(now, probe.verify, f"{probe.verify.by} says so, and it does not answer us")
+            return self._take(
+                now, probe.verify, f"{probe.verify.by} says so, and it does not answer us"
+            )
         peer.by_us, peer.mute = False, True
-        if peer.heard >= probe.began:  # whom we hear is alive, answered or not: then it is our words that are lost
+        if (
+            peer.heard >= probe.began
+        ):  # whom we hear is alive, answered or not: then it is our words that are lost
             self.dull = min(DULL, self.dull + 1)
             return self._row(now)
         deaf = self.heard_at < probe.began
-        if probe.nacks < probe.helpers or deaf:  # Danger: helpers that are silent too; it may be we who hear nothing
+        if (
+            probe.nacks < probe.helpers or deaf
+        ):  # Danger: helpers that are silent too; it may be we who hear nothing
             self.dull = min(DULL, self.dull + 1)
         if deaf and self.dull <= DEAF:
             return []
         suspected = Told(told.name, told.life, SUSPECTED, told.place, self.me)
-        return self._take(now, suspected, f"no answer in {now - probe.began:.2f} s, nor to {probe.helpers} others "
-                                          f"({probe.nacks} said so)")
+        return self._take(
+            now,
+            suspected,
+            f"no answer in {now - probe.began:.2f} s, nor to {probe.helpers} others "
+            f"({probe.nacks} said so)",
+        )
 
     def _with(self, name: str, state: int) -> Told:
         told = self.table.told[name]
@@ -259,7 +305,11 @@
         suspicion, size = self.suspicions[name], len(self.table.living())
         scale = self.beat * max(1.0, log10(max(size, 1)))
         most = min(WITNESSES, size - 2)
-        part = log(min(len(suspicion.by), most + 1)) / log(most + 1) if most > 0 and suspicion.by else 0.0
+        part = (
+            log(min(len(suspicion.by), most + 1)) / log(most + 1)
+            if most > 0 and suspicion.by
+            else 0.0
+        )
         return suspicion.began + scale * (LONG - (LONG - SHORT) * part) * (1 + self.dull / 2)
 
     # What is told.
@@ -269,7 +319,12 @@
         name, had = item.name, self.table.told.get(item.name)
         if name == self.me:
             return self._of_me(now, item)
-        if item.state == SUSPECTED and had is not None and had.rank() == item.rank() and name in self.suspicions:
+        if (
+            item.state == SUSPECTED
+            and had is not None
+            and had.rank() == item.rank()
+            and name in self.suspicions
+        ):
             suspicion = self.suspicions[name]
             if item.by not in suspicion.by and len(suspicion.by) <= WITNESSES:
                 suspicion.by.add(item.by)
@@ -287,25 +342,48 @@
         if item.state == SUSPECTED:
             self.suspicions[name] = Suspicion(now, {item.by})
             soon = self.chance.random() * max(len(self._others()), 1) < SOON
-            if item.by != self.me and soon and not any(probe.name == name for probe in self.probes.values()):
+            if (
+                item.by != self.me
+                and soon
+                and not any(probe.name == name for probe in self.probes.values())
+            ):
                 orders += self._probe(now, name, extra=True)
         else:
             self.suspicions.pop(name, None)
         if before != STATES[item.state] or again:
-            orders.append(Changed(name, before, STATES[item.state], f"started again: {why}" if again else why))
+            orders.append(
+                Changed(name, before, STATES[item.state], f"started again: {why}" if again else why)
+            )
         return orders
 
     def _of_me(self, now: float, item: Told) -> list[Order]:
         born, word = self.own.life
         if item.life[0] > born and item.state > SUSPECTED and self.state != "left":
-            self._say(now, (item.life[0] + 1, 0), ALIVE)  # our store or clock was lost; the later start is over
-            return [Changed(self.me, STATES[item.state], "alive", f"start {born} goes on as {item.life[0] + 1}")]
+            self._say(
+                now, (item.life[0] + 1, 0), ALIVE
+            )  # our store or clock was lost; the later start is over
+            return [
+                Changed(
+                    self.me,
+                    STATES[item.state],
+                    "alive",
+                    f"start {born} goes on as {item.life[0] + 1}",
+                )
+            ]
         if item.life[0] > born and self.state not in ("left", "yielded"):
             # Another process under our name: the later start stays, which needs no talk.
             self.state = "yielded"
             self.probes.clear()
-            return [Yielded(item.life[0]), Changed(self.me, "alive", "yielded", "a later start has our name")]
-        if item.life[0] == born and item.state != ALIVE and item.life[1] >= word and self.state != "left":
+            return [
+                Yielded(item.life[0]),
+                Changed(self.me, "alive", "yielded", "a later start has our name"),
+            ]
+        if (
+            item.life[0] == born
+            and item.state != ALIVE
+            and item.life[1] >= word
+            and self.state != "left"
+        ):
             self._say(now, (born, item.life[1] + 1), ALIVE)
             self.dull = min(DULL, self.dull + 1)
             return [Changed(self.me, STATES[item.state], "alive", f"we speak against {item.by}")]
@@ -333,8 +411,14 @@
         others = self._others()
         quiet = now - (3 * len(others) + LONG) * self.beat * (1 + self.dull)
         unanswered = tuple(sorted(name for name in others if not self.peers[name].by_us)[:16])
-        unheard = tuple(sorted(name for name in others if len(others) < SMALL and max(
-            self.peers[name].heard, self.peers[name].since) < quiet)[:16])
+        unheard = tuple(
+            sorted(
+                name
+                for name in others
+                if len(others) < SMALL
+                and max(self.peers[name].heard, self.peers[name].since) < quiet
+            )[:16]
+        )
         held = self.table.rows.get(self.me)
         if (unanswered, unheard) != ((held.unanswered, held.unheard) if held else ((), ())):
             self.rowed += 1
@@ -345,8 +429,11 @@
 
     def _knock(self, now: float) -> list[Order]:
         """At a failed member or a seed that nobody living stands at: it may be well, behind a cut that has healed."""
-        places = {self.table.told[name].place: name for name in self.table.gone()
-                  if self.table.told[name].state == FAILED and not self.table.barred(name)}
+        places = {
+            self.table.told[name].place: name
+            for name in self.table.gone()
+            if self.table.told[name].state == FAILED and not self.table.barred(name)
+        }
         taken = {self.table.told[name].place for name in self.table.living()}
         doors = sorted({*places, *(seed for seed in self.seeds if seed not in taken)})
         if not doors:
@@ -376,7 +463,11 @@
         known = self.table.told.get(own.name)
         if known is not None and known.life[0] > own.life[0]:
             # A former process of that name, or the lesser of two: it hears of the other, and is no witness.
-            return [Send(own.place, News(self.own, own.name, (known,)))] if isinstance(message, Ping) else []
+            return (
+                [Send(own.place, News(self.own, own.name, (known,)))]
+                if isinstance(message, Ping)
+                else []
+            )
         orders = self._take(now, own, "it says so itself")
         peer = self.peers.get(own.name)
         if peer is None or own.name not in self.table.told:
@@ -396,8 +487,20 @@
             case Ping(seq=seq):
                 about = self.table.told[own.name]
                 first = (about,) if about.state != ALIVE else ()
-                orders.append(Send(own.place, Ack(self.own, own.name, seq, self.me, self.own.life[0],
-                                                  self.table.digest(), self.table.gossip(first))))
+                orders.append(
+                    Send(
+                        own.place,
+                        Ack(
+                            self.own,
+                            own.name,
+                            seq,
+                            self.me,
+                            self.own.life[0],
+                            self.table.digest(),
+                            self.table.gossip(first),
+                        ),
+                    )
+                )
                 orders += self._compare(now, own.name, message.digest)
             case Ack():
                 orders += self._acked(now, message)
@@ -433,7 +536,14 @@
                     self._barred(now, item.on)
                 self.suspicions.pop(name, None)
                 words = ("barred", "unbarred")
-                return [Changed(name, words[not before], words[not item.on], f"an operator's word, heard of {by}")]
+                return [
+                    Changed(
+                        name,
+                        words[not before],
+                        words[not item.on],
+                        f"an operator's word, heard of {by}",
+                    )
+                ]
             case Row():
                 self.table.take(item)
             case Extra():
@@ -443,8 +553,15 @@
     def _hearsay(self, now: float, item: Told) -> list[Order]:
         """Danger: one that hears nobody would tell that all have failed. Who is well in our view is asked first."""
         had = self.table.told.get(item.name)
-        if (item.state != FAILED or item.name == self.me or had is None or had.state > SUSPECTED
-                or had.rank() >= item.rank() or had.life != item.life or len(self.table.told) > SMALL):
+        if (
+            item.state != FAILED
+            or item.name == self.me
+            or had is None
+            or had.state > SUSPECTED
+            or had.rank() >= item.rank()
+            or had.life != item.life
+            or len(self.table.told) > SMALL
+        ):
             return self._take(now, item, f"{item.by} says so")
         if any(probe.name == item.name and probe.verify for probe in self.probes.values()):
             return []
@@ -456,8 +573,20 @@
             orders += self._compare(now, ack.own.name, ack.digest)
         errand = self.errands.pop(ack.seq, None) if ack.of == ack.own.name else None
         if errand is not None:
-            orders.append(Send(errand.asker.place, Ack(self.own, errand.asker.name, errand.seq, ack.of, ack.lived,
-                                                       self.table.digest(), (self.table.told[ack.of],))))
+            orders.append(
+                Send(
+                    errand.asker.place,
+                    Ack(
+                        self.own,
+                        errand.asker.name,
+                        errand.seq,
+                        ack.of,
+                        ack.lived,
+                        self.table.digest(),
+                        (self.table.told[ack.of],),
+                    ),
+                )
+            )
         probe = self.probes.get(ack.seq)
         if probe is None or probe.name != ack.of or probe.born != ack.lived:
             return orders
@@ -467,7 +596,9 @@
         peer.mute, peer.by_us = False, direct
         if direct and not probe.extra:
             self.dull = max(0, self.dull - 1)
-        return orders + (self._row(now) if not direct or probe.name in self._unanswered_by_us() else [])
+        return orders + (
+            self._row(now) if not direct or probe.name in self._unanswered_by_us() else []
+        )
 
     def _unanswered_by_us(self) -> tuple[str, ...]:
         row = self.table.rows.get(self.me)
@@ -475,8 +606,20 @@
 
     def _errand(self, now: float, ask: Ask, about: Told) -> list[Order]:
         if about.name == self.me:
-            return [Send(ask.own.place, Ack(self.own, ask.own.name, ask.seq, self.me, self.own.life[0],
-                                            self.table.digest(), self.table.gossip()))]
+            return [
+                Send(
+                    ask.own.place,
+                    Ack(
+                        self.own,
+                        ask.own.name,
+                        ask.seq,
+                        self.me,
+                        self.own.life[0],
+                        self.table.digest(),
+                        self.table.gossip(),
+                    ),
+                )
+            ]
         orders = self._hearsay(now, about)
         if about.name not in self.table.told or len(self.errands) >= 64:
             return orders
@@ -507,18 +650,25 @@
         self.state = "left"
         for held in (self.probes, self.suspicions, self.errands):
             held.clear()
-        return [Send(self.table.told[name].place, News(self.own, name, (self.own,))) for name in self._others()]
+        return [
+            Send(self.table.told[name].place, News(self.own, name, (self.own,)))
+            for name in self._others()
+        ]
 
     def bar(self, host: float, name: str, on: bool) -> list[Order]:
         """Raises ValueError for whom nobody knows."""
         now = self._clock(host)
         if name not in self.table.told:
-            raise ValueError(f"{name!r} is no member known here; known are {', '.join(sorted(self.table.told))}")
+            raise ValueError(
+                f"{name!r} is no member known here; known are {', '.join(sorted(self.table.told))}"
+            )
         count = self.table.bars[name].count + 1 if name in self.table.bars else 1
         orders = self._item(now, Bar(name, count, on), self.me)
         self.spread_at = now
         if name != self.me:  # who is barred hears nothing else any more
-            orders.append(Send(self.table.told[name].place, News(self.own, name, (self.table.bars[name],))))
+            orders.append(
+                Send(self.table.told[name].place, News(self.own, name, (self.table.bars[name],)))
+            )
         return orders
 
     def _barred(self, now: float, on: bool) -> None:
@@ -531,7 +681,11 @@
         """Facts that are soon worth nothing: straight to each other member of a small fleet, to some of a large."""
         others = self._others()
         chosen = others if len(others) < SMALL else self.chance.sample(others, SMALL)
-        return [Send(self.table.told[name].place, News(self.own, name, extras)) for name in chosen] if extras else []
+        return (
+            [Send(self.table.told[name].place, News(self.own, name, extras)) for name in chosen]
+            if extras
+            else []
+        )
 
     def in_touch(self, name: str) -> bool:
         """Whether we and this member reach each other, by whatever way, as far as we know."""
--- a/dunlinlug/fleet/members/network.py
+++ b/dunlinlug/fleet/members/network.py
@@ -50,8 +50,16 @@
 
 
 class Network:
-    def __init__(self, seed: int, beat: float = 0.2, loss: float = 0.0, delay: tuple[float, float] = (0.0005, 0.002),
-                 make: Make = Machine, doubles: float = 0.0, measure: bool = False) -> None:
+    def __init__(
+        self,
+        seed: int,
+        beat: float = 0.2,
+        loss: float = 0.0,
+        delay: tuple[float, float] = (0.0005, 0.002),
+        make: Make = Machine,
+        doubles: float = 0.0,
+        measure: bool = False,
+    ) -> None:
         self.chance, self.beat, self.loss, self.delay = Random(seed), beat, loss, delay
         self.make, self.doubles, self.measure = make, doubles, measure
         self.now, self.numbers = 0.0, count()
@@ -59,19 +67,31 @@
         self.nodes: dict[tuple[str, int], Node] = {}
         self.armed: dict[tuple[str, int], float] = {}
         self.log: list[Seen] = []
-        self.late, self.yielded, self.extras = Counter[str](), list[str](), defaultdict[str, list[Any]](list)
+        self.late, self.yielded, self.extras = (
+            Counter[str](),
+            list[str](),
+            defaultdict[str, list[Any]](list),
+        )
         self.cuts: set[tuple[str, str]] = set()  # directed: from this name nothing reaches that one
         self.messages, self.bytes = Counter[str](), Counter[str]()
 
     # The cast.
 
-    def start(self, name: str, born: int = 1, seeds: tuple[str, ...] = (), place: tuple[str, int] | None = None,
-              rate: float = 1.0, slow: float = 0.0) -> Node:
+    def start(
+        self,
+        name: str,
+        born: int = 1,
+        seeds: tuple[str, ...] = (),
+        place: tuple[str, int] | None = None,
+        rate: float = 1.0,
+        slow: float = 0.0,
+    ) -> Node:
         at = place or (name, 1)
         others = [(seed, 1) for seed in seeds]
         node = Node(name, at, None, rate, slow, origin=self.now)
-        node.machine = self.make(name, born, at, others, node.clock(self.now), self.beat,
-                                 Random(self.chance.random()))
+        node.machine = self.make(
+            name, born, at, others, node.clock(self.now), self.beat, Random(self.chance.random())
+        )
         self.nodes[at] = node
         self._arm(node)
         return node
@@ -127,7 +147,9 @@
                 node = self.nodes.get(place)
                 if node is not None and (sender, node.name) not in self.cuts:
                     if node.frozen:
-                        node.queue = [*node.queue, message][-500:]  # as a socket's buffer has an end
+                        node.queue = [*node.queue, message][
+                            -500:
+                        ]  # as a socket's buffer has an end
                     else:
                         self._hear(node, message)
         self.now = until
@@ -174,11 +196,13 @@
         if to is not None and (node.name, to.name) in self.cuts:
             return
         # By a stream a word comes late rather than not at all.
-        loss = self.loss ** 3 if isinstance(message, Whole) else self.loss
+        loss = self.loss**3 if isinstance(message, Whole) else self.loss
         for _ in range(1 + (self.chance.random() < self.doubles)):
             if self.chance.random() >= loss:
                 due = self.now + self.chance.uniform(*self.delay)
-                heapq.heappush(self.heap, (due, next(self.numbers), "come", (node.name, place, message)))
+                heapq.heappush(
+                    self.heap, (due, next(self.numbers), "come", (node.name, place, message))
+                )
 
     # What was seen.
 
--- a/dunlinlug/fleet/members/search.py
+++ b/dunlinlug/fleet/members/search.py
@@ -22,7 +22,10 @@
 from dunlinlug.fleet.members.words import ALIVE, FAILED, Message, Send, Whole
 
 NAMES = ("a", "b", "c")
-BEAT, FLOW = 0.2, 14.0  # seconds of a beat, and in which messages flow again: knocks, a suspicion, an exchange
+BEAT, FLOW = (
+    0.2,
+    14.0,
+)  # seconds of a beat, and in which messages flow again: knocks, a suspicion, an exchange
 SEEN = 4  # of the messages on their way, the first so many may be dealt with: the others come later
 BUDGET = {"lose": 3, "double": 2, "kill": 1, "restart": 1, "cut": 1}
 Move = tuple[str, int]
@@ -57,13 +60,20 @@
     left: dict[str, int] = field(default_factory=lambda: dict(BUDGET))
 
     def clone(self) -> "World":
-        return replace(self, machines={name: copied(machine) for name, machine in self.machines.items()},
-                       born=dict(self.born), flying=list(self.flying), left=dict(self.left))
+        return replace(
+            self,
+            machines={name: copied(machine) for name, machine in self.machines.items()},
+            born=dict(self.born),
+            flying=list(self.flying),
+            left=dict(self.left),
+        )
 
     def start(self, name: str) -> None:
         self.born[name] = self.born.get(name, 0) + 1
         seeds = [(other, 1) for other in NAMES]
-        self.machines[name] = Machine(name, self.born[name], (name, 1), seeds, self.now, BEAT, Side())
+        self.machines[name] = Machine(
+            name, self.born[name], (name, 1), seeds, self.now, BEAT, Side()
+        )
 
     def obey(self, name: str, orders: list[Any]) -> None:
         for order in orders:
@@ -147,7 +157,9 @@
                 return f"{name} is {machine.state}"
             for of in NAMES:
                 told = machine.table.told.get(of)
-                if of in self.machines and (told is None or (told.state, told.life[0]) != (ALIVE, self.born[of])):
+                if of in self.machines and (
+                    told is None or (told.state, told.life[0]) != (ALIVE, self.born[of])
+                ):
                     return f"{name} has {of} as {told}, which is well in its start {self.born[of]}"
                 if of not in self.machines and told is not None and told.state != FAILED:
                     return f"{name} has {of} as {told}, which is dead"
@@ -157,11 +169,25 @@
 
     def key(self) -> bytes:
         """The same for what can go on in the same way."""
-        plain = [(name, m.own, m.dull, m.state, sorted(m.table.told.items()), sorted(m.table.waiting.items()),
-                  round(m.beat_at - self.now, 3), round(min(m.knock_at, 1e9) - self.now, 3), m.round,
-                  sorted((p.name, round(p.ends - self.now, 3), p.nacks) for p in m.probes.values()),
-                  sorted((of, round(s.began - self.now, 3), sorted(s.by)) for of, s in m.suspicions.items()))
-                 for name, m in sorted(self.machines.items())]
+        plain = [
+            (
+                name,
+                m.own,
+                m.dull,
+                m.state,
+                sorted(m.table.told.items()),
+                sorted(m.table.waiting.items()),
+                round(m.beat_at - self.now, 3),
+                round(min(m.knock_at, 1e9) - self.now, 3),
+                m.round,
+                sorted((p.name, round(p.ends - self.now, 3), p.nacks) for p in m.probes.values()),
+                sorted(
+                    (of, round(s.began - self.now, 3), sorted(s.by))
+                    for of, s in m.suspicions.items()
+                ),
+            )
+            for name, m in sorted(self.machines.items())
+        ]
         return pickle.dumps((plain, self.flying, self.cut, sorted(self.left.items())))
 
 
@@ -172,7 +198,9 @@
         setattr(made.table, name, dict(getattr(machine.table, name)))
     for name in ("peers", "probes", "errands"):
         setattr(made, name, {key: copy(value) for key, value in getattr(machine, name).items()})
-    made.suspicions = {name: replace(held, by=set(held.by)) for name, held in machine.suspicions.items()}
+    made.suspicions = {
+        name: replace(held, by=set(held.by)) for name, held in machine.suspicions.items()
+    }
     made.round = list(machine.round)
     return made
 
--- a/dunlinlug/fleet/members/table.py
+++ b/dunlinlug/fleet/members/table.py
@@ -14,7 +14,9 @@
 
 TELLS = 3  # times log2 of the size that each item is told: all hear of it but one in a thousand, as SWIM's paper shows
 ROOM = 1000  # bytes of items in one datagram: with head and seal below the 1,280 that every path carries
-BURIED = 256  # of names forgotten, kept by rank: as many as fail in the time in which all forget one
+BURIED = (
+    256  # of names forgotten, kept by rank: as many as fail in the time in which all forget one
+)
 BEFORE = ((-1, 0), 0)  # a rank below all
 ITEMS = 48  # in one datagram: what its reader takes at least
 Key = tuple[str, ...]
@@ -27,7 +29,9 @@
         self.told: dict[str, Told] = {}
         self.bars: dict[str, Bar] = {}
         self.rows: dict[str, Row] = {}
-        self.waiting: dict[Key, tuple[int, Item, int]] = {}  # by key how often told, what, and its size
+        self.waiting: dict[
+            Key, tuple[int, Item, int]
+        ] = {}  # by key how often told, what, and its size
         self.buried: dict[str, tuple[tuple[int, int], int]] = {}  # rank of those forgotten last
         self._digest = b""
 
@@ -45,12 +49,20 @@
                 self.buried.pop(name, None)
             case Bar(name=name):
                 old = self.bars.get(name)
-                if len(self.bars) >= MOST if old is None else (old.count, old.on) >= (item.count, item.on):
+                if (
+                    len(self.bars) >= MOST
+                    if old is None
+                    else (old.count, old.on) >= (item.count, item.on)
+                ):
                     return False
                 self.bars[name] = item
             case Row(name=name):
                 row = self.rows.get(name)
-                if len(self.rows) >= MOST or name in self.buried if row is None else row.version >= item.version:
+                if (
+                    len(self.rows) >= MOST or name in self.buried
+                    if row is None
+                    else row.version >= item.version
+                ):
                     return False
                 self.rows[name] = item
         self._digest = b""
@@ -72,13 +84,19 @@
 
     def living(self) -> list[str]:
         """Alive or suspected, and not barred."""
-        return [name for name, told in self.told.items() if told.state <= SUSPECTED and not self.barred(name)]
+        return [
+            name
+            for name, told in self.told.items()
+            if told.state <= SUSPECTED and not self.barred(name)
+        ]
 
     def digest(self) -> bytes:
         """Eight bytes, the same wherever the same is known. A suspicion is not yet a view."""
         if not self._digest:
-            seen = [(name, told.life[0], ALIVE if told.state == SUSPECTED else told.state)
-                    for name, told in sorted(self.told.items())]
+            seen = [
+                (name, told.life[0], ALIVE if told.state == SUSPECTED else told.state)
+                for name, told in sorted(self.told.items())
+            ]
             bars = sorted(name for name in self.bars if self.bars[name].on)
             self._digest = blake2b(msgspec.msgpack.encode((seen, bars)), digest_size=8).digest()
         return self._digest
--- a/dunlinlug/fleet/members/words.py
+++ b/dunlinlug/fleet/members/words.py
@@ -13,7 +13,9 @@
 Life = tuple[Annotated[int, Meta(ge=0)], Annotated[int, Meta(ge=0)]]
 Place = tuple[Annotated[str, Meta(max_length=255)], Annotated[int, Meta(ge=0, le=65535)]]
 
-ALIVE, SUSPECTED, FAILED, LEFT = range(4)  # within one life, what is later in this row outranks what is before
+ALIVE, SUSPECTED, FAILED, LEFT = range(
+    4
+)  # within one life, what is later in this row outranks what is before
 STATES = ("alive", "suspected", "failed", "left")
 MOST = 1024  # members that one ever knows of: five hundred managers and as many that have been
 
--- a/dunlinlug/fleet/owner/book.py
+++ b/dunlinlug/fleet/owner/book.py
@@ -47,8 +47,14 @@
 class Noted(Entry, frozen=True, tag="n"):
     """How far pieces have come, each under its slot's number; an empty body ends a record."""
 
-    items: tuple[tuple[Annotated[str, Meta(max_length=128)], Annotated[int, Meta(ge=0)],
-                       Annotated[bytes, Meta(max_length=BODY)]], ...]
+    items: tuple[
+        tuple[
+            Annotated[str, Meta(max_length=128)],
+            Annotated[int, Meta(ge=0)],
+            Annotated[bytes, Meta(max_length=BODY)],
+        ],
+        ...,
+    ]
 
 
 Said = Begin | Deal | Close | Lived | Noted
@@ -82,7 +88,11 @@
     def clone(self) -> "Book":
         made = Book(0)
         made.owners, made.numbers = self.owners.copy(), self.numbers.copy()
-        made.closing, made.lives, made.records = dict(self.closing), dict(self.lives), dict(self.records)
+        made.closing, made.lives, made.records = (
+            dict(self.closing),
+            dict(self.lives),
+            dict(self.records),
+        )
         return made
 
     def owned(self, member: str) -> list[int]:
@@ -105,7 +115,9 @@
                 for slot, member in to:
                     if slot < len(self.owners):
                         self.closing[slot] = member
-                        changes.append(Change(slot, self.owners[slot], self.numbers[slot], "moved", member))
+                        changes.append(
+                            Change(slot, self.owners[slot], self.numbers[slot], "moved", member)
+                        )
             case Lived(member, born):
                 self.lives[member] = born
                 for slot in self.owned(member):
@@ -126,11 +138,14 @@
 
     def whole(self) -> bytes:
         return msgspec.msgpack.encode(
-            (self.owners, self.numbers, self.closing, self.lives, list(self.records.items())))
+            (self.owners, self.numbers, self.closing, self.lives, list(self.records.items()))
+        )
 
 
 DECODER = msgspec.msgpack.Decoder(Said)
-WHOLE = tuple[list[Name], list[int], dict[int, Name], dict[Name, int], list[tuple[str, tuple[int, bytes]]]]
+WHOLE = tuple[
+    list[Name], list[int], dict[int, Name], dict[Name, int], list[tuple[str, tuple[int, bytes]]]
+]
 
 
 def write(said: Said) -> bytes:
@@ -154,5 +169,11 @@
     if not len(owners) == len(numbers) == slots:
         raise Fault(f"it has {len(owners)} slots, we {slots}; all members need the same")
     made = Book(slots)
-    made.owners, made.numbers, made.closing, made.lives, made.records = owners, numbers, closing, lives, dict(records)
+    made.owners, made.numbers, made.closing, made.lives, made.records = (
+        owners,
+        numbers,
+        closing,
+        lives,
+        dict(records),
+    )
     return made
--- a/dunlinlug/fleet/owner/exercise.py
+++ b/dunlinlug/fleet/owner/exercise.py
@@ -31,7 +31,9 @@
             for member in (owners.me, *owners.others()):
                 owners.order(member, name, str(step).encode())
             if step % EACH == 0:
-                with suppress(ValueError):  # our lease has ended since we looked: the next owner counts from before
+                with suppress(
+                    ValueError
+                ):  # our lease has ended since we looked: the next owner counts from before
                     owners.put_record(name, str(step).encode())
 
 
--- a/dunlinlug/fleet/owner/history.py
+++ b/dunlinlug/fleet/owner/history.py
@@ -33,7 +33,11 @@
 
 def judge(seen: Iterable[Seen], slot_of: dict[str, int] | None = None) -> list[Break]:
     """What is out of order, in the order in which carriers saw it. With `slot_of` pieces of one slot count as one."""
-    last, owners, broken = dict[tuple[str, str], Seen](), dict[tuple[str, int], Seen](), list[Break]()
+    last, owners, broken = (
+        dict[tuple[str, str], Seen](),
+        dict[tuple[str, int], Seen](),
+        list[Break](),
+    )
     for one in seen:
         if not one.done:
             continue
@@ -74,6 +78,15 @@
                 life += 1
             if said.get("event") in ("owner.carried", "owner.refused"):
                 at = datetime.fromisoformat(said["timestamp"]).timestamp()
-                found.append(Seen(at, f"{member} {life}", said["piece"], said["number"], said["count"], said["owner"],
-                                  said["event"] == "owner.carried"))
+                found.append(
+                    Seen(
+                        at,
+                        f"{member} {life}",
+                        said["piece"],
+                        said["number"],
+                        said["count"],
+                        said["owner"],
+                        said["event"] == "owner.carried",
+                    )
+                )
     return found
--- a/dunlinlug/fleet/owner/host.py
+++ b/dunlinlug/fleet/owner/host.py
@@ -28,20 +28,41 @@
 class Ownership:
     """`places` are where the members are by name, `timing` the lease, beat, drift and forgets of the log."""
 
-    def __init__(self, me: str, places: dict[str, tuple[str, int]], keys: list[bytes], timing: dict[str, Any],
-                 kept: Kept, chance: Random, note: Callable[..., None], slots: int = SLOTS,
-                 clock: Callable[[], float] = trio.current_time) -> None:
+    def __init__(
+        self,
+        me: str,
+        places: dict[str, tuple[str, int]],
+        keys: list[bytes],
+        timing: dict[str, Any],
+        kept: Kept,
+        chance: Random,
+        note: Callable[..., None],
+        slots: int = SLOTS,
+        clock: Callable[[], float] = trio.current_time,
+    ) -> None:
         self.me, self.kept, self.note, self.clock = me, kept, note, clock
         found = kept.vote(OF)
-        before = log_words.Keep(found[0], found[1], log_words.Roll(found[2], tuple(found[3]))) if found else (
-            log_words.Keep(0, "", log_words.Roll(1, tuple(sorted(places)))))
+        before = (
+            log_words.Keep(found[0], found[1], log_words.Roll(found[2], tuple(found[3])))
+            if found
+            else (log_words.Keep(0, "", log_words.Roll(1, tuple(sorted(places)))))
+        )
         # Danger: drawn from the seed, a life whose store was lost would be taken for the one before it.
-        self.machine = Machine(me, before, clock(), uniform=chance.uniform, born=secrets.randbits(62), slots=slots,
-                               **timing)
+        self.machine = Machine(
+            me,
+            before,
+            clock(),
+            uniform=chance.uniform,
+            born=secrets.randbits(62),
+            slots=slots,
+            **timing,
+        )
         self.peers = Peers(me, places, keys, self._hear, note, {**codec.KINDS, **KINDS}, OWNERS)
         self.fence, self.counts = Fence(), Counter[int]()
         self.wake = trio.Event()
-        self.carry: dict[str, Callable[[Effect], None]] = {}  # by a piece's first word, who does its effects here
+        self.carry: dict[
+            str, Callable[[Effect], None]
+        ] = {}  # by a piece's first word, who does its effects here
         self.wanted: dict[str, Callable[[Want], None]] = {}  # and who is told that one is asked for
         self.held: list[Callable[[], None]] = []  # told when what we hold has changed
         self.last: deque[tuple[float, Dealt]] = deque(maxlen=CHANGES)
@@ -141,20 +162,43 @@
         """Danger: a carrier that has just started remembers no number, so it goes by the log, and by nothing before it
         has one."""
         book, slot = self.machine.book, self.machine.book.slot_of(effect.piece)
-        why = "this carrier follows no log yet" if not self.machine.known() else self.fence.admits(
-            slot, effect.number, effect.sender, effect.count, book.numbers[slot])
+        why = (
+            "this carrier follows no log yet"
+            if not self.machine.known()
+            else self.fence.admits(
+                slot, effect.number, effect.sender, effect.count, book.numbers[slot]
+            )
+        )
         user = self.carry.get(effect.piece.partition("/")[0])
         if why or effect.piece.startswith(DRILL):
-            self.note("owner.refused" if why else "owner.carried", piece=effect.piece, number=effect.number,
-                      count=effect.count, owner=effect.sender, why=why, body=effect.body.decode(errors="replace"))
+            self.note(
+                "owner.refused" if why else "owner.carried",
+                piece=effect.piece,
+                number=effect.number,
+                count=effect.count,
+                owner=effect.sender,
+                why=why,
+                body=effect.body.decode(errors="replace"),
+            )
         if not why and user is not None:
             user(effect)
         if why and "came before" not in why and effect.sender != self.me:
             self.sums["refused_here"] += 1
             mark = self.fence.seen(slot)
             seen, owner = max((mark.number, mark.owner), (book.numbers[slot], book.owners[slot]))
-            self.peers.send(effect.sender, Outcome(self.machine.log.term, self.me, effect.piece, effect.number,
-                                                   effect.count, False, seen, owner))
+            self.peers.send(
+                effect.sender,
+                Outcome(
+                    self.machine.log.term,
+                    self.me,
+                    effect.piece,
+                    effect.number,
+                    effect.count,
+                    False,
+                    seen,
+                    owner,
+                ),
+            )
 
     def _obey(self, orders: list[Any]) -> None:
         for order in orders:
@@ -170,7 +214,13 @@
                 case Dealt():
                     self.last.append((self.clock(), order))
                     if self.machine.log.leading:
-                        self.note("owner.dealt", slot=order.slot, owner=order.owner, number=order.number, why=order.why)
+                        self.note(
+                            "owner.dealt",
+                            slot=order.slot,
+                            owner=order.owner,
+                            number=order.number,
+                            why=order.why,
+                        )
                 case Holding(slots):
                     self.note("owner.holds", slots=len(slots))
                     for told in self.held:
@@ -181,8 +231,12 @@
         """What we are asked to give up: our users act within one call and keep nothing half done over a wait, so it is
         given up at once."""
         machine = self.machine
-        asked = [slot for slot in machine.book.closing if machine.book.owners[slot] == self.me
-                 and machine.given.get(slot) != machine.book.numbers[slot]]
+        asked = [
+            slot
+            for slot in machine.book.closing
+            if machine.book.owners[slot] == self.me
+            and machine.given.get(slot) != machine.book.numbers[slot]
+        ]
         if asked:
             self._obey(machine.give_up(self.clock(), asked))
 
@@ -190,14 +244,35 @@
         """For people and programs."""
         machine, now = self.machine, self.clock()
         owners = Counter(machine.book.owners)
-        return {"member": self.me, "steward": machine.log.master or None, "term": machine.log.term,
-                "leads": machine.log.leading, "holds": len(machine.holding), "slots": machine.slots,
-                "owners": {owner or "nobody": count for owner, count in sorted(owners.items())},
-                "moving": {str(slot): to for slot, to in sorted(machine.book.closing.items())},
-                "records": [{"piece": piece, "slot": machine.book.slot_of(piece), "owner": machine.owner_of(piece)[0],
-                             "number": machine.owner_of(piece)[1], "under": under,
-                             "body": body.decode(errors="replace")}
-                            for piece, (under, body) in sorted(machine.book.records.items())],
-                "changes": [{"ago": round(now - at, 3), "slot": said.slot, "owner": said.owner, "number": said.number,
-                             "why": said.why} for at, said in self.last],
-                "counts": dict(self.sums)}
+        return {
+            "member": self.me,
+            "steward": machine.log.master or None,
+            "term": machine.log.term,
+            "leads": machine.log.leading,
+            "holds": len(machine.holding),
+            "slots": machine.slots,
+            "owners": {owner or "nobody": count for owner, count in sorted(owners.items())},
+            "moving": {str(slot): to for slot, to in sorted(machine.book.closing.items())},
+            "records": [
+                {
+                    "piece": piece,
+                    "slot": machine.book.slot_of(piece),
+                    "owner": machine.owner_of(piece)[0],
+                    "number": machine.owner_of(piece)[1],
+                    "under": under,
+                    "body": body.decode(errors="replace"),
+                }
+                for piece, (under, body) in sorted(machine.book.records.items())
+            ],
+            "changes": [
+                {
+                    "ago": round(now - at, 3),
+                    "slot": said.slot,
+                    "owner": said.owner,
+                    "number": said.number,
+                    "why": said.why,
+                }
+                for at, said in self.last
+            ],
+            "counts": dict(self.sums),
+        }
