--- a/dunlinlug/platform/orders.py
+++ b/dunlinlug/platform/orders.py
@@ -63,7 +63,9 @@
     zone: str = ""
 
 
-def _lines(have: View | None, want: View, level_lines: int) -> tuple[bool, tuple[tuple[str, float], ...]]:
+def _lines(
+    have: View | None, want: View, level_lines: int
+) -> tuple[bool, tuple[tuple[str, float], ...]]:
     """Whether the table goes whole, and the lines that go."""
     if have is want:
         return False, ()
@@ -76,8 +78,9 @@
     return full, whole if full else tuple(changed)
 
 
-def difference(held: Held, wanted: Wanted, names: tuple[str, ...], usual: Level,
-               spare: float) -> tuple[list[Push], Held, int]:
+def difference(
+    held: Held, wanted: Wanted, names: tuple[str, ...], usual: Level, spare: float
+) -> tuple[list[Push], Held, int]:
     """The parts of one message, what is held after it, and its lines. `names` are the products', `usual` is the level
     of a table that has none; up to `spare` lines in all may go for workers that might be shut out."""
     tables: dict[tuple[bool, tuple[tuple[str, float], ...]], list[int]] = {}
@@ -96,7 +99,13 @@
     for (full, lines), products in tables.items():
         routes = None if len(products) == len(names) else [names[k] for k in products]
         for start in range(0, max(len(lines), 1), CHUNK):
-            parts.append(Push(routes=routes, full=full and not start, endpoints=list(lines[start:start + CHUNK])))
+            parts.append(
+                Push(
+                    routes=routes,
+                    full=full and not start,
+                    endpoints=list(lines[start : start + CHUNK]),
+                )
+            )
         count += full + len(lines)
     for (share, retry), products in levels.items():
         routes = None if len(products) == len(names) else [names[k] for k in products]
@@ -111,22 +120,32 @@
         if not parts:
             parts.append(Push())
         parts[-1].eject, parts[-1].restore = eject or None, restore or None
-    after = Held(tuple(after_tables), tuple(after_levels), (held.shut | set(eject)) - set(restore),
-                 held.unsure - set(eject) - set(restore))
+    after = Held(
+        tuple(after_tables),
+        tuple(after_levels),
+        (held.shut | set(eject)) - set(restore),
+        held.unsure - set(eject) - set(restore),
+    )
     return parts, after, count
 
 
-def _shut(held: Held, wanted: Wanted, tables: list[View | None], count: int,
-          spare: float) -> tuple[list[str], list[str], int]:
+def _shut(
+    held: Held, wanted: Wanted, tables: list[View | None], count: int, spare: float
+) -> tuple[list[str], list[str], int]:
     """Whom to shut out and let back, and the lines of it all."""
-    concerned = {worker for view in dict.fromkeys(tables) if view is not None for worker in view.lines}
+    concerned = {
+        worker for view in dict.fromkeys(tables) if view is not None for worker in view.lines
+    }
     # Danger: what it brought along is not known, and may hold who was shut out just now.
     told = concerned | wanted.news if None in tables else concerned
     eject = sorted((wanted.out & told) - held.shut)
     restore = sorted((held.shut & told) - wanted.out)
     count += len(eject) + len(restore)
     # Danger: shut out by an earlier stream or by another manager, a worker would stay so for good.
-    maybe = sorted((held.unsure & concerned) - wanted.out - set(restore), key=lambda w: (w not in wanted.suspects, w))
+    maybe = sorted(
+        (held.unsure & concerned) - wanted.out - set(restore),
+        key=lambda w: (w not in wanted.suspects, w),
+    )
     room = max(sum(worker in wanted.suspects for worker in maybe), int(spare - count))
     more = maybe[:room]
     return eject, restore + more, count + len(more)
@@ -136,16 +155,25 @@
     """Tables as laid and streams as written. `usual_retry` is the way of trying again where a table says none; `home`
     tells by product whether it may go only to workers in the proxy's zone, so that of a table those lines alone go."""
 
-    def __init__(self, products: tuple[str, ...], usual_retry: int, message_lines: float,
-                 home: tuple[bool, ...] = ()) -> None:
+    def __init__(
+        self,
+        products: tuple[str, ...],
+        usual_retry: int,
+        message_lines: float,
+        home: tuple[bool, ...] = (),
+    ) -> None:
         super().__init__(len(products))
         self.home = home if any(home) else ()
         self.products, self.message_lines = products, message_lines
         self.usual: Level = (1.0, usual_retry)
         self.listed: dict[str, None] = {}  # who is listed, in the order in which they came
-        self.brought: dict[int, frozenset[str]] = {}  # by proxy, who we had shut out when its stream ended
+        self.brought: dict[
+            int, frozenset[str]
+        ] = {}  # by proxy, who we had shut out when its stream ended
         self.suspects: frozenset[str] = NOBODY
-        self.views: dict[tuple[int, str], View] = {}  # by table and the zone that it is narrowed to, or none
+        self.views: dict[
+            tuple[int, str], View
+        ] = {}  # by table and the zone that it is narrowed to, or none
         self.zones: dict[str, str] = {}  # of workers known
         self.news: set[str] = set()
         self.former: dict[str, None] = {}  # who has gone, the last at the end
@@ -193,12 +221,16 @@
             del self.former[worker]
         self.known = frozenset(self.listed) | frozenset(self.former)
         if over:
-            self.zones = {worker: zone for worker, zone in self.zones.items() if worker in self.known}
+            self.zones = {
+                worker: zone for worker, zone in self.zones.items() if worker in self.known
+            }
             self.suspects &= self.known
             self.brought = {proxy: shut & self.known for proxy, shut in self.brought.items()}
             for seat in self.seats.values():
                 held = seat.held
-                seat.held = replace(held, shut=held.shut & self.known, unsure=held.unsure & self.known)
+                seat.held = replace(
+                    held, shut=held.shut & self.known, unsure=held.unsure & self.known
+                )
 
     def leave(self, proxy: int) -> None:
         if proxy in self.seats:
@@ -216,19 +248,37 @@
     def _view(self, tbl: int, zone: str) -> View:
         if (tbl, zone) not in self.views:
             lines = self.tables[tbl].lines.items()
-            self.views[tbl, zone] = View({worker: weight for worker, weight in lines
-                                          if not zone or self.zones.get(worker) == zone})
+            self.views[tbl, zone] = View(
+                {
+                    worker: weight
+                    for worker, weight in lines
+                    if not zone or self.zones.get(worker) == zone
+                }
+            )
         return self.views[tbl, zone]
 
-    def _wanted(self, bound: tuple[int | None, ...], zone: str, out: frozenset[str], news: frozenset[str]) -> Wanted:
-        levels = [self.tables[tbl].levels.get(k) if tbl is not None else None for k, tbl in enumerate(bound)]
-        views = (None if tbl is None else self._view(tbl, zone if self.home and self.home[k] else "")
-                 for k, tbl in enumerate(bound))
-        return Wanted(tuple(views),
-                      tuple(self.usual if level is None else (level[1], level[0]) for level in levels),
-                      out, news, self.suspects)
-
-    def obey(self, orders: Iterable[face.Order], now: float, concerned: Iterable[int] = ()) -> dict[int, Parcel]:
+    def _wanted(
+        self, bound: tuple[int | None, ...], zone: str, out: frozenset[str], news: frozenset[str]
+    ) -> Wanted:
+        levels = [
+            self.tables[tbl].levels.get(k) if tbl is not None else None
+            for k, tbl in enumerate(bound)
+        ]
+        views = (
+            None if tbl is None else self._view(tbl, zone if self.home and self.home[k] else "")
+            for k, tbl in enumerate(bound)
+        )
+        return Wanted(
+            tuple(views),
+            tuple(self.usual if level is None else (level[1], level[0]) for level in levels),
+            out,
+            news,
+            self.suspects,
+        )
+
+    def obey(
+        self, orders: Iterable[face.Order], now: float, concerned: Iterable[int] = ()
+    ) -> dict[int, Parcel]:
         """One reply: a message for each proxy that it concerns. Proxies in the same state share the work."""
         self.news = set()
         mark = self.carry_out(orders, concerned)
@@ -244,7 +294,9 @@
             if key not in made:
                 if (bound, zone) not in wanted:
                     wanted[bound, zone] = self._wanted(bound, zone, out, news)
-                parts, held, lines = difference(seat.held, wanted[bound, zone], self.products, self.usual, reckoned)
+                parts, held, lines = difference(
+                    seat.held, wanted[bound, zone], self.products, self.usual, reckoned
+                )
                 made[key] = (self._written(parts, mark), held, lines)
             data, seat.held, lines = made[key]
             if data:
--- a/dunlinlug/platform/peers.py
+++ b/dunlinlug/platform/peers.py
@@ -10,11 +10,22 @@
 from dunlinlug.platform.messages import Ack, Agent, Demand, Hello, Outcomes, Unfit, Unreadable
 from dunlinlug.told import IN_MILLIS, LOADS
 
-SAMPLES_MOST = 8  # kinds of fault shown in one summary: a flood of different ones must not fill log and memory
-COLLECTORS_MOST = 3  # streams kept for each zone: the old one, its successor and one that only says so
+SAMPLES_MOST = (
+    8  # kinds of fault shown in one summary: a flood of different ones must not fill log and memory
+)
+COLLECTORS_MOST = (
+    3  # streams kept for each zone: the old one, its successor and one that only says so
+)
 EARLY = 0.25  # seconds by which an answer's own time may be longer than we saw: clocks of machines
-IN_WORDS = {"queue": "queue", "latency_ms": "service_s", "inflight": "held", "util": "busy", "qps": "settled_per_s",
-            "eps": "voided_per_s", **LOADS}
+IN_WORDS = {
+    "queue": "queue",
+    "latency_ms": "service_s",
+    "inflight": "held",
+    "util": "busy",
+    "qps": "settled_per_s",
+    "eps": "voided_per_s",
+    **LOADS,
+}
 
 
 @dataclass(eq=False)
@@ -42,8 +53,14 @@
 class Peers:
     """`tell` hears events; `listed` says whether a worker is or was listed."""
 
-    def __init__(self, zones: tuple[str, ...], proxies: int, products: tuple[str, ...],
-                 listed: Callable[[str], bool], tell: Callable[[face.Event], None]) -> None:
+    def __init__(
+        self,
+        zones: tuple[str, ...],
+        proxies: int,
+        products: tuple[str, ...],
+        listed: Callable[[str], bool],
+        tell: Callable[[face.Event], None],
+    ) -> None:
         self.zones, self.proxies, self.products = frozenset(zones), proxies, frozenset(products)
         self.listed, self.tell = listed, tell
         self.streams: dict[int, Peer] = {}
@@ -149,7 +166,9 @@
             case Outcomes() if peer.proxy is None:
                 self._outcomes(peer, message)
             case _:
-                raise Unfit(f"a {type(message).__name__.lower()} does not belong on this connection")
+                raise Unfit(
+                    f"a {type(message).__name__.lower()} does not belong on this connection"
+                )
         if peer.proxy is None:
             peer.reported_at = now
 
@@ -158,10 +177,14 @@
             raise Unfit("an answer of another proxy")
         asked = peer.marks.get(said.seq)
         if asked is None:
-            self.counts["unasked"] += 1  # an answer to a mark never asked, or answered already, is nothing
+            self.counts["unasked"] += (
+                1  # an answer to a mark never asked, or answered already, is nothing
+            )
             return
         took = said.ms / 1000.0
-        if took > now - asked + EARLY:  # Danger: one spoilt time would make the channel look slow for long
+        if (
+            took > now - asked + EARLY
+        ):  # Danger: one spoilt time would make the channel look slow for long
             raise Unfit("an answer that took longer than it has been asked for")
         for mark in list(peer.marks):
             del peer.marks[mark]
@@ -186,8 +209,17 @@
             raise Unfit("more failed than were tried")
         load = {IN_WORDS.get(key, key): value for key, value in (said.util or {}).items()}
         load = {key: value / 1000.0 if key in IN_MILLIS else value for key, value in load.items()}
-        self.tell(face.Met(said.site, said.target, said.count, said.fail, said.mean / 1000.0, said.over / 1000.0,
-                           load))
+        self.tell(
+            face.Met(
+                said.site,
+                said.target,
+                said.count,
+                said.fail,
+                said.mean / 1000.0,
+                said.over / 1000.0,
+                load,
+            )
+        )
 
 
 def read_report(body: bytes) -> dict[str, float]:
--- a/dunlinlug/platform/servers.py
+++ b/dunlinlug/platform/servers.py
@@ -18,7 +18,10 @@
 WAIT = 2.0
 WITHIN = 0.5  # seconds beyond the wait for an answer: the agent is on our own machine
 LEAST = 0.05  # seconds from one query to the next where the version did not move on; a quarter of what ends a watch
-FIRST, MOST = 0.05, 0.5  # seconds to pause after a failure, doubled up to the most: the agent answers without cost
+FIRST, MOST = (
+    0.05,
+    0.5,
+)  # seconds to pause after a failure, doubled up to the most: the agent answers without cost
 PATH = "/v1/servers"
 
 
@@ -50,8 +53,15 @@
 
     def worker(self) -> face.Worker:
         """As the module knows it, the start in Unix seconds."""
-        return face.Worker(self.instance_id, self.zone, self.machine_type, self.cell, self.lifecycle, self.weight,
-                           self.started_at_ms / 1000.0 if self.started_at_ms else None)
+        return face.Worker(
+            self.instance_id,
+            self.zone,
+            self.machine_type,
+            self.cell,
+            self.lifecycle,
+            self.weight,
+            self.started_at_ms / 1000.0 if self.started_at_ms else None,
+        )
 
     def address(self) -> Address:
         """Raises ServersFault."""
@@ -110,14 +120,22 @@
         self.pause = 0.0 if before is None or answer.generation > before else LEAST
         if answer.reset:
             self.generation = answer.generation
-            return face.Listed("whole", tuple(i.worker() for i in answer.instances if i.lifecycle != "gone"))
+            return face.Listed(
+                "whole", tuple(i.worker() for i in answer.instances if i.lifecycle != "gone")
+            )
         if before is None:
             raise ServersFault("changes, though the whole list was asked for")
         if answer.generation < before:
-            self.generation = None  # Danger: discovery was put back; its changes are to another list than ours
+            self.generation = (
+                None  # Danger: discovery was put back; its changes are to another list than ours
+            )
             return None
         self.generation = answer.generation
-        return face.Listed("changes", tuple(i.worker() for i in answer.instances)) if answer.instances else None
+        return (
+            face.Listed("changes", tuple(i.worker() for i in answer.instances))
+            if answer.instances
+            else None
+        )
 
     def failed(self) -> float:
         """Seconds to pause before the next query, drawn so that managers spread."""
--- a/dunlinlug/platform/terms.py
+++ b/dunlinlug/platform/terms.py
@@ -84,10 +84,15 @@
     try:
         info = told.settings
         trade = read_trade(_seed(told.seed), info)
-        zones, proxies = tuple(str(zone) for zone in info["dcs"]), int(info["specifics"]["proxyCount"])
+        zones, proxies = (
+            tuple(str(zone) for zone in info["dcs"]),
+            int(info["specifics"]["proxyCount"]),
+        )
         turn = seconds(info.get("roundUs") or 0)
         if not zones or not 0 < proxies <= PROXIES_MOST:
-            raise ValueError(f"there are {len(zones)} zones (dcs) and {proxies} proxies (proxyCount)")
+            raise ValueError(
+                f"there are {len(zones)} zones (dcs) and {proxies} proxies (proxyCount)"
+            )
     except KeyError as error:
         raise TermsFault(f"{path}: settings lack {error}") from None
     except (TypeError, ValueError, AttributeError) as error:
@@ -99,8 +104,18 @@
         discovery = address(variables.get("ROUTER_DISCOVERY") or told.discovery, "discovery")
     except ServersFault as error:
         raise TermsFault(f"{path}: {error}") from None
-    return Terms(variables.get("ROUTER_NAME") or told.name, listen, discovery, told.limits, told.known, trade, zones,
-                 proxies, turn, tuple(unmet(info)))
+    return Terms(
+        variables.get("ROUTER_NAME") or told.name,
+        listen,
+        discovery,
+        told.limits,
+        told.known,
+        trade,
+        zones,
+        proxies,
+        turn,
+        tuple(unmet(info)),
+    )
 
 
 def moved(terms: Terms, discovery: Address) -> Terms:
--- a/dunlinlug/roster/entries.py
+++ b/dunlinlug/roster/entries.py
@@ -45,11 +45,14 @@
         weight = (service.get("Weights") or {}).get("Passing")
         started = meta.get("started")
         return face.Worker(
-            id=f"{service['Address']}:{int(service['Port'])}", zone=meta.get("zone") or row["Node"]["Datacenter"],
-            kind=meta.get("kind") or "", cell=int(meta.get("cell") or 0),
+            id=f"{service['Address']}:{int(service['Port'])}",
+            zone=meta.get("zone") or row["Node"]["Datacenter"],
+            kind=meta.get("kind") or "",
+            cell=int(meta.get("cell") or 0),
             state="ready" if all(status == "passing" for status in statuses) else "draining",
             weight=None if weight is None else float(weight) / WEIGHT,
-            since=None if started is None else float(started) + clock_offset)
+            since=None if started is None else float(started) + clock_offset,
+        )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise RosterFault(f"an entry is not as agreed: {type(error).__name__}: {error}") from None
 
@@ -59,13 +62,26 @@
 
 def write(workers: Iterable[face.Worker]) -> bytes:
     """The answer's body, with wall-clock starts; workers that are gone are left out."""
-    rows = [{
-        "Node": {"Node": f"node-{worker.id}", "Datacenter": worker.zone},
-        "Service": {"ID": worker.id, "Address": worker.id.rpartition(":")[0],
-                    "Port": int(worker.id.rpartition(":")[2]),
-                    "Weights": None if worker.weight is None else {"Passing": round(worker.weight * WEIGHT)},
-                    "Meta": {"zone": worker.zone, "kind": worker.kind, "cell": str(worker.cell),
-                             **({} if worker.since is None else {"started": repr(worker.since)})}},
-        "Checks": [{"Status": "passing" if worker.state == "ready" else "maintenance"}],
-    } for worker in workers if worker.state != "gone"]
+    rows = [
+        {
+            "Node": {"Node": f"node-{worker.id}", "Datacenter": worker.zone},
+            "Service": {
+                "ID": worker.id,
+                "Address": worker.id.rpartition(":")[0],
+                "Port": int(worker.id.rpartition(":")[2]),
+                "Weights": None
+                if worker.weight is None
+                else {"Passing": round(worker.weight * WEIGHT)},
+                "Meta": {
+                    "zone": worker.zone,
+                    "kind": worker.kind,
+                    "cell": str(worker.cell),
+                    **({} if worker.since is None else {"started": repr(worker.since)}),
+                },
+            },
+            "Checks": [{"Status": "passing" if worker.state == "ready" else "maintenance"}],
+        }
+        for worker in workers
+        if worker.state != "gone"
+    ]
     return json.dumps(rows).encode()
--- a/dunlinlug/roster/follow.py
+++ b/dunlinlug/roster/follow.py
@@ -2,7 +2,10 @@
 
 from collections.abc import Callable
 
-FIRST, MOST = 0.25, 10.0  # seconds to wait after a first failure, doubled up to the most: Consul's clients' range
+FIRST, MOST = (
+    0.25,
+    10.0,
+)  # seconds to wait after a first failure, doubled up to the most: Consul's clients' range
 BETWEEN = 0.05  # seconds from an answer to the next query at least: a roster that does not block is not hammered
 INDEX = "x-consul-index"
 
@@ -16,7 +19,9 @@
 
     def query(self) -> str:
         """The path of the next request; it blocks at the roster once an index is known."""
-        blocking = f"?index={self.index}&wait={max(1, round(self.wait * 1000))}ms" if self.index else ""
+        blocking = (
+            f"?index={self.index}&wait={max(1, round(self.wait * 1000))}ms" if self.index else ""
+        )
         return f"/v1/health/service/{self.service}{blocking}"
 
     def came(self, index: str | None) -> bool:
@@ -27,7 +32,9 @@
         if index is None or not index.isdigit() or not int(index):
             raise ValueError(f"the index is {index!r}, not a whole number above 0")
         number, before, self.failures = int(index), self.index, 0
-        self.index = number if number >= before else 0  # Danger: a restored roster would be waited on for ever
+        self.index = (
+            number if number >= before else 0
+        )  # Danger: a restored roster would be waited on for ever
         return number != before
 
     def failed(self) -> float:
--- a/dunlinlug/rpc/__init__.py
+++ b/dunlinlug/rpc/__init__.py
@@ -4,5 +4,18 @@
 from dunlinlug.rpc.events import Called, Closed, Event, HalfClosed, Message, Opened, Reset, Trailers
 from dunlinlug.rpc.framing import Deframer, FramingFault, frame
 
-__all__ = ["Called", "Closed", "Connection", "Deframer", "Event", "FramingFault", "HalfClosed", "Message", "Opened",
-           "Reset", "Status", "Trailers", "frame"]
+__all__ = [
+    "Called",
+    "Closed",
+    "Connection",
+    "Deframer",
+    "Event",
+    "FramingFault",
+    "HalfClosed",
+    "Message",
+    "Opened",
+    "Reset",
+    "Status",
+    "Trailers",
+    "frame",
+]
--- a/dunlinlug/rpc/connection.py
+++ b/dunlinlug/rpc/connection.py
@@ -19,7 +19,9 @@
 from dunlinlug.rpc import events as said
 from dunlinlug.rpc.framing import Deframer, FramingFault, frame
 
-LARGEST = 16 * 2**20  # bytes of one message: some ten times the largest table of a fleet of a thousand
+LARGEST = (
+    16 * 2**20
+)  # bytes of one message: some ten times the largest table of a fleet of a thousand
 WINDOW = 2**20  # bytes that a peer may send ahead for each call
 
 
@@ -49,15 +51,20 @@
         self.deframer = Deframer(most)
         self.queue: deque[memoryview] = deque()
         self.waiting = 0  # bytes in the queue
-        self.ending: list[tuple[str, str]] | None = None  # trailers once the queue is empty; [] ends plainly
+        self.ending: list[tuple[str, str]] | None = (
+            None  # trailers once the queue is empty; [] ends plainly
+        )
         self.opened = self.ended = False  # our first headers sent, our last
 
 
 class Connection:
     def __init__(self, client: bool, most: int = LARGEST) -> None:
         self.client, self.most = client, most
-        self.h2 = h2.connection.H2Connection(h2.config.H2Configuration(
-            client_side=client, header_encoding="utf-8", validate_outbound_headers=False))
+        self.h2 = h2.connection.H2Connection(
+            h2.config.H2Configuration(
+                client_side=client, header_encoding="utf-8", validate_outbound_headers=False
+            )
+        )
         self.calls: dict[int, _Call] = {}
         self.closed = False
         self.h2.initiate_connection()
@@ -73,9 +80,18 @@
         """Open a call (client side); gives its stream."""
         stream = self.h2.get_next_available_stream_id()
         self.calls[stream] = _Call(self.most)
-        self.h2.send_headers(stream, [
-            (":method", "POST"), (":scheme", "http"), (":path", path), (":authority", authority),
-            ("te", "trailers"), ("content-type", "application/grpc"), ("user-agent", "dunlinlug")])
+        self.h2.send_headers(
+            stream,
+            [
+                (":method", "POST"),
+                (":scheme", "http"),
+                (":path", path),
+                (":authority", authority),
+                ("te", "trailers"),
+                ("content-type", "application/grpc"),
+                ("user-agent", "dunlinlug"),
+            ],
+        )
         return stream
 
     def accept(self, stream: int) -> None:
@@ -84,7 +100,9 @@
         if call is not None and not call.opened:
             call.opened = True
             try:
-                self.h2.send_headers(stream, [(":status", "200"), ("content-type", "application/grpc")])
+                self.h2.send_headers(
+                    stream, [(":status", "200"), ("content-type", "application/grpc")]
+                )
             except h2.exceptions.ProtocolError:
                 self.calls.pop(stream)  # it ended in the same moment
 
@@ -108,7 +126,9 @@
         call = self.calls.get(stream)
         if call is None or call.ending is not None:
             return
-        trailers = [("grpc-status", str(int(status)))] + ([("grpc-message", quote(text))] if text else [])
+        trailers = [("grpc-status", str(int(status)))] + (
+            [("grpc-message", quote(text))] if text else []
+        )
         if not call.opened:
             call.opened = True
             trailers = [(":status", "200"), ("content-type", "application/grpc"), *trailers]
@@ -212,8 +232,11 @@
         kind = headers.get("content-type", "")
         if headers.get(":method") != "POST" or not kind.startswith("application/grpc"):
             self.h2.send_headers(stream, [(":status", "415"), ("content-type", "text/plain")])
-            self.h2.send_data(stream, f"this port speaks gRPC, not {kind or 'plain requests'}\n".encode(),
-                              end_stream=True)
+            self.h2.send_data(
+                stream,
+                f"this port speaks gRPC, not {kind or 'plain requests'}\n".encode(),
+                end_stream=True,
+            )
             return []
         self.calls[stream] = _Call(self.most)
         rest = tuple((k, v) for k, v in headers.items() if not k.startswith(":"))
@@ -231,7 +254,13 @@
     def _ended(self, stream: int, headers: dict[str, str]) -> list[said.Event]:
         if not self.client or self.calls.pop(stream, None) is None:
             return []
-        return [said.Trailers(stream, int(headers.get("grpc-status", "2")), unquote(headers.get("grpc-message", "")))]
+        return [
+            said.Trailers(
+                stream,
+                int(headers.get("grpc-status", "2")),
+                unquote(headers.get("grpc-message", "")),
+            )
+        ]
 
     def _fed(self, event: h2.events.DataReceived) -> list[said.Event]:
         stream, call = event.stream_id or 0, self.calls.get(event.stream_id or 0)
--- a/dunlinlug/rpc/framing.py
+++ b/dunlinlug/rpc/framing.py
@@ -31,9 +31,11 @@
             if packed:
                 raise FramingFault(12, "compressed messages are not taken here")
             if length > self.most:  # Danger: a peer could make us hold any amount
-                raise FramingFault(8, f"a message of {length} bytes is over the bound of {self.most}")
+                raise FramingFault(
+                    8, f"a message of {length} bytes is over the bound of {self.most}"
+                )
             if len(self.buffer) < HEAD.size + length:
                 break
-            whole.append(bytes(self.buffer[HEAD.size:HEAD.size + length]))
-            del self.buffer[:HEAD.size + length]
+            whole.append(bytes(self.buffer[HEAD.size : HEAD.size + length]))
+            del self.buffer[: HEAD.size + length]
         return whole
--- a/dunlinlug/standin/callers.py
+++ b/dunlinlug/standin/callers.py
@@ -16,7 +16,9 @@
 from dunlinlug.standin.stage import Command, play
 from dunlinlug.xds import names
 
-UNDERWAY = 4000  # txns at once: beyond it the machine is the limit, and the txn is recorded as not sent
+UNDERWAY = (
+    4000  # txns at once: beyond it the machine is the limit, and the txn is recorded as not sent
+)
 
 
 class Callers:
@@ -26,11 +28,15 @@
         self.chance = Random(f"{book.one(terms.Day).seed} callers")
         self.wares, mixes = book.many(manager_terms.Ware), book.many(terms.Mix)
         self.products = list(self.wares)
-        self.mix = list(accumulate(mixes[name].share if name in mixes else 1.0 for name in self.products))
+        self.mix = list(
+            accumulate(mixes[name].share if name in mixes else 1.0 for name in self.products)
+        )
         places = book.many(terms.ProxyPlace)
         self.rates = list(accumulate(place.rate for place in places.values()))
         self.doors = [http.Client(*place.address) for place in places.values()]
-        self.times = {name: HdrHistogram(1, 60_000_000, 3) for name in self.products}  # microseconds
+        self.times = {
+            name: HdrHistogram(1, 60_000_000, 3) for name in self.products
+        }  # microseconds
         self.underway = self.sent = 0
 
     async def run(self) -> None:
@@ -46,7 +52,9 @@
                 door = self.chance.choices(self.doors, cum_weights=self.rates)[0]
                 self.sent += 1
                 if self.underway >= UNDERWAY:
-                    self.record.write("txn", product=product, outcome="unsent", took=0.0, txn=str(self.sent))
+                    self.record.write(
+                        "txn", product=product, outcome="unsent", took=0.0, txn=str(self.sent)
+                    )
                     continue
                 nursery.start_soon(self._txn, str(self.sent), product, door, self._work())
         self._sum_up()
@@ -57,9 +65,14 @@
 
     def _sum_up(self) -> None:
         for product, times in self.times.items():
-            self.record.write("times", product=product, count=times.get_total_count(),
-                              p50=times.get_value_at_percentile(50) / 1e6, p99=times.get_value_at_percentile(99) / 1e6,
-                              histogram=base64.b64encode(times.encode()).decode())
+            self.record.write(
+                "times",
+                product=product,
+                count=times.get_total_count(),
+                p50=times.get_value_at_percentile(50) / 1e6,
+                p99=times.get_value_at_percentile(99) / 1e6,
+                histogram=base64.b64encode(times.encode()).decode(),
+            )
         self.record.write("done", sent=self.sent)
         self.record.file.flush()
 
@@ -68,7 +81,9 @@
         self.underway += 1
         with trio.move_on_after(ware.deadline):
             for client in range(1 + self.load.retries):
-                outcome, proof = await self._call(txn, product, door, work, client, started + ware.deadline)
+                outcome, proof = await self._call(
+                    txn, product, door, work, client, started + ware.deadline
+                )
                 if outcome == "settled" or not (proof or ware.repeats == "idempotent"):
                     break
                 await trio.sleep(self.load.backoff)
@@ -79,11 +94,17 @@
             outcome = "settled" if took <= ware.sla else "late"
         self.record.write("txn", txn=txn, product=product, outcome=outcome, took=round(took, 4))
 
-    async def _call(self, txn: str, product: str, door: http.Client, work: float, client: int,
-                    ends: float) -> tuple[str, bool]:
+    async def _call(
+        self, txn: str, product: str, door: http.Client, work: float, client: int, ends: float
+    ) -> tuple[str, bool]:
         """The outcome, and whether it is proven that nothing ran."""
-        headers = {"x-txn": txn, "x-product": product, "x-work": f"{work:.5f}", "x-client": str(client),
-                   "x-left": f"{max(ends - trio.current_time(), 0.001):.4f}"}
+        headers = {
+            "x-txn": txn,
+            "x-product": product,
+            "x-work": f"{work:.5f}",
+            "x-client": str(client),
+            "x-left": f"{max(ends - trio.current_time(), 0.001):.4f}",
+        }
         try:
             reply = await door.ask("POST", "/txn", headers)
         except http.HttpFault as fault:
--- a/dunlinlug/standin/platform.py
+++ b/dunlinlug/standin/platform.py
@@ -36,7 +36,9 @@
         return self._list(False, self.fresh if before < self.generation else [])
 
     def _list(self, reset: bool, instances: list[dict[str, Any]]) -> http.Reply:
-        return http.Reply.json({"generation": self.generation, "reset": reset, "instances": instances})
+        return http.Reply.json(
+            {"generation": self.generation, "reset": reset, "instances": instances}
+        )
 
 
 class Client:
--- a/dunlinlug/standin/stage.py
+++ b/dunlinlug/standin/stage.py
@@ -22,9 +22,13 @@
                 await obey(json.loads(line))
 
 
-async def play(record: Record, tasks: list[Callable[[], Coroutine[Any, Any, None]]],
-               obey: Callable[[Command], Coroutine[Any, Any, None]]) -> None:
+async def play(
+    record: Record,
+    tasks: list[Callable[[], Coroutine[Any, Any, None]]],
+    obey: Callable[[Command], Coroutine[Any, Any, None]],
+) -> None:
     """Run the tasks, say that we are ready, obey until standard input closes, then end all."""
+
     async def flush() -> None:
         while True:
             await trio.sleep(0.5)
--- a/dunlinlug/standin/worker.py
+++ b/dunlinlug/standin/worker.py
@@ -19,8 +19,15 @@
 class Worker:
     """One worker at its address. `mode` is well, silent, voiding or answers_lost."""
 
-    def __init__(self, name: str, floor: Floor, wares: dict[str, manager_terms.Ware], repeats: Repeats,
-                 record: Record, chance: Random) -> None:
+    def __init__(
+        self,
+        name: str,
+        floor: Floor,
+        wares: dict[str, manager_terms.Ware],
+        repeats: Repeats,
+        record: Record,
+        chance: Random,
+    ) -> None:
         self.name, self.floor, self.wares, self.repeats = name, floor, wares, repeats
         self.record, self.chance = record, chance
         self.mode, self.fails, self.scope = "well", 1.0, trio.CancelScope()
@@ -66,7 +73,9 @@
         expires = now + float(said["x-left"])
         if done > expires and self.floor.held(now) and done - now > float(said["x-left"]):
             await trio.sleep_until(expires)
-            return http.Reply(504, {names.NEVER_RAN: "1"})  # its time-out passed before its turn: not begun
+            return http.Reply(
+                504, {names.NEVER_RAN: "1"}
+            )  # its time-out passed before its turn: not begun
         await trio.sleep_until(done)
         self._effect(said)
         if self.mode == "answers_lost" and self.chance.random() < self.fails:
@@ -76,11 +85,18 @@
 
     def _effect(self, said: Mapping[str, str]) -> None:
         ware = self.wares[said["x-product"]]
-        if ware.repeats == "referenced" and not self.repeats.first(said["x-txn"], trio.current_time(), ware.window):
+        if ware.repeats == "referenced" and not self.repeats.first(
+            said["x-txn"], trio.current_time(), ware.window
+        ):
             self.record.write("dropped", worker=self.name, txn=said["x-txn"])
             return
-        self.record.write("effect", worker=self.name, txn=said["x-txn"], product=said["x-product"],
-                          client=int(said["x-client"]))
+        self.record.write(
+            "effect",
+            worker=self.name,
+            txn=said["x-txn"],
+            product=said["x-product"],
+            client=int(said["x-client"]),
+        )
 
 
 class Zone:
@@ -91,10 +107,27 @@
         wares, repeats = book.many(manager_terms.Ware), Repeats()
         chance = Random(f"{book.one(terms.Day).seed} {zone}")
         self.workers = {
-            name: Worker(name, Floor(Machine(
-                place.cores, place.speed, place.cores * fleet.queue_per_core, fleet.cold_from, fleet.cold,
-                duties.fall_multiple, duties.fall_after)), wares, repeats, record, chance)
-            for name, place in book.many(terms.WorkerPlace).items() if place.zone == zone}
+            name: Worker(
+                name,
+                Floor(
+                    Machine(
+                        place.cores,
+                        place.speed,
+                        place.cores * fleet.queue_per_core,
+                        fleet.cold_from,
+                        fleet.cold,
+                        duties.fall_multiple,
+                        duties.fall_after,
+                    )
+                ),
+                wares,
+                repeats,
+                record,
+                chance,
+            )
+            for name, place in book.many(terms.WorkerPlace).items()
+            if place.zone == zone
+        }
 
     async def obey(self, command: Command) -> None:
         worker = self.workers[command["worker"]]
--- a/dunlinlug/state.py
+++ b/dunlinlug/state.py
@@ -34,5 +34,7 @@
     def common(self) -> dict[int, float]:
         """Lines for all products, where they need not be the same: the first one's for workers of all."""
         first, *others = {id(want): want for want in self.shares}.values()
-        same = {i: first[i] for i in first if all(i in want for want in others)} if others else first
+        same = (
+            {i: first[i] for i in first if all(i in want for want in others)} if others else first
+        )
         return same or max(self.shares, key=len)
--- a/dunlinlug/terms.py
+++ b/dunlinlug/terms.py
@@ -6,7 +6,17 @@
 import attrs
 
 from dunlinlug import interface as face
-from dunlinlug.config import Address, Book, ConfigFault, Count, PerSecond, Seconds, Share, Words, read_book
+from dunlinlug.config import (
+    Address,
+    Book,
+    ConfigFault,
+    Count,
+    PerSecond,
+    Seconds,
+    Share,
+    Words,
+    read_book,
+)
 
 
 @attrs.frozen
@@ -104,7 +114,9 @@
 def check_lease(lease: float, beat: float, drift: float) -> None:
     """Raises ValueError."""
     if not 0 < 3 * beat <= lease or drift > 0.2:
-        raise ValueError("beat is to be at most a third of lease, so that one may be lost; drift at most 20%")
+        raise ValueError(
+            "beat is to be at most a third of lease, so that one may be lost; drift at most 20%"
+        )
 
 
 @attrs.frozen
@@ -196,38 +208,65 @@
 
     def __attrs_post_init__(self) -> None:
         if self.deadline < self.sla:
-            raise ValueError("deadline is shorter than sla; it is the time after which a client gives up")
-
-
-SINGLE = {"manager": Desk, "channel": Outlet, "duties": Obligations, "roster": Source, "probes": Probing,
-          "reports": Hearing, "guard": Guarding, "operators": Operators,
-          "succession": Succession, "members": Members, "owner": Owning, "tls": Tls}
+            raise ValueError(
+                "deadline is shorter than sla; it is the time after which a client gives up"
+            )
+
+
+SINGLE = {
+    "manager": Desk,
+    "channel": Outlet,
+    "duties": Obligations,
+    "roster": Source,
+    "probes": Probing,
+    "reports": Hearing,
+    "guard": Guarding,
+    "operators": Operators,
+    "succession": Succession,
+    "members": Members,
+    "owner": Owning,
+    "tls": Tls,
+}
 NAMED = {"product": Ware, "member": Member}
-OPTIONAL = frozenset({"probes", "reports", "guard", "operators", "succession", "members", "owner", "tls"})
+OPTIONAL = frozenset(
+    {"probes", "reports", "guard", "operators", "succession", "members", "owner", "tls"}
+)
 
 
 def read(path: Path) -> Book:
     """The manager's file; raises ConfigFault."""
     book = read_book(path, SINGLE, NAMED, optional=OPTIONAL)
     if book.one(Operators).token_file and book.one(Guarding).mode == "off":
-        raise ConfigFault(f"{path}:1: [operators] token_file: with [guard] mode = off no table from an operator's hand "
-                        "would be judged; take one of them out")
+        raise ConfigFault(
+            f"{path}:1: [operators] token_file: with [guard] mode = off no table from an operator's hand "
+            "would be judged; take one of them out"
+        )
     own = book.one(Succession).member
     if own and own not in book.many(Member):
-        raise ConfigFault(f"{path}:1: [succession] member: no [member {own}] section says where it is")
+        raise ConfigFault(
+            f"{path}:1: [succession] member: no [member {own}] section says where it is"
+        )
     unreached = [name for name, one in book.many(Member).items() if not one.peers[1]]
     if own and unreached and not book.one(Members).me:
-        raise ConfigFault(f"{path}:1: [member {unreached[0]}] peers: without [members] the others reach it there alone")
+        raise ConfigFault(
+            f"{path}:1: [member {unreached[0]}] peers: without [members] the others reach it there alone"
+        )
     me, places = book.one(Members).me, {name: one.knows for name, one in book.many(Member).items()}
     if me and me not in places:
         raise ConfigFault(f"{path}:1: [members] me: no [member {me}] section says where it is")
     lacks = [name for name, place in places.items() if not place[1]]
     if me and lacks:
-        raise ConfigFault(f"{path}:1: [member {lacks[0]}] knows: [members] needs an address of its own for that")
+        raise ConfigFault(
+            f"{path}:1: [member {lacks[0]}] knows: [members] needs an address of its own for that"
+        )
     if me and not member_key(book):
-        raise ConfigFault(f"{path}:1: [members] key_file: members prove who they are; [succession] has none either")
+        raise ConfigFault(
+            f"{path}:1: [members] key_file: members prove who they are; [succession] has none either"
+        )
     if me and own and me != own:
-        raise ConfigFault(f"{path}:1: [members] me = {me}, but [succession] member = {own}: one manager has one name")
+        raise ConfigFault(
+            f"{path}:1: [members] me = {me}, but [succession] member = {own}: one manager has one name"
+        )
     if book.one(Owning).on and not me:
         raise ConfigFault(f"{path}:1: [owner] on: work is owned among members; it needs [members]")
     if not book.many(Ware):
@@ -244,14 +283,48 @@
     """What the module is told at its start."""
     desk, outlet, duties = book.one(Desk), book.one(Outlet), book.one(Obligations)
     source, hearing = book.one(Source), book.one(Hearing)
-    products = tuple(face.Product(name, ware.sla, ware.deadline, ware.revenue, ware.late_share, ware.repeats,
-                                  ware.group, ware.window) for name, ware in book.many(Ware).items())
-    channel = face.Channel(outlet.lines_per_s, float(outlet.message_lines), float(outlet.waiting_most),
-                           outlet.transit, outlet.transit_most, outlet.messages_most, outlet.messages_span)
+    products = tuple(
+        face.Product(
+            name,
+            ware.sla,
+            ware.deadline,
+            ware.revenue,
+            ware.late_share,
+            ware.repeats,
+            ware.group,
+            ware.window,
+        )
+        for name, ware in book.many(Ware).items()
+    )
+    channel = face.Channel(
+        outlet.lines_per_s,
+        float(outlet.message_lines),
+        float(outlet.waiting_most),
+        outlet.transit,
+        outlet.transit_most,
+        outlet.messages_most,
+        outlet.messages_span,
+    )
     return face.Trade(
-        seed=desk.seed, zone=desk.zone, products=products, channel=channel,
-        duties=face.Duties(duties.bare, duties.drain_grace, duties.ask_every, duties.warm_after, duties.cold_share,
-                           duties.fall_multiple, duties.fall_after),
-        must_ask=source.mode == "asked", may_probe=book.one(Probing).allowed, report_fields=hearing.fields,
-        reports_in="answers" if hearing.fields else "none", report_cycle=hearing.cycle,
-        usual_retry=desk.usual_retry, admits=desk.admits, standing=desk.standing)
+        seed=desk.seed,
+        zone=desk.zone,
+        products=products,
+        channel=channel,
+        duties=face.Duties(
+            duties.bare,
+            duties.drain_grace,
+            duties.ask_every,
+            duties.warm_after,
+            duties.cold_share,
+            duties.fall_multiple,
+            duties.fall_after,
+        ),
+        must_ask=source.mode == "asked",
+        may_probe=book.one(Probing).allowed,
+        report_fields=hearing.fields,
+        reports_in="answers" if hearing.fields else "none",
+        report_cycle=hearing.cycle,
+        usual_retry=desk.usual_retry,
+        admits=desk.admits,
+        standing=desk.standing,
+    )
--- a/dunlinlug/xds/full.py
+++ b/dunlinlug/xds/full.py
@@ -26,7 +26,9 @@
 
 ORDER = (names.CLUSTERS, names.ENDPOINTS, names.LISTENERS, names.ROUTES)  # make before break
 
-Offered = tuple[str, bytes, str]  # version, the serialized message, and the cluster that a route leads to
+Offered = tuple[
+    str, bytes, str
+]  # version, the serialized message, and the cluster that a route leads to
 Offer = dict[str, dict[str, Offered]]  # by type and name
 
 
@@ -60,15 +62,22 @@
 
 @lru_cache(maxsize=4096)
 def cluster(name: str) -> Offered:
-    made = cluster_pb2.Cluster(name=name, type=cluster_pb2.Cluster.EDS, lb_policy=cluster_pb2.Cluster.ROUND_ROBIN)
+    made = cluster_pb2.Cluster(
+        name=name, type=cluster_pb2.Cluster.EDS, lb_policy=cluster_pb2.Cluster.ROUND_ROBIN
+    )
     made.eds_cluster_config.eds_config.ads.SetInParent()
     made.eds_cluster_config.service_name = name
     made.lrs_server.self.SetInParent()
     return _versioned(made)
 
 
-def endpoints(name: str, lines: Mapping[str, float], zones: Mapping[str, str], level: float,
-              out: Iterable[str]) -> Offered:
+def endpoints(
+    name: str,
+    lines: Mapping[str, float],
+    zones: Mapping[str, str],
+    level: float,
+    out: Iterable[str],
+) -> Offered:
     """A locality for each worker that may be used, with its weight."""
     made, shut = endpoint_pb2.ClusterLoadAssignment(cluster_name=name), set(out)
     for worker, weight in lines.items():
@@ -98,9 +107,13 @@
         self.control = "dunlinlug"
         self.wanted: dict[str, set[str]] = {}
         self.offered: Offer = {}
-        self.sent: dict[str, dict[str, str]] = {}  # by type: the versions by name that went out last
+        self.sent: dict[
+            str, dict[str, str]
+        ] = {}  # by type: the versions by name that went out last
         self.nonces: dict[str, str] = {}  # by type: the newest, until it is answered
-        self.refused: dict[str, dict[str, str]] = {}  # by type: what a client would not take, by name
+        self.refused: dict[
+            str, dict[str, str]
+        ] = {}  # by type: what a client would not take, by name
         self.last = 0
 
     def ready(self) -> bool:
@@ -121,12 +134,16 @@
             self.metadata = MessageToDict(request.node.metadata)
             said.append(Greeted(self.node))
         if request.type_url not in ORDER or only and request.type_url != only:
-            raise StreamFault(f"type {request.type_url!r} is not served; served are {only or ', '.join(ORDER)}")
+            raise StreamFault(
+                f"type {request.type_url!r} is not served; served are {only or ', '.join(ORDER)}"
+            )
         if len(request.resource_names) > NAMES:  # Danger: a peer could fill our memory
             raise StreamFault(f"more than {NAMES} resource names")
         newest = self.nonces.get(request.type_url, "")
         if request.response_nonce and request.response_nonce != newest and newest:
-            return said  # an answer to what is no longer the newest: the protocol has it passed over
+            return (
+                said  # an answer to what is no longer the newest: the protocol has it passed over
+            )
         self.wanted[request.type_url] = set(request.resource_names)
         if request.response_nonce and request.response_nonce == newest:
             said.append(self._answered(request, newest))
@@ -150,10 +167,18 @@
         made = []
         for type_url in ORDER:
             offered = self.offered.get(type_url, {})
-            wanted = {name: offered[name] for name in sorted(self.wanted.get(type_url, ())) if name in offered}
+            wanted = {
+                name: offered[name]
+                for name in sorted(self.wanted.get(type_url, ()))
+                if name in offered
+            }
             versions = {name: version for name, (version, _, _) in wanted.items()}
             before = self.sent.get(type_url, {})
-            kept = {name: version for name, version in before.items() if name in self.wanted.get(type_url, ())}
+            kept = {
+                name: version
+                for name, version in before.items()
+                if name in self.wanted.get(type_url, ())
+            }
             if versions == kept and (versions or not before):
                 self.sent[type_url] = versions  # what is only asked for no more needs no word
                 continue
@@ -162,23 +187,36 @@
             response = discovery_pb2.DiscoveryResponse(type_url=type_url, nonce=str(self.last))
             response.version_info = xxh3_64_hexdigest(repr(sorted(versions.items())).encode())
             response.control_plane.identifier = self.control
-            response.resources.extend(any_pb2.Any(type_url=type_url, value=body) for _, body, _ in wanted.values())
+            response.resources.extend(
+                any_pb2.Any(type_url=type_url, value=body) for _, body, _ in wanted.values()
+            )
             made.append((type_url, str(self.last), tuple(versions), response.SerializeToString()))
         return made
 
     def settled(self) -> bool:
         """Whether the client has taken all that is offered of what it asks for, to the endpoints of each route."""
         needed = self._routed()
-        return (bool(self.wanted.get(names.LISTENERS)) and not any(self.nonces.values()) and not self.refused
-                and needed <= self.wanted.get(names.ENDPOINTS, set()) and self.sent_all())
+        return (
+            bool(self.wanted.get(names.LISTENERS))
+            and not any(self.nonces.values())
+            and not self.refused
+            and needed <= self.wanted.get(names.ENDPOINTS, set())
+            and self.sent_all()
+        )
 
     def sent_all(self) -> bool:
-        return all(self.sent.get(type_url, {}).get(name) == self.offered[type_url][name][0]
-                   for type_url in self.offered for name in self.wanted.get(type_url, ())
-                   if name in self.offered[type_url])
+        return all(
+            self.sent.get(type_url, {}).get(name) == self.offered[type_url][name][0]
+            for type_url in self.offered
+            for name in self.wanted.get(type_url, ())
+            if name in self.offered[type_url]
+        )
 
     def _routed(self) -> set[str]:
         """The clusters that the products which it asks for are routed to."""
         products = self.wanted.get(names.LISTENERS, set())
-        return {cluster for product, (_, _, cluster) in self.offered.get(names.ROUTES, {}).items()
-                if product in products}
+        return {
+            cluster
+            for product, (_, _, cluster) in self.offered.get(names.ROUTES, {}).items()
+            if product in products
+        }
--- a/dunlinlug/xds/loads.py
+++ b/dunlinlug/xds/loads.py
@@ -47,22 +47,32 @@
     group = met.upstream_locality_stats.add()
     for worker, at in loads.workers.items():
         entry = group.upstream_endpoint_stats.add(
-            total_issued_requests=at.tries, total_error_requests=at.voided,
-            total_successful_requests=at.tries - at.voided)
+            total_issued_requests=at.tries,
+            total_error_requests=at.voided,
+            total_successful_requests=at.tries - at.voided,
+        )
         host, _, port = worker.rpartition(":")
         entry.address.socket_address.address = host
         entry.address.socket_address.port_value = int(port)
-        entry.load_metric_stats.add(metric_name=names.SETTLE_S, total_metric_value=at.took,
-                                    num_requests_finished_with_metric=at.tries - at.voided)
+        entry.load_metric_stats.add(
+            metric_name=names.SETTLE_S,
+            total_metric_value=at.took,
+            num_requests_finished_with_metric=at.tries - at.voided,
+        )
         for name, value in at.load.items():
-            entry.load_metric_stats.add(metric_name=names.LOAD + name, total_metric_value=value,
-                                        num_requests_finished_with_metric=1)
+            entry.load_metric_stats.add(
+                metric_name=names.LOAD + name,
+                total_metric_value=value,
+                num_requests_finished_with_metric=1,
+            )
     for product, (txns, voided) in loads.products.items():
         stats = made.cluster_stats.add(cluster_name=product)
         stats.load_report_interval.FromNanoseconds(round(loads.span * 1e9))
         own = stats.upstream_locality_stats.add()
         own.load_metric_stats.add(metric_name=names.TXNS, num_requests_finished_with_metric=txns)
-        own.load_metric_stats.add(metric_name=names.TXNS_VOIDED, num_requests_finished_with_metric=voided)
+        own.load_metric_stats.add(
+            metric_name=names.TXNS_VOIDED, num_requests_finished_with_metric=voided
+        )
     whole: bytes = made.SerializeToString()
     return whole
 
@@ -83,9 +93,14 @@
         for group in stats.upstream_locality_stats:
             for entry in group.upstream_endpoint_stats:
                 _read_worker(loads, entry)
-            sums = {m.metric_name: m.num_requests_finished_with_metric for m in group.load_metric_stats}
+            sums = {
+                m.metric_name: m.num_requests_finished_with_metric for m in group.load_metric_stats
+            }
             if names.TXNS in sums:
-                loads.products[stats.cluster_name] = (sums[names.TXNS], sums.get(names.TXNS_VOIDED, 0))
+                loads.products[stats.cluster_name] = (
+                    sums[names.TXNS],
+                    sums.get(names.TXNS_VOIDED, 0),
+                )
     return loads
 
 
--- a/dunlinlug/xds/names.py
+++ b/dunlinlug/xds/names.py
@@ -21,7 +21,10 @@
 NEVER_RAN = "x-never-ran"  # response header: proof that a txn was not begun
 OTHER_HOST = "envoy.retry_host_predicates.previous_hosts"
 
-TXNS, TXNS_VOIDED = "dunlinlug.txns", "dunlinlug.txns_voided"  # load metrics by product, from a proxy
+TXNS, TXNS_VOIDED = (
+    "dunlinlug.txns",
+    "dunlinlug.txns_voided",
+)  # load metrics by product, from a proxy
 SETTLE_S = "dunlinlug.settle_s"  # load metric by worker: seconds, summed over settled tries
 LOAD = "dunlinlug.load."  # prefix of a worker's own load report
 
--- a/dunlinlug/xds/read.py
+++ b/dunlinlug/xds/read.py
@@ -46,8 +46,12 @@
             lines[worker], zones[worker] = weight / render.WEIGHT, group.locality.zone
             if entry.health_status not in (health_check_pb2.UNKNOWN, health_check_pb2.HEALTHY):
                 shut.add(worker)
-    levels = {drop.category: 1.0 - drop.drop_percentage.numerator / (100, 10_000, render.MILLION)[
-        drop.drop_percentage.denominator] for drop in made.policy.drop_overloads}
+    levels = {
+        drop.category: 1.0
+        - drop.drop_percentage.numerator
+        / (100, 10_000, render.MILLION)[drop.drop_percentage.denominator]
+        for drop in made.policy.drop_overloads
+    }
     return Table(made.cluster_name, lines, zones, levels, frozenset(shut))
 
 
--- a/dunlinlug/xds/render.py
+++ b/dunlinlug/xds/render.py
@@ -18,7 +18,9 @@
 
 from dunlinlug.xds import names
 
-WEIGHT = 1000  # steps of a weight of 1: xDS weights are whole numbers, ours are parts of listed weights
+WEIGHT = (
+    1000  # steps of a weight of 1: xDS weights are whole numbers, ours are parts of listed weights
+)
 MILLION = 1_000_000
 
 
@@ -72,8 +74,13 @@
     overload.drop_percentage.denominator = percent_pb2.FractionalPercent.MILLION
 
 
-def table(name: str, lines: Mapping[str, float], zones: Mapping[str, str], levels: Mapping[str, float],
-          out: Iterable[str] = ()) -> Resource:
+def table(
+    name: str,
+    lines: Mapping[str, float],
+    zones: Mapping[str, str],
+    levels: Mapping[str, float],
+    out: Iterable[str] = (),
+) -> Resource:
     """A table: weights by worker, grouped by the workers' zones; `levels` has the share let in by product."""
     shut, made = set(out), endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
     by_zone: dict[str, list[str]] = {}
@@ -85,7 +92,9 @@
         weights = [max(1, round(lines[worker] * WEIGHT)) for worker in workers]
         group.load_balancing_weight.value = sum(weights)
         group.lb_endpoints.extend(
-            _endpoint(worker, weight, worker in shut) for worker, weight in zip(workers, weights, strict=True))
+            _endpoint(worker, weight, worker in shut)
+            for worker, weight in zip(workers, weights, strict=True)
+        )
     for product, level in levels.items():
         if level < 1.0:
             drop(made, product, level)
@@ -148,8 +157,14 @@
     return bytes(out)
 
 
-def response(type_url: str, resources: tuple[Resource, ...], removed: tuple[str, ...], nonce: str, tag: str,
-             control: str = "dunlinlug") -> bytes:
+def response(
+    type_url: str,
+    resources: tuple[Resource, ...],
+    removed: tuple[str, ...],
+    nonce: str,
+    tag: str,
+    control: str = "dunlinlug",
+) -> bytes:
     """A serialized DeltaDiscoveryResponse; all but nonce and tag is made once for all proxies."""
     own = discovery_pb2.DeltaDiscoveryResponse(nonce=nonce, system_version_info=tag)
     own.control_plane.identifier = control
--- a/dunlinlug/xds/stream.py
+++ b/dunlinlug/xds/stream.py
@@ -43,9 +43,14 @@
         self.node = self.zone = ""
         self.metadata: dict[str, object] = {}
         self.features: frozenset[str] = frozenset()
-        self.held: dict[str, dict[str, str]] = {names.ENDPOINTS: {}, names.ROUTES: {}}  # at the peer, acked
+        self.held: dict[str, dict[str, str]] = {
+            names.ENDPOINTS: {},
+            names.ROUTES: {},
+        }  # at the peer, acked
         self.subscribed: dict[str, set[str]] = {}
-        self.sent: dict[str, tuple[str, tuple[render.Resource, ...], tuple[str, ...]]] = {}  # by nonce
+        self.sent: dict[
+            str, tuple[str, tuple[render.Resource, ...], tuple[str, ...]]
+        ] = {}  # by nonce
         self.last = 0
         self.control = "dunlinlug"  # this manager, and its term if it takes part in succession
 
@@ -66,13 +71,17 @@
         if not self.node:
             said.append(self._greet(request))
         if request.type_url not in self.held:
-            raise StreamFault(f"type {request.type_url!r} is not served; served are {', '.join(self.held)}")
+            raise StreamFault(
+                f"type {request.type_url!r} is not served; served are {', '.join(self.held)}"
+            )
         if not request.response_nonce or request.response_nonce not in self.sent:
             self.held[request.type_url].update(request.initial_resource_versions)
         wanted = self.subscribed.setdefault(request.type_url, set())
         wanted |= set(request.resource_names_subscribe)
         wanted -= set(request.resource_names_unsubscribe)
-        if len(wanted) > NAMES or len(self.held[request.type_url]) > NAMES:  # Danger: a peer could fill our memory
+        if (
+            len(wanted) > NAMES or len(self.held[request.type_url]) > NAMES
+        ):  # Danger: a peer could fill our memory
             raise StreamFault(f"more than {NAMES} resource names")
         if request.response_nonce:
             said += self._answered(request)
@@ -99,8 +108,13 @@
             held.pop(name, None)
         return [Acked(nonce)]
 
-    def respond(self, type_url: str, resources: tuple[render.Resource, ...], removed: tuple[str, ...],
-                tag: str) -> tuple[str, bytes]:
+    def respond(
+        self,
+        type_url: str,
+        resources: tuple[render.Resource, ...],
+        removed: tuple[str, ...],
+        tag: str,
+    ) -> tuple[str, bytes]:
         """A response's nonce and bytes. `tag` travels as system_version_info."""
         self.last += 1
         nonce = str(self.last)
--- a/dunlinlug/xds/subscriber.py
+++ b/dunlinlug/xds/subscriber.py
@@ -28,7 +28,8 @@
     routes: dict[str, tuple[str, render.Way]] = field(default_factory=dict)
     out: frozenset[str] = frozenset()
     versions: dict[str, dict[str, str]] = field(
-        default_factory=lambda: {names.ENDPOINTS: {}, names.ROUTES: {}})
+        default_factory=lambda: {names.ENDPOINTS: {}, names.ROUTES: {}}
+    )
     fence: Fence = field(default_factory=Fence)
 
     def lines(self, product: str) -> dict[str, float]:
@@ -46,14 +47,18 @@
 class Subscriber:
     """One stream of a proxy: requests out, responses in. Make a new one for each stream, on the same holdings."""
 
-    def __init__(self, holdings: Holdings, node: str, zone: str, metadata: dict[str, object]) -> None:
+    def __init__(
+        self, holdings: Holdings, node: str, zone: str, metadata: dict[str, object]
+    ) -> None:
         self.holdings, self.node, self.zone, self.metadata = holdings, node, zone, metadata
 
     def greet(self) -> list[bytes]:
         """The first requests, one for each type: all tables, and the one route."""
         made = []
         for type_url, wanted in ((names.ENDPOINTS, "*"), (names.ROUTES, names.ROUTE)):
-            request = discovery_pb2.DeltaDiscoveryRequest(type_url=type_url, resource_names_subscribe=[wanted])
+            request = discovery_pb2.DeltaDiscoveryRequest(
+                type_url=type_url, resource_names_subscribe=[wanted]
+            )
             request.node.id, request.node.locality.zone = self.node, self.zone
             request.node.user_agent_name = "dunlinlug"
             request.node.client_features.append(names.OVERLAY)
@@ -69,7 +74,9 @@
             response.ParseFromString(data)
         except DecodeError as error:
             raise read.ReadFault(f"not a DeltaDiscoveryResponse: {error}") from None
-        answer = discovery_pb2.DeltaDiscoveryRequest(type_url=response.type_url, response_nonce=response.nonce)
+        answer = discovery_pb2.DeltaDiscoveryRequest(
+            type_url=response.type_url, response_nonce=response.nonce
+        )
         # Danger: an order of a former master, late or from one that was frozen, would undo its successor's.
         by = fence.read(response.control_plane.identifier)
         refused, lines = self.holdings.fence.admits(*by), 0
@@ -79,7 +86,9 @@
             refused = str(fault)
         if refused:
             answer.error_detail.code, answer.error_detail.message = 3, refused
-        return answer.SerializeToString(), Applied(response.type_url, response.system_version_info, lines, refused, by)
+        return answer.SerializeToString(), Applied(
+            response.type_url, response.system_version_info, lines, refused, by
+        )
 
     def _apply(self, response: discovery_pb2.DeltaDiscoveryResponse) -> int:
         holdings, lines = self.holdings, 0
@@ -103,7 +112,9 @@
             for resource in response.resources:
                 routes = read.routes(resource.resource.value)
             for product, (name, _) in routes.items():
-                if name not in holdings.tables:  # Danger: a route to nowhere would leave the product bare
+                if (
+                    name not in holdings.tables
+                ):  # Danger: a route to nowhere would leave the product bare
                     raise read.ReadFault(f"{product} is routed to table {name}, which is not held")
             holdings.routes = routes
         else:
--- a/tests/broken_manager.py
+++ b/tests/broken_manager.py
@@ -16,7 +16,9 @@
     """News of the list with a lie in every entry that is not gone."""
     if not isinstance(event, face.Listed):
         return event
-    return replace(event, workers=tuple(w if w.state == "gone" else replace(w, **lie) for w in event.workers))
+    return replace(
+        event, workers=tuple(w if w.state == "gone" else replace(w, **lie) for w in event.workers)
+    )
 
 
 CARELESS = 3.0  # seconds from the start: before the hard day's first drain
@@ -32,18 +34,29 @@
     def decide(self, now: float, events: Iterable[face.Event]) -> list[face.Order]:
         if self.way == "ramp":
             events = [bent(event, since=None) for event in events]
-        if self.way == "withdrawals":  # the staged change alone would be quick enough on a small fleet: not told
+        if (
+            self.way == "withdrawals"
+        ):  # the staged change alone would be quick enough on a small fleet: not told
             events = [bent(event, state="ready") for event in events]
         orders = self.module.decide(now, events)
         if self.way == "withdrawals":
             return [order for order in orders if not isinstance(order, face.Withdraw)]
         self.first = min(self.first, now)
-        if self.way == "tables" and now >= self.first + CARELESS:  # the first tables are good: there is one to stay on
+        if (
+            self.way == "tables" and now >= self.first + CARELESS
+        ):  # the first tables are good: there is one to stay on
             return [order for order in orders if not isinstance(order, face.Share)]
         if self.way == "retries":
             tables = dict.fromkeys(order.tbl for order in orders if isinstance(order, face.Share))
             kept = [order for order in orders if not isinstance(order, face.Admit)]
-            return [*(face.Admit(tbl, k, 2, 1.0) for tbl in tables for k in range(len(self.trade.products))), *kept]
+            return [
+                *(
+                    face.Admit(tbl, k, 2, 1.0)
+                    for tbl in tables
+                    for k in range(len(self.trade.products))
+                ),
+                *kept,
+            ]
         return orders
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -46,7 +46,9 @@
     if not file.is_file() or file.suffix != ".py":
         return False
     found = ast.walk(ast.parse(file.read_text()))
-    return function in {node.name for node in found if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)}
+    return function in {
+        node.name for node in found if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
+    }
 
 
 known_key, seen_key = pytest.StashKey[list[Known]](), pytest.StashKey[dict[str, str]]()
@@ -63,9 +65,13 @@
         entry = known.get(item.nodeid) or known.get(item.nodeid.partition("[")[0])
         if entry is not None:
             config.stash[seen_key][item.nodeid] = entry.test
-            item.add_marker(pytest.mark.xfail(reason=f"{entry.cause} (issue {entry.issue})", strict=False))
+            item.add_marker(
+                pytest.mark.xfail(reason=f"{entry.cause} (issue {entry.issue})", strict=False)
+            )
     for test in known.keys() - set(config.stash[seen_key].values()):
-        if test.partition("::")[0] in whole:  # Danger: a parameter that is no more would keep its line for good
+        if (
+            test.partition("::")[0] in whole
+        ):  # Danger: a parameter that is no more would keep its line for good
             raise pytest.UsageError(f"{NAME}: there is no test {test}")
 
 
@@ -74,8 +80,13 @@
     yield
     known = {entry.test: entry for entry in terminalreporter.config.stash[known_key]}
     seen = terminalreporter.config.stash[seen_key]
-    for outcome, said in (("xfailed", "fails as known"), ("xpassed", "PASSES: due to be taken off")):
+    for outcome, said in (
+        ("xfailed", "fails as known"),
+        ("xpassed", "PASSES: due to be taken off"),
+    ):
         for report in terminalreporter.stats.get(outcome, ()):
             if report.nodeid in seen:
                 entry = known[seen[report.nodeid]]
-                terminalreporter.write_line(f"{NAME}: {report.nodeid} {said}: {entry.cause} (issue {entry.issue})")
+                terminalreporter.write_line(
+                    f"{NAME}: {report.nodeid} {said}: {entry.cause} (issue {entry.issue})"
+                )
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -28,21 +28,38 @@
     chance, found = Random(f"{os.getpid()} {time.time_ns()}"), list[int]()
     while len(found) < count:
         port = chance.randrange(12000, 30000)
-        with suppress(OSError), socket.create_server(("127.0.0.1", port)), socket.socket(type=socket.SOCK_DGRAM) as way:
+        with (
+            suppress(OSError),
+            socket.create_server(("127.0.0.1", port)),
+            socket.socket(type=socket.SOCK_DGRAM) as way,
+        ):
             way.bind(("127.0.0.1", port))
             found += [port] if port not in found else []
     return found
 
 
 class Fleet:
-    def __init__(self, tmp_path: Path, members: tuple[str, ...], roster: Roster, door: int, more: str,
-                 succession: bool = True) -> None:
-        self.tmp_path, self.members, self.roster, self.door, self.more = tmp_path, members, roster, door, more
+    def __init__(
+        self,
+        tmp_path: Path,
+        members: tuple[str, ...],
+        roster: Roster,
+        door: int,
+        more: str,
+        succession: bool = True,
+    ) -> None:
+        self.tmp_path, self.members, self.roster, self.door, self.more = (
+            tmp_path,
+            members,
+            roster,
+            door,
+            more,
+        )
         self.succession = succession  # else each steers proxies of its own
         ports = free_ports(3 * len(members))
-        self.knows = dict(zip(members, ports[2 * len(members):], strict=True))
+        self.knows = dict(zip(members, ports[2 * len(members) :], strict=True))
         self.peers = dict(zip(members, ports, strict=False))
-        self.serves = dict(zip(members, ports[len(members):2 * len(members)], strict=True))
+        self.serves = dict(zip(members, ports[len(members) : 2 * len(members)], strict=True))
         self.managers: dict[str, Manager] = {}
         self.scopes: dict[str, trio.CancelScope] = {}
         self.ended: dict[str, trio.Event] = {}
@@ -55,14 +72,22 @@
         (folder / "key").write_text("\n".join(KEYS[:1]))
         (folder / "key").chmod(0o600)
         way, ports = ("knows", self.knows) if "[members]" in self.more else ("peers", self.peers)
-        sections = "".join(f"[member {m}]\nserves = 127.0.0.1:{self.serves[m]}\n{way} = 127.0.0.1:{ports[m]}\n\n"
-                           for m in self.members)
-        own = (f"[succession]\nmember = {member}\nkey_file = {folder / 'key'}\nlease = 400ms\nbeat = 100ms\n"
-               f"forgets = 1s\n") * self.succession
+        sections = "".join(
+            f"[member {m}]\nserves = 127.0.0.1:{self.serves[m]}\n{way} = 127.0.0.1:{ports[m]}\n\n"
+            for m in self.members
+        )
+        own = (
+            f"[succession]\nmember = {member}\nkey_file = {folder / 'key'}\nlease = 400ms\nbeat = 100ms\n"
+            f"forgets = 1s\n"
+        ) * self.succession
         own += f"{self.more}\n".replace("ME", member).replace("KEY", str(folder / "key"))
         return manager_file(
-            folder, ("127.0.0.1:18500", f"127.0.0.1:{self.door}"), ("store = unused", f"store = {folder / 'store'}"),
-            ("127.0.0.1:18000", f"127.0.0.1:{self.serves[member]}"), ("[roster]", f"{own}\n{sections}[roster]"))
+            folder,
+            ("127.0.0.1:18500", f"127.0.0.1:{self.door}"),
+            ("store = unused", f"store = {folder / 'store'}"),
+            ("127.0.0.1:18000", f"127.0.0.1:{self.serves[member]}"),
+            ("[roster]", f"{own}\n{sections}[roster]"),
+        )
 
     async def start(self, nursery: trio.Nursery, member: str) -> None:
         path = self.file(member)
@@ -158,8 +183,14 @@
 
 
 @asynccontextmanager
-async def fleet(tmp_path: Path, proxies: int = 2, members: tuple[str, ...] = MEMBERS, more: str = "",
-                start: tuple[str, ...] = (), succession: bool = True) -> AsyncIterator[Fleet]:
+async def fleet(
+    tmp_path: Path,
+    proxies: int = 2,
+    members: tuple[str, ...] = MEMBERS,
+    more: str = "",
+    start: tuple[str, ...] = (),
+    succession: bool = True,
+) -> AsyncIterator[Fleet]:
     roster = Roster()
     async with trio.open_nursery() as nursery:
         doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -177,4 +208,6 @@
             nursery.cancel_scope.cancel()
     for proxy in made.proxies:
         assert proxy.terms() == sorted(proxy.terms()), "a proxy went back to an earlier term"
-        assert len({done.by for done in proxy.got if not done.refused}) == len(set(proxy.terms())), "two of one term"
+        assert len({done.by for done in proxy.got if not done.refused}) == len(
+            set(proxy.terms())
+        ), "two of one term"
--- a/tests/former/balance.py
+++ b/tests/former/balance.py
@@ -23,19 +23,30 @@
 class Account(Outstanding):
     """The channel account: how many lines may still wait, by what was ordered and what answers show."""
 
-    SAMPLE, SLOWEST, LATER = 0.1, 0.1, 0.3  # seconds of drain for a sample; its least part; a message's delay
-    KEPT_BACK, KEPT = (0.08, 0.12, 0.2, 0.4), (0.0, 0.4, 0.4, 0.5)  # parts: rules, health, levels, rest
+    SAMPLE, SLOWEST, LATER = (
+        0.1,
+        0.1,
+        0.3,
+    )  # seconds of drain for a sample; its least part; a message's delay
+    KEPT_BACK, KEPT = (
+        (0.08, 0.12, 0.2, 0.4),
+        (0.0, 0.4, 0.4, 0.5),
+    )  # parts: rules, health, levels, rest
 
     def __init__(self, channel: face.Channel) -> None:
         most = channel.messages_most
         super().__init__(most or 1)
         self.channel, self.rate = channel, channel.lines_per_s
         # By rank, the messages within the span from which on a proxy gets no more; 0: no bound.
-        self.few = [next((n for n in range(1, most + 1) if 1.0 - n / most <= kept), 0) for kept in self.KEPT]
+        self.few = [
+            next((n for n in range(1, most + 1) if 1.0 - n / most <= kept), 0) for kept in self.KEPT
+        ]
 
     def scarce(self, proxy: int, now: float, rank: int) -> bool:
         times, few = self.written.get(proxy, ()), self.few[rank]
-        return 0 < few <= len(times) and times[-few] >= now - self.channel.messages_span - self.LATER
+        return (
+            0 < few <= len(times) and times[-few] >= now - self.channel.messages_span - self.LATER
+        )
 
     def heard(self, proxy: int, mark: int, took: float) -> list[int]:
         """An answer: tells which marks it settles."""
@@ -55,7 +66,9 @@
         self.orders: list[face.Order] = []
         self.lines: dict[int, float] = {}
         self.spent, self.head = 0.0, account.channel.message_lines + 1.0
-        self.left = False  # something, for want of messages. Danger: not looked at again before an event
+        self.left = (
+            False  # something, for want of messages. Danger: not looked at again before an event
+        )
 
     def full(self, budget: float, proxy: int | None = None) -> bool:
         # Danger: counted against itself, a reply whose heads are paid would leave changes for another.
@@ -66,7 +79,9 @@
         most = self.account.channel.waiting_most * (1.0 - Account.KEPT_BACK[rank])
         return self.account.waits + self.spent + lines <= most
 
-    def price(self, who: Collection[int], each: float, rank: int, budget: float = inf) -> float | None:
+    def price(
+        self, who: Collection[int], each: float, rank: int, budget: float = inf
+    ) -> float | None:
         """What so many lines for each of these proxies take; None if channel or limits forbid them."""
         if self.full(budget) or not self.fits(each * len(who), rank):
             return None
@@ -91,32 +106,71 @@
 class Health:
     """Judges workers by what proxies met, in contrast to the others and to what is usual."""
 
-    HALF, ENOUGH = 0.8, 3.0  # seconds in which evidence halves: a report cycle; voided tries to judge by
+    HALF, ENOUGH = (
+        0.8,
+        3.0,
+    )  # seconds in which evidence halves: a report cycle; voided tries to judge by
     FAILING = 0.35  # voided part of the tries from which a worker is failing ...
-    CONTRAST = 3.0  # ... if also this many times the best quarter's part, so that overload condemns none
-    PACE, SILENT = 1.6, 0.9  # times the usual pace beyond which a worker may be overfull; a silent one's part
-    WELL, BUSY = 0.15, 0.08  # voided part up to which one is raised; the median's from which shares stay put
+    CONTRAST = (
+        3.0  # ... if also this many times the best quarter's part, so that overload condemns none
+    )
+    PACE, SILENT = (
+        1.6,
+        0.9,
+    )  # times the usual pace beyond which a worker may be overfull; a silent one's part
+    WELL, BUSY = (
+        0.15,
+        0.08,
+    )  # voided part up to which one is raised; the median's from which shares stay put
     LEARN = 0.03  # of each report goes into what is usual: dozens of reports
     CEILING = 0.2  # of the ready weight may be lost to health: more that fail in part have a common cause ...
     CUT_OFF = 0.8  # ... but for silent ones, while a quarter of the fleet does well: zones cut off or lost
-    TRIAL, TRIAL_SHARE = 3.0, 0.25  # seconds on trial, a few report cycles, at a share that a cold one bears
+    TRIAL, TRIAL_SHARE = (
+        3.0,
+        0.25,
+    )  # seconds on trial, a few report cycles, at a share that a cold one bears
     JAMMED_SHARE = 0.5  # for a jammed or slow worker; a quarter pushed too much onto the rest
     LATE, PLENTY = 2.5, 8.0  # times the median pace, over so many settled tries: a jam is near
-    WEAK_SHARE, WEAK = 0.75, 60.0  # share, and seconds of it, after or ahead of a jam: listed too high
-    REST, REST_MOST, AGAIN = 4.0, 16.0, 1.0  # seconds out before a trial, doubled by failures; between probes
+    WEAK_SHARE, WEAK = (
+        0.75,
+        60.0,
+    )  # share, and seconds of it, after or ahead of a jam: listed too high
+    REST, REST_MOST, AGAIN = (
+        4.0,
+        16.0,
+        1.0,
+    )  # seconds out before a trial, doubled by failures; between probes
 
     def __init__(self, uniform: Callable[[float, float], float], proof: float) -> None:
-        self.uniform, self.proof, self.proven = uniform, proof, inf  # seconds of calm that prove it, and when
-        self.calm, self.ceiling = 0.0, self.CEILING  # the median worker's pace when few void; what may go
-        self.tries, self.voided, self.took = list[float](), list[float](), list[float]()  # fading sums
-        self.heard_at, self.rest, self.due = list[float](), list[float](), list[float]()  # due: next step up
-        self.cap, self.full = list[float](), list[float]()  # most of its weight, 0 if out; what it returns to
+        self.uniform, self.proof, self.proven = (
+            uniform,
+            proof,
+            inf,
+        )  # seconds of calm that prove it, and when
+        self.calm, self.ceiling = (
+            0.0,
+            self.CEILING,
+        )  # the median worker's pace when few void; what may go
+        self.tries, self.voided, self.took = (
+            list[float](),
+            list[float](),
+            list[float](),
+        )  # fading sums
+        self.heard_at, self.rest, self.due = (
+            list[float](),
+            list[float](),
+            list[float](),
+        )  # due: next step up
+        self.cap, self.full = (
+            list[float](),
+            list[float](),
+        )  # most of its weight, 0 if out; what it returns to
 
     def admit(self, i: int) -> None:
         """A worker of which nothing was heard yet, in a row of its own or in a former one's."""
         for column in (self.tries, self.voided, self.took, self.heard_at, self.due):
-            column[i:i + 1] = [0.0]
-        self.cap[i:i + 1], self.full[i:i + 1], self.rest[i:i + 1] = [1.0], [1.0], [self.REST]
+            column[i : i + 1] = [0.0]
+        self.cap[i : i + 1], self.full[i : i + 1], self.rest[i : i + 1] = [1.0], [1.0], [self.REST]
 
     def start(self, i: int, cap: float, due: float) -> None:
         self.tries[i] = self.voided[i] = self.took[i] = 0.0
@@ -143,7 +197,9 @@
             return
         parts, pace = sorted(map(self.part, peers)), median(map(self.pace, peers))
         best, busy = parts[len(parts) // 4], median(parts) >= self.BUSY
-        if now < self.proven:  # Danger: voids are reported late, so quick first answers are no proof of calm
+        if (
+            now < self.proven
+        ):  # Danger: voids are reported late, so quick first answers are no proof of calm
             self.proven = now + self.proof if busy else min(self.proven, now + self.proof)
         if not busy:
             self.calm += self.LEARN * (pace - self.calm) if self.calm else pace
@@ -151,7 +207,9 @@
             return  # Danger: a manager that began in a jam would take the jammed for silent
         for i in sorted((i for i in weight if self.cap[i]), key=lambda i: -self.voided[i]):
             part, cap, settled = self.part(i), self.cap[i], self.tries[i] - self.voided[i]
-            failing = self.voided[i] >= self.ENOUGH and part >= max(self.FAILING, self.CONTRAST * best)
+            failing = self.voided[i] >= self.ENOUGH and part >= max(
+                self.FAILING, self.CONTRAST * best
+            )
             brisk = self.pace(i) <= self.PACE * self.calm
             late = settled >= self.PLENTY and 0.0 < self.LATE * pace <= self.pace(i)
             if failing and (brisk or settled < 0.5):
@@ -177,24 +235,53 @@
     """How much of each product is let in: under overload the least revenue per work is refused first."""
 
     BEAT = 1.0  # seconds between steps: about the time in which a step's effect can be heard
-    VOIDED, SLOW = 0.08, 0.45  # median voided part, and settling time in SLA times, from which on is overload
-    NEAR = 0.8  # of the bound on settling time: voids at a usual pace have other causes than overload
+    VOIDED, SLOW = (
+        0.08,
+        0.45,
+    )  # median voided part, and settling time in SLA times, from which on is overload
+    NEAR = (
+        0.8  # of the bound on settling time: voids at a usual pace have other causes than overload
+    )
     MOST = 0.4  # voided part that is overload at any pace: slow handshakes and lost answers stay below it
     CALM = 0.85  # of either bound: below it more is let in again (hysteresis)
     LESS = 0.7  # times what is let in for each beat in overload
-    BACK, MORE = 1.25, 1.04  # for each calm beat, up to near the share at which overload began, and beyond it
-    KNEE, LEAST, FORGET = 0.5, 0.5, 0.98  # what is near it; of the best settled rate, the least and kept
-    FLOOR, RECENT, SPARE = 0.05, 16, 1.5  # least let in; queues that tell a jam's end; a zone of three spare
+    BACK, MORE = (
+        1.25,
+        1.04,
+    )  # for each calm beat, up to near the share at which overload began, and beyond it
+    KNEE, LEAST, FORGET = (
+        0.5,
+        0.5,
+        0.98,
+    )  # what is near it; of the best settled rate, the least and kept
+    FLOOR, RECENT, SPARE = (
+        0.05,
+        16,
+        1.5,
+    )  # least let in; queues that tell a jam's end; a zone of three spare
 
     def __init__(self, products: tuple[face.Product, ...]) -> None:
         # Work is not told; the SLA time stands for it, as longer work is given more time.
         self.sla = [product.sla for product in products]
-        self.order = sorted(range(len(products)), key=lambda k: products[k].revenue / products[k].sla)
+        self.order = sorted(
+            range(len(products)), key=lambda k: products[k].revenue / products[k].sla
+        )
         self.asked = [1.0] * len(products)  # txns a second of each product, smoothed
-        self.came = dict.fromkeys((product.name for product in products), 0)  # txns since the last beat
-        self.settled = self.rate = self.best = 0.0  # tries since the last beat; a second; the best of late
-        self.share, self.knee, self.last, self.calm = 1.0, 1.0, inf, True  # the last two: of the last beat
-        self.queues = deque[float](maxlen=self.RECENT)  # where workers tell how many txns wait at them
+        self.came = dict.fromkeys(
+            (product.name for product in products), 0
+        )  # txns since the last beat
+        self.settled = self.rate = self.best = (
+            0.0  # tries since the last beat; a second; the best of late
+        )
+        self.share, self.knee, self.last, self.calm = (
+            1.0,
+            1.0,
+            inf,
+            True,
+        )  # the last two: of the last beat
+        self.queues = deque[float](
+            maxlen=self.RECENT
+        )  # where workers tell how many txns wait at them
 
     def step(self, now: float, voided: float, pace: float) -> None:
         """Go by the median worker's voided part and pace, which a few bad workers don't move."""
@@ -212,10 +299,16 @@
         slow = pace / self.SLOW * sum(self.asked) / sum(self.work())
         # And voids told seconds late tell of a jam that is over, where nothing waits any more.
         idle = len(self.queues) == self.RECENT and median(self.queues) < 1.0
-        stress = 0.0 if idle else max(slow, voided / self.VOIDED * (slow >= self.NEAR or voided >= self.MOST))
+        stress = (
+            0.0
+            if idle
+            else max(slow, voided / self.VOIDED * (slow >= self.NEAR or voided >= self.MOST))
+        )
         if stress > 1.0:
             self.knee = self.share if self.calm else self.knee
-            self.share = max(self.LESS * self.share, min(self.LEAST * self.best / sum(self.asked), 1.0))
+            self.share = max(
+                self.LESS * self.share, min(self.LEAST * self.best / sum(self.asked), 1.0)
+            )
         elif stress < self.CALM:
             more = self.BACK if idle or self.share < self.KNEE * self.knee else self.MORE
             self.share = min(self.share * more, 1.0)
@@ -239,29 +332,61 @@
     """One manager's decisions."""
 
     WINDOW = 4  # versions: the paper's four status bits
-    SILENT, LIFETIME = 3.0, 2.0  # seconds for an answer beyond the channel's delay; to clearing: the design's
-    LATENESS, STORM = 2.0, 0.1  # seconds to a void's report; median voided part for each share a cold bears
+    SILENT, LIFETIME = (
+        3.0,
+        2.0,
+    )  # seconds for an answer beyond the channel's delay; to clearing: the design's
+    LATENESS, STORM = (
+        2.0,
+        0.1,
+    )  # seconds to a void's report; median voided part for each share a cold bears
     ROUGH = 0.1  # voided part of all tries from which cold workers wait outside: a load on the rise had 0.14
-    STEP, RAISE = 0.25, 5.0  # a fresh worker's first share and each raise, and seconds between: the design's
+    STEP, RAISE = (
+        0.25,
+        5.0,
+    )  # a fresh worker's first share and each raise, and seconds between: the design's
     TURN = 0.5  # seconds of drain that may wait at a change; twice or thrice at a bind, else four times
     ONLY_COLD = 0.3  # share let in while a table has but workers that should be out
-    BEAT, ASK_WAIT = 0.25, 0.5  # seconds between looks while busy; before the list is asked again, doubled
+    BEAT, ASK_WAIT = (
+        0.25,
+        0.5,
+    )  # seconds between looks while busy; before the list is asked again, doubled
     HOT = 1.25  # times what is usually asked of a worker, from which on a small table gets one more: a raise
 
     def __init__(self, trade: face.Trade) -> None:
         self.uniform = Random(trade.seed).uniform
         self.products, self.usual_retry = len(trade.products), trade.usual_retry
-        self.ask_every, self.warm_after = trade.duties.ask_every, trade.duties.warm_after or 1e-6  # divides
-        cold, rise = trade.duties.cold_share, (1.0 - trade.duties.cold_share) * self.RAISE / self.warm_after
-        self.bears = trade.duties.fall_multiple * min(  # times its share, at the weakest moment of its ramp
-            min(1.0, cold + n * rise) / self.STEP / (n + 1) for n in range(round(1 / self.STEP)))
-        self.may_probe, self.sliced, self.standing = trade.may_probe, trade.slices > 0, trade.standing
-        self.home = [k for k, product in enumerate(trade.products) if product.home_only]  # their zone's alone
-        self.each = 2.0 if 0 < len(self.home) < self.products else 1.0  # lines for a worker: those apart
+        self.ask_every, self.warm_after = (
+            trade.duties.ask_every,
+            trade.duties.warm_after or 1e-6,
+        )  # divides
+        cold, rise = (
+            trade.duties.cold_share,
+            (1.0 - trade.duties.cold_share) * self.RAISE / self.warm_after,
+        )
+        self.bears = (
+            trade.duties.fall_multiple
+            * min(  # times its share, at the weakest moment of its ramp
+                min(1.0, cold + n * rise) / self.STEP / (n + 1) for n in range(round(1 / self.STEP))
+            )
+        )
+        self.may_probe, self.sliced, self.standing = (
+            trade.may_probe,
+            trade.slices > 0,
+            trade.standing,
+        )
+        self.home = [
+            k for k, product in enumerate(trade.products) if product.home_only
+        ]  # their zone's alone
+        self.each = (
+            2.0 if 0 < len(self.home) < self.products else 1.0
+        )  # lines for a worker: those apart
         self.fleet, self.account = Fleet(), Account(trade.channel)
         self.health = Health(self.uniform, max(p.deadline for p in trade.products) + self.LATENESS)
         self.gate, self.admits = Gate(trade.products), trade.admits == "share"
-        self.all_in = 1.0 if self.admits else 1e6  # where levels are rates, a share of 1 would shut a proxy
+        self.all_in = (
+            1.0 if self.admits else 1e6
+        )  # where levels are rates, a share of 1 would shut a proxy
         self.seating, self.current = Seating(self.products), dict[int, Table]()
         self.changes, self.armed = dict[int, Change](), set[float]()
         self.versions = self.last_mark = self.last_number = self.last_token = 0
@@ -306,7 +431,9 @@
                     back = all(other.zone != event.zone for other in self.seating.proxies.values())
                     for i, zone in enumerate(self.fleet.zones if back else ()):
                         if zone == event.zone and not self.health.cap[i]:
-                            self.health.start(i, 1.0, now)  # first proxy back: the zone is in reach again
+                            self.health.start(
+                                i, 1.0, now
+                            )  # first proxy back: the zone is in reach again
                     self.seating.join(proxy, event.zone, event.txns_per_s)
             case face.Answered(proxy, mark, took) if mark in self.account.asked.get(proxy, ()):
                 passed = self.account.heard(proxy, mark, took)
@@ -316,12 +443,16 @@
             case face.Met(worker=worker) if worker in self.fleet.index:
                 i = self.fleet.index[worker]
                 self.gate.settled += (event.tries - event.voided) * event.own
-                self.gate.queues.extend([event.load["queue"]] if self.scant and "queue" in event.load else ())
+                self.gate.queues.extend(
+                    [event.load["queue"]] if self.scant and "queue" in event.load else ()
+                )
                 if self.health.cap[i]:
                     self.health.met(i, now, event.tries, event.voided, event.took)
             case face.Probed(worker=worker) if worker in self.fleet.index:
                 if not self.health.cap[i := self.fleet.index[worker]]:
-                    share, pause = (Health.TRIAL_SHARE, Health.TRIAL) if event.ok else (0.0, Health.AGAIN)
+                    share, pause = (
+                        (Health.TRIAL_SHARE, Health.TRIAL) if event.ok else (0.0, Health.AGAIN)
+                    )
                     self.health.start(i, share, now + pause)
             case face.Asked(product=name) if name in self.gate.came:
                 self.gate.came[name] += event.txns
@@ -359,8 +490,14 @@
 
     def _plan(self, now: float) -> Wanted:
         fleet, health = self.fleet, self.health
-        told = [w for w, ready in zip(fleet.weight, fleet.ready, strict=True) if ready and w] or [1.0]
-        weight = {i: fleet.weight[i] or sum(told) / len(told) for i, ready in enumerate(fleet.ready) if ready}
+        told = [w for w, ready in zip(fleet.weight, fleet.ready, strict=True) if ready and w] or [
+            1.0
+        ]
+        weight = {
+            i: fleet.weight[i] or sum(told) / len(told)
+            for i, ready in enumerate(fleet.ready)
+            if ready
+        }
         health.judge(now, weight)
         parts, most = {}, {}
         heard = [i for i in weight if health.cap[i] and health.tries[i] >= 1.0]
@@ -369,14 +506,26 @@
         # Word of a storm comes seconds late: no other cold worker is let in while tries fail anywhere.
         tries, voids = (sum(column[i] for i in heard) for column in (health.tries, health.voided))
         rough = not self.gate.calm or voids >= self.ROUGH * tries > 0.0
-        tables = [*self.seating.in_use(), *self.current.values(), *(c.table for c in self.changes.values())]
-        inside = set[int]().union(*(table.parts for table in tables)) - self.out if rough else self.out
+        tables = [
+            *self.seating.in_use(),
+            *self.current.values(),
+            *(c.table for c in self.changes.values()),
+        ]
+        inside = (
+            set[int]().union(*(table.parts for table in tables)) - self.out if rough else self.out
+        )
         for i in weight:
             if not health.cap[i] and health.due[i] <= now and not self.may_probe:
                 health.start(i, Health.TRIAL_SHARE, now + Health.TRIAL)
             age, cap = now - fleet.since[i], health.cap[i]
-            part = min(1.0, self.STEP * (1 + max(0, age // self.RAISE))) if age < self.warm_after else 1.0
-            parts[i] = min(part, cap or Health.TRIAL_SHARE)  # ahead of its trial, which then needs no change
+            part = (
+                min(1.0, self.STEP * (1 + max(0, age // self.RAISE)))
+                if age < self.warm_after
+                else 1.0
+            )
+            parts[i] = min(
+                part, cap or Health.TRIAL_SHARE
+            )  # ahead of its trial, which then needs no change
             if not self.means.begin or not self.means.raises and age < self.warm_after:  # cut off
                 parts[i] = min(parts[i] if self.means.begin else part, self.parts.get(i, part))
             # Danger: a storm of repeats brings cold workers many times their share, more so to a new manager.
@@ -387,7 +536,9 @@
         shares = [self.all_in] * self.products
         if self.admits and heard:
             self.gate.step(now, voided, median(map(health.pace, heard)))
-            shares = self.gate.levels(sum(weight[i] for i in weight.keys() - self.out) / sum(weight.values()))
+            shares = self.gate.levels(
+                sum(weight[i] for i in weight.keys() - self.out) / sum(weight.values())
+            )
         # Danger: an effect twice. Only on proof that none ran; not in overload or before a calm was seen.
         retry = min(self.usual_retry, 1) if health.calm and min(shares) >= 1.0 else 0
         # Danger: a cold worker pushed over, a drained one sent to. Out while any table gives it too much.
@@ -396,7 +547,9 @@
         out = {i for held in given for i in held.keys() - easy if held[i] > most.get(i, 0.0)}
         plain = {i: w * parts[i] for i, w in weight.items() if self.barred.get(i, 0.0) <= now}
         wanted = [self._pinned(k, plain, parts, out) for k in range(self.products)]
-        for table in tables:  # Danger: nobody left. Where all of a table are out, the cold come in, or any
+        for (
+            table
+        ) in tables:  # Danger: nobody left. Where all of a table are out, the cold come in, or any
             current = table in self.current.values()
             ready = table.parts.keys() & weight.keys() or (weight.keys() if current else set())
             if ready and ready <= out:
@@ -404,30 +557,45 @@
                 shares = [min(s, self.ONLY_COLD * self.all_in) if current else s for s in shares]
             for near in self.fleet.by_zone(ready).values() if self.home else ():
                 warm = [i for i in near if now - fleet.since[i] >= self.warm_after]  # one will do
-                out -= {min(warm, key=lambda i: (health.part(i), i))} if warm and near <= out else set()
+                out -= (
+                    {min(warm, key=lambda i: (health.part(i), i))}
+                    if warm and near <= out
+                    else set()
+                )
         self.barred, self.parts = {i: at for i, at in self.barred.items() if at > now}, parts
         return Wanted(wanted, parts, [(share, retry) for share in shares], out)
 
-    def _pinned(self, k: int, plain: dict[int, float], parts: dict[int, float],
-                out: set[int]) -> dict[int, float]:
+    def _pinned(
+        self, k: int, plain: dict[int, float], parts: dict[int, float], out: set[int]
+    ) -> dict[int, float]:
         """A product's shares as pinned: other weights, the same ramp. Danger: all its workers out."""
         pin = self.pins.get(k, face.Pinned(k))
-        weights = {self.fleet.index[w]: weight for w, weight in pin.weights if w in self.fleet.index}
+        weights = {
+            self.fleet.index[w]: weight for w, weight in pin.weights if w in self.fleet.index
+        }
         if not weights and pin.others:
             return plain
-        given = {i: weight * parts[i] for i, weight in weights.items() if weight is not None and i in plain}
+        given = {
+            i: weight * parts[i]
+            for i, weight in weights.items()
+            if weight is not None and i in plain
+        }
         shares = {i: n for i, n in {**plain, **given}.items() if n and (pin.others or i in weights)}
         return plain if out >= shares.keys() else shares
 
     def _advance(self, now: float) -> None:
         """Move each change on as far as answers and timers let it."""
-        patience = self.SILENT + self.account.waits / self.account.rate + 2 * self.account.channel.transit
+        patience = (
+            self.SILENT + self.account.waits / self.account.rate + 2 * self.account.channel.transit
+        )
         self.since = now - patience
         for k, change in list(self.changes.items()):
             if change.asked_at <= self.since:
                 change.awaited.clear()  # silent proxies leave the awaited set
             if change.bound and not self.seating.lagging(k, change.old, change.table, self.since):
-                change.old.clear_at = now + self.LIFETIME if change.old not in self.current.values() else inf
+                change.old.clear_at = (
+                    now + self.LIFETIME if change.old not in self.current.values() else inf
+                )
                 del self.changes[k]
 
     # The difference, and the only place that orders.
@@ -438,10 +606,18 @@
         for i in wanted.parts:
             if health.cap[i] != self.noted.get(i, 1.0):
                 self.noted[i] = health.cap[i]
-                reply.orders.append(face.Note(
-                    f"{self.fleet.ids[i]} to {health.cap[i]}: {health.part(i):.2f} of {health.tries[i]:.0f} "
-                    f"tries voided, pace {health.pace(i):.2f} s"))
-            if self.may_probe and not health.cap[i] and health.due[i] <= now and i not in self.barred:
+                reply.orders.append(
+                    face.Note(
+                        f"{self.fleet.ids[i]} to {health.cap[i]}: {health.part(i):.2f} of {health.tries[i]:.0f} "
+                        f"tries voided, pace {health.pace(i):.2f} s"
+                    )
+                )
+            if (
+                self.may_probe
+                and not health.cap[i]
+                and health.due[i] <= now
+                and i not in self.barred
+            ):
                 health.due[i] = inf  # until the probe's result
                 reply.orders.append(face.Probe(self.fleet.ids[i]))
         if not self.current:
@@ -450,19 +626,25 @@
         lines = (max(map(len, wants)) + 2.0) * len(self.seating.proxies)
         crowded = self.products * lines > self.TURN * self.account.rate
         # Departure: where one table to all takes longer than a ramp, small ones stay, and are kept up.
-        self.scant = crowded and len({*map(id, wants)}) == 1 and lines > self.warm_after * self.account.rate
+        self.scant = (
+            crowded and len({*map(id, wants)}) == 1 and lines > self.warm_after * self.account.rate
+        )
         if crowded:
             self._rescue(reply, wanted)
         self._withdraw(reply, wanted)
         self._level(reply, wanted)
-        size = [have != want and sum(abs(want.get(i, 0.0) - have.get(i, 0.0)) for i in {**have, **want})
-                for have, want in ((self.current[k].shares, want) for k, want in enumerate(wants))]
+        size = [
+            have != want and sum(abs(want.get(i, 0.0) - have.get(i, 0.0)) for i in {**have, **want})
+            for have, want in ((self.current[k].shares, want) for k, want in enumerate(wants))
+        ]
         largest = sorted(range(self.products), key=lambda k: -size[k])
         everyone = self._begin(reply, wanted, [k for k in largest if size[k]], crowded)
         if self.scant and not reply.full(self.TURN):
             self._tend(reply, wanted)
         self._switch(reply, largest, crowded)
-        reply.orders.extend(map(face.Clear, self.seating.cleared(now)))  # no line: nobody is bound there
+        reply.orders.extend(
+            map(face.Clear, self.seating.cleared(now))
+        )  # no line: nobody is bound there
         if reply.lines:
             reply.orders.append(face.Mark(reply.mark, everyone))
             self.account.book(reply.mark, now, reply.lines)
@@ -473,10 +655,21 @@
         return reply.orders
 
     def _cost(self, table: Table) -> float:  # lines of a bind to it
-        return self.products + self.each * (1.0 + len(table.shares)) + len(self.out & table.shares.keys())
-
-    def _bind(self, reply: Reply, p: int, products: tuple[int, ...], table: Table, rank: int,
-              budget: float = inf) -> bool:
+        return (
+            self.products
+            + self.each * (1.0 + len(table.shares))
+            + len(self.out & table.shares.keys())
+        )
+
+    def _bind(
+        self,
+        reply: Reply,
+        p: int,
+        products: tuple[int, ...],
+        table: Table,
+        rank: int,
+        budget: float = inf,
+    ) -> bool:
         if spent := reply.spend((p,), self._cost(table), rank, budget):
             reply.orders.append(face.Bind(p, products, table.number))
             self.seating.bind(p, products, table, reply.mark, reply.now)
@@ -493,23 +686,39 @@
         near = self.fleet.by_zone(usable) if self.home else {}
         for tops, members in self.seating.groups.items():
             top = [table.shares.keys() for table in dict.fromkeys(tops) if table]
-            if not top or usable and any(
-                    usable.isdisjoint(t) or mass and len(t & fresh) > few for t in top):
+            if (
+                not top
+                or usable
+                and any(usable.isdisjoint(t) or mass and len(t & fresh) > few for t in top)
+            ):
                 bare.append(members)
             elif near:
-                bare.append([p for p in members if self.seating.far(p, near, [tops[k] for k in self.home])])
+                bare.append(
+                    [p for p in members if self.seating.far(p, near, [tops[k] for k in self.home])]
+                )
         for p in self.seating.in_order(bare):
             joiner = not any(self.seating.proxies[p].tops)
-            if whole and joiner and not reply.full(self.TURN, p) and self._bind(
-                    reply, p, tuple(self.current), whole, 1, self.TURN):
+            if (
+                whole
+                and joiner
+                and not reply.full(self.TURN, p)
+                and self._bind(reply, p, tuple(self.current), whole, 1, self.TURN)
+            ):
                 continue  # a short queue carries it whole at once
             bears = bears or self._dealt(reply, wanted)
             least = least or reply.head + min(map(self._cost, bears))
             if not reply.fits(least, 0):
                 break
-            table = min(bears, key=lambda table: (self.seating.far(p, near, [table]), (
-                table.load + self.seating.proxies[p].rate) / bears[table]))
-            if not near or table is not self.seating.proxies[p].tops[0]:  # kept up in place, see _tend
+            table = min(
+                bears,
+                key=lambda table: (
+                    self.seating.far(p, near, [table]),
+                    (table.load + self.seating.proxies[p].rate) / bears[table],
+                ),
+            )
+            if (
+                not near or table is not self.seating.proxies[p].tops[0]
+            ):  # kept up in place, see _tend
                 self._bind(reply, p, tuple(range(self.products)), table, 0)
 
     def _dealt(self, reply: Reply, wanted: Wanted) -> dict[Table, float]:
@@ -518,12 +727,21 @@
         want, used = wanted.common(), [table for table in self.small if table.users]
         best = [i for i in want if i not in wanted.out and (self.home or wanted.parts[i] == 1.0)]
         best = best or [i for i in want if i not in wanted.out] or list(want)
-        zones = self.fleet.by_zone(best).values() if self.home else ()  # somebody of every zone is in each
-        stale = any(not table.parts.keys() <= set(best) for table in self.small if not table.users) or any(
-            all(near.isdisjoint(table.shares) for table in self.small) for near in zones)
-        if stale or 2 * sum(map(wanted.bears, self.small)) < sum(want[i] for i in best) or not self.small:
+        zones = (
+            self.fleet.by_zone(best).values() if self.home else ()
+        )  # somebody of every zone is in each
+        stale = any(
+            not table.parts.keys() <= set(best) for table in self.small if not table.users
+        ) or any(all(near.isdisjoint(table.shares) for table in self.small) for near in zones)
+        if (
+            stale
+            or 2 * sum(map(wanted.bears, self.small)) < sum(want[i] for i in best)
+            or not self.small
+        ):
             self.seating.retire(self.small, reply.now)
-            best.sort(key=lambda i: (self.fleet.zones[i] if self.home else "", self.uniform(0.0, 1.0)))
+            best.sort(
+                key=lambda i: (self.fleet.zones[i] if self.home else "", self.uniform(0.0, 1.0))
+            )
             count = min([-(-len(best) // self.standing) or 1, *map(len, zones)])
             dealt = ({i: want[i] for i in best[n::count]} for n in range(count))
             self.small = used + [self._lay(reply, wanted, part) for part in dealt]
@@ -538,7 +756,10 @@
                 reply.price(self.seating.bound(table), self.each, 3, self.TURN)
         live = {i: share for i, share in want.items() if i not in wanted.out}
         asks = {table: table.load / wanted.bears(table) for table in tables}
-        usual, asked = sum(t.load for t in tables) / (sum(live.values()) or 1.0), dict.fromkeys(live, 0.0)
+        usual, asked = (
+            sum(t.load for t in tables) / (sum(live.values()) or 1.0),
+            dict.fromkeys(live, 0.0),
+        )
         for table in tables:
             asked.update({i: asked[i] + asks[table] for i in table.shares.keys() & live.keys()})
         new, least = [i for i in live if not asked[i]], sorted(live, key=lambda i: asked[i])
@@ -547,12 +768,20 @@
             hot = self.HOT * usual < asks[table]
             zones = self.fleet.by_zone(lines) if self.home else {}
             far = next((i for i in least if zones and self.fleet.zones[i] not in zones), None)
-            more = far if far is not None else new.pop(0) if new else next(
-                (i for i in least if hot and i not in lines), None)
+            more = (
+                far
+                if far is not None
+                else new.pop(0)
+                if new
+                else next((i for i in least if hot and i not in lines), None)
+            )
             if more is not None:
                 lines[more], asked[more] = want[more], asked[more] + asks[table]
-            if lines != table.shares and not reply.full(self.TURN) and not self.seating.lagging(
-                    0, table, table, self.since):
+            if (
+                lines != table.shares
+                and not reply.full(self.TURN)
+                and not self.seating.lagging(0, table, table, self.since)
+            ):
                 self._amend(reply, wanted, table, lines)
 
     def _withdraw(self, reply: Reply, wanted: Wanted) -> None:
@@ -562,17 +791,25 @@
         for i in sorted(moved, key=lambda i: (i in wanted.parts, i)):
             ruled = i in wanted.out and (i not in wanted.parts or self.health.cap[i] > 0.0)
             rank, budget = (0, inf) if ruled else (1, 4 * self.TURN)
-            if (i not in self.barred and reply.fits(sum(map(len, users[i])), rank)
-                    and reply.spend([*chain.from_iterable(users[i])], 1.0, rank, budget)):
+            if (
+                i not in self.barred
+                and reply.fits(sum(map(len, users[i])), rank)
+                and reply.spend([*chain.from_iterable(users[i])], 1.0, rank, budget)
+            ):
                 reply.orders.append(face.Withdraw(self.fleet.ids[i], i in wanted.out))
                 self.out ^= {i}
 
     def _level(self, reply: Reply, wanted: Wanted) -> None:
         for (k, table), groups in self.seating.by_top().items():
-            if table.levels[k] != wanted.levels[k] and reply.now >= self.kept.get(k, 0.0) and reply.spend(
-                    [*chain.from_iterable(groups)], 1.0, 2, 4 * self.TURN):
+            if (
+                table.levels[k] != wanted.levels[k]
+                and reply.now >= self.kept.get(k, 0.0)
+                and reply.spend([*chain.from_iterable(groups)], 1.0, 2, 4 * self.TURN)
+            ):
                 table.were[k], table.levels[k] = table.levels[k], wanted.levels[k]
-                reply.orders.append(face.Admit(table.number, k, table.levels[k][1], table.levels[k][0]))
+                reply.orders.append(
+                    face.Admit(table.number, k, table.levels[k][1], table.levels[k][0])
+                )
 
     def _begin(self, reply: Reply, wanted: Wanted, largest: list[int], crowded: bool) -> bool:
         """Begin changes, laid where nobody is bound; tells if all are asked. Departure: where all tables to
@@ -582,7 +819,11 @@
             if k not in self.changes:
                 groups.setdefault(id(wants[k]) if crowded else k, []).append(k)
         for group in groups.values():
-            olds, table, want = {k: self.current[k] for k in group}, self.current[group[0]], wants[group[0]]
+            olds, table, want = (
+                {k: self.current[k] for k in group},
+                self.current[group[0]],
+                wants[group[0]],
+            )
             apart = any(held is table and wants[k] is not want for k, held in self.current.items())
             if crowded and len(set(olds.values())) == 1 and not apart:
                 if not self._amend(reply, wanted, table, want):
@@ -594,7 +835,9 @@
             for k in group:
                 self.versions, bound = self.versions + 1, table is olds[k]
                 awaited = set() if bound else set(self.seating.proxies)
-                self.changes[k] = Change(self.versions, table, olds[k], reply.mark, reply.now, awaited, bound)
+                self.changes[k] = Change(
+                    self.versions, table, olds[k], reply.mark, reply.now, awaited, bound
+                )
         return everyone
 
     def _amend(self, reply: Reply, wanted: Wanted, table: Table, want: dict[int, float]) -> bool:
@@ -605,7 +848,8 @@
         moved = self._moved(table, want, wanted.out)[:most]
         # Who is out gets nothing whatever its line says: it waits for a message that goes anyway.
         idly = not any(i in want and self.health.cap[i] for i in moved) and any(
-            p not in reply.lines for p in bound)
+            p not in reply.lines for p in bound
+        )
         if not moved or idly or not reply.spend(bound, self.each * len(moved), 3, self.TURN):
             return False
         for i in moved:
@@ -625,15 +869,24 @@
         for joiners in (True, False)[crowded:] if not self.scant else ():
             rank, budget = (1, 2 * self.TURN) if joiners else (3, (3 if crowded else 2) * self.TURN)
             for table in dict.fromkeys(self.current[k] for k in largest):
-                others, cost = dict[Tops, tuple[int, ...]](), self._cost(table)  # what of it is to be bound
+                others, cost = (
+                    dict[Tops, tuple[int, ...]](),
+                    self._cost(table),
+                )  # what of it is to be bound
                 for tops in self.seating.groups if reply.fits(cost, rank) else ():
-                    other = tuple(k for k, now in self.current.items() if now is table is not tops[k])
+                    other = tuple(
+                        k for k, now in self.current.items() if now is table is not tops[k]
+                    )
                     if other and joiners != (tops[other[0]] is not None):
                         others[tops] = other
                 for p in self.seating.in_order(self.seating.groups[tops] for tops in others):
                     proxy = self.seating.proxies[p]
-                    begun = crowded and proxy.bound_at == reply.now  # with a small table in this very reply
-                    if not (begun or reply.full(budget, p) or proxy.wait > reply.now):  # its last was refused
+                    begun = (
+                        crowded and proxy.bound_at == reply.now
+                    )  # with a small table in this very reply
+                    if not (
+                        begun or reply.full(budget, p) or proxy.wait > reply.now
+                    ):  # its last was refused
                         self._bind(reply, p, others[proxy.tops], table, rank, budget)
                     if not reply.fits(cost, rank):
                         break
@@ -643,7 +896,9 @@
         parts = {i: wanted.parts.get(i, 1.0) for i in shares}
         table = Table(number, dict(shares), parts, list(wanted.levels))
         self.seating.tables[number] = table
-        reply.orders.extend(face.Share(number, self.fleet.ids[i], share) for i, share in table.shares.items())
+        reply.orders.extend(
+            face.Share(number, self.fleet.ids[i], share) for i, share in table.shares.items()
+        )
         for k, (share, retry) in enumerate(table.levels):
             if (share, retry) != (self.all_in, self.usual_retry):
                 reply.orders.append(face.Admit(number, k, retry, share))
@@ -654,13 +909,24 @@
         have = table.shares
         # Danger: a new line for one that must stay out, as nobody may have been told of its withdrawal.
         moved = {i for i in {**have, **want} if have.get(i) != want.get(i)} - (out - have.keys())
-        return sorted(moved, key=lambda i: (i not in want, -abs(want.get(i, 0.0) - have.get(i, 0.0)), i))
+        return sorted(
+            moved, key=lambda i: (i not in want, -abs(want.get(i, 0.0) - have.get(i, 0.0)), i)
+        )
 
     def _wake(self, reply: Reply, wanted: Wanted) -> None:
         """One timer at the next time at which something is due of itself."""
-        now, busy = reply.now, self.changes or self.account.sent or reply.left or wanted.out ^ self.out
-        due = [now + self.BEAT if busy or self.seating.ending() else inf, self.ask_at, *self.barred.values()]
-        due += [max(self.health.due[i], now + self.BEAT) for i in wanted.parts if not self.health.cap[i]]
+        now, busy = (
+            reply.now,
+            self.changes or self.account.sent or reply.left or wanted.out ^ self.out,
+        )
+        due = [
+            now + self.BEAT if busy or self.seating.ending() else inf,
+            self.ask_at,
+            *self.barred.values(),
+        ]
+        due += [
+            max(self.health.due[i], now + self.BEAT) for i in wanted.parts if not self.health.cap[i]
+        ]
         ages = (now - self.fleet.since[i] for i in wanted.parts)
         due += [now + self.RAISE - age % self.RAISE for age in ages if age < self.warm_after]
         self.armed = {at for at in self.armed if at > now}
--- a/tests/former/listing.py
+++ b/tests/former/listing.py
@@ -23,19 +23,31 @@
         if news.form in ("whole", "kept"):
             self.ready = [False] * len(self.ids)  # whoever a whole list does not name is gone
         named, fresh = {entry.id for entry in news.workers}, []
-        spare = [i for i, ready in enumerate(self.ready) if not (ready or i in held or self.ids[i] in named)]
+        spare = [
+            i
+            for i, ready in enumerate(self.ready)
+            if not (ready or i in held or self.ids[i] in named)
+        ]
         spare = spare if 2 * sum(self.ready) < len(self.ids) else []
         for entry in news.workers:
             since, new = -inf if entry.since is None else entry.since, entry.id not in self.index
             if new:
                 i = self.index[entry.id] = spare.pop(0) if spare else len(self.ids)
                 self.index.pop(self.ids[i] if i < len(self.ids) else "", None)
-                self.ids[i:i + 1], self.zones[i:i + 1] = [entry.id], [entry.zone]
-                self.ready[i:i + 1], self.weight[i:i + 1], self.since[i:i + 1] = [False], [None], [since]
+                self.ids[i : i + 1], self.zones[i : i + 1] = [entry.id], [entry.zone]
+                self.ready[i : i + 1], self.weight[i : i + 1], self.since[i : i + 1] = (
+                    [False],
+                    [None],
+                    [since],
+                )
             i = self.index[entry.id]
             if new or since > self.since[i]:
                 fresh.append((i, new))
-            self.zones[i], self.weight[i], self.ready[i] = entry.zone, entry.weight, entry.state == "ready"
+            self.zones[i], self.weight[i], self.ready[i] = (
+                entry.zone,
+                entry.weight,
+                entry.state == "ready",
+            )
             self.since[i] = max(since, self.since[i])
         return fresh
 
--- a/tests/former/seating.py
+++ b/tests/former/seating.py
@@ -20,13 +20,19 @@
     parts: dict[int, float]
     levels: list[tuple[float, int]]  # by product the share let in, and the way of trying again
     clear_at: float = inf
-    were: dict[int, tuple[float, int]] = field(default_factory=dict)  # levels before those ordered last
+    were: dict[int, tuple[float, int]] = field(
+        default_factory=dict
+    )  # levels before those ordered last
     users: int = 0
     load: float = 0.0
 
 
-Tops = tuple[Table | None, ...]  # by product the table that a proxy was bound to last, None where there is none
-Holds = dict[int, list[tuple[Table, int]]]  # by product the tables in use, newest last, with the mark awaited or 0
+Tops = tuple[
+    Table | None, ...
+]  # by product the table that a proxy was bound to last, None where there is none
+Holds = dict[
+    int, list[tuple[Table, int]]
+]  # by product the tables in use, newest last, with the mark awaited or 0
 
 
 @dataclass(eq=False)
@@ -73,7 +79,9 @@
                 table.users += 1
             if entries:
                 proxy.holds[k] = entries
-        tops = tuple(proxy.holds[k][-1][0] if k in proxy.holds else None for k in range(self.products))
+        tops = tuple(
+            proxy.holds[k][-1][0] if k in proxy.holds else None for k in range(self.products)
+        )
         if tops != proxy.tops:
             self._ungroup(p, proxy.tops)
             for sign, those in ((-1.0, proxy.tops), (1.0, tops)):
@@ -97,7 +105,13 @@
     def drop(self, p: int, products: Iterable[int], number: int) -> None:
         """It never got this table."""
         holds = self.proxies[p].holds
-        self.hold(p, {k: [entry for entry in holds.get(k, ()) if entry[0].number != number] for k in products})
+        self.hold(
+            p,
+            {
+                k: [entry for entry in holds.get(k, ()) if entry[0].number != number]
+                for k in products
+            },
+        )
 
     def amended(self, table: Table, users: Iterable[int], mark: int, now: float) -> None:
         """These proxies, which are bound to the table, are sent lines of it."""
@@ -110,9 +124,11 @@
     def answered(self, p: int, passed: list[int]) -> None:
         """It has applied all up to these marks: the tables before the newest of them are out of use."""
         for k, held in list(self.proxies[p].holds.items()):
-            sure = max((n for n, (_, mark) in enumerate(held) if not mark or mark in passed), default=None)
+            sure = max(
+                (n for n, (_, mark) in enumerate(held) if not mark or mark in passed), default=None
+            )
             if sure:
-                self.hold(p, {k: [(held[sure][0], 0), *held[sure + 1:]]})
+                self.hold(p, {k: [(held[sure][0], 0), *held[sure + 1 :]]})
             elif sure == 0:
                 held[0] = (held[0][0], 0)
 
@@ -126,7 +142,11 @@
 
     def cleared(self, now: float) -> list[int]:
         """Takes away the tables whose time has come and that nobody may be using; gives their numbers."""
-        numbers = [number for number, table in self.tables.items() if table.clear_at <= now and not table.users]
+        numbers = [
+            number
+            for number, table in self.tables.items()
+            if table.clear_at <= now and not table.users
+        ]
         for number in numbers:
             del self.tables[number]
         return numbers
@@ -142,11 +162,19 @@
         """Whether a proxy that was written to after `since` may not use this table of the product, and no other; where
         it was changed in place, that is asked of who is bound to it alone."""
         sure = [(table, 0)]
-        return any(proxy.bound_at > since and proxy.holds.get(k) != sure for proxy in (
-            map(self.proxies.__getitem__, self.bound(table)) if old is table else self.proxies.values()))
+        return any(
+            proxy.bound_at > since and proxy.holds.get(k) != sure
+            for proxy in (
+                map(self.proxies.__getitem__, self.bound(table))
+                if old is table
+                else self.proxies.values()
+            )
+        )
 
     def bound(self, table: Table) -> list[int]:
-        return [*chain.from_iterable(members for tops, members in self.groups.items() if table in tops)]
+        return [
+            *chain.from_iterable(members for tops, members in self.groups.items() if table in tops)
+        ]
 
     def naming(self, workers: set[int]) -> dict[int, list[dict[int, None]]]:
         """By worker the groups with a line for it, or that may have one as they have no table yet."""
@@ -169,7 +197,9 @@
     def far(self, p: int, near: Mapping[str, set[int]], tables: Iterable[Table | None]) -> bool:
         """Whether a table among these has nobody of the proxy's zone, though by `near` (by zone) there is somebody."""
         own = near.get(self.proxies[p].zone, set())
-        return bool(own) and any(table is not None and own.isdisjoint(table.shares) for table in tables)
+        return bool(own) and any(
+            table is not None and own.isdisjoint(table.shares) for table in tables
+        )
 
     def in_order(self, groups: Iterable[Iterable[int]]) -> list[int]:
         """Their members in the order of joining."""
--- a/tests/former/state.py
+++ b/tests/former/state.py
@@ -31,7 +31,11 @@
     def common(self) -> dict[int, float]:
         """Lines for all products, where they need not be the same: the first one's for workers of all."""
         first, *others = self.shares
-        same = {i: share for i, share in first.items() if all(want is first or i in want for want in others)}
+        same = {
+            i: share
+            for i, share in first.items()
+            if all(want is first or i in want for want in others)
+        }
         return same or max(self.shares, key=len)
 
     def bears(self, table: Table) -> float:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,12 +10,20 @@
 
 
 def trade(**changes: object) -> face.Trade:
-    products = (face.Product("read", 0.8, 2.0, 1.0, repeats="idempotent"),
-                face.Product("book", 0.8, 2.0, 5.0, repeats="non-idempotent"))
+    products = (
+        face.Product("read", 0.8, 2.0, 1.0, repeats="idempotent"),
+        face.Product("book", 0.8, 2.0, 5.0, repeats="non-idempotent"),
+    )
     channel = face.Channel(1200.0, 4.0, 2400.0, 0.2, 0.5, 30, 10.0)
     duties = face.Duties(5.0, 3.0, 10.0, 16.0, 0.2, 3.0, 2.0)
-    given = {"seed": 7, "zone": "north", "products": products, "channel": channel, "duties": duties,
-             "admits": "share"}
+    given = {
+        "seed": 7,
+        "zone": "north",
+        "products": products,
+        "channel": channel,
+        "duties": duties,
+        "admits": "share",
+    }
     return face.Trade(**{**given, **changes})
 
 
@@ -29,7 +37,11 @@
     def __init__(self, what: face.Trade, pace: float = 1.0) -> None:
         self.trade, self.pace, self.now = what, pace, 0.0
         self.module = Balancer(what)
-        self.orders, self.broken, self.listed = list[face.Order](), set[str](), dict[str, face.Worker]()
+        self.orders, self.broken, self.listed = (
+            list[face.Order](),
+            set[str](),
+            dict[str, face.Worker](),
+        )
         self.told: dict[str, float] = {}  # when a worker was first told to be leaving or gone
         self.known: dict[str, float] = {}  # when its last start was told
         self.restart()
@@ -62,7 +74,9 @@
             self.flying.append((self.now + self.trade.channel.transit, proxy, acts))
         due = [flight for flight in self.flying if flight[0] <= self.now]
         self.flying = [flight for flight in self.flying if flight[0] > self.now]
-        answers: list[face.Event] = [answer for _, proxy, acts in due for answer in self._apply(proxy, acts)]
+        answers: list[face.Event] = [
+            answer for _, proxy, acts in due for answer in self._apply(proxy, acts)
+        ]
         rung = [face.Rung(token) for at, token in self.rings if at <= self.now]
         self.rings = [ring for ring in self.rings if ring[0] > self.now]
         for event in events:
@@ -76,8 +90,14 @@
         for act in acts if proxy in self.joined and proxy not in self.mute else ():
             match act:
                 case ("bind", product, number, lines, out):
-                    self.holds[proxy][product] = (number, {
-                        name: weight for name, weight in lines.items() if self._open(proxy, product, name)})
+                    self.holds[proxy][product] = (
+                        number,
+                        {
+                            name: weight
+                            for name, weight in lines.items()
+                            if self._open(proxy, product, name)
+                        },
+                    )
                     self.shut[proxy] |= out
                 case ("line", number, name, weight):
                     for product, (table, held) in self.holds[proxy].items():
@@ -126,7 +146,9 @@
                     self._amend(number, name, weight, acts, lines)
                 case face.Clear(number):
                     held = {table for p in self.joined for table, _ in self.holds[p].values()}
-                    if number in held or any(number in bound.values() for bound in self.bound.values()):
+                    if number in held or any(
+                        number in bound.values() for bound in self.bound.values()
+                    ):
                         self.broken.add("a table cleared under a proxy")
                     del self.tables[number]
                 case face.Bind(proxy, products, number):
@@ -140,7 +162,8 @@
                     (self.withdrawn.add if out else self.withdrawn.discard)(name)
                     for proxy in self.joined:
                         if any(name in held for _, held in self.holds[proxy].values()) or any(
-                                name in self.tables[number] for number in self.bound[proxy].values()):
+                            name in self.tables[number] for number in self.bound[proxy].values()
+                        ):
                             acts[proxy].append(("withdraw", name, out))
                             lines[proxy] += 1
                 case face.Admit(number, product, retry, _):
@@ -156,7 +179,9 @@
                     self.rings.append((self.now + after, token))
         for proxy in [p for p in self.joined if lines[p]]:
             self.queue.append((proxy, lines[proxy] + self.trade.channel.message_lines, acts[proxy]))
-            self.written[proxy] = [at for at in self.written[proxy] if at > self.now - 10.0] + [self.now]
+            self.written[proxy] = [at for at in self.written[proxy] if at > self.now - 10.0] + [
+                self.now
+            ]
 
     def _amend(self, number: int, name: str, weight: float, acts: dict, lines: dict) -> None:
         self.tables[number][name] = weight
@@ -169,8 +194,11 @@
 
     def _check(self) -> None:
         duties, slow = self.trade.duties, 1 / self.pace
-        warm = [w for w in self.listed.values() if w.state == "ready" and (
-            w.since is None or self.now - w.since >= duties.warm_after)]
+        warm = [
+            w
+            for w in self.listed.values()
+            if w.state == "ready" and (w.since is None or self.now - w.since >= duties.warm_after)
+        ]
         if sum(lines for _, lines, _ in self.queue) > self.trade.channel.waiting_most:
             self.broken.add("queue")
         if any(len(times) > self.trade.channel.messages_most for times in self.written.values()):
@@ -188,11 +216,20 @@
                     if self.now - max(told, joined) > duties.drain_grace * slow:
                         self.broken.add("drain")
                     entry = self.listed.get(name)
-                    if not warm or not entry or entry.state != "ready" or entry.since is None or not duties.warm_after:
+                    if (
+                        not warm
+                        or not entry
+                        or entry.state != "ready"
+                        or entry.since is None
+                        or not duties.warm_after
+                    ):
                         continue
                     age, heard = self.now - entry.since, max(self.known.get(name, 0.0), joined)
-                    if self.now - heard > duties.drain_grace * slow and share / (entry.weight or 1.0) > (
-                            0.2 + 0.8 * age / duties.warm_after) * duties.fall_multiple / 2:
+                    if (
+                        self.now - heard > duties.drain_grace * slow
+                        and share / (entry.weight or 1.0)
+                        > (0.2 + 0.8 * age / duties.warm_after) * duties.fall_multiple / 2
+                    ):
                         self.broken.add("cold")
 
 
@@ -200,8 +237,17 @@
     """A subset, an exclusion, other weights within what a ramp allows, or the end of a pin."""
     names = random.sample([worker(n).id for n in range(9)], random.randrange(1, 6))
     weights = tuple((name, random.choice([0.5, 1.0, 1.0])) for name in names)
-    return face.Pinned(random.randrange(2), *random.choice([
-        (weights, False), (weights, True), (tuple((name, 0.0) for name in names), True), ((), True)]))
+    return face.Pinned(
+        random.randrange(2),
+        *random.choice(
+            [
+                (weights, False),
+                (weights, True),
+                (tuple((name, 0.0) for name in names), True),
+                ((), True),
+            ]
+        ),
+    )
 
 
 def run(model: Model, seed: int, steps: int = 400, pins: float = 0.0) -> Model:
@@ -221,8 +267,11 @@
             events.append(face.Listed("changes", (fleet[n],)))
         if random.random() < 0.15:
             proxy = random.randrange(8)
-            events.append(face.Left(proxy) if proxy in model.joined else face.Joined(
-                proxy, random.choice(ZONES), 5.0, random.random() < 0.5))
+            events.append(
+                face.Left(proxy)
+                if proxy in model.joined
+                else face.Joined(proxy, random.choice(ZONES), 5.0, random.random() < 0.5)
+            )
         if random.random() < 0.5:
             tries, name = random.randrange(1, 30), worker(random.randrange(13)).id
             voided = random.choice([0, 0, 0, tries])
@@ -238,6 +287,9 @@
             model.mute.add(random.choice(sorted(model.joined)))
         if random.random() < 0.02:
             model.pace = random.choice([1.0, 0.5, 0.25])
-        odd = [face.Asked(random.randrange(8), "book", 9, 0, 0.5), face.Answered(random.randrange(9), 3, 0.1)]
+        odd = [
+            face.Asked(random.randrange(8), "book", 9, 0, 0.5),
+            face.Answered(random.randrange(9), 3, 0.1),
+        ]
         model.step(0.1, [*events, *odd])
     return model
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -20,16 +20,33 @@
 
 # Workers, proxies, products and turns to go with them, and how often such a history is drawn.
 SIZES = (
-    ((5, 12), (1, 8), (1, 2, 3), 1600, 6), ((10, 40), (2, 30), (1, 2, 3), 1200, 8), ((10, 60), (1, 20), (20,), 500, 2),
-    ((10, 30), (1, 8), (60,), 260, 2), ((40, 120), (5, 80), (2, 3), 600, 5), ((60, 120), (100, 300), (1, 2, 3), 500, 4),
+    ((5, 12), (1, 8), (1, 2, 3), 1600, 6),
+    ((10, 40), (2, 30), (1, 2, 3), 1200, 8),
+    ((10, 60), (1, 20), (20,), 500, 2),
+    ((10, 30), (1, 8), (60,), 260, 2),
+    ((40, 120), (5, 80), (2, 3), 600, 5),
+    ((60, 120), (100, 300), (1, 2, 3), 500, 4),
     ((150, 400), (5, 60), (2,), 260, 2),
 )
 LARGE = ((1000, 1400), (5, 40), (1, 2), 110)  # for every twentieth seed
-EVEN = ((20, 80), (20, 150), (1, 2), 500)  # for another twentieth: tables and proxies alike, so that sums tie
+EVEN = (
+    (20, 80),
+    (20, 150),
+    (1, 2),
+    500,
+)  # for another twentieth: tables and proxies alike, so that sums tie
 
 # A worker's state: part of its tries that is voided, and how long a settled one takes.
-STATES = {"well": (0.01, 0.2), "failing": (0.8, 0.15), "silent": (1.0, 0.2), "jammed": (0.5, 1.2), "late": (0.0, 0.9),
-          "weak": (0.2, 0.3), "one in ten": (0.1, 0.2), "slow and failing": (0.6, 0.7)}
+STATES = {
+    "well": (0.01, 0.2),
+    "failing": (0.8, 0.15),
+    "silent": (1.0, 0.2),
+    "jammed": (0.5, 1.2),
+    "late": (0.0, 0.9),
+    "weak": (0.2, 0.3),
+    "one in ten": (0.1, 0.2),
+    "slow and failing": (0.6, 0.7),
+}
 
 
 @dataclass
@@ -45,28 +62,61 @@
 
 def drawn(random: Random, seed: int) -> tuple[face.Trade, int, int, int]:
     """The trade, workers at the start, proxies, and turns."""
-    sizes = {19: LARGE, 17: EVEN}.get(seed % 20) or random.choices(SIZES, [size[-1] for size in SIZES])[0][:4]
+    sizes = {19: LARGE, 17: EVEN}.get(seed % 20) or random.choices(
+        SIZES, [size[-1] for size in SIZES]
+    )[0][:4]
     (least, most), (few, many), products, turns = sizes
-    workers, proxies, n = random.randint(least, most), random.randint(few, many), random.choice(products)
+    workers, proxies, n = (
+        random.randint(least, most),
+        random.randint(few, many),
+        random.choice(products),
+    )
     even = sizes is EVEN
-    home = random.choice(["none", "none", "all", "some"][:1 if even else 4])
-    wares = tuple(face.Product(
-        f"product-{k}", random.choice([0.4, 0.8, 2.0]), random.choice([1.0, 2.0]), 1.0 + k * random.random(),
-        repeats=random.choice(["idempotent", "referenced", "non-idempotent"]),
-        home_only=home == "all" or home == "some" and random.random() < 0.5) for k in range(n))
+    home = random.choice(["none", "none", "all", "some"][: 1 if even else 4])
+    wares = tuple(
+        face.Product(
+            f"product-{k}",
+            random.choice([0.4, 0.8, 2.0]),
+            random.choice([1.0, 2.0]),
+            1.0 + k * random.random(),
+            repeats=random.choice(["idempotent", "referenced", "non-idempotent"]),
+            home_only=home == "all" or home == "some" and random.random() < 0.5,
+        )
+        for k in range(n)
+    )
     # From one that carries all tables to all proxies at once to one that a table a turn fills.
     whole = n * (workers + 2.0) * proxies
-    part = max(whole * random.choice([0.02, 0.3, 1.0, 5.0][:2 if even else 4]), 60.0)
-    pace = random.choice([part, 1200.0, 4400.0, 1e5][:1 if even else 4])
-    warm = random.choice([0.0, 1e-6, 5.0, 18.0, 18.0, 30.0][:3 if even else 6])
+    part = max(whole * random.choice([0.02, 0.3, 1.0, 5.0][: 2 if even else 4]), 60.0)
+    pace = random.choice([part, 1200.0, 4400.0, 1e5][: 1 if even else 4])
+    warm = random.choice([0.0, 1e-6, 5.0, 18.0, 18.0, 30.0][: 3 if even else 6])
     trade = face.Trade(
-        seed=seed, zone="zone-0", products=wares, admits=random.choice(["share", "share", "none"]),
-        may_probe=random.random() < 0.5, must_ask=random.random() < 0.2, usual_retry=random.choice([0, 1, 1, 3]),
-        standing=random.choice([1, 2, 4, 6, 12, 30]), slices=8 if seed % 50 == 7 else 0,
-        channel=face.Channel(pace, random.choice([4.0, 10.0]), random.choice([0.3, 1.5, 4.0]) * pace + random.choice(
-            [400.0, 4.0 * (workers + n)]), 0.25, 0.5, random.choice([0, 0, 10, 30])),
-        duties=face.Duties(5.0, 3.0, random.choice([2.0, 10.0]), warm, random.choice([0.1, 0.2, 0.5]),
-                           random.choice([2.0, 3.0, 6.0]), 2.0))
+        seed=seed,
+        zone="zone-0",
+        products=wares,
+        admits=random.choice(["share", "share", "none"]),
+        may_probe=random.random() < 0.5,
+        must_ask=random.random() < 0.2,
+        usual_retry=random.choice([0, 1, 1, 3]),
+        standing=random.choice([1, 2, 4, 6, 12, 30]),
+        slices=8 if seed % 50 == 7 else 0,
+        channel=face.Channel(
+            pace,
+            random.choice([4.0, 10.0]),
+            random.choice([0.3, 1.5, 4.0]) * pace + random.choice([400.0, 4.0 * (workers + n)]),
+            0.25,
+            0.5,
+            random.choice([0, 0, 10, 30]),
+        ),
+        duties=face.Duties(
+            5.0,
+            3.0,
+            random.choice([2.0, 10.0]),
+            warm,
+            random.choice([0.1, 0.2, 0.5]),
+            random.choice([2.0, 3.0, 6.0]),
+            2.0,
+        ),
+    )
     return trade, workers, proxies, turns
 
 
@@ -78,14 +128,22 @@
         self.trade, workers, self.proxies, turns = drawn(random, seed)
         self.left, self.now = max(10, int(turns * scale)), 0.0
         # On a grid, turns come just when something is due; told coarsely, workers tie.
-        self.grid, self.coarse, self.skip = random.choice([0.0, 0.0, 0.125, 0.25]), random.random() < 0.35, 0.0
+        self.grid, self.coarse, self.skip = (
+            random.choice([0.0, 0.0, 0.125, 0.25]),
+            random.random() < 0.35,
+            0.0,
+        )
         self.end = random.choice([30.0, 50.0, 90.0]) * max(1.0, scale)
         self.zones = [f"zone-{n}" for n in range(random.choice([1, 2, 3, 3, 5, 10]))]
-        self.weights = random.choice([
-            [1.0], [1.0, 2.0, 4.0], [None], [0.1, 0.3, 0.7], [1.0, 1.0, None, 0.0, 0.5, 0.37]])
+        self.weights = random.choice(
+            [[1.0], [1.0, 2.0, 4.0], [None], [0.1, 0.3, 0.7], [1.0, 1.0, None, 0.0, 0.5, 0.37]]
+        )
         self.rates = [1.0, 5.0, 5.0, 25.0]
         if seed % 20 == 17:
-            self.weights, self.rates = random.choice([[0.1], [0.3], [0.7], [0.1, 0.2], [0.37]]), [5.0]
+            self.weights, self.rates = (
+                random.choice([[0.1], [0.3], [0.7], [0.1, 0.2], [0.37]]),
+                [5.0],
+            )
         self.due, self.order = list[tuple[float, int, Happening]](), count()
         self.machines, self.names = dict[str, Machine](), count()
         self.joined, self.mute = dict[int, str](), set[int]()
@@ -102,7 +160,11 @@
     def turns(self) -> Iterator[tuple[float, list[face.Event]]]:
         gap = self.end / self.left
         while self.left > 0 and self.now < self.end:
-            self.now += 0.0 if self.random.random() < 0.01 else gap * self.random.uniform(0.1, 1.7) + self.skip
+            self.now += (
+                0.0
+                if self.random.random() < 0.01
+                else gap * self.random.uniform(0.1, 1.7) + self.skip
+            )
             self.skip = 0.0
             if self.grid:
                 self.now = ceil(self.now / self.grid) * self.grid
@@ -126,7 +188,10 @@
                 case face.Mark(number):
                     self._send(now, number, former.account.sent[number].owed)
                 case face.Wake(after, token):
-                    self.at(now + after + (0.3 if self.random.random() < 0.05 else 0.0), face.Rung(token))
+                    self.at(
+                        now + after + (0.3 if self.random.random() < 0.05 else 0.0),
+                        face.Rung(token),
+                    )
                 case face.Probe(worker):
                     self.at(now + self.random.choice([0.02, 0.4, 1.0]), self._probed(worker))
                 case face.Follow():
@@ -139,7 +204,11 @@
             self.said["turns with small tables to stay"] += 1
         if former.seating.proxies and any(table.users for table in former.small):
             self.said["turns with small tables in use"] += 1
-        for level in {n for table in former.current.values() for n, _ in table.levels} if former.admits else ():
+        for level in (
+            {n for table in former.current.values() for n, _ in table.levels}
+            if former.admits
+            else ()
+        ):
             self.said[f"turns with a level of {level:.2f}"] += 1
 
     def _send(self, now: float, mark: int, owed: dict[int, float]) -> None:
@@ -157,6 +226,7 @@
             ok = machine is not None and machine.state == "well" and machine.listed != "gone"
             load = self.random.choice([{}, {"queue": 2.0}])
             self.at(self.now, face.Probed(worker, ok, "ok" if ok else "timeout", 0.1, load))
+
         return probed
 
     # Discovery.
@@ -164,8 +234,9 @@
     def machine(self, zone: str | None = None, since: float | None = None) -> str:
         n = next(self.names)
         name = f"10.{n // 65536}.{n // 256 % 256}.{n % 256}:80"
-        self.machines[name] = Machine(zone or self.random.choice(self.zones), self.random.choice(self.weights),
-                                      since=since)
+        self.machines[name] = Machine(
+            zone or self.random.choice(self.zones), self.random.choice(self.weights), since=since
+        )
         return name
 
     def entry(self, name: str) -> face.Worker:
@@ -179,6 +250,7 @@
 
     def move(self, names: list[str], state: str, since: float | None = None) -> Callable[[], None]:
         """An act: these come to be listed so, if they are known still."""
+
         def act() -> None:
             known = [name for name in names if name in self.machines]
             for name in known:
@@ -190,6 +262,7 @@
             for name in known if state == "gone" and self.random.random() < 0.8 else ():
                 if self.machines[name].listed == "gone" and self.random.random() < 0.5:
                     del self.machines[name]
+
         return act
 
     def fetched(self) -> None:
@@ -197,14 +270,19 @@
         if self.random.random() < 0.4:
             self.news([], "failed")
         else:
-            self.news([name for name, machine in self.machines.items() if machine.listed != "gone"], "whole")
+            self.news(
+                [name for name, machine in self.machines.items() if machine.listed != "gone"],
+                "whole",
+            )
 
     def ready(self) -> list[str]:
         return [name for name, machine in self.machines.items() if machine.listed == "ready"]
 
     def some(self, least: int, most: int) -> list[str]:
         ready = self.ready()
-        return self.random.sample(ready, min(len(ready), self.random.randint(least, max(least, most))))
+        return self.random.sample(
+            ready, min(len(ready), self.random.randint(least, max(least, most)))
+        )
 
     def begin(self) -> None:
         """The start, what goes on all the time, and incidents."""
@@ -221,10 +299,31 @@
         while when < end:
             self.at(when, lambda: self.reports(max(1, int(lines))))
             when += every
-        incidents = [self.release, self.release, self.replaced, self.lost, self.whole, self.storm, self.bad, self.cut,
-                     self.zone_lost, self.pin, self.pin, self.refuses, self.churn, self.reweighted, self.slow_channel,
-                     self.mutes, self.oddities, self.back_again, self.silence, self.halt]
-        for name in self.some(1, 3) if random.random() < 0.5 else ():  # bad for good, so that rests double
+        incidents = [
+            self.release,
+            self.release,
+            self.replaced,
+            self.lost,
+            self.whole,
+            self.storm,
+            self.bad,
+            self.cut,
+            self.zone_lost,
+            self.pin,
+            self.pin,
+            self.refuses,
+            self.churn,
+            self.reweighted,
+            self.slow_channel,
+            self.mutes,
+            self.oddities,
+            self.back_again,
+            self.silence,
+            self.halt,
+        ]
+        for name in (
+            self.some(1, 3) if random.random() < 0.5 else ()
+        ):  # bad for good, so that rests double
             self.machines[name].state = random.choice(["failing", "failing", "silent", "jammed"])
         when = random.uniform(2.0, 6.0)
         if random.random() < 0.3:  # a manager that begins in a jam, or beside workers that fail
@@ -240,6 +339,7 @@
             self.mute.discard(proxy)
             zone = self.joined.setdefault(proxy, self.random.choice(self.zones))
             self.at(self.now, face.Joined(proxy, zone, self.random.choice(self.rates), first))
+
         return act
 
     def leaves(self, proxy: int) -> None:
@@ -249,9 +349,13 @@
     def churn(self) -> None:
         """Some or most proxies leave, at once, and come back, as many or a few."""
         self.said["churn"] += 1
-        gone = self.random.sample(sorted(self.joined), int(len(self.joined) * self.random.choice([0.1, 0.5, 1.0])))
+        gone = self.random.sample(
+            sorted(self.joined), int(len(self.joined) * self.random.choice([0.1, 0.5, 1.0]))
+        )
         for proxy in gone:
-            if self.random.random() < 0.2:  # its new stream comes before word that the old one ended
+            if (
+                self.random.random() < 0.2
+            ):  # its new stream comes before word that the old one ended
                 self.at(self.now + self.random.random(), self.joins(proxy, False))
                 continue
             self.leaves(proxy)
@@ -260,9 +364,14 @@
 
     def mutes(self) -> None:
         self.said["silent proxies"] += 1
-        gone = set(self.random.sample(sorted(self.joined), len(self.joined) // self.random.choice([2, 5])))
+        gone = set(
+            self.random.sample(sorted(self.joined), len(self.joined) // self.random.choice([2, 5]))
+        )
         self.mute |= gone
-        self.at(self.now + self.random.choice([2.0, 8.0, 20.0]), lambda: self.mute.difference_update(gone))
+        self.at(
+            self.now + self.random.choice([2.0, 8.0, 20.0]),
+            lambda: self.mute.difference_update(gone),
+        )
 
     def slow_channel(self) -> None:
         self.said["a slow channel"] += 1
@@ -277,7 +386,7 @@
         names, anew = self.some(2, 60), self.random.random() < 0.5
         batch, gap = self.random.choice([1, 5, 20]), self.random.choice([0.2, 1.0, 2.0])
         for n in range(0, len(names), batch):
-            part, begin = names[n:n + batch], self.now + n // batch * gap
+            part, begin = names[n : n + batch], self.now + n // batch * gap
             self.at(begin, self.move(part, "draining"))
             self.at(begin + 2.0, self.move(part, "gone"))
             self.at(begin + self.random.choice([0.0, 2.5]), self.starts(part, anew))
@@ -286,7 +395,12 @@
         def act() -> None:
             zones = [self.machines[name].zone for name in former if name in self.machines]
             again = [name for name in former if name in self.machines]
-            self.move([self.machine(zone, self.now) for zone in zones] if anew else again, "ready", self.now)()
+            self.move(
+                [self.machine(zone, self.now) for zone in zones] if anew else again,
+                "ready",
+                self.now,
+            )()
+
         return act
 
     def replaced(self) -> None:
@@ -311,12 +425,18 @@
         gone = [name for name, machine in self.machines.items() if machine.listed != "ready"]
         self.move(gone[:20], "ready", self.now - self.random.choice([0.0, 4.0, 40.0]))()
         if self.random.random() < 0.5:  # and a few more than before
-            self.move([self.machine(since=self.now) for _ in range(self.random.randint(1, 10))], "ready", self.now)()
+            self.move(
+                [self.machine(since=self.now) for _ in range(self.random.randint(1, 10))],
+                "ready",
+                self.now,
+            )()
 
     def whole(self) -> None:
         form = self.random.choice(["whole", "whole", "kept", "failed", "failed"])
         names = [name for name, machine in self.machines.items() if machine.listed != "gone"]
-        if form == "whole" and self.random.random() < 0.5:  # with some or all left out, and an order of its own
+        if (
+            form == "whole" and self.random.random() < 0.5
+        ):  # with some or all left out, and an order of its own
             names = self.random.sample(names, len(names) * self.random.choice([4, 4, 4, 0]) // 5)
             for name in self.machines.keys() - set(names):
                 self.machines[name].listed = "gone"
@@ -329,7 +449,9 @@
             self.machines[name].weight = self.random.choice([*self.weights, 0.0, None, 3.0])
             if self.random.random() < 0.3:
                 self.machines[name].zone = self.random.choice(self.zones)
-        if names and self.random.random() < 0.2:  # told twice in one piece of news, from a clock that is ahead
+        if (
+            names and self.random.random() < 0.2
+        ):  # told twice in one piece of news, from a clock that is ahead
             machine = self.machines[names[0]]
             machine.since = self.now + self.random.choice([0.5, 3.0])
             names = [*names, names[0]]
@@ -341,13 +463,25 @@
         names, zones = list(self.machines), sorted(set(self.joined.values())) or self.zones
         if self.coarse:  # the next ones in turn
             self.said["reports told coarsely"] += 1
-            names = names[self.turned % len(names):] + names[:self.turned % len(names)] if names else []
+            names = (
+                names[self.turned % len(names) :] + names[: self.turned % len(names)]
+                if names
+                else []
+            )
             names, self.turned = names[:lines], self.turned + lines
         for _ in range(lines if names and self.load != "silence" else 0):
             if self.random.random() < 0.25:
                 txns = self.random.randint(0, 40)
-                self.at(self.now, face.Asked(self.random.randrange(self.proxies), self.random.choice(
-                    self.trade.products).name, txns, txns // 5 if self.load != "calm" else 0, 0.5))
+                self.at(
+                    self.now,
+                    face.Asked(
+                        self.random.randrange(self.proxies),
+                        self.random.choice(self.trade.products).name,
+                        txns,
+                        txns // 5 if self.load != "calm" else 0,
+                        0.5,
+                    ),
+                )
                 continue
             name = self.random.choice(names)
             part, took = STATES[self.machines[name].state]
@@ -356,23 +490,47 @@
             if self.load in ("storm", "late") and self.random.random() < 0.9:
                 part, took = max(part, 0.6), took if self.load == "late" else 1.2
             tries = 10 if self.coarse else self.random.choice([1, 4, 12, 30, 2.5])
-            voided = round(10 * part) if self.coarse else sum(self.random.random() < part for _ in range(int(tries)))
-            queue = {"queue": self.random.choice([0.0, 0.0, 3.0])} if self.random.random() < 0.3 else {}
-            self.at(self.now, face.Met(self.random.choice(zones), name, tries, voided, took if self.coarse else (
-                took * self.random.uniform(0.7, 1.3)), 0.5, queue, self.random.random() < 0.8))
+            voided = (
+                round(10 * part)
+                if self.coarse
+                else sum(self.random.random() < part for _ in range(int(tries)))
+            )
+            queue = (
+                {"queue": self.random.choice([0.0, 0.0, 3.0])} if self.random.random() < 0.3 else {}
+            )
+            self.at(
+                self.now,
+                face.Met(
+                    self.random.choice(zones),
+                    name,
+                    tries,
+                    voided,
+                    took if self.coarse else (took * self.random.uniform(0.7, 1.3)),
+                    0.5,
+                    queue,
+                    self.random.random() < 0.8,
+                ),
+            )
 
     def storm(self) -> None:
         """All void and are slow, or void a tenth; word of it comes later than its end, so that voids go on at a usual
         pace."""
         self.said["storms"] += 1
-        self.load, length = self.random.choice(["storm", "storm", "even"]), self.random.choice([0.5, 3.0, 10.0])
-        self.at(self.now + length, lambda: setattr(self, "load", self.random.choice(["late", "calm"])))
+        self.load, length = (
+            self.random.choice(["storm", "storm", "even"]),
+            self.random.choice([0.5, 3.0, 10.0]),
+        )
+        self.at(
+            self.now + length, lambda: setattr(self, "load", self.random.choice(["late", "calm"]))
+        )
         self.at(self.now + length + 3.0, lambda: setattr(self, "load", "calm"))
 
     def silence(self) -> None:
         self.said["silence"] += 1
         self.load = "silence"
-        self.at(self.now + self.random.choice([2.0, 10.0, 20.0]), lambda: setattr(self, "load", "calm"))
+        self.at(
+            self.now + self.random.choice([2.0, 10.0, 20.0]), lambda: setattr(self, "load", "calm")
+        )
 
     def halt(self) -> None:
         """The manager gets no turn for so long, and then hears all at once."""
@@ -391,14 +549,21 @@
             for name in names:
                 if name in self.machines:
                     self.machines[name].state = "well"
+
         self.at(self.now + self.random.choice([3.0, 10.0, 25.0, 60.0]), heal)
 
     # Managers, operators, the guard.
 
     def cut(self) -> None:
         self.said["cuts"] += 1
-        self.at(self.now, face.Trusted(self.random.choice([0.05, 0.1, 0.2]), self.random.random() < 0.4,
-                                       self.random.random() < 0.4))
+        self.at(
+            self.now,
+            face.Trusted(
+                self.random.choice([0.05, 0.1, 0.2]),
+                self.random.random() < 0.4,
+                self.random.random() < 0.4,
+            ),
+        )
         self.at(self.now + self.random.uniform(1.0, 15.0), face.Trusted(0.2))
 
     def zone_lost(self) -> None:
@@ -420,6 +585,7 @@
             for n, proxy in enumerate(proxies):
                 self.joined.setdefault(proxy, zone)
                 self.at(self.now + 0.3 * n, self.joins(proxy, False))
+
         self.at(self.now + after, back)
 
     def pin(self) -> None:
@@ -428,10 +594,16 @@
         weights = tuple((name, self.random.choice([0.5, 1.0, 1.0, 0.0, None])) for name in names)
         way = self.random.choice(["some", "others", "none used", "ended", "nobody"])
         self.said[f"pins: {way}"] += 1
-        self.at(self.now, {
-            "some": face.Pinned(k, weights, False), "others": face.Pinned(k, weights, True),
-            "none used": face.Pinned(k, tuple((name, 0.0) for name in names), True),
-            "ended": face.Pinned(k), "nobody": face.Pinned(k, (), False)}[way])
+        self.at(
+            self.now,
+            {
+                "some": face.Pinned(k, weights, False),
+                "others": face.Pinned(k, weights, True),
+                "none used": face.Pinned(k, tuple((name, 0.0) for name in names), True),
+                "ended": face.Pinned(k),
+                "nobody": face.Pinned(k, (), False),
+            }[way],
+        )
 
     def refuses(self) -> None:
         kinds = ["Share", "Bind", "Clear", "Withdraw", "Admit"]
@@ -442,13 +614,23 @@
     def oddities(self) -> None:
         """News that this module passes over, and some of who is not known."""
         self.said["oddities"] += 1
-        for event in (face.PeerSaid(2, "hello"), face.Given(1, True), face.Stored(1, "10.0.0.1:80", 1.0),
-                      face.Laden("other", self.random.random() < 0.5, 40, 200.0), face.Left(9999),
-                      face.Answered(0, 64000, 0.1), face.Answered(9999, 1, 0.1), face.Rung(123456),
-                      face.Met("zone-0", "10.98.0.1:80", 5, 5, 0.2, 0.5),
-                      face.Met("", next(iter(self.machines), ""), 0, 0, 0.0, 0.5),
-                      face.Pinned(len(self.trade.products), (("10.98.0.1:80", 0.0),), self.random.random() < 0.5),
-                      face.Asked(None, "no-product", 5, 0, 0.5),
-                      face.Probed(next(iter(self.machines), ""), self.random.random() < 0.5, "ok", 0.1, {}),
-                      face.Probed("10.98.0.1:80", True, "ok", 0.1), face.Refused(face.Bind(9999, (0,), 1), "unknown")):
+        for event in (
+            face.PeerSaid(2, "hello"),
+            face.Given(1, True),
+            face.Stored(1, "10.0.0.1:80", 1.0),
+            face.Laden("other", self.random.random() < 0.5, 40, 200.0),
+            face.Left(9999),
+            face.Answered(0, 64000, 0.1),
+            face.Answered(9999, 1, 0.1),
+            face.Rung(123456),
+            face.Met("zone-0", "10.98.0.1:80", 5, 5, 0.2, 0.5),
+            face.Met("", next(iter(self.machines), ""), 0, 0, 0.0, 0.5),
+            face.Pinned(
+                len(self.trade.products), (("10.98.0.1:80", 0.0),), self.random.random() < 0.5
+            ),
+            face.Asked(None, "no-product", 5, 0, 0.5),
+            face.Probed(next(iter(self.machines), ""), self.random.random() < 0.5, "ok", 0.1, {}),
+            face.Probed("10.98.0.1:80", True, "ok", 0.1),
+            face.Refused(face.Bind(9999, (0,), 1), "unknown"),
+        ):
             self.at(self.now, event)
--- a/tests/roaming.py
+++ b/tests/roaming.py
@@ -14,7 +14,18 @@
 from tests.test_platform_process import SETTINGS
 
 LANES = tuple(lane["name"] for lane in SETTINGS["lanes"])
-PUSH = {"@type", "routes", "full", "endpoints", "admit", "policy", "eject", "restore", "nonce_out", "continued"}
+PUSH = {
+    "@type",
+    "routes",
+    "full",
+    "endpoints",
+    "admit",
+    "policy",
+    "eject",
+    "restore",
+    "nonce_out",
+    "continued",
+}
 
 
 @dataclass
@@ -35,9 +46,21 @@
     DIAL, FIRST = 1.0, 3.0  # seconds for a connection, and to a stream's first order
     USAGE = 0.2  # seconds between reports of usage
 
-    def __init__(self, number: int, zone: str, ports: list[int], chance: Random,
-                 lanes: tuple[str, ...] = LANES) -> None:
-        self.number, self.zone, self.ports, self.chance, self.lanes = number, zone, ports, chance, lanes
+    def __init__(
+        self,
+        number: int,
+        zone: str,
+        ports: list[int],
+        chance: Random,
+        lanes: tuple[str, ...] = LANES,
+    ) -> None:
+        self.number, self.zone, self.ports, self.chance, self.lanes = (
+            number,
+            zone,
+            ports,
+            chance,
+            lanes,
+        )
         self.tables: dict[str, dict[str, float]] = {lane: {} for lane in lanes}
         self.admits, self.shut = dict.fromkeys(lanes, 1.0), set[str]()
         self.streams, self.faults = list[Stream](), list[str]()
@@ -101,7 +124,9 @@
     async def _follow(self, client: Client, stream: Stream) -> None:
         """Orders up to the stream's end. What is begun and not ended has no effect."""
         parts = list[dict[str, Any]]()
-        await self._say(client, "hello", site=self.zone, rps=self.rps, new=not any(self.tables.values()))
+        await self._say(
+            client, "hello", site=self.zone, rps=self.rps, new=not any(self.tables.values())
+        )
         while True:
             order: dict[str, Any] | None = None
             with trio.move_on_after(inf if stream.order_times else self.FIRST):
@@ -120,7 +145,14 @@
         while True:
             await trio.sleep(self.USAGE)
             for lane in self.lanes:
-                await self._say(client, "demand", lane=lane, count=round(self.rps), fail=0, over=1000.0 * self.USAGE)
+                await self._say(
+                    client,
+                    "demand",
+                    lane=lane,
+                    count=round(self.rps),
+                    fail=0,
+                    over=1000.0 * self.USAGE,
+                )
 
     async def _say(self, client: Client, kind: str, **message: Any) -> None:
         async with self.writing:
@@ -133,13 +165,19 @@
                 if mark in stream.marks:
                     self.faults.append(f"mark {mark} is asked twice")
                 stream.marks.add(mark)
-            if part.keys() - PUSH or part["@type"] != "push" or not {*part.get("routes", ())} <= {*self.lanes}:
+            if (
+                part.keys() - PUSH
+                or part["@type"] != "push"
+                or not {*part.get("routes", ())} <= {*self.lanes}
+            ):
                 self.faults.append(f"not an order: {part}")
             for lane in part.get("routes", self.lanes):
                 table = {} if part.get("full") else self.tables[lane]
                 table.update(part.get("endpoints", ()))
                 self.tables[lane] = {name: weight for name, weight in table.items() if weight}
-                self.admits[lane] = part.get("admit", 1.0 if part.get("full") else self.admits[lane])
+                self.admits[lane] = part.get(
+                    "admit", 1.0 if part.get("full") else self.admits[lane]
+                )
             self.shut = (self.shut | {*part.get("eject", ())}) - {*part.get("restore", ())}
         self.joined = stream
         self._tell()
@@ -222,4 +260,7 @@
         assert self.asked == len(self.answers) > 0
         other = [said for said in self.answers.values() if said != ["done"]]
         assert not other, other
-        assert set(self.workers.effects.values()) == {1} and self.workers.effects.keys() == self.answers.keys()
+        assert (
+            set(self.workers.effects.values()) == {1}
+            and self.workers.effects.keys() == self.answers.keys()
+        )
--- a/tests/running.py
+++ b/tests/running.py
@@ -18,14 +18,18 @@
 from dunlinlug.xds.subscriber import Applied, Holdings, Subscriber
 from tests.test_config import manager_file
 
-WORKERS = tuple(face.Worker(f"127.0.0.1:{7000 + n}", "north" if n % 2 else "south", "", 0, "ready", 1.0, None)
-                for n in range(6))
+WORKERS = tuple(
+    face.Worker(f"127.0.0.1:{7000 + n}", "north" if n % 2 else "south", "", 0, "ready", 1.0, None)
+    for n in range(6)
+)
 
 
 class Running:
     """The manager, its log as (event, fields), and its roster's list."""
 
-    def __init__(self, manager: Manager, roster: "Roster", log: list[tuple[str, dict[str, Any]]]) -> None:
+    def __init__(
+        self, manager: Manager, roster: "Roster", log: list[tuple[str, dict[str, Any]]]
+    ) -> None:
         self.manager, self.roster, self.log = manager, roster, log
         self.address: tuple[str, int] = ("", 0)
 
@@ -58,15 +62,20 @@
 
 
 @asynccontextmanager
-async def running(tmp_path: Path, *changes: tuple[str, str],
-                  make: Callable[[face.Trade], Decider] = Balancer) -> AsyncIterator[Running]:
+async def running(
+    tmp_path: Path, *changes: tuple[str, str], make: Callable[[face.Trade], Decider] = Balancer
+) -> AsyncIterator[Running]:
     roster, log = Roster(), list[tuple[str, dict[str, Any]]]()
     async with trio.open_nursery() as nursery:
         doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(http.serve, roster.answer, doors)
-        path = manager_file(tmp_path, ("127.0.0.1:18500", f"127.0.0.1:{doors[0].socket.getsockname()[1]}"),
-                            ("127.0.0.1:18000", "127.0.0.1:0"), ("store = unused", f"store = {tmp_path / 'store'}"),
-                            *changes)
+        path = manager_file(
+            tmp_path,
+            ("127.0.0.1:18500", f"127.0.0.1:{doors[0].socket.getsockname()[1]}"),
+            ("127.0.0.1:18000", "127.0.0.1:0"),
+            ("store = unused", f"store = {tmp_path / 'store'}"),
+            *changes,
+        )
         manager = Manager(path, terms.read(path), make)
         parts = (manager, manager.loop, manager.service, manager.follower, manager.watch)
         for part in [part for part in parts if part is not None]:
@@ -109,8 +118,7 @@
 
 
 def bound(holdings: Holdings) -> bool:
-    return len(holdings.lines("ticket-read")) == len(WORKERS) and bool(
-        holdings.lines("press-book"))
+    return len(holdings.lines("ticket-read")) == len(WORKERS) and bool(holdings.lines("press-book"))
 
 
 async def until(seen: Callable[[], bool], within: float = 8.0) -> None:
--- a/tests/same_decisions.py
+++ b/tests/same_decisions.py
@@ -59,30 +59,41 @@
 
     def report(self) -> str:
         turn = self.history.turns[self.place]
-        lines = [f"seed {self.history.seed}, turn {self.place} of {len(self.history.turns)}, {turn.now:.3f} s",
-                 f"trade: {told(self.history.trade)}"]
-        for earlier in self.history.turns[max(0, self.place - 3):self.place]:
+        lines = [
+            f"seed {self.history.seed}, turn {self.place} of {len(self.history.turns)}, {turn.now:.3f} s",
+            f"trade: {told(self.history.trade)}",
+        ]
+        for earlier in self.history.turns[max(0, self.place - 3) : self.place]:
             lines += [f"  before, {earlier.now:.3f} s: {event}" for event in earlier.events[-6:]]
         lines += [f"  event: {event}" for event in turn.events[:12]]
         if isinstance(self.present, str):
             return "\n".join([*lines, f"  present text raised {self.present}"])
         pairs = zip([*turn.orders, None], [*self.present, None], strict=False)
-        first = next((n for n, (a, b) in enumerate(pairs) if a is None or b is None or not alike(a, b)), 0)
-        lines.append(f"  {len(turn.orders)} orders by the former, {len(self.present)} by the present; from {first} on:")
-        lines += [f"  former:  {order}" for order in turn.orders[first:first + 6]]
-        lines += [f"  present: {order}" for order in self.present[first:first + 6]]
+        first = next(
+            (n for n, (a, b) in enumerate(pairs) if a is None or b is None or not alike(a, b)), 0
+        )
+        lines.append(
+            f"  {len(turn.orders)} orders by the former, {len(self.present)} by the present; from {first} on:"
+        )
+        lines += [f"  former:  {order}" for order in turn.orders[first : first + 6]]
+        lines += [f"  present: {order}" for order in self.present[first : first + 6]]
         return "\n".join(lines)
 
 
 @dataclass
 class Verdict:
     turns: int = 0
-    rounding: list[str] = field(default_factory=list)  # one line for each turn whose orders differ by rounding
+    rounding: list[str] = field(
+        default_factory=list
+    )  # one line for each turn whose orders differ by rounding
     difference: Difference | None = None
 
 
 def told(trade: face.Trade) -> str:
-    return str(replace(trade, products=trade.products[:2])) + f" and {len(trade.products)} products in all"
+    return (
+        str(replace(trade, products=trade.products[:2]))
+        + f" and {len(trade.products)} products in all"
+    )
 
 
 def alike(former: Any, present: Any) -> bool:
@@ -93,15 +104,22 @@
         return False
     if isinstance(former, float):
         return math.isclose(former, present, rel_tol=ROUNDING, abs_tol=ROUNDING)
-    if isinstance(former, face.Note):  # its figures are printed to two places, so a last one may tip over
+    if isinstance(
+        former, face.Note
+    ):  # its figures are printed to two places, so a last one may tip over
         mine, other = (NUMBER.findall(note.text) for note in (former, present))
         return NUMBER.sub("#", former.text) == NUMBER.sub("#", present.text) and all(
-            abs(float(a) - float(b)) <= (0.0100001 if "." in a else 1.0) for a, b in zip(mine, other, strict=True))
+            abs(float(a) - float(b)) <= (0.0100001 if "." in a else 1.0)
+            for a, b in zip(mine, other, strict=True)
+        )
     return hasattr(former, "__dataclass_fields__") and all(
-        alike(getattr(former, f.name), getattr(present, f.name)) for f in fields(former))
+        alike(getattr(former, f.name), getattr(present, f.name)) for f in fields(former)
+    )
 
 
-def record(seed: int, scale: float = 1.0, make: Callable[[face.Trade], Decides] | None = None) -> History:
+def record(
+    seed: int, scale: float = 1.0, make: Callable[[face.Trade], Decides] | None = None
+) -> History:
     """Play a history with the former text, its blocks counted unless `make` gives it."""
     counts, around, turns = Counter[str](), Surroundings(seed, scale), []
     former, blocks, ran = counted()
@@ -113,7 +131,12 @@
         counts.update(f"event {type(event).__name__}" for event in events)
         counts.update(map(kind, orders))
     counts["turns"] = len(turns)
-    return History(seed, around.trade, turns, counts + around.said + Counter(dict(zip(blocks, ran, strict=True))))
+    return History(
+        seed,
+        around.trade,
+        turns,
+        counts + around.said + Counter(dict(zip(blocks, ran, strict=True))),
+    )
 
 
 def kind(order: face.Order) -> str:
@@ -146,11 +169,15 @@
             verdict.difference = Difference(history, place, orders)
             return verdict
         first = next(pair for pair in zip(turn.orders, orders, strict=True) if pair[0] != pair[1])
-        verdict.rounding.append(f"seed {history.seed}, {turn.now:.3f} s: {first[0]} became {first[1]}")
+        verdict.rounding.append(
+            f"seed {history.seed}, {turn.now:.3f} s: {first[0]} became {first[1]}"
+        )
     return verdict
 
 
-def shrink(difference: Difference, make: Callable[[face.Trade], Decides] = Balancer, tries: int = 200) -> Difference:
+def shrink(
+    difference: Difference, make: Callable[[face.Trade], Decides] = Balancer, tries: int = 200
+) -> Difference:
     """Cut turns, then events, for as long as the two texts still differ, each with this many tries. The rest stays as
     it was, so a cut history may hold answers to marks that were never given; both texts pass over those."""
     from tests.former.balance import Balancer as Former
@@ -168,10 +195,14 @@
         best = found or best
         return found is not None
 
-    turns = difference.history.turns[:difference.place + 1]
+    turns = difference.history.turns[: difference.place + 1]
     best = replace(difference, history=replace(difference.history, turns=turns))
     less([(turn.now, tuple(turn.events)) for turn in turns], differs, tries)
-    less([(turn.now, (event,)) for turn in best.history.turns for event in turn.events], differs, tries)
+    less(
+        [(turn.now, (event,)) for turn in best.history.turns for event in turn.events],
+        differs,
+        tries,
+    )
     return best
 
 
@@ -182,7 +213,7 @@
         begin = 0
         while begin < len(pieces) and tries > 0:
             tries -= 1
-            rest = pieces[:begin] + pieces[begin + size:]
+            rest = pieces[:begin] + pieces[begin + size :]
             if fits(rest):
                 pieces = rest
             else:
@@ -233,7 +264,11 @@
         self.generic_visit(node)
         for arm, what in (("body", "arm"), ("orelse", "other arm")):
             inner = getattr(node, arm)
-            call = ast.Call(ast.Name("_passed", ast.Load()), [ast.Constant(self._number(inner, what)), inner], [])
+            call = ast.Call(
+                ast.Name("_passed", ast.Load()),
+                [ast.Constant(self._number(inner, what)), inner],
+                [],
+            )
             setattr(node, arm, ast.copy_location(call, inner))
         return node
 
@@ -249,7 +284,11 @@
         ran[number] += 1
         return value
 
-    return made(compile(tree, str(former.__file__), "exec"), {"_ran": ran, "_passed": passed}), blocks.names, ran
+    return (
+        made(compile(tree, str(former.__file__), "exec"), {"_ran": ran, "_passed": passed}),
+        blocks.names,
+        ran,
+    )
 
 
 def made(code: types.CodeType, given: dict[str, Any]) -> Callable[[face.Trade], Decides]:
@@ -270,7 +309,9 @@
 def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", default="0:20")
-    parser.add_argument("--turns", type=float, default=1.0, help="times the usual length of a history")
+    parser.add_argument(
+        "--turns", type=float, default=1.0, help="times the usual length of a history"
+    )
     parser.add_argument("--shrink", action="store_true")
     parser.add_argument("--counts", action="store_true", help="print what was covered")
     args = parser.parse_args()
@@ -287,10 +328,16 @@
             difference = shrink(verdict.difference) if args.shrink else verdict.difference
             print(difference.report(), flush=True)
         if place % 100 == 0:
-            print(f"to seed {seed}: {turns} turns, {events} events, {found} differences", file=sys.stderr, flush=True)
+            print(
+                f"to seed {seed}: {turns} turns, {events} events, {found} differences",
+                file=sys.stderr,
+                flush=True,
+            )
     if args.counts:
         print(*(f"{n:9d} {name}" for name, n in sorted(counts.items())), sep="\n")
-    print(f"seeds {args.seeds}: {turns} turns, {events} events, {found} differences, {rounding} turns of rounding")
+    print(
+        f"seeds {args.seeds}: {turns} turns, {events} events, {found} differences, {rounding} turns of rounding"
+    )
     sys.exit(1 if found else 0)
 
 
--- a/tests/standing.py
+++ b/tests/standing.py
@@ -17,23 +17,32 @@
 from tests.test_platform_process import ROOT, SETTINGS, STARTED, Running
 from tests.test_platform_process import _alive as alive
 
-NETLINK_INET_DIAG, SOCK_DIAG_BY_FAMILY, NLM_F_REQUEST = 4, 20, 1  # linux/netlink.h, linux/sock_diag.h
+NETLINK_INET_DIAG, SOCK_DIAG_BY_FAMILY, NLM_F_REQUEST = (
+    4,
+    20,
+    1,
+)  # linux/netlink.h, linux/sock_diag.h
 
 
 def listed(generation: int, *instances: dict[str, Any], reset: bool = True) -> bytes:
-    return json.dumps({"generation": generation, "reset": reset, "instances": instances},
-                      ensure_ascii=False).encode()
+    return json.dumps(
+        {"generation": generation, "reset": reset, "instances": instances}, ensure_ascii=False
+    ).encode()
 
 
 def answered(body: bytes) -> bytes:
-    return b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n%s" % (len(body), body)
+    return b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n%s" % (
+        len(body),
+        body,
+    )
 
 
 def chunked(body: bytes, size: int) -> bytes:
     """The same by chunks of so many bytes, wherever that cuts."""
-    parts = [body[n:n + size] for n in range(0, len(body), size)]
+    parts = [body[n : n + size] for n in range(0, len(body), size)]
     return b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + b"".join(
-        b"%x\r\n%s\r\n" % (len(part), part) for part in [*parts, b""])
+        b"%x\r\n%s\r\n" % (len(part), part) for part in [*parts, b""]
+    )
 
 
 class Agent:
@@ -76,7 +85,9 @@
     def tell(self, *entries: dict[str, Any]) -> None:
         self.version += 1
         self.instances.update({entry["instanceId"]: entry for entry in entries})
-        self.instances = {name: entry for name, entry in self.instances.items() if entry["lifecycle"] != "gone"}
+        self.instances = {
+            name: entry for name, entry in self.instances.items() if entry["lifecycle"] != "gone"
+        }
         self.changes += [(self.version, entry) for entry in entries]
         self.changed.set()
         self.changed = trio.Event()
@@ -98,7 +109,10 @@
 
     def __init__(self, folder: Path, place: str, count: int, **more: Any) -> None:
         self.folder, self.place, self.more = folder, place, more
-        self.ports, self.processes = free_ports(count), list[trio.Process]()  # the latter: all ever started
+        self.ports, self.processes = (
+            free_ports(count),
+            list[trio.Process](),
+        )  # the latter: all ever started
         self.running: dict[int, Running] = {}
         self.logs: list[Path] = []
 
@@ -115,8 +129,11 @@
         self.logs.append(log := self.folder / f"log{n}.{len(self.logs)}")
         with log.open("wb") as out:
             process = await trio.lowlevel.open_process(
-                ["/bin/sh", "-c", f"ulimit -n {files}; {STARTED}"], cwd=ROOT, stderr=out,
-                env={**environment, "ROUTER_CONFIG": str(self.config(n))})
+                ["/bin/sh", "-c", f"ulimit -n {files}; {STARTED}"],
+                cwd=ROOT,
+                stderr=out,
+                env={**environment, "ROUTER_CONFIG": str(self.config(n))},
+            )
         self.processes.append(process)
         self.running[n] = Running(process, self.ports[n], Discovery([]), self.config(n), log)
 
@@ -140,8 +157,13 @@
 
 
 @asynccontextmanager
-async def managers(folder: Path, serve: Callable[[trio.SocketStream], Awaitable[None]], count: int, wait: bool = True,
-                   **more: Any) -> AsyncIterator[tuple[Managers, trio.Nursery]]:
+async def managers(
+    folder: Path,
+    serve: Callable[[trio.SocketStream], Awaitable[None]],
+    count: int,
+    wait: bool = True,
+    **more: Any,
+) -> AsyncIterator[tuple[Managers, trio.Nursery]]:
     """So many, before the discovery that `serve` plays, with `more` in their configuration; where we `wait`, each has
     answered `alive`."""
     async with trio.open_nursery() as nursery:
@@ -161,8 +183,9 @@
 
 
 @asynccontextmanager
-async def serving(folder: Path, serve: Callable[[trio.SocketStream], Awaitable[None]],
-                  **more: Any) -> AsyncIterator[tuple[Running, trio.Nursery]]:
+async def serving(
+    folder: Path, serve: Callable[[trio.SocketStream], Awaitable[None]], **more: Any
+) -> AsyncIterator[tuple[Running, trio.Nursery]]:
     """The same with one, which is still there at the end."""
     async with managers(folder, serve, 1, **more) as (made, nursery):
         yield made.running[0], nursery
@@ -177,11 +200,18 @@
         peer, ours = stream.socket.getpeername(), stream.socket.getsockname()
     except OSError:
         return None
-    ends = struct.pack("!HH4s12x4s12x", peer[1], ours[1], socket.inet_aton(peer[0]), socket.inet_aton(ours[0]))
-    asked = struct.pack("=BBBBI", socket.AF_INET, socket.IPPROTO_TCP, 0, 0, 0xFFFFFFFF) + ends + struct.pack(
-        "=III", 0, 0xFFFFFFFF, 0xFFFFFFFF)  # of any state and interface, by no cookie
+    ends = struct.pack(
+        "!HH4s12x4s12x", peer[1], ours[1], socket.inet_aton(peer[0]), socket.inet_aton(ours[0])
+    )
+    asked = (
+        struct.pack("=BBBBI", socket.AF_INET, socket.IPPROTO_TCP, 0, 0, 0xFFFFFFFF)
+        + ends
+        + struct.pack("=III", 0, 0xFFFFFFFF, 0xFFFFFFFF)
+    )  # of any state and interface, by no cookie
     with socket.socket(socket.AF_NETLINK, socket.SOCK_DGRAM, NETLINK_INET_DIAG) as diagnosis:
-        diagnosis.send(struct.pack("=IHHII", 16 + len(asked), SOCK_DIAG_BY_FAMILY, NLM_F_REQUEST, 1, 0) + asked)
+        diagnosis.send(
+            struct.pack("=IHHII", 16 + len(asked), SOCK_DIAG_BY_FAMILY, NLM_F_REQUEST, 1, 0) + asked
+        )
         answer = diagnosis.recv(4096)
     if struct.unpack_from("=H", answer, 4)[0] != SOCK_DIAG_BY_FAMILY:
         return None  # an error: there is none any more
@@ -189,7 +219,9 @@
     return unread
 
 
-async def in_pieces(stream: trio.SocketStream, pieces: Iterable[bytes], within: float = 8.0) -> None:
+async def in_pieces(
+    stream: trio.SocketStream, pieces: Iterable[bytes], within: float = 8.0
+) -> None:
     """Each piece is written once the peer's process has read the one before, so that each is a reading of its own."""
     stream.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
     with trio.fail_after(within):
@@ -200,14 +232,21 @@
 
 
 def one_by_one(data: bytes) -> list[bytes]:
-    return [data[n:n + 1] for n in range(len(data))]
-
-
-def settings(zones: tuple[str, ...] = ("a", "b"), lanes: tuple[str, str] = ("read", "book"),
-             **specifics: Any) -> dict[str, Any]:
-    return {**SETTINGS, "dcs": list(zones), "zone": zones[0],
-            "lanes": [{**lane, "name": name} for lane, name in zip(SETTINGS["lanes"], lanes, strict=True)],
-            "specifics": {**SETTINGS["specifics"], **specifics}}
+    return [data[n : n + 1] for n in range(len(data))]
+
+
+def settings(
+    zones: tuple[str, ...] = ("a", "b"), lanes: tuple[str, str] = ("read", "book"), **specifics: Any
+) -> dict[str, Any]:
+    return {
+        **SETTINGS,
+        "dcs": list(zones),
+        "zone": zones[0],
+        "lanes": [
+            {**lane, "name": name} for lane, name in zip(SETTINGS["lanes"], lanes, strict=True)
+        ],
+        "specifics": {**SETTINGS["specifics"], **specifics},
+    }
 
 
 def known(*instances: dict[str, Any]) -> dict[str, Any]:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,28 +12,65 @@
 from dunlinlug.drill.host import serve
 
 INFO = {
-    "dcs": ["north"], "zone": "north", "membershipMode": "subscribe", "caps": {"probes": True, "other": 1},
-    "lanes": [{"aimUs": 800000, "effect": "pure", "hardLimitUs": 2000000, "name": "read", "points": 1.0},
-              {"aimUs": 800000, "effect": "token", "hardLimitUs": 2000000, "name": "book", "points": 5.0}],
+    "dcs": ["north"],
+    "zone": "north",
+    "membershipMode": "subscribe",
+    "caps": {"probes": True, "other": 1},
+    "lanes": [
+        {"aimUs": 800000, "effect": "pure", "hardLimitUs": 2000000, "name": "read", "points": 1.0},
+        {"aimUs": 800000, "effect": "token", "hardLimitUs": 2000000, "name": "book", "points": 5.0},
+    ],
     "reporting": {"fields": ["depth", "mean_ms"], "how": "answers"},
-    "rules": {"askEveryUs": 10000000, "coldUs": 18000000, "drainGraceUs": 3000000, "fallUs": 2000000,
-              "startCapacity": 0.2, "tipMultiple": 3.0},
-    "specifics": {"admit": "ratio", "egressPerS": 1300.0, "emptyForUs": 4700000, "pendingMax": 2000.0,
-                  "perMessage": 4.0, "transitUs": 252000, "usualHow": 1, "cycleUs": 500000, "keyRanges": 0},
+    "rules": {
+        "askEveryUs": 10000000,
+        "coldUs": 18000000,
+        "drainGraceUs": 3000000,
+        "fallUs": 2000000,
+        "startCapacity": 0.2,
+        "tipMultiple": 3.0,
+    },
+    "specifics": {
+        "admit": "ratio",
+        "egressPerS": 1300.0,
+        "emptyForUs": 4700000,
+        "pendingMax": 2000.0,
+        "perMessage": 4.0,
+        "transitUs": 252000,
+        "usualHow": 1,
+        "cycleUs": 500000,
+        "keyRanges": 0,
+    },
+}
+ROW = {
+    "worker": "10.0.0.1:80",
+    "locality": "north",
+    "classOfHost": "",
+    "bay": 0,
+    "state": "active",
+    "weight": 1,
+    "sinceUs": None,
 }
-ROW = {"worker": "10.0.0.1:80", "locality": "north", "classOfHost": "", "bay": 0, "state": "active",
-       "weight": 1, "sinceUs": None}
 
 
 def start(manager: str, **specifics: object) -> list[dict]:
     info = {**INFO, "specifics": {**INFO["specifics"], **specifics}}
-    return [{"verb": "NewInstance", "manager": manager, "nonce64": 5, "info": info},
-            {"verb": "Discovery", "manager": manager, "form": "restored", "gen": 1, "membersList": [ROW]}]
+    return [
+        {"verb": "NewInstance", "manager": manager, "nonce64": 5, "info": info},
+        {
+            "verb": "Discovery",
+            "manager": manager,
+            "form": "restored",
+            "gen": 1,
+            "membersList": [ROW],
+        },
+    ]
 
 
 def talk(*batches: list[dict]) -> list[dict]:
-    lines = [json.dumps({"nowUs": 10**6 * (n + 1), "n": n, "happened": batch}).encode()
-             for n, batch in enumerate(batches)]
+    lines = [
+        json.dumps({"nowUs": 10**6 * (n + 1), "n": n, "happened": batch}).encode()
+        for n, batch in enumerate(batches)
+    ]
     out = io.BytesIO()
     serve(io.BytesIO(b"\n".join(lines) + b"\n"), out)
     return [json.loads(line) for line in out.getvalue().splitlines()]
@@ -43,7 +80,14 @@
     return [decision["verb"] for decision in reply["decisions"] if decision["manager"] == manager]
 
 
-JOIN = {"verb": "Joined", "manager": "manager/0", "proxy": 4, "yes": True, "weight": 1.0, "locality": "north"}
+JOIN = {
+    "verb": "Joined",
+    "manager": "manager/0",
+    "proxy": 4,
+    "yes": True,
+    "weight": 1.0,
+    "locality": "north",
+}
 
 
 def test_a_joiner_is_bound_to_every_product_and_marked() -> None:
@@ -63,10 +107,22 @@
 
 
 def test_unknown_verbs_and_departed_proxies_are_disregarded() -> None:
-    odd = [{"verb": "Comet", "tail": 1}, {"verb": "Left", "manager": "manager/0", "proxy": 77, "new": 2},
-           {"verb": "Receipt", "manager": "manager/0", "proxy": 77, "gen": 9, "costTimeUs": 1},
-           {"verb": "TrafficReport", "manager": "manager/0", "locality": "north", "worker": "10.9.9.9:1",
-            "count": 1, "errors": 1, "costTimeUs": 0, "windowUs": 500000, "usage": None}]
+    odd = [
+        {"verb": "Comet", "tail": 1},
+        {"verb": "Left", "manager": "manager/0", "proxy": 77, "new": 2},
+        {"verb": "Receipt", "manager": "manager/0", "proxy": 77, "gen": 9, "costTimeUs": 1},
+        {
+            "verb": "TrafficReport",
+            "manager": "manager/0",
+            "locality": "north",
+            "worker": "10.9.9.9:1",
+            "count": 1,
+            "errors": 1,
+            "costTimeUs": 0,
+            "windowUs": 500000,
+            "usage": None,
+        },
+    ]
     assert talk(start("manager/0"), odd)[1]["decisions"] == []
 
 
@@ -82,17 +138,39 @@
 
 
 def test_units_and_words_are_ours_inside() -> None:
-    met = codec.read_event("TrafficReport", {"locality": "north", "worker": "w", "count": 4, "errors": 1,
-                                             "costTimeUs": 250000, "windowUs": 500000, "usage": [3, 14.5]},
-                           ("queue", "service_s"))
+    met = codec.read_event(
+        "TrafficReport",
+        {
+            "locality": "north",
+            "worker": "w",
+            "count": 4,
+            "errors": 1,
+            "costTimeUs": 250000,
+            "windowUs": 500000,
+            "usage": [3, 14.5],
+        },
+        ("queue", "service_s"),
+    )
     assert (met.took, met.span, met.load) == (0.25, 0.5, {"queue": 3.0, "service_s": 0.0145})
     assert codec.read_start(start("manager/0")[0]).products[1].repeats == "referenced"
 
 
-@pytest.mark.parametrize(("line", "fault"), [
-    (b"{", "not JSON"), (b"[]", "object"), (b'{"happened":[]}', "nowUs"), (b'{"nowUs":1}', "happened"),
-    (b'{"nowUs":1,"happened":[{"verb":"NewInstance","manager":"m"}]}', "NewInstance"),
-])
+@pytest.mark.parametrize(
+    ("line", "fault"),
+    [
+        (b"{", "not JSON"),
+        (b"[]", "object"),
+        (b'{"happened":[]}', "nowUs"),
+        (b'{"nowUs":1}', "happened"),
+        (b'{"nowUs":1,"happened":[{"verb":"NewInstance","manager":"m"}]}', "NewInstance"),
+    ],
+)
 def test_a_malformed_line_is_named_without_a_traceback(line: bytes, fault: str) -> None:
-    done = subprocess.run([sys.executable, "-m", "dunlinlug.drill"], input=line + b"\n", capture_output=True)
-    assert done.returncode and fault in done.stderr.decode() and "Traceback" not in done.stderr.decode()
+    done = subprocess.run(
+        [sys.executable, "-m", "dunlinlug.drill"], input=line + b"\n", capture_output=True
+    )
+    assert (
+        done.returncode
+        and fault in done.stderr.decode()
+        and "Traceback" not in done.stderr.decode()
+    )
