--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -17,7 +17,9 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_ten_messages_in_ten_seconds_are_kept_to_by_proxies_that_break_off_and_come_back(seed: int) -> None:
+def test_ten_messages_in_ten_seconds_are_kept_to_by_proxies_that_break_off_and_come_back(
+    seed: int,
+) -> None:
     model = run(Model(trade(channel=face.Channel(1200.0, 4.0, 2400.0, 0.2, 0.5, 10, 10.0))), seed)
     assert "messages" not in model.broken
 
@@ -57,8 +59,13 @@
     model.step(0.1, [face.Listed("kept", tuple(worker(n) for n in range(9)))])
     model.step(0.1, [face.Joined(p, ZONES[p % 3], 5.0, True) for p in range(6)])
     for _ in range(20):
-        model.step(0.5, [face.Met(ZONES[n % 3], worker(n).id, 20, 20 if n % 3 == 1 else 0, 0.2, 0.5)
-                         for n in range(9)])
+        model.step(
+            0.5,
+            [
+                face.Met(ZONES[n % 3], worker(n).id, 20, 20 if n % 3 == 1 else 0, 0.2, 0.5)
+                for n in range(9)
+            ],
+        )
     assert len(model.withdrawn) == 2 and not model.broken
 
 
@@ -88,13 +95,31 @@
     return set().union(*(run(Model(trade(), pace), seed).broken for seed in range(4)))
 
 
-@pytest.mark.parametrize(("rule", "change"), [
-    ("bare", lambda module, wanted: wanted.out.update(range(len(module.fleet.ids)))),
-    ("an effect twice", lambda module, wanted: setattr(wanted, "levels", [(1.0, 2)] * len(wanted.levels))),
-    ("drain", lambda module, wanted: (wanted.out.clear(), setattr(wanted, "shares", [
-        {**wanted.shares[0], **{i: 1.0 for i in range(len(module.fleet.ids))}}] * len(wanted.shares)))),
-])
-def test_the_model_sees_a_broken_rule(rule: str, change: object, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("rule", "change"),
+    [
+        ("bare", lambda module, wanted: wanted.out.update(range(len(module.fleet.ids)))),
+        (
+            "an effect twice",
+            lambda module, wanted: setattr(wanted, "levels", [(1.0, 2)] * len(wanted.levels)),
+        ),
+        (
+            "drain",
+            lambda module, wanted: (
+                wanted.out.clear(),
+                setattr(
+                    wanted,
+                    "shares",
+                    [{**wanted.shares[0], **{i: 1.0 for i in range(len(module.fleet.ids))}}]
+                    * len(wanted.shares),
+                ),
+            ),
+        ),
+    ],
+)
+def test_the_model_sees_a_broken_rule(
+    rule: str, change: object, monkeypatch: pytest.MonkeyPatch
+) -> None:
     assert rule in broken_by(monkeypatch, change)
 
 
@@ -116,8 +141,12 @@
 def test_the_model_sees_too_many_messages(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Account, "scarce", lambda self, proxy, now, rank: False)
     flip = iter(range(10**6))
-    assert "messages" in broken_by(monkeypatch, lambda module, wanted: setattr(
-        wanted, "out", {next(flip) % 2, 2 + next(flip) % 3} if module.fleet.ids else set()))
+    assert "messages" in broken_by(
+        monkeypatch,
+        lambda module, wanted: setattr(
+            wanted, "out", {next(flip) % 2, 2 + next(flip) % 3} if module.fleet.ids else set()
+        ),
+    )
 
 
 class Bunched(Model):
@@ -134,7 +163,9 @@
 
     def step(self, span: float, events: list[face.Event]) -> None:
         self.waiting += events
-        if self.module.fleet.ids and self.random.random() < 0.75:  # the list as kept comes first, as hosts tell it
+        if (
+            self.module.fleet.ids and self.random.random() < 0.75
+        ):  # the list as kept comes first, as hosts tell it
             return super().step(span, [])
         self.random.shuffle(self.waiting if self.module.fleet.ids else [])
         events, self.waiting = self.waiting, []
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,20 @@
 import trio
 import trio.testing
 
-from bench.scale import accounting, budget, discovery, hollow, part, proxies, rules, run, scenario, stage, sweep, truth
+from bench.scale import (
+    accounting,
+    budget,
+    discovery,
+    hollow,
+    part,
+    proxies,
+    rules,
+    run,
+    scenario,
+    stage,
+    sweep,
+    truth,
+)
 from bench.scale.__main__ import main
 from dunlinlug.config import ConfigFault
 from dunlinlug.fleet.members import codec
@@ -56,27 +69,59 @@
 
 # Scenarios.
 
-@pytest.mark.parametrize(("text", "line", "said"), [
-    ("[scale]\nname = a\nsizes = 4x\n", 1, "sizes holds '4x'"),
-    ("[scale]\nname = a\nsizes = 4\nclock = 1%\n", 1, "from 2% to 100%"),
-    ("[scale]\nname = a\nsizes = 10\nlenght = 4s\n", 4, "did you mean 'length'"),
-    ("[scale]\nname = a\nsizes = 10\nlength = 4\n", 4, "a time with its unit"),
-    ("[scale]\nname = a\nsizes = 3\n", 3, "3 members leave no room for 5 real ones"),
-    ("[scale]\nname = a\nsizes = 6\n[step x]\nkind = rack\nat = 1s\nlasts = 2s\n", 3, "and hollow ones to take down"),
-    ("[scale]\nname = a\nsizes = 10\n[step x]\nkind = quake\nat = 1s\nlasts = 2s\n", 5, "'quake' is not one of churn"),
-    ("[scale]\nname = a\nsizes = 10\n\n[step x]\nkind = rack\nat = 29s\nlasts = 2s\n", 5, "ends at 31 s, after"),
-    ("[scale]\nname = a\nsizes = 10\n[step x]\nkind = restart\nat = 1s\nlasts = 3s\nsize = 3\n", 4, "4 steps"),
-    ("[scale]\nname = a\nsizes = 10\n[bounds]\nmemory_mb = 64000\n", 4, "memory_mb is at most 12000"),
-    ("[scale]\nname = a\nsizes = 10\n[step x]\nkind = rack\nat = 1s\n", 4, "key 'lasts' is missing"),
-])
-def test_a_mistake_is_one_line_with_file_and_line_and_status_2(tmp_path: Path, capsys: pytest.CaptureFixture[str],
-                                                               text: str, line: int, said: str) -> None:
+
+@pytest.mark.parametrize(
+    ("text", "line", "said"),
+    [
+        ("[scale]\nname = a\nsizes = 4x\n", 1, "sizes holds '4x'"),
+        ("[scale]\nname = a\nsizes = 4\nclock = 1%\n", 1, "from 2% to 100%"),
+        ("[scale]\nname = a\nsizes = 10\nlenght = 4s\n", 4, "did you mean 'length'"),
+        ("[scale]\nname = a\nsizes = 10\nlength = 4\n", 4, "a time with its unit"),
+        ("[scale]\nname = a\nsizes = 3\n", 3, "3 members leave no room for 5 real ones"),
+        (
+            "[scale]\nname = a\nsizes = 6\n[step x]\nkind = rack\nat = 1s\nlasts = 2s\n",
+            3,
+            "and hollow ones to take down",
+        ),
+        (
+            "[scale]\nname = a\nsizes = 10\n[step x]\nkind = quake\nat = 1s\nlasts = 2s\n",
+            5,
+            "'quake' is not one of churn",
+        ),
+        (
+            "[scale]\nname = a\nsizes = 10\n\n[step x]\nkind = rack\nat = 29s\nlasts = 2s\n",
+            5,
+            "ends at 31 s, after",
+        ),
+        (
+            "[scale]\nname = a\nsizes = 10\n[step x]\nkind = restart\nat = 1s\nlasts = 3s\nsize = 3\n",
+            4,
+            "4 steps",
+        ),
+        (
+            "[scale]\nname = a\nsizes = 10\n[bounds]\nmemory_mb = 64000\n",
+            4,
+            "memory_mb is at most 12000",
+        ),
+        (
+            "[scale]\nname = a\nsizes = 10\n[step x]\nkind = rack\nat = 1s\n",
+            4,
+            "key 'lasts' is missing",
+        ),
+    ],
+)
+def test_a_mistake_is_one_line_with_file_and_line_and_status_2(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, line: int, said: str
+) -> None:
     path = tmp_path / "a.ini"
     path.write_text(text)
     with pytest.raises(ConfigFault, match=said.replace("'", ".")) as caught:
         scenario.read(path)
     assert str(caught.value).startswith(f"{path}:{line}: ")
-    for words in (["run", str(path), "--results", str(tmp_path)], ["sweep", "--results", str(tmp_path), str(path)]):
+    for words in (
+        ["run", str(path), "--results", str(tmp_path)],
+        ["sweep", "--results", str(tmp_path), str(path)],
+    ):
         assert main(words) == 2
         assert capsys.readouterr().err == f"bench.scale: {caught.value}\n"
 
@@ -94,13 +139,19 @@
 
 
 def test_a_plan_leaves_seeds_alone_and_real_managers_on_the_larger_side(tmp_path: Path) -> None:
-    steps = "".join(f"[step {kind}]\nkind = {kind}\nat = 1s\nlasts = 9s\npart = 40%\nsize = 20\nevery = 1s\n"
-                    for kind in ("rack", "zone", "split", "restart"))
+    steps = "".join(
+        f"[step {kind}]\nkind = {kind}\nat = 1s\nlasts = 9s\npart = 40%\nsize = 20\nevery = 1s\n"
+        for kind in ("rack", "zone", "split", "restart")
+    )
     for seed in range(30):
         book = book_of(tmp_path, f"[scale]\nname = a\nsizes = 100\nseed = {seed}\n{steps}")
         plan = scenario.plan(book, 100)
         struck = {act.do: act.names for act in plan.acts if act.do in ("cut", "heal")}
-        assert struck["cut"] == struck["heal"] and len(struck["cut"]) == 40 and not {*struck["cut"]} & {*plan.real}
+        assert (
+            struck["cut"] == struck["heal"]
+            and len(struck["cut"]) == 40
+            and not {*struck["cut"]} & {*plan.real}
+        )
         downs = [act.names for act in plan.acts if act.do == "down"]
         assert sorted(map(len, downs)) in ([9, 20], [10, 20])  # a seed may stand in the zone
         assert not {"h0", "h1"} & {name for names in downs for name in names}
@@ -193,7 +244,9 @@
     """Without the guard on sides: during a cut everything is excused."""
 
     def excuses(self, verdict: truth.Verdict, late: float) -> bool:
-        return super().excuses(verdict, late) or any(s.begin <= verdict.at < s.end for s, _ in self.cuts)
+        return super().excuses(verdict, late) or any(
+            s.begin <= verdict.at < s.end for s, _ in self.cuts
+        )
 
 
 class NoGrace(truth.Timeline):
@@ -211,25 +264,59 @@
 
 
 def test_false_verdicts_are_those_on_members_that_were_up_and_reachable() -> None:
-    timeline = told([(10.0, "down", ("a",)), (20.0, "up", ("a",)), (30.0, "cut", ("b",)), (40.0, "heal", ("b",))])
-    verdicts = [truth.Verdict(*words) for words in (
-        (9.9, "c", "a"), (11.0, "c", "a"), (21.0, "c", "a"), (25.0, "c", "a"), (31.0, "c", "b"), (31.0, "b", "c"),
-        (31.0, "c", "a"), (42.0, "c", "a"), (45.0, "c", "b"), (5.0, "a", "a"))]
-    assert truth.false(verdicts, timeline, 3.0) == [verdicts[0], verdicts[3], verdicts[6], verdicts[8]]
+    timeline = told(
+        [
+            (10.0, "down", ("a",)),
+            (20.0, "up", ("a",)),
+            (30.0, "cut", ("b",)),
+            (40.0, "heal", ("b",)),
+        ]
+    )
+    verdicts = [
+        truth.Verdict(*words)
+        for words in (
+            (9.9, "c", "a"),
+            (11.0, "c", "a"),
+            (21.0, "c", "a"),
+            (25.0, "c", "a"),
+            (31.0, "c", "b"),
+            (31.0, "b", "c"),
+            (31.0, "c", "a"),
+            (42.0, "c", "a"),
+            (45.0, "c", "b"),
+            (5.0, "a", "a"),
+        )
+    ]
+    assert truth.false(verdicts, timeline, 3.0) == [
+        verdicts[0],
+        verdicts[3],
+        verdicts[6],
+        verdicts[8],
+    ]
 
 
 def test_who_saw_a_death_is_told_by_each_other_member_once_and_none_is_owed_by_the_struck() -> None:
     for seed in range(100):
         chance = Random(seed)
-        timeline = told([(10.0, "down", ("m0",)), (30.0, "up", ("m0",)), (12.0, "down", ("m1",)),
-                         (50.0, "up", ("m1",))])
+        timeline = told(
+            [
+                (10.0, "down", ("m0",)),
+                (30.0, "up", ("m0",)),
+                (12.0, "down", ("m1",)),
+                (50.0, "up", ("m1",)),
+            ]
+        )
         timeline.down(15.0, ["m2"], planned=True)
-        verdicts = [truth.Verdict(chance.uniform(0.0, 60.0), *chance.sample(NAMES, 2)) for _ in range(60)]
+        verdicts = [
+            truth.Verdict(chance.uniform(0.0, 60.0), *chance.sample(NAMES, 2)) for _ in range(60)
+        ]
         found = truth.seen(verdicts, timeline, NAMES)
         each, missing = [], 0
         for victim, begin, end in (("m0", 10.0, 30.0), ("m1", 12.0, 50.0)):
             for by in ("m3", "m4", "m5"):  # m0, m1 and m2 are down in the same span themselves
-                times = [v.at for v in verdicts if (v.by, v.of) == (by, victim) and begin <= v.at < end]
+                times = [
+                    v.at for v in verdicts if (v.by, v.of) == (by, victim) and begin <= v.at < end
+                ]
                 each += [min(times) - begin] if times else []
                 missing += not times
         assert sorted(found["each"]) == sorted(each) and found["missing"] == missing
@@ -238,7 +325,11 @@
 
 def test_lists_lost_or_out_of_order_are_named() -> None:
     assert truth.disordered({"a": [1, 2, 5], "b": [1, 3, 2], "c": [4, 4], "d": []}) == ["b", "c"]
-    assert truth.lost({"a": (7, "x"), "b": (6, "x"), "c": (7, "y"), "d": (0, "")}, 7, "x") == ["b", "c", "d"]
+    assert truth.lost({"a": (7, "x"), "b": (6, "x"), "c": (7, "y"), "d": (0, "")}, 7, "x") == [
+        "b",
+        "c",
+        "d",
+    ]
     taken = {"a": [(1, 0.5), (3, 2.5)], "b": [(1, 0.7), (2, 1.5), (3, 2.2)]}
     assert truth.reached({1: 0.0, 2: 1.0, 3: 2.0}, taken) == [0.7, 1.5, 0.5]
     assert truth.reached({4: 3.0}, taken) == [] == truth.reached({1: 0.0}, {})
@@ -246,6 +337,7 @@
 
 # Sums.
 
+
 def test_sums_over_processes_are_those_of_a_plain_list_of_all_messages() -> None:
     for seed in range(50):
         chance = Random(seed)
@@ -253,9 +345,15 @@
         role = accounting.Role()
         for counted in (False, True):
             if counted:
-                before = [accounting.Reading(n, 10.0, meter.said(), 0.5) for n, meter in enumerate(meters)]
+                before = [
+                    accounting.Reading(n, 10.0, meter.said(), 0.5) for n, meter in enumerate(meters)
+                ]
             for _ in range(100):
-                kind, way, size = chance.choice("pang"), chance.choice(["in", "out"]), chance.randrange(1400)
+                kind, way, size = (
+                    chance.choice("pang"),
+                    chance.choice(["in", "out"]),
+                    chance.randrange(1400),
+                )
                 chance.choice(meters).add(kind, way, size)
                 log.append((kind, way, size, counted))
         for n, meter in enumerate(meters):
@@ -267,40 +365,68 @@
                 assert found["messages"][kind][way] == len(sizes)
                 assert found["messages"][kind][f"bytes_{way}"] == sum(sizes)
         assert (found["processes"], found["members"], found["rss_mb"]) == (3, 12, 63.0)
-        assert (found["cpu_s"], found["cpu_share_per_member"], found["control_cpu_s"]) == (6.0, 0.05, 1.5)
-        assert found["per_member_s"]["out"] == round(sum(w == "out" and c for _, w, _, c in log) / 120, 3)
+        assert (found["cpu_s"], found["cpu_share_per_member"], found["control_cpu_s"]) == (
+            6.0,
+            0.05,
+            1.5,
+        )
+        assert found["per_member_s"]["out"] == round(
+            sum(w == "out" and c for _, w, _, c in log) / 120, 3
+        )
 
 
 def role_of(members: int, **kinds: int) -> dict[str, Any]:
-    return {"members": members, "messages": {
-        kind: {"in": count * members, "out": count * members, "bytes_in": 100 * count * members,
-               "bytes_out": 100 * count * members} for kind, count in kinds.items()}}
-
-
-@pytest.mark.parametrize(("real", "hollow", "valid"), [
-    (role_of(2, ping=1000, ack=500), role_of(9, ping=1040, ack=490), True),
-    (role_of(2, ping=1000, ack=500), role_of(9, ping=1060, ack=500), False),  # one kind too often
-    (role_of(2, ping=1000, ack=500), role_of(9, ping=1000, ack=440), False),
-    (role_of(2, ping=1000, ack=500), role_of(9, ping=1000), False),  # one kind is never said
-    (role_of(2, ping=1000, ask=30), role_of(9, ping=1000, ask=12), True),  # too rare to tell
-    (role_of(2, ping=50), role_of(9, ping=50), False),  # too little to tell anything
-    (role_of(2, ping=1000), role_of(0, ping=1000), False),
-    (role_of(2, ping=1000, list=300), role_of(9, ping=1000, list=200), False),
-])
-def test_hollow_members_are_valid_only_where_all_that_tells_enough_agrees(real: dict[str, Any], hollow: dict[str, Any],
-                                                                          valid: bool) -> None:
+    return {
+        "members": members,
+        "messages": {
+            kind: {
+                "in": count * members,
+                "out": count * members,
+                "bytes_in": 100 * count * members,
+                "bytes_out": 100 * count * members,
+            }
+            for kind, count in kinds.items()
+        },
+    }
+
+
+@pytest.mark.parametrize(
+    ("real", "hollow", "valid"),
+    [
+        (role_of(2, ping=1000, ack=500), role_of(9, ping=1040, ack=490), True),
+        (
+            role_of(2, ping=1000, ack=500),
+            role_of(9, ping=1060, ack=500),
+            False,
+        ),  # one kind too often
+        (role_of(2, ping=1000, ack=500), role_of(9, ping=1000, ack=440), False),
+        (role_of(2, ping=1000, ack=500), role_of(9, ping=1000), False),  # one kind is never said
+        (role_of(2, ping=1000, ask=30), role_of(9, ping=1000, ask=12), True),  # too rare to tell
+        (role_of(2, ping=50), role_of(9, ping=50), False),  # too little to tell anything
+        (role_of(2, ping=1000), role_of(0, ping=1000), False),
+        (role_of(2, ping=1000, list=300), role_of(9, ping=1000, list=200), False),
+    ],
+)
+def test_hollow_members_are_valid_only_where_all_that_tells_enough_agrees(
+    real: dict[str, Any], hollow: dict[str, Any], valid: bool
+) -> None:
     assert accounting.compared(real, hollow, 0.05)["valid"] is valid
 
 
 def test_a_spread_tells_three_figures() -> None:
     found = accounting.spread([n / 100 for n in range(1, 101)])
-    assert found == {"count": 100, "p50": pytest.approx(0.5, rel=2e-3), "p99": pytest.approx(0.99, rel=2e-3),
-                     "most": 1.0}
+    assert found == {
+        "count": 100,
+        "p50": pytest.approx(0.5, rel=2e-3),
+        "p99": pytest.approx(0.99, rel=2e-3),
+        "most": 1.0,
+    }
     assert accounting.spread([]) == {"count": 0}
 
 
 # The machine.
 
+
 def test_bounds_are_judged_by_what_is_held() -> None:
     assert budget.over(12000.0, 200, 12000, 200) == ""
     assert "12001 MB, over its bound of 12000" in budget.over(12001.0, 1, 12000, 200)
@@ -309,8 +435,10 @@
 
 
 def test_what_waits_and_drops_at_sockets_is_read_from_the_kernel() -> None:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as here, socket.socket(
-            socket.AF_INET, socket.SOCK_DGRAM) as there:
+    with (
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as here,
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as there,
+    ):
         here.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         here.bind(("127.0.0.1", 0))
         looked = budget.Datagrams({here.getsockname()[1]: "hollow"})
@@ -326,7 +454,9 @@
                 got += 1
         except BlockingIOError:
             pass
-        assert 0 < got < 100 and looked.dropped("hollow") == 100 - got and looked.dropped("real") == 0
+        assert (
+            0 < got < 100 and looked.dropped("hollow") == 100 - got and looked.dropped("real") == 0
+        )
         assert looked.longest["hollow"] >= 1000
 
 
@@ -382,7 +512,9 @@
     opener.beyond = frozenset({"a"})
     with pytest.raises(codec.Refused, match="cut"):
         opener.open(sealer.seal(ping))
-    assert meter.said() == {"ping": {"in": 1, "out": 2, "bytes_in": len(data), "bytes_out": 2 * len(data)}}
+    assert meter.said() == {
+        "ping": {"in": 1, "out": 2, "bytes_in": len(data), "bytes_out": 2 * len(data)}
+    }
     assert meter.counts == {"refused replay": 1, "refused cut": 1}
 
 
@@ -393,8 +525,12 @@
         changed = discovery.churned(workers, 20, Random(seed))
         assert len({worker.id for worker in changed}) == 20
         assert all(worker.state == "draining" for worker in changed)
-        assert all(worker.state == "ready" for worker in discovery.churned(
-            {worker.id: worker for worker in changed}, 20, Random(seed)))
+        assert all(
+            worker.state == "ready"
+            for worker in discovery.churned(
+                {worker.id: worker for worker in changed}, 20, Random(seed)
+            )
+        )
 
 
 def test_verdicts_are_bounded_and_what_did_not_fit_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -402,10 +538,16 @@
     kept = part.Verdicts()
     for n in range(5):
         kept.add("a", f"m{n}")
-    assert [of for _, _, of in kept.taken()] == ["m0", "m1", "m2"] and kept.dropped == 2 and kept.taken() == []
+    assert (
+        [of for _, _, of in kept.taken()] == ["m0", "m1", "m2"]
+        and kept.dropped == 2
+        and kept.taken() == []
+    )
 
 
-def test_a_sweep_passes_over_what_has_a_result_and_not_over_what_ended_early(tmp_path: Path) -> None:
+def test_a_sweep_passes_over_what_has_a_result_and_not_over_what_ended_early(
+    tmp_path: Path,
+) -> None:
     book = book_of(tmp_path, "[scale]\nname = a\nsizes = 10, 300, 30\n")
     first = book_of(tmp_path, "[scale]\nname = validate\nsizes = 30\n")
     (tmp_path / run.name_of(book, 10)).write_text("{}")
@@ -416,18 +558,31 @@
 
 # Hollow members.
 
+
 async def test_hollow_members_begin_as_old_acquaintances_and_none_takes_its_making_for_a_stop(
-        autojump_clock: trio.testing.MockClock) -> None:
+    autojump_clock: trio.testing.MockClock,
+) -> None:
     names = [f"h{n}" for n in range(40)]
-    given = {"names": names, "known": names, "places": {name: ["127.0.0.1", n + 1] for n, name in enumerate(names)},
-             "key": "00" * 32, "beat": 0.2, "seed": 1, "joined": True, "followers": names[:3], "discovery": None}
+    given = {
+        "names": names,
+        "known": names,
+        "places": {name: ["127.0.0.1", n + 1] for n, name in enumerate(names)},
+        "key": "00" * 32,
+        "beat": 0.2,
+        "seed": 1,
+        "joined": True,
+        "followers": names[:3],
+        "discovery": None,
+    }
     async with trio.open_nursery() as nursery:
         crowd = hollow.Crowd(given, nursery)
         made = [member.first for member in crowd.members.values()]
         assert all(membership is not None for membership in made)
         machines = [membership.machine for membership in made if membership is not None]
         assert len({machine.table.digest() for machine in machines}) == 1
-        assert all(len(machine.table.living()) == 40 and not machine.table.fresh() for machine in machines)
+        assert all(
+            len(machine.table.living()) == 40 and not machine.table.fresh() for machine in machines
+        )
         late = machines[0]
         await trio.sleep(30.0)  # as long as the making of all the others takes
         assert any(isinstance(order, Late) for order in late.tick(trio.current_time()))
@@ -438,7 +593,8 @@
             assert 0.0 <= machine.beat_at - trio.current_time() <= 0.2
             orders = machine.tick(machine.beat_at)
             assert not any(isinstance(order, Late) for order in orders) and any(
-                isinstance(order, Send) and isinstance(order.message, Ping) for order in orders)
+                isinstance(order, Send) and isinstance(order.message, Ping) for order in orders
+            )
         assert len(beats) > 30  # a process of them does not probe as one
         assert (await crowd.obey({"do": "report"}))["members"] == 0
     assert [name for name, member in crowd.members.items() if member.follows] == names[:3]
@@ -446,33 +602,54 @@
 
 # The rules, by the audit.
 
-def breaks(folder: Path, tries: list[tuple[float, str]], bare: tuple[float, float] = (0.0, 0.0),
-           sets: int = 1) -> list[str]:
+
+def breaks(
+    folder: Path,
+    tries: list[tuple[float, str]],
+    bare: tuple[float, float] = (0.0, 0.0),
+    sets: int = 1,
+) -> list[str]:
     """One proxy that joined at 1 s; worker w1 drains from 10 s and is ready again from 30 s."""
     at = {"serves r0": ("127.0.0.1", 1), "discovery": ("127.0.0.1", 2), "r0": ("127.0.0.1", 3)}
     path = stage.manager_file(folder, "r0", at, ("r0",), 1, 0.2, scenario.PACE)
     listed = rules.states(["w0", "w1"], {100: {}, 101: {"w1": "draining"}, 102: {"w1": "ready"}})
-    lines = [rules.row(1.0, "joined", "p0"), *(rules.row(when, "try", "p0", worker=worker) for when, worker in tries),
-             rules.row(bare[0], "bare", "p0", product="read", on=True),
-             rules.row(bare[1], "bare", "p0", product="read", on=False),
-             *(rules.row(5.0, "applied", "p0", tag="4.900000 900 1", lines=900, refused="") for _ in range(sets))]
-    return [found.rule for found in rules.judge(rules.book_of(path), lines, [(100, 0.5), (101, 10.0), (102, 30.0)],
-                                                listed, 60.0)]
+    lines = [
+        rules.row(1.0, "joined", "p0"),
+        *(rules.row(when, "try", "p0", worker=worker) for when, worker in tries),
+        rules.row(bare[0], "bare", "p0", product="read", on=True),
+        rules.row(bare[1], "bare", "p0", product="read", on=False),
+        *(
+            rules.row(5.0, "applied", "p0", tag="4.900000 900 1", lines=900, refused="")
+            for _ in range(sets)
+        ),
+    ]
+    return [
+        found.rule
+        for found in rules.judge(
+            rules.book_of(path), lines, [(100, 0.5), (101, 10.0), (102, 30.0)], listed, 60.0
+        )
+    ]
 
 
 def test_rules_are_judged_by_the_audit_and_breaks_are_seen(tmp_path: Path) -> None:
-    assert breaks(tmp_path, [(9.0, "w1"), (13.9, "w1"), (20.0, "w0"), (31.0, "w1")], (2.0, 7.9)) == []
+    assert (
+        breaks(tmp_path, [(9.0, "w1"), (13.9, "w1"), (20.0, "w0"), (31.0, "w1")], (2.0, 7.9)) == []
+    )
     assert breaks(tmp_path, [(14.5, "w1"), (29.0, "w1")]) == ["drain", "drain"]
     assert breaks(tmp_path, [], (2.0, 9.0)) == ["bare"]
-    assert breaks(tmp_path, [], sets=2) == ["queue"]  # 1,800 lines at once, at a pace of 1,200 a second
+    assert breaks(tmp_path, [], sets=2) == [
+        "queue"
+    ]  # 1,800 lines at once, at a pace of 1,200 a second
     found = rules.summed([], 4, 3)
     assert found == {"lines": 4, "tries": 3, "bare": 0, "drain": 0, "queue": 0, "shown": []}
 
 
 # Runs that go wrong: each ends with its cause, and leaves no process.
 
+
 def gone(pids: list[int]) -> bool:
     """Whether all have ended. One that ended and was not waited for yet is as good as gone."""
+
     def is_gone(pid: int) -> bool:
         try:
             return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] == "Z"
@@ -482,8 +659,11 @@
     return all(map(is_gone, pids))
 
 
-def played(book: scenario.Book, hold: dict[str, int] | None = None,
-           meanwhile: Callable[[run.Run], Any] | None = None) -> tuple[run.Run, str]:
+def played(
+    book: scenario.Book,
+    hold: dict[str, int] | None = None,
+    meanwhile: Callable[[run.Run], Any] | None = None,
+) -> tuple[run.Run, str]:
     made = run.Run(book, int(book.one(scenario.Scale).sizes[0]), lambda line: None, hold)
 
     async def both() -> str:
@@ -504,9 +684,15 @@
         await trio.sleep(0.02)
 
 
-@pytest.mark.parametrize(("name", "said"), [
-    ("h1", "hollow-0: a place of hollow members is taken"), ("discovery", "the place of discovery is taken"),
-    ("serves r0", "r0: a place of a manager is taken"), ("r0", "r0: a place of a manager is taken")])
+@pytest.mark.parametrize(
+    ("name", "said"),
+    [
+        ("h1", "hollow-0: a place of hollow members is taken"),
+        ("discovery", "the place of discovery is taken"),
+        ("serves r0", "r0: a place of a manager is taken"),
+        ("r0", "r0: a place of a manager is taken"),
+    ],
+)
 def test_a_port_that_is_taken_ends_the_run(tmp_path: Path, name: str, said: str) -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
@@ -517,7 +703,9 @@
 
 
 @pytest.mark.parametrize("which", ["hollow-0", "r0", "discovery", "proxies"])
-def test_a_process_that_dies_ends_the_run_with_what_was_measured_until_then(tmp_path: Path, which: str) -> None:
+def test_a_process_that_dies_ends_the_run_with_what_was_measured_until_then(
+    tmp_path: Path, which: str
+) -> None:
     async def kill(made: run.Run) -> None:
         await until_measuring(made)
         while not made.roles["hollow"].queues:
@@ -528,7 +716,11 @@
     assert f"{which} ended during the run (status -9)" in why
     found = run.figures(made, why, {"5": True, "30": True})
     assert found["ended"] == why and not found["valid"]
-    assert 0.0 < found["span_s"] < 20.0 and found["roles"]["hollow"]["queues"] and found["peak_mb"] > 20
+    assert (
+        0.0 < found["span_s"] < 20.0
+        and found["roles"]["hollow"]["queues"]
+        and found["peak_mb"] > 20
+    )
 
 
 def test_memory_over_the_bound_ends_the_run(tmp_path: Path) -> None:
@@ -546,7 +738,9 @@
     assert "did not get ready within 0.01 s" in why
 
 
-def test_a_part_that_is_stuck_ends_the_run_and_is_ended(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_part_that_is_stuck_ends_the_run_and_is_ended(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(stage, "ANSWER", 3.0)
     monkeypatch.setattr(stage, "ENDING", 0.5)
 
@@ -580,19 +774,42 @@
     return true()
 
 
-@pytest.mark.parametrize(("number", "status", "early"), [
-    (signal.SIGTERM, 1, False), (signal.SIGINT, 1, False), (signal.SIGKILL, -9, False), (signal.SIGTERM, 1, True)])
-def test_a_run_that_is_interrupted_leaves_no_process(tmp_path: Path, number: signal.Signals, status: int,
-                                                     early: bool) -> None:
+@pytest.mark.parametrize(
+    ("number", "status", "early"),
+    [
+        (signal.SIGTERM, 1, False),
+        (signal.SIGINT, 1, False),
+        (signal.SIGKILL, -9, False),
+        (signal.SIGTERM, 1, True),
+    ],
+)
+def test_a_run_that_is_interrupted_leaves_no_process(
+    tmp_path: Path, number: signal.Signals, status: int, early: bool
+) -> None:
     (tmp_path / "small.ini").write_text(SMALL)
-    process = subprocess.Popen([sys.executable, "-m", "bench.scale", "run", str(tmp_path / "small.ini"), "--results",
-                                str(tmp_path)], cwd=ROOT, stderr=subprocess.PIPE, stdout=subprocess.DEVNULL, text=True,
-                               env={**os.environ, "TMPDIR": str(tmp_path)})
+    process = subprocess.Popen(
+        [
+            sys.executable,
+            "-m",
+            "bench.scale",
+            "run",
+            str(tmp_path / "small.ini"),
+            "--results",
+            str(tmp_path),
+        ],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        stdout=subprocess.DEVNULL,
+        text=True,
+        env={**os.environ, "TMPDIR": str(tmp_path)},
+    )
     try:
         assert process.stderr is not None
         if early:
             assert wait_for(lambda: len(children(process.pid)) >= 2, 20.0)
-        while not early and " of 20 s" not in process.stderr.readline():  # it is measuring; readline has an end
+        while (
+            not early and " of 20 s" not in process.stderr.readline()
+        ):  # it is measuring; readline has an end
             assert process.poll() is None
         pids = children(process.pid)
         assert early or len(pids) == 4
@@ -643,12 +860,17 @@
     own = found["validation"]["own"]
     assert own["judged"] >= 4 and own["valid"], own
     for kind in ("ping", "ack", "news", "list"):
-        assert own["rows"][f"{kind} out"]["apart"] <= 0.3 and own["rows"][f"{kind} bytes_in"]["apart"] <= 0.3, own
+        assert (
+            own["rows"][f"{kind} out"]["apart"] <= 0.3
+            and own["rows"][f"{kind} bytes_in"]["apart"] <= 0.3
+        ), own
     assert found["truth"]["list_changes"] == 3 and not found["truth"]["list_lost"]
     assert not found["truth"]["list_disordered"] and found["times"]["list_at_last_s"]["count"] == 3
     for role in ("real", "hollow"):
         pings = found["roles"][role]["messages"]["ping"]["out"]
-        assert 3 * 9 / 0.2 / 2 <= pings <= 3 * (9 / 0.2 + 3) * 1.5  # one each beat; the rest on others' behalf
+        assert (
+            3 * 9 / 0.2 / 2 <= pings <= 3 * (9 / 0.2 + 3) * 1.5
+        )  # one each beat; the rest on others' behalf
         # Facts go to each of five others once a second, both in one message or each in its own.
         assert 3 * 5 * 8 / 2 <= found["roles"][role]["messages"]["news"]["out"] <= 3 * 5 * 11 * 2
     assert found["roles"]["discovery"]["messages"]["list hollow"]["out"] >= 3 * 3
@@ -703,7 +925,9 @@
 
 def test_a_crowd_sees_a_rack_die_and_comes_together_after_a_cut(crowd: dict[str, Any]) -> None:
     said = crowd["truth"]
-    assert crowd["ended"] == "whole" and not crowd["valid"]  # without runs that validate it its figures don't count
+    assert (
+        crowd["ended"] == "whole" and not crowd["valid"]
+    )  # without runs that validate it its figures don't count
     assert said["false_verdicts"] == 0, said["false_shown"]
     assert crowd["times"]["failed_seen_s"]["count"] + said["verdicts_missing"] == 5 * 25
     assert said["verdicts_missing"] == 0 and said["verdicts_uncounted"] == 0
@@ -714,21 +938,38 @@
 
 def test_a_crowds_costs_by_counts(crowd: dict[str, Any]) -> None:
     roles, beats = crowd["roles"], 17 / 0.3
-    assert (roles["real"]["members"], roles["hollow"]["members"], roles["hollow"]["processes"]) == (3, 27, 2)
+    assert (roles["real"]["members"], roles["hollow"]["members"], roles["hollow"]["processes"]) == (
+        3,
+        27,
+        2,
+    )
     for role in ("real", "hollow"):
         messages, members = roles[role]["messages"], roles[role]["members"]
         assert {"ping", "ack", "news", "whole", "list"} <= messages.keys()
         # A ping each beat; with deaths and a cut some more for others and at once, never as many again.
         assert members * beats / 3 <= messages["ping"]["out"] <= members * beats * 2
-        assert messages["ack"]["out"] <= messages["ping"]["in"] + messages["ask"]["in"] + messages["ack"]["in"]
-        assert messages["news"]["out"] <= members * (17 + 2) * (2 * 29 + 3 * 8)  # facts to all, and what is new
+        assert (
+            messages["ack"]["out"]
+            <= messages["ping"]["in"] + messages["ask"]["in"] + messages["ack"]["in"]
+        )
+        assert messages["news"]["out"] <= members * (17 + 2) * (
+            2 * 29 + 3 * 8
+        )  # facts to all, and what is new
         assert messages["list"]["in"] <= members * 8
         # No datagram is over what a path carries.
         for kind in messages.keys() - {"whole", "list"}:
             assert messages[kind]["bytes_out"] <= 1500 * messages[kind]["out"]
     assert roles["discovery"]["messages"]["list hollow"]["out"] >= 27 * 4
-    assert roles["hollow"]["counts"]["refused cut"] > 0  # the cut was in force on what real managers sent on
-    dead = Counter({name: count for name, count in roles["hollow"]["counts"].items() if name == "became failed"})
+    assert (
+        roles["hollow"]["counts"]["refused cut"] > 0
+    )  # the cut was in force on what real managers sent on
+    dead = Counter(
+        {
+            name: count
+            for name, count in roles["hollow"]["counts"].items()
+            if name == "became failed"
+        }
+    )
     assert dead["became failed"] >= 5 * 22
 
 
@@ -741,7 +982,13 @@
     made = run.Run(book_of(tmp_path, SMALL), 4, lambda line: None)
     made.views = Counter({"aa 4 alive": 4})
     assert made.equal()
-    for views in ({"aa 4 alive": 3}, {"aa 3 alive": 4}, {"aa 4 alive": 3, "bb 4 alive": 1}, {"aa 4 barred": 4}, {}):
+    for views in (
+        {"aa 4 alive": 3},
+        {"aa 3 alive": 4},
+        {"aa 4 alive": 3, "bb 4 alive": 1},
+        {"aa 4 barred": 4},
+        {},
+    ):
         made.views = Counter(views)
         assert not made.equal()
 
@@ -778,12 +1025,16 @@
 
 def test_earlier_runs_validate_only_if_all_of_a_size_agreed(tmp_path: Path) -> None:
     for n, (size, valid) in enumerate([(5, True), (30, True), (30, False)]):
-        (tmp_path / f"validate-{size}-s{n}.json").write_text(json.dumps({"sizes": {"members": size}, "valid": valid}))
+        (tmp_path / f"validate-{size}-s{n}.json").write_text(
+            json.dumps({"sizes": {"members": size}, "valid": valid})
+        )
     assert run.validated(tmp_path) == {"5": True, "30": False}
     assert SimpleNamespace(**run.validated(tmp_path / "none")) == SimpleNamespace()
 
 
-async def test_a_proxy_dials_again_where_its_stream_is_taken_and_never_opened(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_proxy_dials_again_where_its_stream_is_taken_and_never_opened(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Danger: it would wait for the run's end, and its manager's rules would be judged on nobody."""
     monkeypatch.setattr(proxies, "OPENING", 0.05)
     taken, again = list[trio.SocketStream](), trio.Event()
@@ -797,8 +1048,14 @@
     async with trio.open_nursery() as nursery:
         doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(trio.serve_listeners, silent, doors)
-        made = proxies.HollowProxy("p0", "a", ("127.0.0.1", doors[0].socket.getsockname()[1]), accounting.Meter(),
-                                   Random(1), [])
+        made = proxies.HollowProxy(
+            "p0",
+            "a",
+            ("127.0.0.1", doors[0].socket.getsockname()[1]),
+            accounting.Meter(),
+            Random(1),
+            [],
+        )
         nursery.start_soon(made.run)
         with trio.fail_after(10):
             await again.wait()
--- a/tests/test_small.py
+++ b/tests/test_small.py
@@ -8,15 +8,21 @@
 from tests.helpers import ZONES, Model, trade, worker
 
 WORKERS, PROXIES = 60, 200
-SCANT = {"channel": face.Channel(400.0, 4.0, 6000.0, 0.2, 0.5, 30, 10.0), "standing": 6,
-         "duties": face.Duties(30.0, 20.0, 10.0, 16.0, 0.2, 3.0, 2.0)}
+SCANT = {
+    "channel": face.Channel(400.0, 4.0, 6000.0, 0.2, 0.5, 30, 10.0),
+    "standing": 6,
+    "duties": face.Duties(30.0, 20.0, 10.0, 16.0, 0.2, 3.0, 2.0),
+}
 
 
 def scant(rates: list[float] | None = None, workers: int = WORKERS) -> Model:
     """All have joined and hold a small table."""
     model = Model(trade(**SCANT))
     model.step(0.1, [face.Listed("kept", tuple(worker(n) for n in range(workers)))])
-    model.step(0.1, [face.Joined(p, ZONES[p % 3], rates[p] if rates else 5.0, True) for p in range(PROXIES)])
+    model.step(
+        0.1,
+        [face.Joined(p, ZONES[p % 3], rates[p] if rates else 5.0, True) for p in range(PROXIES)],
+    )
     meet(model, 12.0)
     assert all(number for tables in model.holds.values() for number, _ in tables.values())
     return model
@@ -26,7 +32,13 @@
     orders: list[face.Order] = []
     for _ in range(round(seconds / 0.5)):
         heard = [worker(n) for n in range(120) if worker(n).id in model.listed]
-        model.step(0.5, [face.Met(w.zone, w.id, 20, 20 if int(w.id[7:-3]) in voiding else 0, 0.2, 0.5) for w in heard])
+        model.step(
+            0.5,
+            [
+                face.Met(w.zone, w.id, 20, 20 if int(w.id[7:-3]) in voiding else 0, 0.2, 0.5)
+                for w in heard
+            ],
+        )
         orders += model.orders
     return orders
 
@@ -55,7 +67,10 @@
     model = scant()
     before, most = set(used(model)), 0.0
     for n in range(30):
-        model.step(0.1, [face.Listed("changes", (worker(n, "draining"), worker(60 + n, "ready", model.now)))])
+        model.step(
+            0.1,
+            [face.Listed("changes", (worker(n, "draining"), worker(60 + n, "ready", model.now)))],
+        )
         meet(model, 0.5)
     for n in range(30):
         model.step(0.1, [face.Listed("changes", (worker(n, "gone"),))])
@@ -65,8 +80,10 @@
         most = max(most, sum(lines for _, lines, _ in model.queue))
     now = set(used(model))
     assert {worker(n).id for n in range(60, 90)} <= now, "a new worker is used by nobody"
-    assert not any(usable <= model.withdrawn for usable in (
-        set(held) for tables in model.holds.values() for _, held in tables.values()))
+    assert not any(
+        usable <= model.withdrawn
+        for usable in (set(held) for tables in model.holds.values() for _, held in tables.values())
+    )
     assert before - now <= {worker(n).id for n in range(30)} and not model.broken
     assert most < PROXIES * WORKERS / 4
 
@@ -130,10 +147,16 @@
         events: list[face.Event] = []
         turn = chance.random()
         if turn < 0.2:
-            events = [face.Left(p) for p in chance.sample(sorted(model.joined), 20)] if len(model.joined) > 40 else []
+            events = (
+                [face.Left(p) for p in chance.sample(sorted(model.joined), 20)]
+                if len(model.joined) > 40
+                else []
+            )
         elif turn < 0.4:
             away = sorted(set(range(PROXIES)) - model.joined.keys())
-            events = [face.Joined(p, ZONES[p % 3], 5.0, False) for p in away[:chance.randrange(1, 60)]]
+            events = [
+                face.Joined(p, ZONES[p % 3], 5.0, False) for p in away[: chance.randrange(1, 60)]
+            ]
         elif turn < 0.6:
             n = chance.randrange(90)
             state = "ready" if n not in ready else chance.choice(["draining", "gone"])
@@ -141,8 +164,16 @@
                 (ready.add if state == "ready" else ready.discard)(n)
                 events = [face.Listed("changes", (worker(n, state, model.now - 1.0),))]
         bad = frozenset(chance.sample(range(90), 6))
-        model.step(0.2, [*events, *(face.Met(worker(n).zone, worker(n).id, 9, 9 * (n in bad), 0.2, 0.5)
-                                    for n in chance.sample(sorted(ready), 15))])
+        model.step(
+            0.2,
+            [
+                *events,
+                *(
+                    face.Met(worker(n).zone, worker(n).id, 9, 9 * (n in bad), 0.2, 0.5)
+                    for n in chance.sample(sorted(ready), 15)
+                ),
+            ],
+        )
     assert not model.broken
 
 
@@ -152,9 +183,16 @@
     shares = []
     for seconds, load in ((4.0, {}), (6.0, queue)):
         for _ in range(round(2 * seconds)):
-            model.step(0.5, [
-                *(face.Met(ZONES[n % 3], worker(n).id, 20, 8, 1.2, 0.5, load) for n in range(WORKERS)),
-                *(face.Asked(1, name, 10 * WORKERS, 0, 0.5) for name in ("read", "book"))])
+            model.step(
+                0.5,
+                [
+                    *(
+                        face.Met(ZONES[n % 3], worker(n).id, 20, 8, 1.2, 0.5, load)
+                        for n in range(WORKERS)
+                    ),
+                    *(face.Asked(1, name, 10 * WORKERS, 0, 0.5) for name in ("read", "book")),
+                ],
+            )
         shares.append(model.module.gate.share)
     return shares[0], shares[1]
 
@@ -165,7 +203,9 @@
 
 
 @pytest.mark.parametrize("queue", [{}, {"queue": 7.0}, {"held": 0.0}])
-def test_without_word_of_queues_or_with_full_ones_the_gate_goes_by_voids(queue: dict[str, float]) -> None:
+def test_without_word_of_queues_or_with_full_ones_the_gate_goes_by_voids(
+    queue: dict[str, float],
+) -> None:
     before, after = jam(scant(), **queue)
     assert after <= before
 
@@ -173,7 +213,13 @@
 def test_empty_queues_shut_nobody_out() -> None:
     model = scant()
     for _ in range(12):
-        model.step(0.5, [face.Met(ZONES[n % 3], worker(n).id, 20, 0, 0.2, 0.5, {"queue": 0.0}) for n in range(WORKERS)])
+        model.step(
+            0.5,
+            [
+                face.Met(ZONES[n % 3], worker(n).id, 20, 0, 0.2, 0.5, {"queue": 0.0})
+                for n in range(WORKERS)
+            ],
+        )
     assert model.module.gate.share == 1.0
 
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -28,7 +28,9 @@
     return all(set(holdings.lines(product)) == left for product in ("ticket-read", "press-book"))
 
 
-async def test_a_cut_off_master_stops_by_its_lease_and_its_successor_knows_what_it_told(tmp_path: Path) -> None:
+async def test_a_cut_off_master_stops_by_its_lease_and_its_successor_knows_what_it_told(
+    tmp_path: Path,
+) -> None:
     async with fleet(tmp_path) as run:
         first = await run.led()
         for proxy in run.proxies:
@@ -40,7 +42,9 @@
         run.cut(first.helm.me)
         second = await run.led(but=first.helm.me)
         for proxy in run.proxies:
-            await proxy.until(lambda h: h.fence.term == second.helm.machine.term and bound_without(h, 2))
+            await proxy.until(
+                lambda h: h.fence.term == second.helm.machine.term and bound_without(h, 2)
+            )
         assert not first.helm.machine.leading and run.said("succession.yields")
         run.roster.fault = ""
         run.roster.tell(w4="draining")
@@ -52,7 +56,8 @@
 
 
 async def test_a_killed_master_and_a_successor_killed_at_once_are_followed_and_come_back_as_standbys(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     members = ("a", "b", "c", "d", "e")
     async with fleet(tmp_path, members=members) as run:
         first = await run.led()
@@ -66,10 +71,17 @@
         third = await run.led()
         run.roster.tell(w1="draining")
         for proxy in run.proxies:
-            await proxy.until(lambda h: h.fence.term == third.helm.machine.term and bound_without(h, 1))
+            await proxy.until(
+                lambda h: h.fence.term == third.helm.machine.term and bound_without(h, 1)
+            )
         for member in killed:
             await run.start(run.nursery, member)
-        await until(lambda: all(m.helm.machine.position == third.helm.machine.position for m in run.managers.values()))
+        await until(
+            lambda: all(
+                m.helm.machine.position == third.helm.machine.position
+                for m in run.managers.values()
+            )
+        )
         assert first.helm.me == killed[0] and run.leader() is third
 
 
@@ -122,14 +134,22 @@
         second = await run.led(but=first.helm.me)
         assert second.helm.me == to and trio.current_time() - began < 0.3, "well within a lease"
         for step, (member, on) in enumerate([("d", True), ("e", True), ("d", False)]):
-            await until(lambda: second.helm.machine.committed >= second.helm.machine.rolled
-                        and second.helm.machine.committed[0] == second.helm.machine.term)
+            await until(
+                lambda: (
+                    second.helm.machine.committed >= second.helm.machine.rolled
+                    and second.helm.machine.committed[0] == second.helm.machine.term
+                )
+            )
             second.helm.enrol(member, on)
             with pytest.raises(ValueError, match="one member at a time|already|earlier change"):
                 second.helm.machine.enrol(trio.current_time(), ("a",), b"")
-            await until(lambda: all(
-                m.helm.machine.roll == second.helm.machine.roll for m in run.managers.values()
-                if m.helm.me in second.helm.machine.roll.members))
+            await until(
+                lambda: all(
+                    m.helm.machine.roll == second.helm.machine.roll
+                    for m in run.managers.values()
+                    if m.helm.me in second.helm.machine.roll.members
+                )
+            )
             assert (member in second.helm.machine.roll.members) == on
             assert len(second.helm.machine.roll.members) == (4, 5, 4)[step]
         run.cut(to)
@@ -145,7 +165,8 @@
         await run.led()
         for _ in range(5):
             stream = await stack.enter_async_context(
-                await trio.open_tcp_stream("127.0.0.1", run.peers[run.leader().helm.me]))
+                await trio.open_tcp_stream("127.0.0.1", run.peers[run.leader().helm.me])
+            )
             sealer = codec.Sealer(bytes(32), await stream.receive_some(codec.NONCE))
             await stream.send_all(sealer.frame(words.Ask(99, "b", (99, 99), False)))
             with trio.fail_after(5.0):
@@ -169,16 +190,25 @@
             text = run.file(name).read_text()
             place = "listen = {}:{}\n".format(*manager.office_at)  # type: ignore[attr-defined]
             (tmp_path / f"{name}.ini").write_text(text.replace("listen = 127.0.0.1:0\n", place))
-            done = CliRunner().invoke(main, [what[0], what[1], str(tmp_path / f"{name}.ini"), *what[2:]])
+            done = CliRunner().invoke(
+                main, [what[0], what[1], str(tmp_path / f"{name}.ini"), *what[2:]]
+            )
             return done.exit_code, done.output
 
         for manager, what, status, text in [
-                (leader, ("fleet", "show"), 0, f"master {leader.helm.me}"),
-                (standby, ("fleet", "show"), 0, f"master {leader.helm.me}"),
-                (standby, ("fleet", "hand-over", "a"), 1, ""), (standby, ("fleet", "enrol", "x"), 1, "no [member x]"),
-                (leader, ("fleet", "dismiss", leader.helm.me), 1, "hand over first"),
-                (standby, ("table", "pin", "press-book", "--only", WORKERS[0].id, "--for", "9s"), 1, "another member"),
-                (leader, ("fleet", "hand-over", standby.helm.me), 0, "handed over")]:
+            (leader, ("fleet", "show"), 0, f"master {leader.helm.me}"),
+            (standby, ("fleet", "show"), 0, f"master {leader.helm.me}"),
+            (standby, ("fleet", "hand-over", "a"), 1, ""),
+            (standby, ("fleet", "enrol", "x"), 1, "no [member x]"),
+            (leader, ("fleet", "dismiss", leader.helm.me), 1, "hand over first"),
+            (
+                standby,
+                ("table", "pin", "press-book", "--only", WORKERS[0].id, "--for", "9s"),
+                1,
+                "another member",
+            ),
+            (leader, ("fleet", "hand-over", standby.helm.me), 0, "handed over"),
+        ]:
             found = await trio.to_thread.run_sync(said, manager, *what)
             assert found[0] == status and text in found[1], (what, found)
         await until(lambda: run.leader() is standby)
@@ -188,19 +218,27 @@
     token = tmp_path / "token"
     token.write_text("a-token-of-the-tests")
     token.chmod(0o600)
-    more = (f"\n[operators]\ntoken_file = {token}\nlisten = 127.0.0.1:0\n"
-            "\n[members]\nme = ME\nkey_file = KEY\nbeat = 50ms\n"
-            "\n[owner]\non = yes\nlease = 500ms\nbeat = 50ms\nexercise = 4\n")
+    more = (
+        f"\n[operators]\ntoken_file = {token}\nlisten = 127.0.0.1:0\n"
+        "\n[members]\nme = ME\nkey_file = KEY\nbeat = 50ms\n"
+        "\n[owner]\non = yes\nlease = 500ms\nbeat = 50ms\nexercise = 4\n"
+    )
     async with fleet(tmp_path, more=more) as run:
         await run.led()
         for proxy in run.proxies:
             await proxy.until(bound)
-        await until(lambda: all(m.membership and m.membership.standing == "all" for m in run.managers.values()))
+        await until(
+            lambda: all(
+                m.membership and m.membership.standing == "all" for m in run.managers.values()
+            )
+        )
         leader, files = await run.led(), dict[str, Path]()
         for name, manager in run.managers.items():
             place = "listen = {}:{}\n".format(*manager.office_at)
             files[name] = tmp_path / f"{name}.ini"
-            files[name].write_text(run.file(name).read_text().replace("listen = 127.0.0.1:0\n", place))
+            files[name].write_text(
+                run.file(name).read_text().replace("listen = 127.0.0.1:0\n", place)
+            )
 
         def said(*what: str) -> tuple[int, str]:
             done = CliRunner().invoke(main, ["fleet", *what])
@@ -223,15 +261,27 @@
         status, output = await trio.to_thread.run_sync(said, "unbar", str(files["a"]), "c")
         assert status == 0
         await shows("standing all", "c  alive", of="c")
-        await until(lambda: all(m.owners and len(m.owners.machine.holding) > 60 for m in run.managers.values()))
-        steward = next(name for name, m in run.managers.items() if m.owners and m.owners.machine.log.leading)
+        await until(
+            lambda: all(
+                m.owners and len(m.owners.machine.holding) > 60 for m in run.managers.values()
+            )
+        )
+        steward = next(
+            name for name, m in run.managers.items() if m.owners and m.owners.machine.log.leading
+        )
         other = next(name for name in run.managers if name != steward)
-        status, output = await trio.to_thread.run_sync(said, "move", str(files[other]), "exercise/1", other)
+        status, output = await trio.to_thread.run_sync(
+            said, "move", str(files[other]), "exercise/1", other
+        )
         assert status == 1 and f"only the steward moves work: {steward}" in output
-        status, output = await trio.to_thread.run_sync(said, "move", str(files[steward]), "exercise/1", "nobody")
+        status, output = await trio.to_thread.run_sync(
+            said, "move", str(files[steward]), "exercise/1", "nobody"
+        )
         assert status == 1 and "no member that is here" in output
         for to in (other, steward):
-            status, output = await trio.to_thread.run_sync(said, "move", str(files[steward]), "exercise/1", to)
+            status, output = await trio.to_thread.run_sync(
+                said, "move", str(files[steward]), "exercise/1", to
+            )
             if status:  # it was there already
                 assert "owns it already" in output
             owners = run.managers[to].owners
@@ -245,12 +295,18 @@
         assert lines[0]["membership"]["burdens"][leader.helm.me]["proxies"] == 2
 
 
-async def test_a_successor_goes_by_its_own_standing_and_not_by_the_former_master_s(tmp_path: Path) -> None:
+async def test_a_successor_goes_by_its_own_standing_and_not_by_the_former_master_s(
+    tmp_path: Path,
+) -> None:
     async with fleet(tmp_path, more="\n[members]\nme = ME\nkey_file = KEY\nbeat = 20ms\n") as run:
         first = await run.led()
         for proxy in run.proxies:
             await proxy.until(bound)
-        await until(lambda: all(m.membership and m.membership.standing == "all" for m in run.managers.values()))
+        await until(
+            lambda: all(
+                m.membership and m.membership.standing == "all" for m in run.managers.values()
+            )
+        )
         first.membership.link.cut = lambda place: True  # its datagrams are lost, its frames go on
         await until(lambda: all(not m.loop.module.means.begin for m in run.managers.values()))
         to = next(name for name in run.managers if name != first.helm.me)
@@ -278,7 +334,9 @@
             assert WORKERS[3].id in proxy.holdings.out
 
 
-async def test_a_whole_cut_halfway_leaves_a_member_without_a_place_until_a_good_one_comes(tmp_path: Path) -> None:
+async def test_a_whole_cut_halfway_leaves_a_member_without_a_place_until_a_good_one_comes(
+    tmp_path: Path,
+) -> None:
     async with fleet(tmp_path) as run:
         leader = await run.led()
         for proxy in run.proxies:
@@ -286,15 +344,22 @@
         late = next(m for m in run.members if m != leader.helm.me)
         await run.stop(late)
         whole, cuts = leader.helm.whole, list[int]()
-        leader.helm.whole = lambda: whole()[:cuts.append(1) or 2000]
+        leader.helm.whole = lambda: whole()[: cuts.append(1) or 2000]
         await run.start(run.nursery, late)
         await until(lambda: len(cuts) > 2)
         helm = run.managers[late].helm
         assert helm.machine.position == words.NOWHERE and helm.state()["behind"] is None
-        assert [said["why"][:18] for member, said in run.said("succession.fault")] == ["not as written her"], "once"
+        assert [said["why"][:18] for member, said in run.said("succession.fault")] == [
+            "not as written her"
+        ], "once"
         assert leader.helm.state()["lags"][late] is None
         leader.helm.whole = whole
-        await until(lambda: helm.machine.position == leader.helm.machine.position and helm.state()["behind"] == 0)
+        await until(
+            lambda: (
+                helm.machine.position == leader.helm.machine.position
+                and helm.state()["behind"] == 0
+            )
+        )
 
 
 # The parts by themselves.
@@ -302,26 +367,45 @@
 
 def test_a_proxy_refuses_a_lower_term_on_old_streams_and_new_ones() -> None:
     holdings = Holdings()
-    for term, member, refused in [(3, "a", ""), (3, "a", ""), (2, "b", "term 3 has been seen"),
-                                  (3, "c", "another master"), (0, "", "term 3 has been seen"), (4, "c", "")]:
+    for term, member, refused in [
+        (3, "a", ""),
+        (3, "a", ""),
+        (2, "b", "term 3 has been seen"),
+        (3, "c", "another master"),
+        (0, "", "term 3 has been seen"),
+        (4, "c", ""),
+    ]:
         stream = DeltaStream()
         stream.control = fence.written(term, member) if term else "dunlinlug"
         shut = render.withdrawn({f"10.0.0.{term}:80"})
-        answer, done = Subscriber(holdings, "p", "", {}).receive(stream.respond(names.ENDPOINTS, (shut,), (), "")[1])
+        answer, done = Subscriber(holdings, "p", "", {}).receive(
+            stream.respond(names.ENDPOINTS, (shut,), (), "")[1]
+        )
         assert refused in done.refused and bool(done.refused) == bool(refused)
         assert fence.refused_for(done.refused) == (3 if "has been seen" in refused else 0)
     assert holdings.out == {"10.0.0.4:80"}
 
 
 def drawn(chance: Random) -> words.Message:
-    term, who, at = chance.randrange(9), chance.choice("abc"), (chance.randrange(9), chance.randrange(99))
+    term, who, at = (
+        chance.randrange(9),
+        chance.choice("abc"),
+        (chance.randrange(9), chance.randrange(99)),
+    )
     roll = words.Roll(chance.randrange(3), ("a", "b", "c"))
     entries = tuple(chance.randbytes(chance.randrange(9)) for _ in range(chance.randrange(3)))
-    return chance.choice([
-        words.Ask(term, who, at, chance.random() < 0.5, chance.random() < 0.5),
-        words.Answer(term, who, chance.randrange(9), chance.random() < 0.5, chance.random() < 0.5, False),
-        words.Beat(term, who, chance.random(), roll, at, entries), words.Whole(term, who, 1.5, roll, at, b"xyz"),
-        words.Heard(term, who, 0.5, at, chance.random() < 0.5), words.Pass(term, who)])
+    return chance.choice(
+        [
+            words.Ask(term, who, at, chance.random() < 0.5, chance.random() < 0.5),
+            words.Answer(
+                term, who, chance.randrange(9), chance.random() < 0.5, chance.random() < 0.5, False
+            ),
+            words.Beat(term, who, chance.random(), roll, at, entries),
+            words.Whole(term, who, 1.5, roll, at, b"xyz"),
+            words.Heard(term, who, 0.5, at, chance.random() < 0.5),
+            words.Pass(term, who),
+        ]
+    )
 
 
 def test_frames_come_through_in_any_pieces_and_nothing_forged_does() -> None:
@@ -359,15 +443,19 @@
         for _ in range(chance.randrange(1, 4)):
             body[chance.randrange(len(body))] = chance.randrange(256)
         try:
-            codec.unpack(bytes(body[:chance.randrange(1, len(body) + 1)]))
+            codec.unpack(bytes(body[: chance.randrange(1, len(body) + 1)]))
         except codec.Forged:
             continue
 
 
 def test_a_key_file_is_one_or_two_keys_that_others_cannot_read(tmp_path: Path) -> None:
     path = tmp_path / "key"
-    for text, mode, said in (("\n".join(KEYS), 0o600, ""), (KEYS[0], 0o640, "chmod 600"), ("abc", 0o600, "64 hex"),
-                             ("\n".join([*KEYS, KEYS[0]]), 0o600, "one or two")):
+    for text, mode, said in (
+        ("\n".join(KEYS), 0o600, ""),
+        (KEYS[0], 0o640, "chmod 600"),
+        ("abc", 0o600, "64 hex"),
+        ("\n".join([*KEYS, KEYS[0]]), 0o600, "one or two"),
+    ):
         path.write_text(text)
         path.chmod(mode)
         if said:
@@ -387,7 +475,9 @@
         term = 0
         for _ in range(200):
             now += chance.choice([0.0, 0.1, 0.7])
-            orders = machine.tick(now) if chance.random() < 0.3 else machine.hear(now, drawn(chance))
+            orders = (
+                machine.tick(now) if chance.random() < 0.3 else machine.hear(now, drawn(chance))
+            )
             for order in orders:
                 if isinstance(order, words.Keep) and order.voted:
                     votes.setdefault(order.term, set()).add(order.voted)
@@ -423,7 +513,16 @@
     for term in range(1, 6):
         stands = dict[str, float]()
         for member in "abcde":
-            machine = Machine(member, words.Keep(term, "", roll), 0.0, 1.0, 0.2, 0.02, 10.0, lambda low, high: high)
+            machine = Machine(
+                member,
+                words.Keep(term, "", roll),
+                0.0,
+                1.0,
+                0.2,
+                0.02,
+                10.0,
+                lambda low, high: high,
+            )
             machine.hear(5.0, words.Beat(term, "c", 1.0, roll, (term, 1), ()))
             before = machine.stand_at
             machine.lost(5.5, "d", set("abce"))
@@ -434,6 +533,8 @@
                 assert machine.stand_at >= machine.promised == 6.0 and machine.tick(5.9) == []
                 assert machine.tick(machine.stand_at), "it stands, once its promise is over"
         living = sorted((at, member) for member, at in stands.items() if member != "c")
-        assert [round(at - 6.0, 3) for at, _ in living] == [0.0, 0.1, 0.2, 0.25], "the last at its own time"
+        assert [round(at - 6.0, 3) for at, _ in living] == [0.0, 0.1, 0.2, 0.25], (
+            "the last at its own time"
+        )
         first.append(living[0][1])
     assert len(set(first)) == 4, "another comes first in each term"
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -26,9 +26,13 @@
     def serve(self) -> None:
         made = self.authority.issue_cert("127.0.0.1")
         made.private_key_pem.write_to_path(self.folder / "manager.key")
-        (self.folder / "manager.pem").write_bytes(b"".join(blob.bytes() for blob in made.cert_chain_pems))
+        (self.folder / "manager.pem").write_bytes(
+            b"".join(blob.bytes() for blob in made.cert_chain_pems)
+        )
 
-    def client(self, name: str, authority: trustme.CA | None = None, lasts: float = 3600.0) -> object:
+    def client(
+        self, name: str, authority: trustme.CA | None = None, lasts: float = 3600.0
+    ) -> object:
         until_then = datetime.now(UTC) + timedelta(seconds=lasts)
         made = (authority or self.authority).issue_cert(name, not_after=until_then)
         cert, key = self.folder / f"{name}.pem", self.folder / f"{name}.key"
@@ -38,8 +42,10 @@
 
     @property
     def section(self) -> tuple[str, str]:
-        return "[roster]", (f"[tls]\ncert = {self.folder}/manager.pem\nkey = {self.folder}/manager.key\n"
-                            f"clients = {self.folder}/clients.pem\n\n[roster]")
+        return "[roster]", (
+            f"[tls]\ncert = {self.folder}/manager.pem\nkey = {self.folder}/manager.key\n"
+            f"clients = {self.folder}/clients.pem\n\n[roster]"
+        )
 
 
 @asynccontextmanager
@@ -59,7 +65,10 @@
     keys = Keys(tmp_path)
     async with running(tmp_path, keys.section) as run:
         context = keys.client("p0.proxies")
-        async with secure(run, context, "p0.proxies") as good, secure(run, context, "p1.proxies") as impostor:
+        async with (
+            secure(run, context, "p0.proxies") as good,
+            secure(run, context, "p1.proxies") as impostor,
+        ):
             await good.until(bound)
             end = await ended(impostor.call)
             assert end.status == rpc.Status.PERMISSION_DENIED and "p0.proxies" in end.why
@@ -71,9 +80,15 @@
 
 async def test_who_shows_no_good_certificate_is_not_served_and_harms_nobody(tmp_path: Path) -> None:
     keys = Keys(tmp_path)
-    async with running(tmp_path, keys.section) as run, secure(run, keys.client("p0.proxies"), "p0.proxies") as good:
+    async with (
+        running(tmp_path, keys.section) as run,
+        secure(run, keys.client("p0.proxies"), "p0.proxies") as good,
+    ):
         await good.until(bound)
-        for context in (keys.client("p2.proxies", trustme.CA()), keys.client("p3.proxies", lasts=-60.0)):
+        for context in (
+            keys.client("p2.proxies", trustme.CA()),
+            keys.client("p3.proxies", lasts=-60.0),
+        ):
             with pytest.raises((OSError, grpc.CallEnded, ExceptionGroup)):
                 async with secure(run, context, "p2.proxies") as bad:
                     raise await ended(bad.call)
@@ -90,7 +105,10 @@
 
 async def test_keys_change_on_reload_while_streams_stand(tmp_path: Path) -> None:
     keys = Keys(tmp_path)
-    async with running(tmp_path, keys.section) as run, secure(run, keys.client("p0.proxies"), "p0.proxies") as old:
+    async with (
+        running(tmp_path, keys.section) as run,
+        secure(run, keys.client("p0.proxies"), "p0.proxies") as old,
+    ):
         await old.until(bound)
         former = keys.authority
         keys.authority = trustme.CA()
--- a/tests/test_turn_costs.py
+++ b/tests/test_turn_costs.py
@@ -33,9 +33,15 @@
 
 def trade(products: int) -> face.Trade:
     return face.Trade(
-        seed=1, zone="a", products=tuple(face.Product(f"p{k}", 0.8, 2.0, 1.0 + k) for k in range(products)),
-        admits="share", may_probe=True, standing=6, channel=face.Channel(1300.0, 4.0, 2350.0, 0.25, 0.5, 30),
-        duties=face.Duties(4.7, 3.0, 10.0, 18.0, 0.2, 3.0, 2.0))
+        seed=1,
+        zone="a",
+        products=tuple(face.Product(f"p{k}", 0.8, 2.0, 1.0 + k) for k in range(products)),
+        admits="share",
+        may_probe=True,
+        standing=6,
+        channel=face.Channel(1300.0, 4.0, 2350.0, 0.25, 0.5, 30),
+        duties=face.Duties(4.7, 3.0, 10.0, 18.0, 0.2, 3.0, 2.0),
+    )
 
 
 class Counter:
@@ -80,7 +86,9 @@
         act = lambda: self.module.decide(self.now, events)  # noqa: E731
         for order in self.counter.run(act) if counted else act():
             if isinstance(order, face.Mark):
-                self.due += [(self.now + 0.3, face.Answered(p, order.number, 0.3)) for p in range(PROXIES)]
+                self.due += [
+                    (self.now + 0.3, face.Answered(p, order.number, 0.3)) for p in range(PROXIES)
+                ]
             elif isinstance(order, face.Wake):
                 self.due.append((self.now + order.after, face.Rung(order.token)))
         return self.counter.lines - before
@@ -90,8 +98,10 @@
     """Four seconds of reports of workers that each size has; one of eight fails."""
     for n in range(40):
         rows = [(7 * n + m) % 200 for m in range(6)]
-        yield [*(face.Met("a", worker(i).id, 12, 8 if i % 8 == 0 else 0, 0.2, 0.5) for i in rows),
-               face.Asked(n % PROXIES, "p0", 4, 0, 0.5)]
+        yield [
+            *(face.Met("a", worker(i).id, 12, 8 if i % 8 == 0 else 0, 0.2, 0.5) for i in rows),
+            face.Asked(n % PROXIES, "p0", 4, 0, 0.5),
+        ]
 
 
 def release() -> Iterator[list[face.Event]]:
@@ -109,13 +119,17 @@
 
 
 def grows(events: History, few: int, many: int, module: Any = Balancer, turns: int = 60) -> float:
-    return cost(events, many, 2, module=module, turns=turns) / cost(events, few, 2, module=module, turns=turns)
+    return cost(events, many, 2, module=module, turns=turns) / cost(
+        events, few, 2, module=module, turns=turns
+    )
 
 
 @pytest.mark.parametrize("events", [reports, release])
 def test_a_turn_does_not_go_with_the_workers(events: History) -> None:
     assert grows(events, 1500, 5000) <= 1.05  # small tables are tended at both
-    assert grows(events, 200, 1500) <= 3.0  # at 200 one table goes to all, so that there is nothing to tend
+    assert (
+        grows(events, 200, 1500) <= 3.0
+    )  # at 200 one table goes to all, so that there is nothing to tend
 
 
 @pytest.mark.parametrize(("events", "each"), [(reports, 60), (release, 90)])
@@ -126,7 +140,11 @@
 
 def test_the_former_text_goes_with_the_workers() -> None:
     assert grows(reports, 200, 800, Former, 10) > 3.0
-    assert cost(reports, 200, 20, module=Former, turns=10) - cost(reports, 200, 2, module=Former, turns=10) > 18 * 200
+    assert (
+        cost(reports, 200, 20, module=Former, turns=10)
+        - cost(reports, 200, 2, module=Former, turns=10)
+        > 18 * 200
+    )
 
 
 def walks_all(self: Lines, table: Table, want: dict[int, float], lacking: bool = True) -> set[int]:
@@ -142,12 +160,27 @@
 
 FAULTS: dict[str, tuple[History, type, str, Callable[..., object]]] = {
     "differences are walked": (reports, Lines, "differing", walks_all),
-    "all are judged": (reports, Evidence, "rising", lambda self, now: [i for i in self.listed if self.cap[i]]),
-    "who is out is walked": (reports, Evidence, "awake", lambda self, now: [
-        i for i in sorted(self.listed) if not self.cap[i] and self.due[i] <= now]),
+    "all are judged": (
+        reports,
+        Evidence,
+        "rising",
+        lambda self, now: [i for i in self.listed if self.cap[i]],
+    ),
+    "who is out is walked": (
+        reports,
+        Evidence,
+        "awake",
+        lambda self, now: [
+            i for i in sorted(self.listed) if not self.cap[i] and self.due[i] <= now
+        ],
+    ),
     "all are planned anew": (reports, Fleet, "news", lambda self: set(self.rows)),
-    "who is in no table is walked": (reports, Cover, "free", lambda self, wanted, log, cut: [
-        i for i in sorted(wanted) if i not in self.counts]),
+    "who is in no table is walked": (
+        reports,
+        Cover,
+        "free",
+        lambda self, wanted, log, cut: [i for i in sorted(wanted) if i not in self.counts],
+    ),
     "who goes is told to all tables": (release, Seating, "enlist", tells_all),
 }
 
--- a/tests/test_wide.py
+++ b/tests/test_wide.py
@@ -23,7 +23,7 @@
 from dunlinlug.xds.stream import Acked, Refused, StreamFault
 from tests.running import running, until
 
-CLIENT = '''
+CLIENT = """
 import json, sys, threading, time
 import grpc
 channel = grpc.insecure_channel("xds:///press-book")
@@ -37,7 +37,7 @@
             name = error.code().name
         met[name] = met.get(name, 0) + 1
     print(json.dumps(met), flush=True)
-'''
+"""
 
 
 class Workers:
@@ -49,8 +49,18 @@
             server = outside.server(futures.ThreadPoolExecutor(2))
             port = server.add_insecure_port("127.0.0.1:0")
             name = f"127.0.0.1:{port}"
-            server.add_generic_rpc_handlers((outside.method_handlers_generic_handler("shop", {
-                "Book": outside.unary_unary_rpc_method_handler(lambda request, context, name=name: name.encode())}),))
+            server.add_generic_rpc_handlers(
+                (
+                    outside.method_handlers_generic_handler(
+                        "shop",
+                        {
+                            "Book": outside.unary_unary_rpc_method_handler(
+                                lambda request, context, name=name: name.encode()
+                            )
+                        },
+                    ),
+                )
+            )
             server.start()
             self.servers.append(server)
             self.ids.append(name)
@@ -64,13 +74,24 @@
     """A process with grpcio alone, steered by its bootstrap."""
 
     def __init__(self, manager: tuple[str, int], folder: Path) -> None:
-        bootstrap = {"xds_servers": [{"server_uri": f"{manager[0]}:{manager[1]}", "channel_creds": [
-            {"type": "insecure"}], "server_features": ["xds_v3"]}], "node": {"id": "plain", "locality": {
-                "zone": "north"}}}
+        bootstrap = {
+            "xds_servers": [
+                {
+                    "server_uri": f"{manager[0]}:{manager[1]}",
+                    "channel_creds": [{"type": "insecure"}],
+                    "server_features": ["xds_v3"],
+                }
+            ],
+            "node": {"id": "plain", "locality": {"zone": "north"}},
+        }
         (folder / "bootstrap.json").write_text(json.dumps(bootstrap))
         self.process = subprocess.Popen(
-            [sys.executable, "-c", CLIENT], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
-            env={**os.environ, "GRPC_XDS_BOOTSTRAP": str(folder / "bootstrap.json")})
+            [sys.executable, "-c", CLIENT],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+            env={**os.environ, "GRPC_XDS_BOOTSTRAP": str(folder / "bootstrap.json")},
+        )
         self.lock = threading.Lock()
 
     async def ask(self, count: int) -> Counter[str]:
@@ -91,16 +112,24 @@
 
 async def test_an_unmodified_grpc_client_is_steered_by_our_tables(tmp_path: Path) -> None:
     workers = Workers(4)
-    listed = [face.Worker(name, "north", "", 0, "ready", weight, None)
-              for name, weight in zip(workers.ids, (1.0, 1.0, 2.0, 4.0), strict=True)]
+    listed = [
+        face.Worker(name, "north", "", 0, "ready", weight, None)
+        for name, weight in zip(workers.ids, (1.0, 1.0, 2.0, 4.0), strict=True)
+    ]
     client: Any = None
     try:
         async with running(tmp_path) as run:
             run.roster.workers = listed
             run.roster.tell()
             module = run.manager.loop.module
-            await until(lambda: bool(module.current) and all(  # type: ignore[attr-defined]
-                len(table.shares) == 4 for table in module.current.values()))  # type: ignore[attr-defined]
+            await until(
+                lambda: (
+                    bool(module.current)
+                    and all(  # type: ignore[attr-defined]
+                        len(table.shares) == 4 for table in module.current.values()
+                    )
+                )
+            )  # type: ignore[attr-defined]
             client = Client(run.address, tmp_path)
             met = await client.ask(800)
             assert set(met) == set(workers.ids), "all workers, and no failure"
@@ -112,8 +141,14 @@
                     pass
             met = await client.ask(400)
             assert set(met) == set(workers.ids[:3]) and 0.4 < met[workers.ids[2]] / 400 < 0.6
-            await until(lambda: all(not mark for proxy in module.seating.proxies.values()  # type: ignore[attr-defined]
-                                    for tables in proxy.holds.values() for _, mark in tables))
+            await until(
+                lambda: all(
+                    not mark
+                    for proxy in module.seating.proxies.values()  # type: ignore[attr-defined]
+                    for tables in proxy.holds.values()
+                    for _, mark in tables
+                )
+            )
             assert not run.said("proxy.refused")
     finally:
         if client is not None:
@@ -133,14 +168,27 @@
             return found
 
         await take(names.LISTENERS, "press-book")
-        led = route_pb2.RouteConfiguration.FromString((await take(names.ROUTES, "press-book")).resources[0].value)
+        led = route_pb2.RouteConfiguration.FromString(
+            (await take(names.ROUTES, "press-book")).resources[0].value
+        )
         cluster = led.virtual_hosts[0].routes[0].route.cluster
         await take(names.CLUSTERS, cluster)
-        held = endpoint_pb2.ClusterLoadAssignment.FromString((await take(names.ENDPOINTS, cluster)).resources[0].value)
+        held = endpoint_pb2.ClusterLoadAssignment.FromString(
+            (await take(names.ENDPOINTS, cluster)).resources[0].value
+        )
         assert len(held.endpoints) == 6
         proxies = run.manager.loop.module.seating.proxies  # type: ignore[attr-defined]
-        await until(lambda: len(proxies) == 1 and all(
-            not mark for proxy in proxies.values() for tables in proxy.holds.values() for _, mark in tables))
+        await until(
+            lambda: (
+                len(proxies) == 1
+                and all(
+                    not mark
+                    for proxy in proxies.values()
+                    for tables in proxy.holds.values()
+                    for _, mark in tables
+                )
+            )
+        )
         calls[names.CLUSTERS].send(ask(names.ENDPOINTS, [cluster]))
         with trio.fail_after(5.0), pytest.raises(grpc.CallEnded, match="is not served"):
             while True:
@@ -154,7 +202,9 @@
 
 
 def ask(type_url: str, names_: list[str], nonce: str = "", error: str = "") -> bytes:
-    request = discovery_pb2.DiscoveryRequest(type_url=type_url, resource_names=names_, response_nonce=nonce)
+    request = discovery_pb2.DiscoveryRequest(
+        type_url=type_url, resource_names=names_, response_nonce=nonce
+    )
     request.node.id = "n"
     if error:
         request.error_detail.message = error
@@ -185,8 +235,12 @@
     """A stream whose client holds table 1/1 whole."""
     stream = full.FullStream()
     stream.offered = offer("1/1")
-    for kind, wanted in ((names.LISTENERS, ["book"]), (names.ROUTES, ["book"]), (names.CLUSTERS, ["1/1/book"]),
-                         (names.ENDPOINTS, ["1/1/book"])):
+    for kind, wanted in (
+        (names.LISTENERS, ["book"]),
+        (names.ROUTES, ["book"]),
+        (names.CLUSTERS, ["1/1/book"]),
+        (names.ENDPOINTS, ["1/1/book"]),
+    ):
         assert not stream.settled()
         stream.receive(ask(kind, wanted))
         nonce, named = sent(stream)[kind]
@@ -196,11 +250,15 @@
     return stream
 
 
-def test_a_change_settles_only_with_the_endpoints_of_its_new_cluster_and_the_old_one_stays_till_then() -> None:
+def test_a_change_settles_only_with_the_endpoints_of_its_new_cluster_and_the_old_one_stays_till_then() -> (
+    None
+):
     stream = joined()
     stream.offered = offer("1/2", "1/1")
     due = sent(stream)
-    assert set(due) == {names.ROUTES} and not stream.settled(), "the client has yet to ask for the new cluster"
+    assert set(due) == {names.ROUTES} and not stream.settled(), (
+        "the client has yet to ask for the new cluster"
+    )
     stream.receive(ask(names.ROUTES, ["book"], due[names.ROUTES][0]))
     for kind in (names.CLUSTERS, names.ENDPOINTS):
         stream.receive(ask(kind, ["1/1/book", "1/2/book"]))
@@ -216,12 +274,17 @@
     first = sent(stream)[names.ENDPOINTS][0]
     stream.offered = offer("1/1", weight=3.0)
     second = sent(stream)[names.ENDPOINTS][0]
-    assert stream.receive(ask(names.ENDPOINTS, ["1/1/book"], second, "no")) == [Refused(second, "no")]
+    assert stream.receive(ask(names.ENDPOINTS, ["1/1/book"], second, "no")) == [
+        Refused(second, "no")
+    ]
     assert stream.receive(ask(names.ENDPOINTS, ["1/1/book"], first)) == [] and not stream.settled()
     assert not sent(stream), "what was refused is not sent again"
     stream.offered = offer("1/1", weight=4.0)
     third = sent(stream)[names.ENDPOINTS][0]
-    assert stream.receive(ask(names.ENDPOINTS, ["1/1/book"], third)) == [Acked(third)] and stream.settled()
+    assert (
+        stream.receive(ask(names.ENDPOINTS, ["1/1/book"], third)) == [Acked(third)]
+        and stream.settled()
+    )
 
 
 def test_an_answer_to_what_is_no_longer_the_newest_changes_nothing_it_asked_for_then() -> None:
@@ -231,15 +294,25 @@
     stream.offered = offer("1/1", weight=3.0)
     new = sent(stream)[names.ENDPOINTS][0]
     stream.receive(ask(names.ENDPOINTS, [], old))
-    assert stream.wanted[names.ENDPOINTS] == {"1/1/book"}, "crossed by a change: the newest answer counts"
+    assert stream.wanted[names.ENDPOINTS] == {"1/1/book"}, (
+        "crossed by a change: the newest answer counts"
+    )
     stream.receive(ask(names.ENDPOINTS, ["1/1/book"], new))
     assert stream.settled()
 
 
-@pytest.mark.parametrize(("data", "said"), [
-    (b"\xff\xff", "not a DiscoveryRequest"), (ask("type.googleapis.com/x", []), "is not served"),
-    (ask(names.CLUSTERS, ["x"] * 10_001), "more than"), (discovery_pb2.DiscoveryRequest(
-        type_url=names.CLUSTERS).SerializeToString(), "must name its node")])
+@pytest.mark.parametrize(
+    ("data", "said"),
+    [
+        (b"\xff\xff", "not a DiscoveryRequest"),
+        (ask("type.googleapis.com/x", []), "is not served"),
+        (ask(names.CLUSTERS, ["x"] * 10_001), "more than"),
+        (
+            discovery_pb2.DiscoveryRequest(type_url=names.CLUSTERS).SerializeToString(),
+            "must name its node",
+        ),
+    ],
+)
 def test_what_is_no_request_ends_the_stream_with_a_word(data: bytes, said: str) -> None:
     with pytest.raises(StreamFault, match=said):
         full.FullStream().receive(data)
