--- a/dunlinlug/net/tls.py
+++ b/dunlinlug/net/tls.py
@@ -55,8 +55,8 @@
         if kind in ("DNS", "URI"):
             return str(value)
     subject = certificate.get("subject", ())
-    for part in subject:
-        for key, value in part:  # type: ignore[attr-defined]
+    for part in subject:  # type: ignore[attr-defined]
+        for key, value in part:
             if key == "commonName":
                 return str(value)
     return ""
