--- a/tests/recorded/record_store.py
+++ b/tests/recorded/record_store.py
@@ -35,8 +35,22 @@
         },
         {"product": "ticket-read", "weights": {"\u00e9:1": 1}, "others": False, "until": 1.0},
     ],
-    "most": 4,
+    "most": 5,
     "refusals": [
+        {
+            "source": "module",
+            "passed": False,
+            "obeyed": True,
+            "refusals": [
+                {
+                    "order": {"verb": "Empty", "setId": 9},
+                    "rule": "bare",
+                    "why": "the oldest, for which there is no room",
+                    "would_pass": "",
+                    "proxies": [],
+                },
+            ],
+        },
         {
             "source": "module",
             "passed": False,
