--- a/dunlinlug/fleet/owner/words.py
+++ b/dunlinlug/fleet/owner/words.py
@@ -4,11 +4,13 @@
 that only grows: the place of its entry in the members' log, term before index.
 """
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from typing import ClassVar
 
 import xxhash
 
 from dunlinlug.fleet.succession.words import Position
+from dunlinlug.fleet.wire_names import by_wire_name, wire
 
 SLOTS = 256  # shares that fifty members can be dealt within a fifth of evenly; one entry deals all of them anew
 INDEX_BITS = 32  # of a number: entries of one term
@@ -33,12 +35,13 @@
     slots that I own, numbers that carriers have seen and mine does not exceed; `away`: slots and numbers that I have
     given up as I was asked to."""
 
-    term: int
-    sender: str
-    sent: float
-    born: int
-    behind: tuple[tuple[int, int], ...] = ()
-    away: tuple[tuple[int, int], ...] = ()
+    WIRE_NAME: ClassVar[str] = "Renew"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
+    sent: float = field(metadata=wire("sent"))
+    born: int = field(metadata=wire("born"))
+    behind: tuple[tuple[int, int], ...] = field(default=(), metadata=wire("behind"))
+    away: tuple[tuple[int, int], ...] = field(default=(), metadata=wire("away"))
 
 
 @dataclass(frozen=True)
@@ -46,62 +49,67 @@
     """From the steward: what you own by our log up to `upto` is yours for `left` seconds of my clock from when you
     `sent`, in the life that you were `born` to; all of the log up to `committed` is with a majority."""
 
-    term: int
-    sender: str
-    sent: float
-    left: float
-    upto: Position
-    committed: Position
-    born: int
+    WIRE_NAME: ClassVar[str] = "Granted"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
+    sent: float = field(metadata=wire("sent"))
+    left: float = field(metadata=wire("left"))
+    upto: Position = field(metadata=wire("upto"))
+    committed: Position = field(metadata=wire("committed"))
+    born: int = field(metadata=wire("born"))
 
 
 @dataclass(frozen=True)
 class Note:
     """To the steward: how far pieces have come, each with the number under which it was done and a short body."""
 
-    term: int
-    sender: str
-    items: tuple[tuple[str, int, bytes], ...]
+    WIRE_NAME: ClassVar[str] = "Note"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
+    items: tuple[tuple[str, int, bytes], ...] = field(metadata=wire("items"))
 
 
 @dataclass(frozen=True)
 class Effect:
     """To a carrier: this is to be done for a piece, as the `count`th effect of its slot under this number."""
 
-    term: int
-    sender: str
-    piece: str
-    number: int
-    count: int
-    body: bytes
+    WIRE_NAME: ClassVar[str] = "Effect"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
+    piece: str = field(metadata=wire("piece"))
+    number: int = field(metadata=wire("number"))
+    count: int = field(metadata=wire("count"))
+    body: bytes = field(metadata=wire("body"))
 
 
 @dataclass(frozen=True)
 class Outcome:
     """A carrier's answer. `seen` is the number that it goes by, with its owner: another's where it has refused."""
 
-    term: int
-    sender: str
-    piece: str
-    number: int
-    count: int
-    done: bool
-    seen: int
-    owner: str
+    WIRE_NAME: ClassVar[str] = "Outcome"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
+    piece: str = field(metadata=wire("piece"))
+    number: int = field(metadata=wire("number"))
+    count: int = field(metadata=wire("count"))
+    done: bool = field(metadata=wire("done"))
+    seen: int = field(metadata=wire("seen"))
+    owner: str = field(metadata=wire("owner"))
 
 
 @dataclass(frozen=True)
 class Want:
     """To the owner of a piece: somebody here asks for it to be done."""
 
-    term: int
-    sender: str
-    piece: str
-    body: bytes
+    WIRE_NAME: ClassVar[str] = "Want"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
+    piece: str = field(metadata=wire("piece"))
+    body: bytes = field(metadata=wire("body"))
 
 
 Message = Renew | Granted | Note | Effect | Outcome | Want
-KINDS = {kind.__name__: kind for kind in (Renew, Granted, Note, Effect, Outcome, Want)}
+KINDS = by_wire_name((Renew, Granted, Note, Effect, Outcome, Want))
 
 
 @dataclass(frozen=True)
--- a/dunlinlug/fleet/succession/codec.py
+++ b/dunlinlug/fleet/succession/codec.py
@@ -15,16 +15,15 @@
 
 from dunlinlug.fleet.keys import NAME, short
 from dunlinlug.fleet.succession import words
+from dunlinlug.fleet.wire_names import by_wire_name, wire_fields, wire_name
 
 NONCE, MAC = 16, 32
 LARGEST = (
     2**26
 )  # bytes of a frame: the whole of five hundred proxies and two thousand workers is a tenth of it
 HEAD = struct.Struct(f">IQ{NAME}s{MAC}s")
-KINDS = {
-    kind.__name__: kind
-    for kind in (words.Ask, words.Answer, words.Beat, words.Whole, words.Heard, words.Pass)
-}
+KINDS = by_wire_name((words.Ask, words.Answer, words.Beat, words.Whole, words.Heard, words.Pass))
+# By their names on the wire:
 PLACES = ("position", "base", "upto", "committed")  # fields that are places of the log
 ROWS = ("behind", "away", "items")  # fields that are rows of plain values
 Kinds = Mapping[str, Any]
@@ -38,12 +37,16 @@
     return blake2b(nonce + number.to_bytes(8, "big") + body, key=key, digest_size=MAC).digest()
 
 
-def pack(message: object) -> bytes:
-    fields = {
-        key: list(vars(value).values()) if isinstance(value, words.Roll) else value
-        for key, value in vars(message).items()
-    }
-    made: bytes = msgpack.packb([type(message).__name__, fields])
+def pack(message: Any) -> bytes:
+    """Raises TypeError for a message whose class or a field of which has no wire name."""
+    kind: Any = type(message)
+    fields = {}
+    for name, attribute in wire_fields(kind).items():
+        value = getattr(message, attribute)
+        if isinstance(value, words.Roll):
+            value = (value.version, value.members)
+        fields[name] = value
+    made: bytes = msgpack.packb([wire_name(kind), fields])
     return made
 
 
@@ -62,7 +65,9 @@
         if "entries" in fields:
             fields["entries"] = tuple(bytes(entry) for entry in fields["entries"])
         fields["term"], fields["sender"] = int(fields["term"]), str(fields["sender"])
-        return kinds[name](**fields)
+        kind = kinds[name]
+        attributes = wire_fields(kind)
+        return kind(**{attributes[key]: value for key, value in fields.items()})
     except (ValueError, TypeError, KeyError, AttributeError, msgpack.UnpackException) as fault:
         raise Forged(f"not a message: {type(fault).__name__}") from None
 
--- a/dunlinlug/fleet/succession/words.py
+++ b/dunlinlug/fleet/succession/words.py
@@ -1,6 +1,9 @@
 """What members say to each other, and what the machine asks of its host; plain values."""
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from typing import ClassVar
+
+from dunlinlug.fleet.wire_names import wire
 
 Position = tuple[
     int, int
@@ -25,66 +28,72 @@
     """Wants votes for a term; a `probe` only asks whether it would be given one. `handed`: the master has stopped
     and passed on to the sender, so that promises made to it bind nobody."""
 
-    term: int
-    sender: str
-    position: Position
-    probe: bool
-    handed: bool = False
+    WIRE_NAME: ClassVar[str] = "Ask"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
+    position: Position = field(metadata=wire("position"))
+    probe: bool = field(metadata=wire("probe"))
+    handed: bool = field(default=False, metadata=wire("handed"))
 
 
 @dataclass(frozen=True)
 class Answer:
     """`blank`: the voter has just started and remembers nothing."""
 
-    term: int
-    sender: str
-    asked: int
-    probe: bool
-    granted: bool
-    blank: bool
+    WIRE_NAME: ClassVar[str] = "Answer"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
+    asked: int = field(metadata=wire("asked"))
+    probe: bool = field(metadata=wire("probe"))
+    granted: bool = field(metadata=wire("granted"))
+    blank: bool = field(metadata=wire("blank"))
 
 
 @dataclass(frozen=True)
 class Beat:
     """From the master: entries after `base`, all of its term. `sent` is on its own clock."""
 
-    term: int
-    sender: str
-    sent: float
-    roll: Roll
-    base: Position
-    entries: tuple[bytes, ...]
+    WIRE_NAME: ClassVar[str] = "Beat"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
+    sent: float = field(metadata=wire("sent"))
+    roll: Roll = field(metadata=wire("roll"))
+    base: Position = field(metadata=wire("base"))
+    entries: tuple[bytes, ...] = field(metadata=wire("entries"))
 
 
 @dataclass(frozen=True)
 class Whole:
     """From the master: all that stands, at a position."""
 
-    term: int
-    sender: str
-    sent: float
-    roll: Roll
-    position: Position
-    body: bytes
+    WIRE_NAME: ClassVar[str] = "Whole"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
+    sent: float = field(metadata=wire("sent"))
+    roll: Roll = field(metadata=wire("roll"))
+    position: Position = field(metadata=wire("position"))
+    body: bytes = field(metadata=wire("body"))
 
 
 @dataclass(frozen=True)
 class Heard:
     """To a master: where this member stands; `follows` is false where it needs the whole."""
 
-    term: int
-    sender: str
-    sent: float
-    position: Position
-    follows: bool
+    WIRE_NAME: ClassVar[str] = "Heard"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
+    sent: float = field(metadata=wire("sent"))
+    position: Position = field(metadata=wire("position"))
+    follows: bool = field(metadata=wire("follows"))
 
 
 @dataclass(frozen=True)
 class Pass:
     """From a master that has stopped ordering: the receiver is to stand at once."""
 
-    term: int
-    sender: str
+    WIRE_NAME: ClassVar[str] = "Pass"
+    term: int = field(metadata=wire("term"))
+    sender: str = field(metadata=wire("sender"))
 
 
 Message = Ask | Answer | Beat | Whole | Heard | Pass
