--- a/dunlinlug/fleet/succession/facts.py
+++ b/dunlinlug/fleet/succession/facts.py
@@ -6,25 +6,15 @@
 """
 
 from dataclasses import dataclass, field
-from random import Random
 from typing import Any
 
 from dunlinlug import interface as face
-from dunlinlug import state
-from dunlinlug.balance import Account, Balancer, Gate, Health
-from dunlinlug.bookkeeping import cover, lines, listing, outstanding, seating
-from dunlinlug.fleet.succession.plain import Codec, PlainFault
+from dunlinlug.balance import Balancer
+from dunlinlug.bookkeeping import listing
+from dunlinlug.fleet.succession import event_forms, module_state
+from dunlinlug.fleet.succession.plain import Codec, PlainFault, WireForm
 from dunlinlug.manager.laid import Laid
 
-OWN = (
-    "fleet",
-    "account",
-    "health",
-    "gate",
-    "seating",
-    "lines",
-)  # the module's parts, which a fresh module has already
-
 
 @dataclass
 class Batch:
@@ -54,28 +44,44 @@
     module: dict[str, Any] = field(default_factory=dict)
 
 
-EVENTS = [
-    kind
-    for kind in vars(face).values()
-    if isinstance(kind, type) and kind.__module__ == face.__name__
-]
-CODEC = Codec(
+BATCH = WireForm(
     Batch,
+    "Batch",
+    {
+        "now": "now",
+        "events": "events",
+        "left_out": "left_out",
+        "numbers": "numbers",
+        "pins": "pins",
+    },
+)
+STANDING = WireForm(
     Standing,
+    "Standing",
+    {
+        "now": "now",
+        "epoch": "epoch",
+        "tables": "tables",
+        "out": "out",
+        "zones": "zones",
+        "numbers": "numbers",
+        "timers": "timers",
+        "roster": "roster",
+        "pins": "pins",
+        "module": "module",
+    },
+)
+LAID = WireForm(
     Laid,
-    Account,
-    Gate,
-    Health,
-    outstanding.Stretch,
-    listing.Fleet,
-    state.Change,
-    seating.Seating,
-    seating.Table,
-    seating.Proxy,
-    lines.Lines,
-    cover.Cover,
-    *EVENTS,
+    "Laid",
+    {
+        "name": "name",
+        "lines": "lines",
+        "levels": "levels",
+    },
 )
+FORMS = (BATCH, STANDING, LAID, *module_state.FORMS, *event_forms.FORMS)
+CODEC = Codec(*FORMS)
 
 
 def listed(fleet: listing.Fleet) -> list[face.Worker]:
@@ -110,30 +116,13 @@
 
 
 def write_whole(module: Balancer, standing: Standing) -> bytes:
-    chance = module.uniform.__self__  # type: ignore[attr-defined]
-    assert isinstance(chance, Random)
-    standing.module = {key: value for key, value in vars(module).items() if not callable(value)}
-    standing.module["chance"] = chance.getstate()
+    standing.module = module_state.fields_of(module)
     return CODEC.write(standing)
 
 
 def read_whole(data: bytes, trade: face.Trade) -> tuple[Balancer, Standing]:
     """A module that goes on where the other stood. Raises PlainFault, also if it was told another trade."""
     standing = CODEC.read(data)
-    if not isinstance(standing, Standing):
+    if not isinstance(standing, Standing) or not isinstance(standing.module, dict):
         raise PlainFault("not the whole")
-    module, found = Balancer(trade), standing.module
-    if found["account"].channel != trade.channel or len(found["current"]) not in (
-        0,
-        len(trade.products),
-    ):
-        raise PlainFault("it was told another trade; all members need the same settings")
-    for key, value in found.items():
-        if key in OWN:
-            vars(getattr(module, key)).update(vars(value))
-        elif key != "chance":
-            setattr(module, key, value)
-    for part in (module.health, module.seating):
-        part.restore()
-    module.uniform.__self__.setstate(found["chance"])  # type: ignore[attr-defined]
-    return module, standing
+    return module_state.restored(standing.module, trade), standing
--- /dev/null
+++ b/tests/recorded/test_wire_forms.py
@@ -0,0 +1,193 @@
+"""Whatever travels between managers has its wire name declared, and nothing else of its class travels."""
+
+from collections import deque
+from copy import copy
+from dataclasses import dataclass, field, fields, is_dataclass
+from functools import cache
+from typing import Any, ClassVar
+
+import msgpack
+import pytest
+
+from dunlinlug import interface as face
+from dunlinlug.balance import Balancer
+from dunlinlug.fleet.owner import words as owner
+from dunlinlug.fleet.succession import codec, facts, module_state
+from dunlinlug.fleet.succession import words as succession
+from dunlinlug.fleet.succession.plain import Codec, FieldFault, PlainFault, WireForm
+from dunlinlug.fleet.wire_names import by_wire_name, wire
+from tests.recorded import fleet_examples as examples
+from tests.recorded import record_fleet as record
+
+FORMS = {form.name: form for form in (*facts.FORMS, module_state.MODULE)}
+ANOTHER = "another_attribute"
+
+
+def walk(value: Any, found: dict[type, Any], seen: set[int]) -> None:
+    """One instance of each class of ours in what travels; of several the first."""
+    if isinstance(value, dict):
+        for pair in value.items():
+            walk(pair, found, seen)
+    elif isinstance(value, list | tuple | set | deque):
+        for part in value:
+            walk(part, found, seen)
+    elif type(value).__module__.startswith("dunlinlug.") and id(value) not in seen:
+        seen.add(id(value))
+        found.setdefault(type(value), value)
+        walk(vars(value), found, seen)
+
+
+@cache
+def lived() -> Balancer:
+    return record.lived_module()[0]
+
+
+@cache
+def instances() -> dict[type, Any]:
+    found: dict[type, Any] = {}
+    seen: set[int] = set()
+    for value in (lived(), record.standing(0.0), *examples.BATCHES.values()):
+        walk(value, found, seen)
+    return found
+
+
+def test_every_class_that_travels_has_one_form_and_every_form_its_class() -> None:
+    assert instances().keys() == {form.kind for form in FORMS.values()}
+    assert len(FORMS) == len(facts.FORMS) + 1
+
+
+def test_every_event_has_a_form() -> None:
+    events = {kind for kind in face.Event.__args__}
+    assert events <= {form.kind for form in FORMS.values()}
+
+
+@pytest.mark.parametrize("name", FORMS)
+def test_a_form_names_each_attribute_of_its_class_once(name: str) -> None:
+    form = FORMS[name]
+    attributes = [*form.fields.values(), *form.local]
+    assert len(set(attributes)) == len(attributes)
+    assert set(attributes) == vars(instances()[form.kind]).keys()
+    if is_dataclass(form.kind):
+        assert [*form.fields.values()] == [each.name for each in fields(form.kind)]
+
+
+@pytest.mark.parametrize("name", FORMS)
+def test_an_attribute_that_is_not_declared_is_refused_when_written(name: str) -> None:
+    form = FORMS[name]
+    instance = copy(instances()[form.kind])
+    object.__setattr__(instance, ANOTHER, 1)
+    with pytest.raises(FieldFault, match=ANOTHER) as caught:
+        Codec(*FORMS.values()).write(instance)
+    assert (caught.value.class_name, caught.value.field) == (name, ANOTHER)
+
+
+@pytest.mark.parametrize("name", [name for name, form in FORMS.items() if form.fields])
+def test_a_declared_attribute_that_is_not_there_is_refused_when_written(name: str) -> None:
+    form = FORMS[name]
+    instance = copy(instances()[form.kind])
+    attribute = next(iter(form.fields.values()))
+    del vars(instance)[attribute]
+    with pytest.raises(FieldFault) as caught:
+        Codec(*FORMS.values()).write(instance)
+    assert (caught.value.class_name, caught.value.field) == (name, attribute)
+
+
+@pytest.mark.parametrize("name", FORMS)
+def test_fields_unknown_missing_or_twice_there_are_refused_when_read(name: str) -> None:
+    reader = Codec(*FORMS.values())
+    pairs = [part for wire_name in FORMS[name].fields for part in (wire_name, 1)]
+    cases = {"unknown here": [*pairs, "surplus", 1], "missing": pairs[2:]}
+    if len(pairs) > 2:
+        cases["there twice"] = [*pairs, *pairs[:2]]
+    for problem, found in cases.items():
+        with pytest.raises(FieldFault, match=problem) as caught:
+            reader.read(msgpack.packb(["o", 0, name, *found]))
+        assert caught.value.class_name == name
+
+
+def test_a_module_with_fields_unknown_or_missing_is_refused() -> None:
+    trade = record.Surroundings(record.HISTORY).trade
+    found = module_state.fields_of(lived())
+    for name in found:
+        with pytest.raises(FieldFault, match="missing") as caught:
+            module_state.restored({key: found[key] for key in found if key != name}, trade)
+        assert (caught.value.class_name, caught.value.field) == ("Balancer", name)
+    with pytest.raises(FieldFault, match="unknown here"):
+        module_state.restored({**found, "surplus": 1}, trade)
+    for name in module_state.OWN_PARTS:
+        with pytest.raises(FieldFault, match="of another class"):
+            module_state.restored({**found, name: 1}, trade)
+
+
+def test_names_of_classes_and_attributes_do_not_reach_bytes() -> None:
+    @dataclass
+    class Renamed:
+        count: int
+
+    @dataclass
+    class Former:
+        number: int
+
+    now = Codec(WireForm(Renamed, "Former", {"number": "count"}))
+    before = Codec(WireForm(Former, "Former", {"number": "number"}))
+    assert now.write(Renamed(7)) == before.write(Former(7))
+    assert now.read(before.write(Former(7))) == Renamed(7)
+    with pytest.raises(PlainFault):
+        now.write(Former(7))
+    with pytest.raises(TypeError):
+        Codec(WireForm(Former, "Former", {}), WireForm(Renamed, "Former", {}))
+
+
+def test_message_names_of_classes_and_attributes_do_not_reach_bytes() -> None:
+    @dataclass(frozen=True)
+    class Renamed:
+        WIRE_NAME: ClassVar[str] = "Pass"
+        epoch: int = field(metadata=wire("term"))
+        member: str = field(metadata=wire("sender"))
+
+    body = codec.pack(succession.Pass(term=5, sender="m1"))
+    assert codec.pack(Renamed(epoch=5, member="m1")) == body
+    assert codec.unpack(body, by_wire_name([Renamed])) == Renamed(epoch=5, member="m1")
+
+
+def test_messages_without_wire_names_are_refused() -> None:
+    @dataclass(frozen=True)
+    class Nameless:
+        term: int = field(metadata=wire("term"))
+
+    @dataclass(frozen=True)
+    class Halfway:
+        WIRE_NAME: ClassVar[str] = "Halfway"
+        term: int = field(metadata=wire("term"))
+        sender: str
+
+    @dataclass(frozen=True)
+    class Twice:
+        WIRE_NAME: ClassVar[str] = "Twice"
+        term: int = field(metadata=wire("term"))
+        other: int = field(metadata=wire("term"))
+
+    for message in (Nameless(1), Halfway(1, "m0"), Twice(1, 2)):
+        with pytest.raises(TypeError, match="declares no"):
+            codec.pack(message)
+        with pytest.raises(TypeError, match="declares no"):
+            by_wire_name([type(message)])
+
+
+def test_every_message_is_in_the_examples() -> None:
+    for kinds, messages in (
+        (codec.KINDS, examples.SUCCESSION),
+        (owner.KINDS, examples.OWNER),
+    ):
+        assert {type(message) for message in messages.values()} == set(kinds.values())
+
+
+def test_a_message_with_an_unknown_or_missing_field_is_forged() -> None:
+    for kinds, messages in ((codec.KINDS, examples.SUCCESSION), (owner.KINDS, examples.OWNER)):
+        for message in messages.values():
+            name, found = msgpack.unpackb(codec.pack(message))
+            with pytest.raises(codec.Forged):
+                codec.unpack(msgpack.packb([name, {**found, "surplus": 1}]), kinds)
+            del found["sender"]
+            with pytest.raises(codec.Forged):
+                codec.unpack(msgpack.packb([name, found]), kinds)
--- a/tests/test_facts.py
+++ b/tests/test_facts.py
@@ -7,7 +7,7 @@
 from dunlinlug import interface as face
 from dunlinlug.balance import Balancer
 from dunlinlug.fleet.succession import facts
-from dunlinlug.fleet.succession.plain import Codec, PlainFault
+from dunlinlug.fleet.succession.plain import Codec, PlainFault, WireForm
 from tests.helpers import Model, run, trade, worker
 from tests.test_seating import agree
 
@@ -69,7 +69,7 @@
     with pytest.raises(PlainFault, match="another trade"):
         facts.read_whole(whole, trade(channel=face.Channel(1.0, 4.0, 900.0, 0.2, 0.5)))
     with pytest.raises(PlainFault, match="not a class that travels"):
-        Codec(face.Left).write(Random(1))
+        Codec(WireForm(face.Left, "Left", {"proxy": "proxy"})).write(Random(1))
     chance = Random(7)
     for n in range(300):
         cut = (
