--- a/tests/recorded/record_fleet.py
+++ b/tests/recorded/record_fleet.py
@@ -20,6 +20,7 @@
 from dunlinlug.manager.laid import Laid
 from tests.histories import Surroundings
 from tests.recorded import fleet_examples as examples
+from tests.recorded import fleet_facts
 
 DATA = Path(__file__).parent / "data" / "fleet"
 KEY, BOOT, NONCE = bytes(range(32)), b"bootboot", bytes(range(16))
@@ -168,6 +169,7 @@
     put("owner.json", cases(examples.OWNER, codec.pack, frame=log_frame))
     put("owner_log.json", cases(examples.LOG, book.write))
     put("owner_whole.json", cases({"Book": ownership_book()}, book.Book.whole))
+    put("said.json", neutral(list(fleet_facts.said().items())))
     put("batches.json", cases(examples.BATCHES, facts.write_batch))
 
     module, following = lived_module()
--- a/tests/recorded/test_fleet_bytes.py
+++ b/tests/recorded/test_fleet_bytes.py
@@ -4,14 +4,18 @@
 from typing import Any
 
 import msgpack
+import msgspec
 import pytest
 
+from dunlinlug.fleet.members import burden, evidence, lists
 from dunlinlug.fleet.members import codec as members_codec
-from dunlinlug.fleet.owner import book
+from dunlinlug.fleet.members.words import Extra
+from dunlinlug.fleet.owner import book, probing
 from dunlinlug.fleet.owner import words as owner
 from dunlinlug.fleet.succession import codec, facts
 from tests.histories import Surroundings
 from tests.recorded import fleet_examples as examples
+from tests.recorded import fleet_facts
 from tests.recorded import record_fleet as record
 
 
@@ -131,3 +135,39 @@
     expected = (record.DATA / "whole_after.bin").read_bytes()
     whole = facts.write_whole(module, record.standing(now))
     assert record.settled(whole) == record.settled(expected)
+
+
+def recorded_said() -> dict[str, Any]:
+    found: list[list[Any]] = json.loads((record.DATA / "said.json").read_text())
+    return {name: value for name, value in found}
+
+
+def said_bytes(name: str) -> bytes:
+    return bytes.fromhex(recorded_said()[name]["hex"])
+
+
+def test_what_is_said_inside_messages_is_written_as_recorded() -> None:
+    assert {
+        name: record.neutral(value) for name, value in fleet_facts.said().items()
+    } == recorded_said()
+
+
+def test_recorded_facts_of_others_are_taken() -> None:
+    extras = {
+        name: Extra(said_bytes(f"{name}, key").decode(), said_bytes(f"{name}, body"))
+        for name in ("burden", "list", "evidence")
+    }
+    burdens = burden.Burdens("m1", 1)
+    assert burdens.take(2.0, extras["burden"])
+    assert burdens.told["m0"] == ((7, 1), fleet_facts.BURDEN, 2.0)
+    listings = lists.Lists("m1", 1)
+    assert listings.take(2.0, extras["list"])
+    digest = lists.Digest(born=7, number=1, workers=2, prints=lists.prints(fleet_facts.LISTED))
+    assert listings.told["m0"] == (digest, 2.0)
+    shared = evidence.Evidence("m1", 1)
+    (met,) = shared.take(2.0, extras["evidence"])
+    assert met.worker == fleet_facts.REPORT.worker and not met.own
+    count = evidence.Count(tries=9.0, voided=1.0, took=2.0, age=0.5)
+    assert [told for told, _ in shared.others.values()] == [count]
+    result = msgspec.msgpack.decode(said_bytes("probe's result"), type=probing.Told)
+    assert result == fleet_facts.PROBED
