--- a/tests/histories.py
+++ b/tests/histories.py
@@ -148,7 +148,7 @@
         self.machines, self.names = dict[str, Machine](), count()
         self.joined, self.mute = dict[int, str](), set[int]()
         self.asked_at, self.busy, self.pace = dict[int, float](), 0.0, 1.0
-        self.load, self.refusing, self.turned = "calm", dict[str, float](), 0
+        self.load, self.refusing, self.turned = "calm", dict[type, float](), 0
         self.said = Counter[str]()
         for _ in range(workers):
             self.machine()
@@ -197,7 +197,7 @@
                 case face.Follow():
                     self.at(now + 0.1, self.fetched)
                 case face.Share() | face.Clear() | face.Bind() | face.Withdraw() | face.Admit():
-                    if self.random.random() < self.refusing.get(type(order).__name__, 0.0):
+                    if self.random.random() < self.refusing.get(type(order), 0.0):
                         self.said[f"refused {type(order).__name__}"] += 1
                         self.at(now, face.Refused(order, "the guard's word"))
         if former.scant:
@@ -606,9 +606,9 @@
         )
 
     def refuses(self) -> None:
-        kinds = ["Share", "Bind", "Clear", "Withdraw", "Admit"]
-        for name in self.random.choice([kinds, [self.random.choice(kinds)], kinds[3:], kinds[3:]]):
-            self.refusing[name] = self.random.choice([0.02, 0.2, 1.0])
+        kinds: list[type] = [face.Share, face.Bind, face.Clear, face.Withdraw, face.Admit]
+        for kind in self.random.choice([kinds, [self.random.choice(kinds)], kinds[3:], kinds[3:]]):
+            self.refusing[kind] = self.random.choice([0.02, 0.2, 1.0])
         self.at(self.now + self.random.choice([0.5, 3.0, 9.0]), self.refusing.clear)
 
     def oddities(self) -> None:
--- /dev/null
+++ b/tests/recorded/test_decisions.py
@@ -0,0 +1,118 @@
+"""The decision module orders what it did when `record_decisions.py` wrote its digests, to the last bit of each float.
+
+Half of the seeds run here; `python -m tests.recorded.record_decisions --check` runs all.
+"""
+
+import json
+
+import pytest
+
+from dunlinlug import interface as face
+from dunlinlug.balance import Balancer
+from tests.histories import Surroundings
+from tests.recorded.neutral_decisions import (
+    event_from,
+    neutral_event,
+    neutral_order,
+    neutral_settings,
+    settings_from,
+    text_of,
+)
+from tests.recorded.record_decisions import (
+    DIGESTS,
+    SCALE,
+    SEEDS,
+    day_digest,
+    day_files,
+    digest_of,
+    history_digest,
+    read_day,
+    session_digest,
+    turn_line,
+)
+
+KEPT = json.loads(DIGESTS.read_text())
+SEEDS_A_PART = 11
+
+
+@pytest.mark.parametrize("first", SEEDS[:: 2 * SEEDS_A_PART])
+def test_drawn_histories_get_the_recorded_orders(first: int) -> None:
+    seeds = range(first, first + SEEDS_A_PART)
+    found = {seed: history_digest(seed) for seed in seeds}
+    assert found == {seed: KEPT[f"seed {seed}"] for seed in seeds}
+
+
+def test_days_that_were_played_get_the_recorded_orders() -> None:
+    files = day_files()
+    assert files
+    found = {f"day {file.name}": day_digest(file) for file in files}
+    assert found == {name: digest for name, digest in KEPT.items() if name.startswith("day ")}
+
+
+def test_a_simulators_session_gets_the_recorded_bytes() -> None:
+    assert session_digest() == KEPT["session"]
+
+
+def test_all_seeds_have_a_digest() -> None:
+    assert len(SEEDS) >= 200
+    assert {f"seed {seed}" for seed in SEEDS} <= KEPT.keys()
+
+
+def test_a_recorded_day_holds_what_its_events_say() -> None:
+    for file in day_files():
+        settings, turns = read_day(file)
+        assert settings_from(json.loads(text_of(neutral_settings(settings)))) == settings
+        for _, events in turns:
+            for event in events:
+                assert event_from(json.loads(text_of(neutral_event(event)))) == event
+
+
+def test_every_kind_of_event_is_read_as_it_was_written() -> None:
+    seen = set[str]()
+    for seed in range(12):
+        around = Surroundings(seed, SCALE)
+        module = Balancer(around.trade)
+        assert settings_from(json.loads(text_of(neutral_settings(around.trade)))) == around.trade
+        for now, events in around.turns():
+            module.decide(now, events)
+            for event in events:
+                line = neutral_event(event)
+                seen.add(line["verb"])
+                assert event_from(json.loads(text_of(line))) == event
+    for order in (
+        face.Share(1, "10.0.0.1:80", 0.1),
+        face.Clear(2),
+        face.Bind(3, (0, 2), 4),
+        face.Withdraw("10.0.0.1:80", True),
+        face.Admit(5, 1, 3, 0.7),
+    ):
+        event = face.Refused(order, "a reason")
+        assert event_from(json.loads(text_of(neutral_event(event)))) == event
+    assert len(seen) >= 13, sorted(seen)
+
+
+class LastBitOff(Balancer):
+    """Its timers are late by one unit of the last place, or as they are."""
+
+    def decide(self, now: float, events: list[face.Event]) -> list[face.Order]:  # type: ignore[override]
+        return [
+            face.Wake(order.after * (1 + 2**-52), order.token)
+            if isinstance(order, face.Wake)
+            else order
+            for order in super().decide(now, events)
+        ]
+
+
+def test_a_digest_tells_a_difference_of_the_last_bit() -> None:
+    settings, turns = read_day(day_files()[0])
+
+    def digest(module: Balancer) -> str:
+        return digest_of(turn_line(module, now, events) for now, events in turns)
+
+    assert digest(Balancer(settings)) == digest(Balancer(settings))
+    assert digest(LastBitOff(settings)) != digest(Balancer(settings))
+
+
+def test_what_the_wire_rounds_is_in_the_neutral_form() -> None:
+    assert neutral_order(face.Wake(0.1 + 0.2, 1))["delay"] == 0.1 + 0.2
+    assert neutral_order(face.Bind(1, (2, 0), 3))["lanes"] == [2, 0]
