--- /dev/null
+++ b/tests/recorded/record_xds.py
@@ -0,0 +1,531 @@
+"""Bytes of the xDS, load report and gRPC forms, and what is read from them, as recorded.
+
+    python -m tests.recorded.record_xds    # write the record anew: only for a change of the wire that is meant
+
+`written()` makes bytes by every writer, `read_back()` reads such bytes to plain values, `conversations()` lets both
+sides of a stream talk. A message with a map of several entries has no one writing: it is kept, and compared, in
+protobuf's deterministic serialization. Bytes are kept in base64; floats are compared exactly.
+"""
+
+import base64
+import json
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from envoy.service.discovery.v3 import discovery_pb2
+from envoy.service.load_stats.v3 import lrs_pb2
+
+from dunlinlug import rpc
+from dunlinlug.rpc import framing
+from dunlinlug.xds import fence, full, loads, names, read, render, stream, subscriber
+
+DATA = Path(__file__).parent / "data" / "xds" / "xds.json"
+LINES = {"10.0.0.1:80": 1.0, "10.0.0.2:8080": 0.0004, "10.0.1.1:80": 2.3456, "host-a:443": 0.1}
+ZONES = {"10.0.0.1:80": "south", "10.0.0.2:8080": "north", "10.0.1.1:80": "south"}
+SHUT = ("10.0.1.1:80",)
+LEVELS = {"read": 0.75, "book": 1.0, "cancel": 1 / 3}
+WAYS = (
+    ("read", "3/1", render.Way(0)),
+    ("book", "3/2", render.Way(1)),
+    ("cancel", "3/2", render.Way(2, 0.4)),
+    ("refund", "3/1", render.Way(3, 0.0)),
+)
+MOST = 64  # bytes of the largest framed message here
+
+Plain = Any  # what JSON can hold
+
+
+def base64_of(data: bytes) -> str:
+    return base64.b64encode(data).decode()
+
+
+def bytes_of(text: str) -> bytes:
+    return base64.b64decode(text)
+
+
+# Written.
+
+
+def small_table(name: str, worker: str = "10.0.0.1:80") -> render.Resource:
+    return render.table(name, {worker: 1.0}, {worker: "south"}, {})
+
+
+def resources() -> dict[str, render.Resource]:
+    return {
+        "table": render.table("3/1", LINES, ZONES, LEVELS, SHUT),
+        "table without lines": render.table("3/2", {}, {}, {"read": 0.0}),
+        "table of one line": small_table("3/2"),
+        "nobody is out": render.withdrawn(()),
+        "three are out": render.withdrawn(["10.0.1.1:80", "10.0.0.1:80", "host-a:443"]),
+        "routes": render.routes(WAYS),
+        "no routes": render.routes(()),
+    }
+
+
+def offered() -> dict[str, full.Offered]:
+    return {
+        "listener": full.listener("read"),
+        "route": full.routes("read", "3/1/read"),
+        "cluster": full.cluster("3/1/read"),
+        "endpoints": full.endpoints("3/1/read", LINES, ZONES, 0.75, SHUT),
+        "endpoints, all let in": full.endpoints("3/2/read", {"10.0.0.1:80": 0.0001}, {}, 1.0, ()),
+    }
+
+
+def responses() -> dict[str, bytes]:
+    made = resources()
+    tables = (made["table"], made["three are out"])
+    term = fence.written(7, "a")
+    return {
+        "response of tables": render.response(names.ENDPOINTS, tables, (), "1", "t1"),
+        "response that takes away": render.response(
+            names.ENDPOINTS, (), ("3/8", "3/9"), "22", "", term
+        ),
+        "response of routes": render.response(names.ROUTES, (made["routes"],), (), "3", "t3", term),
+    }
+
+
+def reported(span: float = 0.5) -> loads.Loads:
+    made = loads.Loads("p1", "south", span)
+    made.workers["10.0.0.1:80"] = loads.AtWorker(12, 3, 1.1 + 2.2, {"queue": 2.0, "busy": 0.25})
+    made.workers["host-a:443"] = loads.AtWorker(1, 0, 0.1)
+    made.products.update({"read": (13, 3), "book": (0, 0)})
+    return made
+
+
+def load_reports() -> dict[str, bytes]:
+    return {
+        "load report, first": loads.write(reported(), True),
+        "load report, later": loads.write(reported(1 / 3), False),
+        "load report, empty": loads.write(loads.Loads("p2", "", 1.0), False),
+        "load report of a plain client": plain_client_report(),
+        "load answer": loads.answer(0.35),
+        "load answer, too quick": loads.answer(0.001),
+    }
+
+
+def plain_client_report() -> bytes:
+    """As a gRPC client without knowledge of us writes it: sums by locality, and what it dropped."""
+    made = lrs_pb2.LoadStatsRequest()
+    made.node.id, made.node.locality.zone = "plain", "north"
+    stats = made.cluster_stats.add(cluster_name="3/1/read", total_dropped_requests=4)
+    stats.load_report_interval.FromNanoseconds(1_500_000_000)
+    for worker, settled, failed in (("10.0.0.1:80", 9, 1), ("10.0.0.2:8080", 5, 0), ("", 2, 2)):
+        group = stats.upstream_locality_stats.add(
+            total_successful_requests=settled, total_error_requests=failed
+        )
+        group.locality.zone, group.locality.sub_zone = "north", worker
+    return made.SerializeToString(deterministic=True)
+
+
+def greetings() -> dict[str, bytes]:
+    """A proxy's first requests, anew and when it holds something; they have maps."""
+    holdings = subscriber.Holdings()
+    anew = subscriber.Subscriber(holdings, "p1", "south", {}).greet()
+    holdings.versions[names.ENDPOINTS].update({"3/1": "aa", "3/2": "bb", names.OUT: "cc"})
+    holdings.versions[names.ROUTES][names.ROUTE] = "dd"
+    holdings.fence.admits(7, "a")
+    metadata = {"products": ["read", "book"], "txns_per_s": 8.5}
+    again = subscriber.Subscriber(holdings, "p1", "south", metadata).greet()
+    return {
+        "greeting for tables": canonical_request(anew[0]),
+        "greeting for routes": canonical_request(anew[1]),
+        "greeting with what is held, tables": canonical_request(again[0]),
+        "greeting with what is held, routes": canonical_request(again[1]),
+    }
+
+
+def canonical_request(data: bytes) -> bytes:
+    return discovery_pb2.DeltaDiscoveryRequest.FromString(data).SerializeToString(
+        deterministic=True
+    )
+
+
+def written() -> dict[str, str]:
+    made = {name: resource.wrapped for name, resource in resources().items()}
+    made |= {f"full {name}": body for name, (_, body, _) in offered().items()}
+    made |= responses() | load_reports() | greetings()
+    made["frame"] = framing.frame(b"hello")
+    made["frame of nothing"] = framing.frame(b"")
+    return {name: base64_of(data) for name, data in made.items()}
+
+
+def versions() -> dict[str, Plain]:
+    """Of each resource its name and version; of the full form's also the cluster that it leads to."""
+    found: dict[str, Plain] = {
+        name: [resource.name, resource.version] for name, resource in resources().items()
+    }
+    return found | {
+        f"full {name}": [version, cluster] for name, (version, _, cluster) in offered().items()
+    }
+
+
+# Read.
+
+
+def plain_table(table: read.Table) -> Plain:
+    return [
+        table.name,
+        list(map(list, table.lines.items())),
+        list(map(list, table.zones.items())),
+        list(map(list, table.levels.items())),
+        sorted(table.shut),
+    ]
+
+
+def plain_routes(routes: dict[str, tuple[str, render.Way]]) -> Plain:
+    return [[product, name, way.retry, way.per_try] for product, (name, way) in routes.items()]
+
+
+def plain_loads(found: loads.Loads) -> Plain:
+    return {
+        "node": found.node,
+        "zone": found.zone,
+        "span": found.span,
+        "workers": [
+            [worker, at.tries, at.voided, at.took, list(map(list, at.load.items())), at.untimed]
+            for worker, at in found.workers.items()
+        ],
+        "products": [[name, *sums] for name, sums in found.products.items()],
+    }
+
+
+def plain_said(said: stream.Said) -> Plain:
+    match said:
+        case stream.Greeted(node):
+            return ["greeted", node]
+        case stream.Acked(nonce):
+            return ["acked", nonce]
+        case stream.Refused(nonce, why):
+            return ["refused", nonce, why]
+    raise TypeError(said)
+
+
+def plain_applied(applied: subscriber.Applied) -> Plain:
+    return [applied.type_url, applied.tag, applied.lines, applied.refused, list(applied.by)]
+
+
+def plain_held(held: dict[str, dict[str, str]]) -> Plain:
+    return {type_url: dict(sorted(versions.items())) for type_url, versions in held.items()}
+
+
+def plain_server(server: stream.DeltaStream) -> Plain:
+    return {
+        "node": server.node,
+        "zone": server.zone,
+        "metadata": server.metadata,
+        "features": sorted(server.features),
+        "held": plain_held(server.held),
+        "subscribed": {name: sorted(wanted) for name, wanted in server.subscribed.items()},
+        "sent": sorted(server.sent),
+        "ready": server.ready(),
+    }
+
+
+def resource_value(wrapped: bytes) -> bytes:
+    return discovery_pb2.Resource.FromString(wrapped).resource.value
+
+
+def read_back(kept: dict[str, str]) -> dict[str, Plain]:
+    """What readers make of recorded bytes."""
+    data = {name: bytes_of(text) for name, text in kept.items()}
+    found: dict[str, Plain] = {}
+    for name in ("table", "table without lines", "table of one line", *OUTS):
+        found[name] = plain_table(read.table(resource_value(data[name])))
+    for name in ("routes", "no routes"):
+        found[name] = plain_routes(read.routes(resource_value(data[name])))
+    for name in load_reports():
+        if name.startswith("load report"):
+            found[name] = plain_loads(loads.read(data[name]))
+    for name in ("load answer", "load answer, too quick"):
+        found[name] = loads.read_answer(data[name])
+    for kind in ("greeting", "greeting with what is held,"):
+        server = stream.DeltaStream()
+        tables, routes = GREETINGS[kind]
+        said = [
+            plain_said(each) for name in (tables, routes) for each in server.receive(data[name])
+        ]
+        found[kind] = [said, plain_server(server)]
+    found["frames"] = deframed([data["frame"], data["frame of nothing"]], MOST)
+    return found
+
+
+OUTS = ("nobody is out", "three are out")
+GREETINGS = {
+    "greeting": ("greeting for tables", "greeting for routes"),
+    "greeting with what is held,": (
+        "greeting with what is held, tables",
+        "greeting with what is held, routes",
+    ),
+}
+
+
+def deframed(chunks: list[bytes], most: int) -> Plain:
+    reader = framing.Deframer(most)
+    return [[base64_of(message) for message in reader.feed(chunk)] for chunk in chunks]
+
+
+# Conversations.
+
+
+def delta_conversation() -> Plain:
+    """A manager and a proxy over delta ADS: applied, refused for what it bears, and refused for its term."""
+    server, holdings = stream.DeltaStream(), subscriber.Holdings()
+    proxy = subscriber.Subscriber(holdings, "p1", "south", {"products": ["read"]})
+    steps: list[Plain] = []
+    for request in proxy.greet():
+        said = [plain_said(each) for each in server.receive(request)]
+        steps.append(["request", base64_of(canonical_request(request)), said])
+    made = resources()
+    twice = render.routes((("read", "9/9", render.Way(0)),))
+    used_routes = render.routes((("read", "3/1", render.Way(3, 0.2)),))
+    control = fence.written(7, "a")
+    script: list[tuple[str, str, tuple[render.Resource, ...], tuple[str, ...]]] = [
+        (control, names.ENDPOINTS, (made["table"], made["three are out"]), ()),
+        (control, names.ROUTES, (twice,), ()),
+        (control, names.ROUTES, (used_routes,), ()),
+        (control, names.ENDPOINTS, (), ("3/1",)),
+        (control, names.ENDPOINTS, (small_table("3/5"), made["nobody is out"]), ()),
+        (control, names.ENDPOINTS, (), ("3/5",)),
+        (fence.written(6, "b"), names.ENDPOINTS, (small_table("3/6"),), ()),
+        (fence.written(7, "b"), names.ENDPOINTS, (small_table("3/6"),), ()),
+        ("dunlinlug", names.ENDPOINTS, (small_table("3/6"),), ()),
+        (fence.written(8, "b"), names.ENDPOINTS, (made["table without lines"],), ()),
+    ]
+    for number, (identifier, type_url, sent, removed) in enumerate(script):
+        server.control = identifier
+        nonce, data = server.respond(type_url, sent, removed, f"t{number}")
+        answer, applied = proxy.receive(data)
+        said = [plain_said(each) for each in server.receive(answer)]
+        steps.append(
+            [nonce, base64_of(data), plain_applied(applied), base64_of(answer), said]
+            + [holdings.lines("read"), holdings.level("read")]
+        )
+    return {
+        "steps": steps,
+        "server": plain_server(server),
+        "versions": plain_held(holdings.versions),
+        "tables": sorted(holdings.tables),
+        "out": sorted(holdings.out),
+        "fence": [holdings.fence.term, holdings.fence.member],
+    }
+
+
+def full_request(type_url: str, wanted: tuple[str, ...], nonce: str = "", why: str = "") -> bytes:
+    request = discovery_pb2.DiscoveryRequest(
+        type_url=type_url, resource_names=wanted, response_nonce=nonce
+    )
+    request.node.id, request.node.locality.zone = "plain", "north"
+    request.node.metadata.update({"txns_per_s": 4.0})
+    if why:
+        request.error_detail.code, request.error_detail.message = 3, why
+    return request.SerializeToString(deterministic=True)
+
+
+def offer(number: int, weight: float) -> full.Offer:
+    """Two products, whose tables have this number."""
+    made: full.Offer = {type_url: {} for type_url in full.ORDER}
+    for product in ("read", "book"):
+        name = names.cluster_name(names.table_name(3, number), product)
+        made[names.LISTENERS][product] = full.listener(product)
+        made[names.ROUTES][product] = full.routes(product, name)
+        made[names.CLUSTERS][name] = full.cluster(name)
+        made[names.ENDPOINTS][name] = full.endpoints(name, {"10.0.0.1:80": weight}, {}, 1.0, ())
+    return made
+
+
+def full_conversation() -> Plain:
+    """A plain client of the full form: it asks on, takes, refuses once, and is led to another table."""
+    server, steps = full.FullStream(), list[Plain]()
+    server.control = fence.written(7, "a")
+
+    def ask(type_url: str, *wanted: str, nonce: str = "", why: str = "") -> None:
+        request = full_request(type_url, wanted, nonce, why)
+        said = [plain_said(each) for each in server.receive(request)]
+        steps.append(["request", base64_of(request), said])
+
+    def respond() -> None:
+        made = [
+            [type_url, nonce, list(sent), base64_of(data)]
+            for type_url, nonce, sent, data in server.responses()
+        ]
+        steps.append(["responses", made, server.ready(), server.settled(), server.sent_all()])
+
+    server.offered = offer(1, 1.0)
+    ask(names.LISTENERS, "read", "unknown")
+    respond()
+    ask(names.LISTENERS, "read", nonce="1")
+    ask(names.ROUTES, "read")
+    ask(names.CLUSTERS, "3/1/read")
+    ask(names.ENDPOINTS, "3/1/read")
+    respond()
+    ask(names.ROUTES, "read", nonce="4")
+    ask(names.CLUSTERS, "3/1/read", nonce="2")
+    ask(names.ENDPOINTS, "3/1/read", nonce="3", why="no such locality")
+    respond()
+    server.offered = offer(1, 0.5)
+    respond()
+    ask(names.ENDPOINTS, "3/1/read", nonce="3")
+    ask(names.ENDPOINTS, "3/1/read", nonce="5")
+    respond()
+    server.offered = offer(2, 0.5)
+    ask(names.CLUSTERS, "3/1/read", "3/2/read")
+    ask(names.ENDPOINTS, "3/1/read", "3/2/read")
+    respond()
+    server.forget(names.ENDPOINTS)
+    respond()
+    return {
+        "steps": steps,
+        "node": [server.node, server.zone, server.metadata],
+        "sent": plain_held(server.sent),
+        "refused": plain_held(server.refused),
+    }
+
+
+def faults() -> dict[str, str]:
+    """What a peer is told that does not speak the protocol. A parser's own words are left out."""
+
+    def text(act: Callable[[], object]) -> str:
+        try:
+            act()
+        except (stream.StreamFault, read.ReadFault, loads.LoadFault) as fault:
+            return str(fault).split(": Error parsing")[0]
+        except framing.FramingFault as fault:
+            return f"{fault.status} {fault}"
+        raise AssertionError("no fault")
+
+    rubbish = b"\xff\xff\xff"
+    nameless = discovery_pb2.DeltaDiscoveryRequest(type_url=names.ENDPOINTS).SerializeToString()
+    nameless_full = discovery_pb2.DiscoveryRequest(type_url=names.ROUTES).SerializeToString()
+    other = discovery_pb2.DeltaDiscoveryRequest(type_url="x")
+    other.node.id = "p1"
+    unknown = other.SerializeToString()
+    many = tuple(map(str, range(stream.NAMES + 1)))
+    proxy = subscriber.Subscriber(subscriber.Holdings(), "p1", "", {})
+    return {
+        "delta, rubbish": text(lambda: stream.DeltaStream().receive(rubbish)),
+        "delta, nameless": text(lambda: stream.DeltaStream().receive(nameless)),
+        "delta, unknown type": text(lambda: stream.DeltaStream().receive(unknown)),
+        "full, rubbish": text(lambda: full.FullStream().receive(rubbish)),
+        "full, nameless": text(lambda: full.FullStream().receive(nameless_full)),
+        "full, unknown type": text(lambda: full.FullStream().receive(full_request("x", ()))),
+        "full, other type": text(
+            lambda: full.FullStream().receive(full_request(names.ROUTES, ()), names.CLUSTERS)
+        ),
+        "full, many names": text(
+            lambda: full.FullStream().receive(full_request(names.ROUTES, many))
+        ),
+        "response, rubbish": text(lambda: proxy.receive(rubbish)),
+        "table, rubbish": text(lambda: read.table(rubbish)),
+        "routes, rubbish": text(lambda: read.routes(rubbish)),
+        "load report, rubbish": text(lambda: loads.read(rubbish)),
+        "load answer, rubbish": text(lambda: loads.read_answer(rubbish)),
+        "frame, compressed": text(lambda: framing.Deframer(MOST).feed(b"\x01\x00\x00\x00\x01x")),
+        "frame, too large": text(lambda: framing.Deframer(MOST).feed(framing.frame(bytes(65)))),
+    }
+
+
+def fence_words() -> Plain:
+    admitted, own = list[Plain](), fence.Fence()
+    for term, member in ((0, ""), (3, "a"), (3, "a"), (3, "b"), (2, "b"), (0, ""), (4, "b")):
+        why = own.admits(term, member)
+        admitted.append([term, member, why, fence.refused_for(why)])
+    identifiers = ("term 12 of a-b.c:1", "dunlinlug", "term x of a", "term 1 of ")
+    return {
+        "written": fence.written(12, "a-b.c:1"),
+        "read": [[text, *fence.read(text)] for text in identifiers],
+        "admitted": admitted,
+    }
+
+
+def wire_names() -> Plain:
+    return {
+        "types": [names.ENDPOINTS, names.ROUTES, names.LISTENERS, names.CLUSTERS],
+        "paths": [names.ADS, names.FULL, names.LRS, dict(names.APART)],
+        "resources": [names.OUT, names.ROUTE, names.OVERLAY, names.NEVER_RAN, names.OTHER_HOST],
+        "metrics": [names.TXNS, names.TXNS_VOIDED, names.SETTLE_S, names.LOAD],
+        "table": names.table_name(3, 17),
+        "cluster": names.cluster_name("3/17", "read/all"),
+        "product": [names.product_of(text) for text in ("3/17/read/all", "3/17", "workers")],
+    }
+
+
+def plain_rpc(event: rpc.Event) -> Plain:
+    match event:
+        case rpc.Called(number, path, metadata):
+            return ["called", number, path, list(map(list, metadata))]
+        case rpc.Opened(number):
+            return ["opened", number]
+        case rpc.Message(number, data):
+            return ["message", number, base64_of(data)]
+        case rpc.HalfClosed(number):
+            return ["half closed", number]
+        case rpc.Trailers(number, status, text):
+            return ["trailers", number, int(status), text]
+        case rpc.Reset(number, why):
+            return ["reset", number, why]
+        case rpc.Closed(why):
+            return ["closed", why]
+    raise TypeError(event)
+
+
+def grpc_conversation() -> Plain:
+    """Two calls over one connection: one ended with a status and a text, one cancelled."""
+    client, server = rpc.Connection(client=True), rpc.Connection(client=False)
+    steps: list[Plain] = []
+
+    def move(source: rpc.Connection, target: rpc.Connection) -> None:
+        data = source.data_to_send()
+        steps.append([base64_of(data), [plain_rpc(event) for event in target.receive(data)]])
+
+    first = client.call(names.ADS, "manager")
+    client.send(first, b"one")
+    move(client, server)
+    server.accept(first)
+    server.send(first, b"two")
+    server.send(first, b"")
+    move(server, client)
+    move(client, server)
+    second = client.call(names.LRS, "manager")
+    client.half_close(first)
+    move(client, server)
+    server.finish(first, rpc.Status.RESOURCE_EXHAUSTED, "messages come too fast: 100% ä")
+    move(server, client)
+    client.cancel(second)
+    move(client, server)
+    server.ping()
+    move(server, client)
+    client.close()
+    move(client, server)
+    return steps
+
+
+def conversations() -> dict[str, Plain]:
+    return {
+        "delta": delta_conversation(),
+        "full": full_conversation(),
+        "faults": faults(),
+        "fence": fence_words(),
+        "names": wire_names(),
+        "grpc": grpc_conversation(),
+    }
+
+
+def recorded() -> dict[str, Plain]:
+    made = written()
+    return {
+        "written": made,
+        "versions": versions(),
+        "read": read_back(made),
+        "conversations": conversations(),
+    }
+
+
+def main() -> None:
+    DATA.parent.mkdir(parents=True, exist_ok=True)
+    DATA.write_text(json.dumps(recorded(), indent=1, ensure_ascii=False) + "\n")
+
+
+if __name__ == "__main__":
+    main()
