--- a/tests/recorded/test_rolling_upgrade.py
+++ b/tests/recorded/test_rolling_upgrade.py
@@ -20,11 +20,14 @@
 import pytest
 import trio
 
+from dunlinlug import terms
 from dunlinlug.audit import figures, records, rules
 from dunlinlug.config import units
 from dunlinlug.day.play import Part, Player
 from dunlinlug.fleet.owner import history
+from dunlinlug.fleet.succession import facts
 from dunlinlug.net import http
+from tests.test_config import manager_file
 
 # Names in the managers' logs, for each version. A change of the present names changes `PRESENT_LOG` alone.
 
@@ -33,6 +36,8 @@
 class LogNames:
     """Events that the test looks for, and their fields."""
 
+    ready: str = "manager.ready"
+    ready_epoch: str = "epoch"
     leads: str = "succession.leads"
     leads_term: str = "term"
     leads_position: str = "position"
@@ -421,6 +426,26 @@
         assert file.startswith(f"{version.source}{os.sep}dunlinlug{os.sep}"), file
 
 
+def test_a_follower_of_this_version_is_in_the_very_state_of_a_recorded_leader(
+    tmp_path: Path,
+) -> None:
+    """What this version writes is byte for byte what the recorded one does, so that each reads the other's."""
+    file = manager_file(tmp_path)
+    script = str(Path(__file__).parent / "write_states.py")
+    subprocess.run(RECORDED.python(script, str(file), str(tmp_path)), check=True)
+    before, after = (tmp_path / f"{name}.state" for name in ("before", "after"))
+    module, standing = facts.read_whole(before.read_bytes(), terms.trade(terms.read(file)))
+    assert facts.write_whole(module, standing) == before.read_bytes()
+    batches = [path.read_bytes() for path in sorted(tmp_path.glob("*.batch"))]
+    assert len(batches) > 100
+    for data in batches:
+        batch = facts.read_batch(data)
+        assert facts.write_batch(batch) == data
+        module.decide(batch.now, batch.events)
+    _, expected = facts.read_whole(after.read_bytes(), terms.trade(terms.read(file)))
+    assert facts.write_whole(module, expected) == after.read_bytes()
+
+
 async def test_three_managers_are_upgraded_one_after_the_other(tmp_path: Path) -> None:
     player = Player(day_file(tmp_path), tmp_path / "day", RECORDED.manager)
     upgrade = Upgrade(player, open_admin(player, tmp_path))
@@ -456,6 +481,16 @@
         refused = {name: n for name, n in counts.items() if name.startswith(REFUSED_FRAMES)}
         assert refused == {}, (member, version, refused)
 
+    # Each process went on from its member's store: the epoch is counted there.
+    for member in player.members:
+        epochs = [
+            line[run.version.log.ready_epoch]
+            for run in upgrade.runs
+            if run.member == member
+            for line in run.events(run.version.log.ready)
+        ]
+        assert len(epochs) >= 2 and epochs == list(range(1, len(epochs) + 1)), (member, epochs)
+
     # Work had one owner at a time; it was refused only for reasons that a restart gives.
     work = [seen for run in upgrade.runs for seen in run.work()]
     assert history.judge(work) == []
