--- a/dunlinlug/audit/records.py
+++ b/dunlinlug/audit/records.py
@@ -8,18 +8,19 @@
 from pathlib import Path
 from typing import Any
 
-from dunlinlug.config import Book
-from dunlinlug.day import terms
+from dunlinlug.config.reader import ConfigFile
+from dunlinlug.errors import DunlinlugError
+from dunlinlug.scenarios import schema
 
-Line = dict[str, Any]
+RecordLine = dict[str, Any]
 
 
-class RecordFault(Exception):
+class RecordError(DunlinlugError):
     """The folder holds no day that can be judged."""
 
 
 @dataclass
-class Spell:
+class Interval:
     """A stretch of time, open at the end if `end` is infinite."""
 
     begin: float
@@ -30,30 +31,32 @@
 class Records:
     """All lines by their event, in time order, and the day's book."""
 
-    book: Book
-    by_event: dict[str, list[Line]] = field(default_factory=lambda: defaultdict(list))
+    config: ConfigFile
+    by_event: dict[str, list[RecordLine]] = field(default_factory=lambda: defaultdict(list))
 
-    def of(self, event: str) -> list[Line]:
+    def lines_of(self, event: str) -> list[RecordLine]:
         return self.by_event.get(event, [])
 
-    def spells(self, event: str, key: str, begins: Any, ends: Any) -> dict[str, list[Spell]]:
+    def intervals(self, event: str, key: str, begins: Any, ends: Any) -> dict[str, list[Interval]]:
         """By `key`, the stretches from a line that `begins` to one that `ends`."""
-        found: dict[str, list[Spell]] = defaultdict(list)
-        for line in self.of(event):
-            open_now = bool(found[line[key]]) and found[line[key]][-1].end == inf
+        intervals_by_key: dict[str, list[Interval]] = defaultdict(list)
+        for line in self.lines_of(event):
+            open_now = (
+                bool(intervals_by_key[line[key]]) and intervals_by_key[line[key]][-1].end == inf
+            )
             if begins(line) and not open_now:
-                found[line[key]].append(Spell(line["at"]))
+                intervals_by_key[line[key]].append(Interval(line["at"]))
             elif ends(line) and open_now:
-                found[line[key]][-1].end = line["at"]
-        return found
+                intervals_by_key[line[key]][-1].end = line["at"]
+        return intervals_by_key
 
 
-def read(folder: Path) -> Records:
+def read_records(folder: Path) -> Records:
     """Every `*.jsonl` of a played day; a last line cut off by a kill is passed over."""
-    run = folder / "run.ini"
-    if not run.exists():
-        raise RecordFault(f"{folder}: no run.ini: not the folder of a played day")
-    records = Records(terms.read(run))
+    run_file = folder / "run.ini"
+    if not run_file.exists():
+        raise RecordError(f"{folder}: no run.ini: not the folder of a played day")
+    records = Records(schema.read_scenario(run_file))
     for path in sorted(folder.glob("*.jsonl")):
         lines = path.read_text(encoding="utf-8").splitlines()
         for number, text in enumerate(lines, 1):
@@ -62,11 +65,11 @@
             except ValueError:
                 if number == len(lines):
                     continue
-                raise RecordFault(f"{path}:{number}: not JSON") from None
+                raise RecordError(f"{path}:{number}: not JSON") from None
             line["where"] = f"{path.name}:{number}"
             records.by_event[line["e"]].append(line)
-    for found in records.by_event.values():
-        found.sort(key=lambda line: float(line["at"]))
+    for lines_of_event in records.by_event.values():
+        lines_of_event.sort(key=lambda line: float(line["at"]))
     for event, missing in (
         ("begin", "no beginning"),
         ("end", "no end"),
@@ -74,85 +77,95 @@
         ("applied", "no table that reached a proxy"),
         ("served", "no list told to the manager"),
     ):
-        if not records.of(event):  # Danger: rules are kept on a day on which nothing happened
-            raise RecordFault(f"{folder}: the day has {missing}; it cannot be judged")
+        if not records.lines_of(event):  # Danger: rules are kept on a day on which nothing happened
+            raise RecordError(f"{folder}: the day has {missing}; it cannot be judged")
     return records
 
 
-class Managed:
-    """When the manager ran, was stopped or slow: the times in the rules stand still or stretch with it."""
+class ManagerLifetimes:
+    """When the manager ran, was stopped or slow: the times in the rules stand still or stretch with
+    it.
+    """
 
     def __init__(self, records: Records) -> None:
-        self.lives, self.stalls, self.slows = (
-            list[Spell](),
-            list[Spell](),
-            list[tuple[Spell, float]](),
-        )
-        for line in records.of("manager"):
-            at = line["at"]
+        self.lifetimes = list[Interval]()
+        self.stalls = list[Interval]()
+        self.slow_intervals = list[tuple[Interval, float]]()
+        for line in records.lines_of("manager"):
+            time = line["at"]
             match line["do"]:
                 case "start":
-                    self.lives.append(Spell(at))
+                    self.lifetimes.append(Interval(time))
                 case "kill":
-                    self.lives[-1].end = at
+                    self.lifetimes[-1].end = time
                 case "stall":
-                    self.stalls.append(Spell(at))
+                    self.stalls.append(Interval(time))
                 case "go on":
-                    self.stalls[-1].end = at
+                    self.stalls[-1].end = time
                 case "slow":
-                    self.slows.append((Spell(at), float(line["size"])))
+                    self.slow_intervals.append((Interval(time), float(line["size"])))
                 case "pace":
-                    self.slows[-1][0].end = at
+                    self.slow_intervals[-1][0].end = time
 
-    def life(self, at: float) -> Spell | None:
-        return next((life for life in self.lives if life.begin <= at < life.end), None)
+    def lifetime_at(self, time: float) -> Interval | None:
+        return next(
+            (lifetime for lifetime in self.lifetimes if lifetime.begin <= time < lifetime.end), None
+        )
 
-    def due(self, begin: float, span: float) -> float:
-        """When a duty of `span` seconds, begun at `begin`, is due: stops of the manager do not count, and while
-        its channel is slow the span is that many times longer."""
+    def due_time(self, begin: float, allowed: float) -> float:
+        """When a duty of `span` seconds, begun at `begin`, is due: stops of the manager do not
+        count, and while its channel is slow the span is that many times longer.
+        """
         factor = max(
             [
-                size
-                for spell, size in self.slows
-                if spell.begin < begin + span * size and begin < spell.end
+                slowdown
+                for interval, slowdown in self.slow_intervals
+                if interval.begin < begin + allowed * slowdown and begin < interval.end
             ],
             default=1.0,
         )
-        due = begin + span * factor
+        due = begin + allowed * factor
         for stall in self.stalls:
             if stall.begin < due and begin < stall.end:
                 due += min(stall.end, inf) - max(begin, stall.begin)
         return due
 
 
-class Told:
+class EndpointHistory:
     """What the roster has told the manager, by time."""
 
-    def __init__(self, records: Records, managed: Managed) -> None:
-        self.times = [line["at"] for line in records.of("served")]
-        self.lines = records.of("served")
-        self.managed = managed
+    def __init__(self, records: Records, manager_lifetimes: ManagerLifetimes) -> None:
+        self.times = [line["at"] for line in records.lines_of("served")]
+        self.lines = records.lines_of("served")
+        self.manager_lifetimes = manager_lifetimes
 
-    def at(self, at: float) -> Line | None:
+    def list_at(self, time: float) -> RecordLine | None:
         """The list last served to the manager that lives at this time."""
-        life, n = self.managed.life(at), bisect_right(self.times, at)
-        return self.lines[n - 1] if n and life and self.times[n - 1] >= life.begin else None
+        lifetime = self.manager_lifetimes.lifetime_at(time)
+        served_count = bisect_right(self.times, time)
+        return (
+            self.lines[served_count - 1]
+            if served_count and lifetime and self.times[served_count - 1] >= lifetime.begin
+            else None
+        )
 
-    def shut(self) -> dict[str, list[Spell]]:
-        """By worker, when the living manager knew it as draining or gone (until told ready, or killed)."""
-        found: dict[str, list[Spell]] = defaultdict(list)
-        named: set[str] = set()
+    def unavailable_intervals(self) -> dict[str, list[Interval]]:
+        """By worker, when the living manager knew it as draining or gone (until told ready, or
+        killed).
+        """
+        unavailable: dict[str, list[Interval]] = defaultdict(list)
+        known_workers: set[str] = set()
         for line in self.lines:
-            life = self.managed.life(line["at"])
-            if life is None:
+            lifetime = self.manager_lifetimes.lifetime_at(line["at"])
+            if lifetime is None:
                 continue
-            named |= line["states"].keys()
-            for worker in named:
+            known_workers |= line["states"].keys()
+            for worker in known_workers:
                 ready = line["states"].get(worker, ["gone"])[0] == "ready"
-                spells = found[worker]
-                running = bool(spells) and spells[-1].end > line["at"]
+                intervals = unavailable[worker]
+                running = bool(intervals) and intervals[-1].end > line["at"]
                 if ready and running:
-                    spells[-1].end = line["at"]
+                    intervals[-1].end = line["at"]
                 elif not ready and not running:
-                    spells.append(Spell(line["at"], life.end))
-        return found
+                    intervals.append(Interval(line["at"], lifetime.end))
+        return unavailable
--- a/dunlinlug/audit/report.py
+++ b/dunlinlug/audit/report.py
@@ -2,66 +2,81 @@
 
 from pathlib import Path
 
-from dunlinlug.audit import beliefs, figures, records, rules
-from dunlinlug.day import terms
-from dunlinlug.fleet.owner import history
+from dunlinlug.audit import failure_verdicts as audit_failure_verdicts
+from dunlinlug.audit import figures, records, rules
+from dunlinlug.fleet.ownership import history
+from dunlinlug.scenarios import schema
 
 
 def report(folder: Path) -> tuple[str, bool]:
     """The text, and whether every rule was kept. Raises RecordFault."""
-    found = records.read(folder)
-    begin = found.of("begin")[0]["at"] + found.of("begin")[0]["lead"]
-    breaks, sums = rules.judge(found), figures.figures(found)
-    book = found.book
-    out = [
-        f"{book.one(terms.Day).name}: {book.one(terms.Day).length:g} s, {book.one(terms.Fleet).workers} workers, "
-        f"{book.one(terms.Proxies).count} proxies; stand-ins on loopback"
+    scenario_records = records.read_records(folder)
+    begin = (
+        scenario_records.lines_of("begin")[0]["at"] + scenario_records.lines_of("begin")[0]["lead"]
+    )
+    violations = rules.find_violations(scenario_records)
+    summary = figures.summarize(scenario_records)
+    config = scenario_records.config
+    lines = [
+        f"{config.section(schema.ScenarioConfig).name}: {config.section(schema.ScenarioConfig).length:g} s, {config.section(schema.FleetConfig).workers} workers, "
+        f"{config.section(schema.ProxiesConfig).count} proxies; stand-ins on loopback"
     ]
-    out += [
-        f"BROKEN {b.rule} at {b.at - begin:.2f} s proxy {b.proxy or '-'} worker {b.worker or '-'}: {b.said} "
-        f"[{', '.join(b.evidence) or 'sums over all proxies'}]"
-        for b in breaks
+    lines += [
+        f"BROKEN {violation.rule} at {violation.at - begin:.2f} s proxy {violation.proxy or '-'} worker {violation.worker or '-'}: {violation.description} "
+        f"[{', '.join(violation.evidence) or 'sums over all proxies'}]"
+        for violation in violations
     ]
-    out.append("rules: broken, the day counts for nothing" if breaks else "rules: all five kept")
-    out.append(
-        f"served within the SLA time: {sums.served:.3f} of revenue, worst 10 s {sums.worst:.3f}, "
-        + ", ".join(f"{name} {part:.3f}" for name, part in sums.by_product.items())
+    lines.append(
+        "rules: broken, the day counts for nothing" if violations else "rules: all five kept"
+    )
+    lines.append(
+        f"served within the SLA time: {summary.served_fraction:.3f} of revenue, worst 10 s {summary.worst_window_fraction:.3f}, "
+        + ", ".join(f"{name} {fraction:.3f}" for name, fraction in summary.by_traffic_class.items())
+    )
+    lines.append(
+        "txns: " + ", ".join(f"{count} {name}" for name, count in sorted(summary.outcomes.items()))
     )
-    out.append("txns: " + ", ".join(f"{n} {name}" for name, n in sorted(sums.outcomes.items())))
-    out += [f"{name}: p50 {p50:.3f} s, p99 {p99:.3f} s" for name, (p50, p99) in sums.times.items()]
-    out.append(
-        f"roster news to last answer: median {sums.news[0]:.2f} s, longest {sums.news[1]:.2f} s; "
-        f"lines waiting at most {sums.waited:.0f}; messages {sums.messages}"
+    lines += [
+        f"{name}: p50 {p50:.3f} s, p99 {p99:.3f} s"
+        for name, (p50, p99) in summary.latencies.items()
+    ]
+    lines.append(
+        f"roster news to last answer: median {summary.propagation_times[0]:.2f} s, longest {summary.propagation_times[1]:.2f} s; "
+        f"lines waiting at most {summary.max_queued_entries:.0f}; messages {summary.message_count}"
     )
     if any(folder.glob("manager-*.log")):
-        out += _of_managers(folder)
-    return "\n".join(out), not breaks
+        lines += _manager_report(folder)
+    return "\n".join(lines), not violations
 
 
-def _of_managers(folder: Path) -> list[str]:
+def _manager_report(folder: Path) -> list[str]:
     """What managers said of each other beside what was done to them."""
-    believed, struck = beliefs.read(folder)
-    failed, wrong = [b for b in believed if b.state == "failed"], beliefs.false(believed, struck)
-    down = sum(fault.down for fault in struck)
+    verdicts, faults = audit_failure_verdicts.read_verdicts(folder)
+    failure_verdicts = [verdict for verdict in verdicts if verdict.state == "failed"]
+    false_verdicts = audit_failure_verdicts.false_verdicts(verdicts, faults)
+    down = sum(fault.process_down for fault in faults)
     return [
-        f"managers: {down} times down, {len(struck) - down} cuts; "
-        f"{len(failed)} verdicts, {len(wrong)} of them false",
-        *(f"FALSE at {b.at:.2f} s: {b.by} says that {b.of} failed: {b.why}" for b in wrong),
-        *_of_owners(folder),
+        f"managers: {down} times down, {len(faults) - down} cuts; "
+        f"{len(failure_verdicts)} verdicts, {len(false_verdicts)} of them false",
+        *(
+            f"FALSE at {verdict.at:.2f} s: {verdict.reporter} says that {verdict.subject} failed: {verdict.reason}"
+            for verdict in false_verdicts
+        ),
+        *_owner_report(folder),
     ]
 
 
-def _of_owners(folder: Path) -> list[str]:
+def _owner_report(folder: Path) -> list[str]:
     """What owners of fleet-wide work did, by its carriers."""
-    seen = history.of_logs(folder)
-    broken = history.judge(seen)
-    if not seen:
+    observations = history.read_logs(folder)
+    violations = history.find_violations(observations)
+    if not observations:
         return []
     return [
-        f"owners: {sum(one.done for one in seen)} effects done, {sum(not one.done for one in seen)} refused; "
-        f"{len(broken)} out of order",
+        f"owners: {sum(observation.done for observation in observations)} effects done, {sum(not observation.done for observation in observations)} refused; "
+        f"{len(violations)} out of order",
         *(
-            f"OUT OF ORDER at {b.after.carrier}: {b.said}: {b.before}, then {b.after}"
-            for b in broken
+            f"OUT OF ORDER at {violation.after.executor}: {violation.description}: {violation.before}, then {violation.after}"
+            for violation in violations
         ),
     ]
--- a/dunlinlug/audit/rules.py
+++ b/dunlinlug/audit/rules.py
@@ -5,117 +5,128 @@
 from dataclasses import dataclass
 from math import inf
 
-from dunlinlug import terms as manager_terms
-from dunlinlug.audit.records import Line, Managed, Records, Spell, Told
+from dunlinlug.audit.records import EndpointHistory, Interval, ManagerLifetimes, RecordLine, Records
+from dunlinlug.config import manager_config as manager_terms
 
-SLACK = 0.15  # seconds that a record may lag what it tells of: a busy machine's scheduling
-BURST = (
-    0.4  # seconds of pace that may arrive together: the channel's own catching up, and slow readers
-)
+# seconds that a record may lag what it tells of: a busy machine's scheduling
+RECORDING_DELAY = 0.15
+# seconds of pace that may arrive together: the channel's own catching up, and slow readers
+BURST_ALLOWANCE = 0.4
 
 
 @dataclass(frozen=True)
-class Break:
+class Violation:
     """A broken rule: what was seen, and the record lines that show it."""
 
     rule: str
     at: float
     proxy: str
     worker: str
-    said: str
+    description: str
     evidence: tuple[str, ...]
 
 
-def judge(records: Records) -> list[Break]:
-    """Every break, in time order, at most a few for each rule and proxy so that one cause is one page."""
-    managed = Managed(records)
-    told = Told(records, managed)
-    found = [
-        *bare(records, managed, told),
-        *twice(records),
-        *drains(records, managed, told),
-        *pushed(records, managed, told),
-        *queue(records, managed),
-        *masters(records),
+def find_violations(records: Records) -> list[Violation]:
+    """Every break, in time order, at most a few for each rule and proxy so that one cause is one
+    page.
+    """
+    lifetimes = ManagerLifetimes(records)
+    history = EndpointHistory(records, lifetimes)
+    violations = [
+        *without_endpoint(records, lifetimes, history),
+        *repeated_effects(records),
+        *drained_workers(records, lifetimes, history),
+        *overloaded_workers(records, lifetimes, history),
+        *channel_queue(records, lifetimes),
+        *conflicting_leaders(records),
     ]
-    seen: Counter[tuple[str, str]] = Counter()
-    kept = []
-    for item in sorted(found, key=lambda item: item.at):
-        seen[item.rule, item.proxy] += 1
-        if seen[item.rule, item.proxy] <= 3:
-            kept.append(item)
-    return kept
-
-
-def joined(records: Records) -> dict[str, list[Spell]]:
-    """By proxy, when a stream to the manager stood and the proxy read it: one told to read nothing has no duty kept
-    towards it."""
-    found: dict[str, list[Spell]] = defaultdict(list)
-    lines = [(line, True) for line in records.of("joined")] + [
-        (line, False) for line in records.of("left")
+    counts: Counter[tuple[str, str]] = Counter()
+    reported = []
+    for violation in sorted(violations, key=lambda violation: violation.at):
+        counts[violation.rule, violation.proxy] += 1
+        if counts[violation.rule, violation.proxy] <= 3:
+            reported.append(violation)
+    return reported
+
+
+def connected_intervals(records: Records) -> dict[str, list[Interval]]:
+    """By proxy, when a stream to the manager stood and the proxy read it: one told to read nothing
+    has no duty kept towards it.
+    """
+    intervals_by_proxy: dict[str, list[Interval]] = defaultdict(list)
+    lines = [(line, True) for line in records.lines_of("joined")] + [
+        (line, False) for line in records.lines_of("left")
     ]
     lines += [
         (line, line["do"] == "hear")
-        for line in records.of("obeyed")
+        for line in records.lines_of("obeyed")
         if line["do"] in ("deaf", "hear")
     ]
-    for line, stands in sorted(lines, key=lambda entry: float(entry[0]["at"])):
-        spells = found[line["proxy"]]
-        running = bool(spells) and spells[-1].end == inf
-        if stands and not running:
-            spells.append(Spell(line["at"]))
-        elif not stands and running:
-            spells[-1].end = line["at"]
-    return found
+    for line, connected in sorted(lines, key=lambda entry: float(entry[0]["at"])):
+        intervals = intervals_by_proxy[line["proxy"]]
+        running = bool(intervals) and intervals[-1].end == inf
+        if connected and not running:
+            intervals.append(Interval(line["at"]))
+        elif not connected and running:
+            intervals[-1].end = line["at"]
+    return intervals_by_proxy
 
 
-def _standing(spells: list[Spell], at: float) -> Spell | None:
-    return next((spell for spell in spells if spell.begin <= at < spell.end), None)
+def _interval_at(intervals: list[Interval], at: float) -> Interval | None:
+    return next((interval for interval in intervals if interval.begin <= at < interval.end), None)
 
 
-def bare(records: Records, managed: Managed, told: Told) -> Iterator[Break]:
-    """A joined proxy had no line for a product for longer than allowed, while a warm ready worker was listed."""
-    duties, streams = records.book.one(manager_terms.Obligations), joined(records)
-    end = records.of("end")[0]["at"] if records.of("end") else inf
-    began: dict[tuple[str, str], Line] = {}
+def without_endpoint(
+    records: Records, lifetimes: ManagerLifetimes, history: EndpointHistory
+) -> Iterator[Violation]:
+    """A joined proxy had no line for a product for longer than allowed, while a warm ready worker
+    was listed.
+    """
+    safety_config = records.config.section(manager_terms.SafetyConfig)
+    streams = connected_intervals(records)
+    end = records.lines_of("end")[0]["at"] if records.lines_of("end") else inf
+    began_by_key: dict[tuple[str, str], RecordLine] = {}
     for line in [
-        *records.of("bare"),
+        *records.lines_of("bare"),
         *(
-            {"at": end, "on": False, **dict(zip(("proxy", "product"), k, strict=True))}
-            for k in _open_bare(records)
+            {"at": end, "on": False, **dict(zip(("proxy", "product"), open_key, strict=True))}
+            for open_key in _open_without_endpoint(records)
         ),
     ]:
         key = (line["proxy"], line["product"])
         if line["on"]:
-            began.setdefault(key, line)
+            began_by_key.setdefault(key, line)
             continue
-        first = began.pop(key, None)
+        first = began_by_key.pop(key, None)
         if first is None:
             continue
         for stream in streams[line["proxy"]]:
-            begin, stop = max(first["at"], stream.begin), min(line["at"], stream.end)
-            due = managed.due(begin, duties.bare)
-            if stop > due + SLACK and _warm_listed(told, begin, due, duties.warm_after):
-                yield Break(
+            begin = max(first["at"], stream.begin)
+            stop = min(line["at"], stream.end)
+            due = lifetimes.due_time(begin, safety_config.bare)
+            if stop > due + RECORDING_DELAY and _had_warm_worker(
+                history, begin, due, safety_config.warm_after
+            ):
+                yield Violation(
                     "bare",
                     due,
                     line["proxy"],
                     "",
                     f"no line for {line['product']} for "
-                    f"{stop - begin:.2f} s, {duties.bare:g} s allowed",
+                    f"{stop - begin:.2f} s, {safety_config.bare:g} s allowed",
                     (first["where"],),
                 )
 
 
-def _open_bare(records: Records) -> list[tuple[str, str]]:
-    last = {(line["proxy"], line["product"]): line["on"] for line in records.of("bare")}
+def _open_without_endpoint(records: Records) -> list[tuple[str, str]]:
+    last = {(line["proxy"], line["product"]): line["on"] for line in records.lines_of("bare")}
     return [key for key, on in last.items() if on]
 
 
-def _warm_listed(told: Told, begin: float, end: float, warm_after: float) -> bool:
+def _had_warm_worker(history: EndpointHistory, begin: float, end: float, warm_after: float) -> bool:
     """Whether the list showed a warm ready worker all that time, looked at at both ends."""
     for at in (begin, end):
-        line = told.at(at)
+        line = history.list_at(at)
         if line is None or not any(
             state == "ready" and (since is None or since <= begin - warm_after)
             for state, since in line["states"].values()
@@ -124,207 +135,238 @@
     return True
 
 
-def twice(records: Records) -> Iterator[Break]:
-    """A txn that may not run again took effect twice within one call of its client: a proxy's further try."""
-    wares = records.book.many(manager_terms.Ware)
-    effects: dict[tuple[str, int], list[Line]] = defaultdict(list)
-    for line in records.of("effect"):
-        if wares[line["product"]].repeats != "idempotent":
+def repeated_effects(records: Records) -> Iterator[Violation]:
+    """A txn that may not run again took effect twice within one call of its client: a proxy's
+    further try.
+    """
+    traffic_classes = records.config.sections(manager_terms.TrafficClassConfig)
+    effects: dict[tuple[str, int], list[RecordLine]] = defaultdict(list)
+    for line in records.lines_of("effect"):
+        if traffic_classes[line["product"]].repeats != "idempotent":
             effects[line["txn"], line["client"]].append(line)
     repeated = {key for key, lines in effects.items() if len(lines) > 1}
-    tries = defaultdict(list)
-    for line in records.of("try") if repeated else ():
+    attempts = defaultdict(list)
+    for line in records.lines_of("try") if repeated else ():
         if (line["txn"], line["client"]) in repeated:
-            tries[line["txn"], line["client"]].append(line)
+            attempts[line["txn"], line["client"]].append(line)
     for key in sorted(repeated):
-        lines, by = effects[key], tries[key]
-        yield Break(
+        lines = effects[key]
+        key_attempts = attempts[key]
+        yield Violation(
             "twice",
             lines[1]["at"],
-            by[0]["proxy"] if by else "",
+            key_attempts[0]["proxy"] if key_attempts else "",
             lines[1]["worker"],
             f"txn {key[0]} of {lines[0]['product']} took effect at {lines[0]['worker']} and "
             f"{lines[1]['worker']}",
-            tuple(line["where"] for line in (*lines, *by)),
+            tuple(line["where"] for line in (*lines, *key_attempts)),
         )
 
 
-def masters(records: Records) -> Iterator[Break]:
-    """A proxy obeyed a manager of a lower term than before, or two managers of one term: no rule of the five, but what
-    keeps them with several managers."""
-    last: dict[str, tuple[int, str]] = {}
-    for line in records.of("applied"):
+def conflicting_leaders(records: Records) -> Iterator[Violation]:
+    """A proxy obeyed a manager of a lower term than before, or two managers of one term: no rule of
+    the five, but what keeps them with several managers.
+    """
+    last_leaders: dict[str, tuple[int, str]] = {}
+    for line in records.lines_of("applied"):
         term, member = line.get("by") or (0, "")
         if line["refused"] or not term:
             continue
-        before = last.setdefault(line["proxy"], (term, member))
-        if term < before[0] or term == before[0] and member != before[1]:
-            yield Break(
+        previous = last_leaders.setdefault(line["proxy"], (term, member))
+        if term < previous[0] or term == previous[0] and member != previous[1]:
+            yield Violation(
                 "master",
                 line["at"],
                 line["proxy"],
                 "",
-                f"obeyed {member} of term {term} after {before[1]} of term {before[0]}",
+                f"obeyed {member} of term {term} after {previous[1]} of term {previous[0]}",
                 (line["where"],),
             )
-        last[line["proxy"]] = max(before, (term, member))
+        last_leaders[line["proxy"]] = max(previous, (term, member))
 
 
-def drains(records: Records, managed: Managed, told: Told) -> Iterator[Break]:
-    """A joined proxy sent to a worker past the grace after the manager was told that it drains or is gone."""
-    duties, streams, shut = (
-        records.book.one(manager_terms.Obligations),
-        joined(records),
-        told.shut(),
-    )
-    for line in records.of("try"):
-        stream = _standing(streams[line["proxy"]], line["at"])
-        spell = _standing(shut.get(line["worker"], []), line["at"])
-        if stream is None or spell is None or managed.life(line["at"]) is None:
+def drained_workers(
+    records: Records, lifetimes: ManagerLifetimes, history: EndpointHistory
+) -> Iterator[Violation]:
+    """A joined proxy sent to a worker past the grace after the manager was told that it drains or
+    is gone.
+    """
+    safety_config = records.config.section(manager_terms.SafetyConfig)
+    streams = connected_intervals(records)
+    unavailable = history.unavailable_intervals()
+    for line in records.lines_of("try"):
+        stream = _interval_at(streams[line["proxy"]], line["at"])
+        interval = _interval_at(unavailable.get(line["worker"], []), line["at"])
+        if stream is None or interval is None or lifetimes.lifetime_at(line["at"]) is None:
             continue
-        due = managed.due(max(stream.begin, spell.begin), duties.drain_grace)
-        if line["at"] > due + SLACK:
-            yield Break(
+        due = lifetimes.due_time(max(stream.begin, interval.begin), safety_config.drain_grace)
+        if line["at"] > due + RECORDING_DELAY:
+            yield Violation(
                 "drain",
                 line["at"],
                 line["proxy"],
                 line["worker"],
-                f"sent {line['at'] - spell.begin:.2f} s after the manager was told, {duties.drain_grace:g} s "
+                f"sent {line['at'] - interval.begin:.2f} s after the manager was told, {safety_config.drain_grace:g} s "
                 "of grace",
                 (line["where"],),
             )
 
 
-def pushed(records: Records, managed: Managed, told: Told) -> Iterator[Break]:
-    """A cold worker fell over, and two thirds of its work came from proxies that knew of its start, or whose
-    manager had known of it for the grace."""
-    duties, streams = records.book.one(manager_terms.Obligations), joined(records)
-    for line in records.of("fell"):
-        known, knowing = _start_told(told, line), 0.0
-        for ago, work, proxy in line["brought"] if known is not None else ():
-            at = line["at"] - ago
-            stream = _standing(streams[proxy], at)
-            if stream is not None and known is not None:
-                late = at > managed.due(max(known, stream.begin), duties.drain_grace)
-                knowing += work if late or _heard_since(records, proxy, known, at) else 0.0
-        whole = sum(work for _, work, _ in line["brought"])
-        if knowing >= 2 / 3 * whole:
-            yield Break(
+def overloaded_workers(
+    records: Records, lifetimes: ManagerLifetimes, history: EndpointHistory
+) -> Iterator[Violation]:
+    """A cold worker fell over, and two thirds of its work came from proxies that knew of its start,
+    or whose manager had known of it for the grace.
+    """
+    safety_config = records.config.section(manager_terms.SafetyConfig)
+    streams = connected_intervals(records)
+    for line in records.lines_of("fell"):
+        announced_at = _start_announced_at(history, line)
+        informed_work = 0.0
+        for age, work, proxy in line["brought"] if announced_at is not None else ():
+            at = line["at"] - age
+            stream = _interval_at(streams[proxy], at)
+            if stream is not None and announced_at is not None:
+                late = at > lifetimes.due_time(
+                    max(announced_at, stream.begin), safety_config.drain_grace
+                )
+                informed_work += (
+                    work if late or _received_since(records, proxy, announced_at, at) else 0.0
+                )
+        total_work = sum(work for _, work, _ in line["brought"])
+        if informed_work >= 2 / 3 * total_work:
+            yield Violation(
                 "pushed",
                 line["at"],
                 ",".join(sorted({proxy for _, _, proxy in line["brought"]})),
                 line["worker"],
-                f"fell over cold; {knowing / whole:.0%} of its work from proxies that knew",
+                f"fell over cold; {informed_work / total_work:.0%} of its work from proxies that knew",
                 (line["where"],),
             )
 
 
-def _heard_since(records: Records, proxy: str, known: float, at: float) -> bool:
+def _received_since(records: Records, proxy: str, announced_at: float, at: float) -> bool:
     """Whether a message that was ordered after `known` had reached the proxy by `at`."""
     return any(
-        known < float(line["tag"].split()[0])
-        for line in records.of("applied")
-        if line["proxy"] == proxy and line["tag"] and known < line["at"] <= at
+        announced_at < float(line["tag"].split()[0])
+        for line in records.lines_of("applied")
+        if line["proxy"] == proxy and line["tag"] and announced_at < line["at"] <= at
     )
 
 
-def _start_told(told: Told, fell: Line) -> float | None:
+def _start_announced_at(history: EndpointHistory, failure: RecordLine) -> float | None:
     """When the manager was first told of the start that this worker fell in."""
-    for line in told.lines:
-        state = line["states"].get(fell["worker"])
+    for line in history.lines:
+        state = line["states"].get(failure["worker"])
         if (
-            line["at"] <= fell["at"]
+            line["at"] <= failure["at"]
             and state
             and state[0] == "ready"
             and state[1]
-            and state[1] > fell["at"] - 60.0
+            and state[1] > failure["at"] - 60.0
         ):
             at: float = line["at"]
             return at
     return None
 
 
-def queue(records: Records, managed: Managed) -> Iterator[Break]:
-    """More lines waited, more messages came to one proxy, or lines came faster than the channel's settings allow.
+def channel_queue(records: Records, lifetimes: ManagerLifetimes) -> Iterator[Violation]:
+    """More lines waited, more messages came to one proxy, or lines came faster than the channel's
+    settings allow.
 
-    Each set tells when it was ordered and how many lines it is; what was ordered and had not arrived was waiting.
+    Each set tells when it was ordered and how many lines it is; what was ordered and had not
+    arrived was waiting.
     """
-    outlet = records.book.one(manager_terms.Outlet)
-    sets = _sets(records)
-    moves = sorted(
-        [(ordered, lines) for _, ordered, lines, _, _ in sets]
-        + [(line["at"], -lines) for line, _, lines, _, _ in sets]
+    channel_config = records.config.section(manager_terms.ChannelConfig)
+    updates = _arrived_updates(records)
+    changes = sorted(
+        [(ordered, lines) for _, ordered, lines, _, _ in updates]
+        + [(line["at"], -lines) for line, _, lines, _, _ in updates]
     )
-    waiting = 0.0
-    for at, lines in moves:
-        waiting += lines
-        if waiting > outlet.waiting_most and lines > 0:
-            yield Break(
+    queued = 0.0
+    for at, lines in changes:
+        queued += lines
+        if queued > channel_config.waiting_most and lines > 0:
+            yield Violation(
                 "queue",
                 at,
                 "",
                 "",
-                f"{waiting:.0f} lines waited, {outlet.waiting_most} allowed",
+                f"{queued:.0f} lines waited, {channel_config.waiting_most} allowed",
                 (),
             )
-    yield from _too_fast(sets, outlet.lines_per_s)
-    yield from _too_many(records, outlet)
+    yield from _rate_violations(updates, channel_config.lines_per_s)
+    yield from _message_violations(records, channel_config)
 
 
-def _sets(records: Records) -> list[tuple[Line, float, float, int, str]]:
-    """Sets that arrived at proxies that were reading: record line, when ordered, lines, replies, proxy."""
-    deaf = records.spells(
-        "obeyed", "proxy", lambda o: o["do"] == "deaf", lambda o: o["do"] == "hear"
+def _arrived_updates(records: Records) -> list[tuple[RecordLine, float, float, int, str]]:
+    """Sets that arrived at proxies that were reading: record line, when ordered, lines, replies,
+    proxy.
+    """
+    unread_intervals = records.intervals(
+        "obeyed",
+        "proxy",
+        lambda obeyed_line: obeyed_line["do"] == "deaf",
+        lambda obeyed_line: obeyed_line["do"] == "hear",
     )
-    found = []
-    for line in records.of("applied"):
+    updates = []
+    for line in records.lines_of("applied"):
         if not line["tag"]:
             continue
         ordered, lines, replies = line["tag"].split()
-        held = any(
-            s.begin <= line["at"] and float(ordered) <= s.end + 1.0
-            for s in deaf.get(line["proxy"], ())
+        was_unread = any(
+            interval.begin <= line["at"] and float(ordered) <= interval.end + 1.0
+            for interval in unread_intervals.get(line["proxy"], ())
         )
-        if not held:
-            found.append((line, float(ordered), float(lines), int(replies), line["proxy"]))
-    return found
-
-
-def _too_fast(sets: list[tuple[Line, float, float, int, str]], pace: float) -> Iterator[Break]:
-    level, last, largest = 0.0, -inf, max((lines for _, _, lines, _, _ in sets), default=0.0)
-    for line, _, lines, _, proxy in sets:
-        level = max(0.0, level - pace * (line["at"] - last)) + lines
-        last = line["at"]
-        if level > BURST * pace + largest:
-            yield Break(
+        if not was_unread:
+            updates.append((line, float(ordered), float(lines), int(replies), line["proxy"]))
+    return updates
+
+
+def _rate_violations(
+    updates: list[tuple[RecordLine, float, float, int, str]], entries_per_second: float
+) -> Iterator[Violation]:
+    backlog = 0.0
+    last_at = -inf
+    largest = max((lines for _, _, lines, _, _ in updates), default=0.0)
+    for line, _, lines, _, proxy in updates:
+        backlog = max(0.0, backlog - entries_per_second * (line["at"] - last_at)) + lines
+        last_at = line["at"]
+        if backlog > BURST_ALLOWANCE * entries_per_second + largest:
+            yield Violation(
                 "queue",
                 line["at"],
                 proxy,
                 "",
-                f"{level:.0f} lines came at once beyond the pace of {pace:g} a second",
+                f"{backlog:.0f} lines came at once beyond the pace of {entries_per_second:g} a second",
                 (line["where"],),
             )
 
 
-def _too_many(records: Records, outlet: manager_terms.Outlet) -> Iterator[Break]:
-    if not outlet.messages_most:
+def _message_violations(
+    records: Records, channel_config: manager_terms.ChannelConfig
+) -> Iterator[Violation]:
+    if not channel_config.messages_most:
         return
-    streams, times = joined(records), defaultdict[str, deque[float]](deque)
-    for line, ordered, _, replies, proxy in _sets(records):
-        stream = _standing(streams[proxy], line["at"])
-        recent = times[proxy]
+    streams = connected_intervals(records)
+    ordered_times = defaultdict[str, deque[float]](deque)
+    for line, ordered, _, replies, proxy in _arrived_updates(records):
+        stream = _interval_at(streams[proxy], line["at"])
+        recent = ordered_times[proxy]
         recent.extend([ordered] * replies)
         while recent and (
-            recent[0] <= ordered - outlet.messages_span or stream and recent[0] < stream.begin
+            recent[0] <= ordered - channel_config.messages_span
+            or stream
+            and recent[0] < stream.begin
         ):
             recent.popleft()
-        if len(recent) > outlet.messages_most:
-            yield Break(
+        if len(recent) > channel_config.messages_most:
+            yield Violation(
                 "queue",
                 line["at"],
                 proxy,
                 "",
-                f"{len(recent)} messages within {outlet.messages_span:g} s, "
-                f"{outlet.messages_most} allowed",
+                f"{len(recent)} messages within {channel_config.messages_span:g} s, "
+                f"{channel_config.messages_most} allowed",
                 (line["where"],),
             )
--- a/dunlinlug/cli.py
+++ b/dunlinlug/cli.py
@@ -8,8 +8,8 @@
 
 import click
 
-from dunlinlug.commands import FILE, BadFile
-from dunlinlug.operators.commands import fleet, table
+from dunlinlug.admin.commands import fleet, table
+from dunlinlug.command_line.common import FILE_PATH, InvalidFileError
 
 
 @click.group()
@@ -22,19 +22,19 @@
 main.add_command(fleet)
 
 
-def end_with_input() -> None:
+def exit_when_input_closes() -> None:
     """End this process when standard input closes: whoever started it is gone."""
 
-    def watch() -> None:
+    def wait_for_end_of_input() -> None:
         while os.read(0, 4096):
             pass
         os.kill(os.getpid(), 15)
 
-    threading.Thread(target=watch, daemon=True).start()
+    threading.Thread(target=wait_for_end_of_input, daemon=True).start()
 
 
 @main.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option("--until-input-closes", is_flag=True, help="Stop when standard input closes.")
 @click.option(
     "--clock-rate",
@@ -48,21 +48,21 @@
     from dunlinlug.ads.main import serve
 
     if until_input_closes:
-        end_with_input()
+        exit_when_input_closes()
     sys.exit(serve(file, clock_rate=clock_rate))
 
 
 @main.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 def check(file: Path) -> None:
     """Check a manager's INI file."""
-    from dunlinlug import terms
-    from dunlinlug.config import ConfigFault
+    from dunlinlug.config import manager_config
+    from dunlinlug.config.reader import ConfigError
 
     try:
-        terms.read(file)
-    except ConfigFault as fault:
-        raise BadFile(str(fault)) from None
+        manager_config.load_manager_config(file)
+    except ConfigError as error:
+        raise InvalidFileError(str(error)) from None
     click.echo(f"{file}: in order")
 
 
@@ -72,47 +72,47 @@
 
 
 @day.command("play")
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option(
     "--records",
-    type=FILE,
+    type=FILE_PATH,
     help="Folder for the records (default: a new one in the temporary folder).",
 )
 def day_play(file: Path, records: Path | None) -> None:
     """Play a day and judge it; exit status 1 if a rule was broken."""
     import trio
 
-    from dunlinlug.config import ConfigFault
-    from dunlinlug.day.play import DayFault, Player
+    from dunlinlug.config.reader import ConfigError
+    from dunlinlug.scenarios.runner import ScenarioError, ScenarioRunner
 
     folder = records or Path(tempfile.mkdtemp(prefix="dunlinlug-day-"))
     try:
-        trio.run(Player(file, folder).play)
-    except ConfigFault as fault:
-        raise BadFile(str(fault)) from None
-    except DayFault as fault:
-        raise click.ClickException(f"{fault}; records in {folder}") from None
+        trio.run(ScenarioRunner(file, folder).run)
+    except ConfigError as error:
+        raise InvalidFileError(str(error)) from None
+    except ScenarioError as error:
+        raise click.ClickException(f"{error}; records in {folder}") from None
     click.echo(f"records in {folder}")
-    _audit(folder)
+    _print_audit(folder)
 
 
 @main.command()
-@click.argument("folder", type=FILE)
+@click.argument("folder", type=FILE_PATH)
 def audit(folder: Path) -> None:
     """Judge the records of a played day; exit status 1 if a rule was broken."""
-    _audit(folder)
+    _print_audit(folder)
 
 
-def _audit(folder: Path) -> None:
-    from dunlinlug.audit.records import RecordFault
+def _print_audit(folder: Path) -> None:
+    from dunlinlug.audit.records import RecordError
     from dunlinlug.audit.report import report
 
     try:
-        text, kept = report(folder)
-    except RecordFault as fault:
-        raise BadFile(str(fault)) from None
+        text, rules_kept = report(folder)
+    except RecordError as error:
+        raise InvalidFileError(str(error)) from None
     click.echo(text)
-    sys.exit(0 if kept else 1)
+    sys.exit(0 if rules_kept else 1)
 
 
 @main.group("stand-in")
@@ -120,46 +120,48 @@
     """Plain stand-ins for a day; they read the day's run file and obey standard input."""
 
 
-RECORD = click.option("--record", type=FILE, required=True, help="The record file to append to.")
+RECORD_OPTION = click.option(
+    "--record", type=FILE_PATH, required=True, help="The record file to append to."
+)
 
 
 @stand_in.command("worker")
-@click.argument("run", type=FILE)
+@click.argument("run", type=FILE_PATH)
 @click.option("--zone", required=True)
-@RECORD
+@RECORD_OPTION
 def stand_in_worker(run: Path, zone: str, record: Path) -> None:
     """The workers of one zone."""
-    from dunlinlug.standin import worker
+    from dunlinlug.standins import worker
 
     worker.main(run, zone, record)
 
 
 @stand_in.command("proxy")
-@click.argument("run", type=FILE)
+@click.argument("run", type=FILE_PATH)
 @click.option("--group", type=int, required=True)
-@RECORD
+@RECORD_OPTION
 def stand_in_proxy(run: Path, group: int, record: Path) -> None:
     """One group of proxies."""
-    from dunlinlug.standin import proxy
+    from dunlinlug.standins import proxy
 
     proxy.main(run, group, record)
 
 
 @stand_in.command("roster")
-@click.argument("run", type=FILE)
-@RECORD
+@click.argument("run", type=FILE_PATH)
+@RECORD_OPTION
 def stand_in_roster(run: Path, record: Path) -> None:
     """The roster."""
-    from dunlinlug.standin import roster
+    from dunlinlug.standins import discovery
 
-    roster.main(run, record)
+    discovery.main(run, record)
 
 
 @stand_in.command("callers")
-@click.argument("run", type=FILE)
-@RECORD
+@click.argument("run", type=FILE_PATH)
+@RECORD_OPTION
 def stand_in_callers(run: Path, record: Path) -> None:
     """The clients."""
-    from dunlinlug.standin import callers
+    from dunlinlug.standins import load_generator
 
-    callers.main(run, record)
+    load_generator.main(run, record)
--- a/dunlinlug/commands.py
+++ b/dunlinlug/command_line/common.py
@@ -4,10 +4,10 @@
 
 import click
 
-FILE = click.Path(path_type=Path)
+FILE_PATH = click.Path(path_type=Path)
 
 
-class BadFile(click.ClickException):
+class InvalidFileError(click.ClickException):
     """A file that cannot be used: one line, exit status 2."""
 
     exit_code = 2
--- a/dunlinlug/config/__init__.py
+++ b/dunlinlug/config/__init__.py
@@ -1,16 +1,4 @@
-"""Reading INI files: sections, units in values, one message for each mistake."""
+"""Configuration: INI files with units, a manager's sections, and the settings of the module as JSON.
 
-from dunlinlug.config.reader import Book, ConfigFault, read_book
-from dunlinlug.config.units import Address, Count, PerSecond, Seconds, Share, Words
-
-__all__ = [
-    "Address",
-    "Book",
-    "ConfigFault",
-    "Count",
-    "PerSecond",
-    "Seconds",
-    "Share",
-    "Words",
-    "read_book",
-]
+Each module is imported by itself: `settings_json` needs the standard library alone.
+"""
--- a/dunlinlug/config/reader.py
+++ b/dunlinlug/config/reader.py
@@ -1,4 +1,6 @@
-"""One INI file to attrs classes, a section each; every mistake names file, line, key and what would be right."""
+"""One INI file to attrs classes, a section each; every mistake names file, line, key and what would
+be right.
+"""
 
 import configparser
 import difflib
@@ -9,30 +11,33 @@
 
 import attrs
 
-from dunlinlug.config.units import ValueFault, converter
+from dunlinlug.config.units import InvalidValueError, make_converter
+from dunlinlug.errors import DunlinlugError
 
 T = TypeVar("T")
 
 
-class ConfigFault(Exception):
+class ConfigError(DunlinlugError):
     """A file that cannot be used; the text is one line, ready to print."""
 
 
-class Book:
-    """What one file said: `one(cls)` gives a section's record, `many(cls)` the named ones by their names."""
+class ConfigFile:
+    """What one file said: `one(cls)` gives a section's record, `many(cls)` the named ones by their
+    names.
+    """
 
     def __init__(self, records: dict[type, dict[str, Any]]) -> None:
-        self._records = records
+        self._sections = records
 
-    def one(self, kind: type[T]) -> T:
-        record: T = self._records[kind][""]
+    def section(self, section_type: type[T]) -> T:
+        record: T = self._sections[section_type][""]
         return record
 
-    def many(self, kind: type[T]) -> dict[str, T]:
-        return dict(self._records.get(kind, {}))
+    def sections(self, section_type: type[T]) -> dict[str, T]:
+        return dict(self._sections.get(section_type, {}))
 
 
-class _File:
+class _IniFile:
     """The parsed text, with the line of each section and key for messages."""
 
     def __init__(self, path: Path) -> None:
@@ -40,94 +45,111 @@
         try:
             text = path.read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
-            raise ConfigFault(f"{path}: cannot be read: {error}") from None
-        self.parsed = configparser.ConfigParser(
+            raise ConfigError(f"{path}: cannot be read: {error}") from None
+        self.parser = configparser.ConfigParser(
             interpolation=None,
             strict=True,
             comment_prefixes=("#", ";"),
             inline_comment_prefixes=("#", ";"),
         )
-        self.parsed.optionxform = str  # type: ignore[assignment,method-assign]  # keys keep their case
+        self.parser.optionxform = str  # type: ignore[assignment,method-assign]  # keys keep their case
         try:
-            self.parsed.read_string(text, source=str(path))
+            self.parser.read_string(text, source=str(path))
         except configparser.Error as error:
             line = getattr(error, "lineno", None) or next(
                 (n for n, _ in getattr(error, "errors", ())), 1
             )
-            said = " ".join(str(error).split())
-            raise ConfigFault(f"{path}:{line}: not an INI file: {said}") from None
-        self.lines = self._find(text)
+            reason = " ".join(str(error).split())
+            raise ConfigError(f"{path}:{line}: not an INI file: {reason}") from None
+        self.line_numbers = self._find_line_numbers(text)
 
     @staticmethod
-    def _find(text: str) -> dict[tuple[str, str], int]:
-        found, section = {}, ""
+    def _find_line_numbers(text: str) -> dict[tuple[str, str], int]:
+        line_numbers = {}
+        section = ""
         for number, line in enumerate(text.splitlines(), 1):
-            if head := re.match(r"\s*\[([^\]]+)\]", line):
-                section = head[1]
-                found[section, ""] = number
-            elif key := re.match(r"([^=:#;\s][^=:]*?)\s*[=:]", line):
-                found.setdefault((section, key[1]), number)
-        return found
+            if section_match := re.match(r"\s*\[([^\]]+)\]", line):
+                section = section_match[1]
+                line_numbers[section, ""] = number
+            elif key_match := re.match(r"([^=:#;\s][^=:]*?)\s*[=:]", line):
+                line_numbers.setdefault((section, key_match[1]), number)
+        return line_numbers
 
-    def fault(self, section: str, key: str, said: str) -> ConfigFault:
-        line = self.lines.get((section, key), self.lines.get((section, ""), 1))
-        where = f"[{section}] {key}".rstrip()
-        return ConfigFault(f"{self.path}:{line}: {where}: {said}")
+    def error(self, section: str, key: str, reason: str) -> ConfigError:
+        line = self.line_numbers.get((section, key), self.line_numbers.get((section, ""), 1))
+        location = f"[{section}] {key}".rstrip()
+        return ConfigError(f"{self.path}:{line}: {location}: {reason}")
 
 
-def _near(word: str, known: Mapping[str, Any]) -> str:
-    close = difflib.get_close_matches(word, list(known), 1)
-    return f"; did you mean {close[0]!r}?" if close else f"; known are {', '.join(known)}"
+def _suggest(word: str, known: Mapping[str, Any]) -> str:
+    close_matches = difflib.get_close_matches(word, list(known), 1)
+    return (
+        f"; did you mean {close_matches[0]!r}?"
+        if close_matches
+        else f"; known are {', '.join(known)}"
+    )
 
 
-def read_book(
+def load_config(
     path: Path,
-    single: Mapping[str, type],
-    named: Mapping[str, type] | None = None,
-    optional: frozenset[str] = frozenset(),
-) -> Book:
-    """Read `path`; `single` has a class by section, `named` by the first word of `[word name]` sections.
-
-    Raises ConfigFault at the first mistake: an unknown section or key, a missing one, a value of the wrong form.
+    single_types: Mapping[str, type],
+    named_types: Mapping[str, type] | None = None,
+    optional_sections: frozenset[str] = frozenset(),
+) -> ConfigFile:
+    """Read `path`; `single` has a class by section, `named` by the first word of `[word name]`
+    sections.
+
+    Raises ConfigFault at the first mistake: an unknown section or key, a missing one, a value of
+    the wrong form.
     """
-    file, named = _File(path), named or {}
-    records: dict[type, dict[str, Any]] = {kind: {} for kind in named.values()}
-    for section in file.parsed.sections():
-        word, _, name = section.partition(" ")
-        if section in single:
-            records[single[section]] = {"": _record(file, section, single[section])}
-        elif word in named and name:
-            records[named[word]][name] = _record(file, section, named[word])
+    ini_file = _IniFile(path)
+    named_types = named_types or {}
+    sections: dict[type, dict[str, Any]] = {
+        section_type: {} for section_type in named_types.values()
+    }
+    for section in ini_file.parser.sections():
+        prefix, _, name = section.partition(" ")
+        if section in single_types:
+            sections[single_types[section]] = {
+                "": _read_section(ini_file, section, single_types[section])
+            }
+        elif prefix in named_types and name:
+            sections[named_types[prefix]][name] = _read_section(
+                ini_file, section, named_types[prefix]
+            )
         else:
-            known = {**single, **{f"{word} NAME": kind for word, kind in named.items()}}
-            raise file.fault(section, "", f"unknown section{_near(section, known)}")
-    for section, kind in single.items():
-        if kind not in records:
-            if section not in optional:
-                raise ConfigFault(f"{path}:1: section [{section}] is missing")
-            records[kind] = {"": _record(file, section, kind)}
-    return Book(records)
-
-
-def _record(file: _File, section: str, kind: type) -> Any:
-    fields = attrs.fields_dict(kind)
-    given = dict(file.parsed[section]) if section in file.parsed else {}
+            known = {
+                **single_types,
+                **{f"{prefix} NAME": section_type for prefix, section_type in named_types.items()},
+            }
+            raise ini_file.error(section, "", f"unknown section{_suggest(section, known)}")
+    for section, section_type in single_types.items():
+        if section_type not in sections:
+            if section not in optional_sections:
+                raise ConfigError(f"{path}:1: section [{section}] is missing")
+            sections[section_type] = {"": _read_section(ini_file, section, section_type)}
+    return ConfigFile(sections)
+
+
+def _read_section(ini_file: _IniFile, section: str, section_type: type) -> Any:
+    fields = attrs.fields_dict(section_type)
+    texts = dict(ini_file.parser[section]) if section in ini_file.parser else {}
     values: dict[str, Any] = {}
-    reading = converter()
-    for key, text in given.items():
+    value_converter = make_converter()
+    for key, text in texts.items():
         if key not in fields:
-            raise file.fault(section, key, f"unknown key{_near(key, fields)}")
-        wanted: Any = fields[key].type
+            raise ini_file.error(section, key, f"unknown key{_suggest(key, fields)}")
+        value_type: Any = fields[key].type
         try:
-            if get_origin(wanted) is Literal and text not in get_args(wanted):
-                raise ValueFault(f"{text!r} is not one of {', '.join(get_args(wanted))}")
-            values[key] = reading.structure(text, wanted)
-        except ValueFault as fault:
-            raise file.fault(section, key, str(fault)) from None
+            if get_origin(value_type) is Literal and text not in get_args(value_type):
+                raise InvalidValueError(f"{text!r} is not one of {', '.join(get_args(value_type))}")
+            values[key] = value_converter.structure(text, value_type)
+        except InvalidValueError as error:
+            raise ini_file.error(section, key, str(error)) from None
     for key, field in fields.items():
         if key not in values and field.default is attrs.NOTHING:
-            raise file.fault(section, "", f"key {key!r} is missing")
+            raise ini_file.error(section, "", f"key {key!r} is missing")
     try:
-        return kind(**values)
-    except ValueError as fault:
-        raise file.fault(section, "", str(fault)) from None
+        return section_type(**values)
+    except ValueError as error:
+        raise ini_file.error(section, "", str(error)) from None
--- /dev/null
+++ b/dunlinlug/config/settings_json.py
@@ -0,0 +1,150 @@
+"""What a manager is told at its start, as the simulator's first message and the platform's
+configuration write it.
+
+One reader for both: the adapter and the platform's front give the same object. Standard library
+alone.
+"""
+
+from collections.abc import Mapping
+from math import inf
+from typing import Any
+
+from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, SafetyLimits, TrafficClass
+
+MICROSECONDS_PER_SECOND = 1e6
+MILLISECONDS_PER_SECOND = 1e3
+IDEMPOTENCY_BY_EFFECT = {
+    "pure": "idempotent",
+    "token": "referenced",
+    "side_effect": "non-idempotent",
+}
+ADMISSION_MODES = {"ratio": "share", "rps": "rate"}
+LOAD_FIELD_NAMES = {
+    "depth": "queue",
+    "mean_ms": "service_s",
+    "concurrent": "held",
+    "load_share": "busy",
+    "tps": "settled_per_s",
+    "err_ps": "voided_per_s",
+}
+MILLISECOND_FIELDS = frozenset({"service_s"})
+
+
+def seconds(microseconds: float) -> float:
+    return microseconds / MICROSECONDS_PER_SECOND
+
+
+def _read_number(
+    settings: Mapping[str, Any], name: str, minimum: float = 0.0, maximum: float = inf
+) -> float:
+    """A figure of the settings from `least` to `most`. Raises KeyError or ValueError, which names
+    it.
+    """
+    try:
+        value = float(settings[name])
+    except (TypeError, ValueError):
+        raise ValueError(f"{name} is {settings[name]!r}, not a number") from None
+    if not minimum <= value <= maximum or value == inf:
+        raise ValueError(
+            f"{name} is {settings[name]!r}, not from {minimum:g} on"
+            + (f" to {maximum:g}" if maximum < inf else "")
+        )
+    return value
+
+
+MIN_POSITIVE = 1e-6  # the least of what has to be above 0
+
+
+def unsupported_settings(info: Mapping[str, Any]) -> list[str]:
+    """What these settings ask for and this manager has no answer for. Raises as `read_trade` does."""
+    specifics = info["specifics"]
+    reporting = info.get("reporting") or {}
+    accepted_values = (
+        ("specifics.admit", specifics.get("admit") or "none", (*ADMISSION_MODES, "none")),
+        ("reporting.how", reporting.get("how") or "none", ("answers", "probe", "none")),
+        ("membershipMode", info.get("membershipMode") or "automatic", ("automatic", "subscribe")),
+    )
+    unsupported = [
+        f"{name} is {value!r}, known are {', '.join(words)}"
+        for name, value, words in accepted_values
+        if value not in words
+    ]
+    return unsupported + [
+        f"{name} is {specifics[name]!r}: slices are not served"
+        for name in ("keyRanges", "soleOwner")
+        if specifics.get(name)
+    ]
+
+
+def read_settings(seed: int, info: Mapping[str, Any]) -> ManagerSettings:
+    """`info` as parsed from JSON, times in microseconds. Raises KeyError, TypeError, ValueError or
+    AttributeError for what is missing or of another kind.
+    """
+    specifics = info["specifics"]
+    rules = info["rules"]
+    caps = info.get("caps") or {}
+    reporting = info.get("reporting") or {}
+    home_only = specifics.get("homeOnly") or []
+    for raw_class in info["lanes"]:
+        if raw_class["effect"] not in IDEMPOTENCY_BY_EFFECT:
+            raise ValueError(
+                f"the effect of {raw_class['name']} is {raw_class['effect']!r}, known are {', '.join(IDEMPOTENCY_BY_EFFECT)}"
+            )
+    if not info["lanes"]:
+        raise ValueError("there are no lanes")
+    traffic_classes = tuple(
+        TrafficClass(
+            name=raw_class["name"],
+            latency_objective=seconds(_read_number(raw_class, "aimUs", MIN_POSITIVE)),
+            deadline=seconds(_read_number(raw_class, "hardLimitUs", MIN_POSITIVE)),
+            priority_weight=_read_number(raw_class, "points"),
+            late_value_fraction=float(raw_class.get("lateShare") or 0.0),
+            idempotency=IDEMPOTENCY_BY_EFFECT[raw_class["effect"]],
+            group=raw_class.get("group") or "all",
+            deduplication_window=seconds(raw_class.get("windowUs") or 0),
+            same_zone_only=bool(k < len(home_only) and home_only[k]),
+        )
+        for k, raw_class in enumerate(info["lanes"])
+    )
+    return ManagerSettings(
+        seed=seed,
+        zone=info["zone"],
+        traffic_classes=traffic_classes,
+        channel=_read_channel(specifics),
+        safety_limits=_read_safety_limits(specifics, rules),
+        must_subscribe=info.get("membershipMode") == "subscribe",
+        can_check_health=bool(caps.get("probes")),
+        load_report_fields=tuple(
+            LOAD_FIELD_NAMES.get(name, name) for name in reporting.get("fields") or ()
+        ),
+        report_delivery=reporting.get("how") or "none",
+        report_interval=seconds(specifics.get("cycleUs") or MICROSECONDS_PER_SECOND),
+        default_retry_policy=int(specifics.get("usualHow") or 0),
+        admission_mode=ADMISSION_MODES.get(specifics.get("admit"), "none"),
+        shard_count=int(specifics.get("keyRanges") or 0),
+        initial_subset_size=max(1, int(specifics.get("initialSet") or 1)),
+    )
+
+
+def _read_channel(specifics: Mapping[str, Any]) -> ChannelSettings:
+    return ChannelSettings(
+        entries_per_second=_read_number(specifics, "egressPerS", MIN_POSITIVE),
+        message_overhead=_read_number(specifics, "perMessage"),
+        max_queued_entries=_read_number(specifics, "pendingMax", MIN_POSITIVE),
+        transit_time=seconds(_read_number(specifics, "transitUs")),
+        max_transit_time=seconds(specifics.get("lateMostUs") or specifics["transitUs"]),
+        max_messages=int(specifics.get("messagesMost") or 0),
+        message_window=seconds(specifics.get("reloadSpanUs") or 10 * MICROSECONDS_PER_SECOND),
+    )
+
+
+def _read_safety_limits(specifics: Mapping[str, Any], rules: Mapping[str, Any]) -> SafetyLimits:
+    return SafetyLimits(
+        max_time_without_endpoint=seconds(_read_number(specifics, "emptyForUs")),
+        drain_grace_period=seconds(_read_number(rules, "drainGraceUs")),
+        list_poll_interval=seconds(rules.get("askEveryUs") or 0),
+        warm_up_time=seconds(_read_number(rules, "coldUs")),
+        initial_capacity_fraction=_read_number(rules, "startCapacity", maximum=1.0),
+        overload_multiple=_read_number(rules, "tipMultiple"),
+        overload_duration=seconds(_read_number(rules, "fallUs")),
+    )
--- a/dunlinlug/drill/__main__.py
+++ b/dunlinlug/drill/__main__.py
@@ -2,11 +2,11 @@
 
 import sys
 
-from dunlinlug.drill.codec import WireFault
-from dunlinlug.drill.host import serve
+from dunlinlug.simulator.codec import WireError
+from dunlinlug.simulator.host import serve
 
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireFault as fault:
+    except WireError as fault:
         sys.exit(f"dunlinlug.drill: {fault}")
--- a/dunlinlug/fleet/succession/__init__.py
+++ b/dunlinlug/fleet/election/__init__.py
@@ -1,1 +1,3 @@
-"""Managers that take over from each other: one master by term, by majority and lease; `docs/succession.md`."""
+"""Managers that take over from each other: one master by term, by majority and lease;
+`docs/succession.md`.
+"""
--- a/dunlinlug/fleet/wire_names.py
+++ b/dunlinlug/fleet/wire_names.py
@@ -1,7 +1,7 @@
 """Names that messages and their fields have between managers, declared beside the fields.
 
-The name on the wire is the one declared, so that a class or an attribute can be renamed without another byte being
-sent: `term: int = field(metadata=wire("term"))`, and `WIRE_NAME` for the class.
+The name on the wire is the one declared, so that a class or an attribute can be renamed without
+another byte being sent: `term: int = field(metadata=wire("term"))`, and `WIRE_NAME` for the class.
 """
 
 from collections.abc import Iterable
@@ -28,7 +28,9 @@
 
 @cache
 def wire_fields(kind: Any) -> dict[str, str]:
-    """Attributes by their names on the wire, in the order of fields. Raises TypeError where one is not declared."""
+    """Attributes by their names on the wire, in the order of fields. Raises TypeError where one is
+    not declared.
+    """
     declared: dict[str, str] = {}
     for each in fields(kind):
         name = each.metadata.get(KEY)
@@ -39,7 +41,9 @@
 
 
 def by_wire_name(kinds: Iterable[Any]) -> dict[str, Any]:
-    """Classes by their names on the wire. Raises TypeError where a name or a field's name is not declared."""
+    """Classes by their names on the wire. Raises TypeError where a name or a field's name is not
+    declared.
+    """
     found: dict[str, Any] = {}
     for kind in kinds:
         wire_fields(kind)
--- a/dunlinlug/guard/__init__.py
+++ b/dunlinlug/guard/__init__.py
@@ -1,6 +1,6 @@
 """Judges every order before it reaches a proxy; free of I/O, beside the module and apart from it."""
 
-from dunlinlug.guard.judge import Judge, Refusal
-from dunlinlug.guard.pins import Ended, Pin, PinFault, Pins
+from dunlinlug.guard.order_validator import OrderValidator, Rejection
+from dunlinlug.guard.overrides import EndedOverride, Override, OverrideError, Overrides
 
-__all__ = ["Ended", "Judge", "Pin", "PinFault", "Pins", "Refusal"]
+__all__ = ["EndedOverride", "OrderValidator", "Override", "OverrideError", "Overrides", "Rejection"]
--- /dev/null
+++ b/dunlinlug/manager/rejected_order_text.py
@@ -0,0 +1,27 @@
+"""The text by which a rejected order stands in the store and in the log.
+
+Managers of earlier versions wrote it, and operators' scripts read it: its names are those of that
+record and do not follow the names of the code.
+"""
+
+from dunlinlug.decision.orders import AssignTable, DeleteTable, SetAdmission, SetEjected, SetWeight
+
+
+def rejected_order_text(
+    order: SetWeight | DeleteTable | AssignTable | SetEjected | SetAdmission,
+) -> str:
+    """One line for one order."""
+    match order:
+        case SetWeight(table_id, worker, weight):
+            return f"Share(tbl={table_id!r}, worker={worker!r}, weight={weight!r})"
+        case DeleteTable(table_id):
+            return f"Clear(tbl={table_id!r})"
+        case AssignTable(proxy, traffic_classes, table_id):
+            return f"Bind(proxy={proxy!r}, products={traffic_classes!r}, tbl={table_id!r})"
+        case SetEjected(worker, ejected):
+            return f"Withdraw(worker={worker!r}, out={ejected!r})"
+        case SetAdmission(table_id, traffic_class, retry_policy, admitted_fraction):
+            return (
+                f"Admit(tbl={table_id!r}, product={traffic_class!r}, retry={retry_policy!r}, "
+                f"share={admitted_fraction!r})"
+            )
--- a/dunlinlug/manager/log.py
+++ b/dunlinlug/manager/structured_logging.py
@@ -6,20 +6,22 @@
 import structlog
 
 
-def set_up(form: str) -> None:
+def configure_logging(log_format: str) -> None:
     """`form` is 'auto', 'console' or 'json'."""
-    console = form == "console" or form == "auto" and sys.stderr.isatty()
-    shown: Any = structlog.dev.ConsoleRenderer() if console else structlog.processors.JSONRenderer()
+    use_console = log_format == "console" or log_format == "auto" and sys.stderr.isatty()
+    renderer: Any = (
+        structlog.dev.ConsoleRenderer() if use_console else structlog.processors.JSONRenderer()
+    )
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            shown,
+            renderer,
         ],
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
         cache_logger_on_first_use=False,
     )
 
 
-def logger(part: str) -> Any:
-    return structlog.get_logger(part=part)
+def get_logger(component: str) -> Any:
+    return structlog.get_logger(part=component)
--- a/dunlinlug/platform/__main__.py
+++ b/dunlinlug/platform/__main__.py
@@ -1,7 +1,8 @@
 """`python -m dunlinlug.platform`.
 
-Danger: trio asks for a library by name as it is imported, to name its threads, and the standard library answers by
-starting other programs. Where those are refused that is noise at best; threads do without names.
+Danger: trio asks for a library by name as it is imported, to name its threads, and the standard
+library answers by starting other programs. Where those are refused that is noise at best; threads
+do without names.
 """
 
 import ctypes.util
--- a/dunlinlug/platform/main.py
+++ b/dunlinlug/platform/main.py
@@ -16,54 +16,64 @@
 import msgspec
 import trio
 
-from dunlinlug import interface as face
 from dunlinlug.balance import Balancer
-from dunlinlug.manager.loop import Decider, Loop
-from dunlinlug.manager.probes import Prober
-from dunlinlug.manager.signals import STOPS, Signals
-from dunlinlug.platform import front, peers, servers, terms
-from dunlinlug.platform.discovery import Discovery
-from dunlinlug.platform.orders import Orders, Parcel
+from dunlinlug.decision.events import EndpointsUpdated, Event
+from dunlinlug.decision.orders import CheckHealth
+from dunlinlug.decision.settings import ManagerSettings
+from dunlinlug.manager.decision_loop import DecisionLoop, DecisionModule
+from dunlinlug.manager.health_checks import HealthChecker
+from dunlinlug.manager.signals import STOP_SIGNALS, SignalReceiver
+from dunlinlug.platform import connections, discovery_state, server
+from dunlinlug.platform import environment as platform_environment
+from dunlinlug.platform.discovery import DiscoveryWatcher
+from dunlinlug.platform.orders import PlatformTableInstaller, ProxyMessage
 
-HEALTH, LOAD = "/healthz", "/load"
-PROBE_WITHIN = 0.4  # seconds: a worker that is well answers in a few milliseconds, one that is full in some hundred
-PROBES_AT_ONCE = 16  # each is a descriptor; more workers than that are rarely in doubt at once
-AGAIN, AGAIN_MOST = (
-    0.1,
-    6,
-)  # seconds to a file's next reading after a bad one, doubled; so many times, 6 s in all
-SUMMARY = 5.0  # seconds between summaries in the log
-OWN_FILES = 32  # descriptors for all but connections at our address: the interpreter's, discovery's, probes'
+HEALTH_PATH = "/healthz"
+LOAD_PATH = "/load"
+# seconds: a worker that is well answers in a few milliseconds, one that is full in some hundred
+HEALTH_CHECK_TIMEOUT_S = 0.4
+# each is a descriptor; more workers than that are rarely in doubt at once
+MAX_CONCURRENT_HEALTH_CHECKS = 16
+# seconds to a file's next reading after a bad one, doubled
+RELOAD_RETRY_S = 0.1
+# so many times, 6 s in all
+MAX_RELOAD_RETRIES = 6
+SUMMARY_INTERVAL_S = 5.0  # seconds between summaries in the log
+# descriptors for all but connections at our address: the interpreter's, discovery's, probes'
+RESERVED_DESCRIPTORS = 32
 
 
-def say(event: str, **said: Any) -> None:
+def log_event(event: str, **fields: Any) -> None:
     """One line of the log, on standard error."""
     sys.stderr.write(
-        json.dumps({"at": round(time.time(), 3), "event": event, **said}, default=str) + "\n"
+        json.dumps({"at": round(time.time(), 3), "event": event, **fields}, default=str) + "\n"
     )
 
 
-class Unpaced:
-    """The platform's channel does the pacing: what is put leaves at once. Danger: paced here as well, messages would
-    leave later than the module reckons, and its account of the channel would be wrong."""
+class UnpacedChannel:
+    """The platform's channel does the pacing: what is put leaves at once. Danger: paced here as
+    well, messages would leave later than the module reckons, and its account of the channel
+    would be wrong.
+    """
 
-    def __init__(self, deliver: Callable[[int, Parcel], None]) -> None:
-        self.deliver, self.waiting = deliver, 0.0
-        self.messages = self.lines = 0.0
+    def __init__(self, deliver: Callable[[int, ProxyMessage], None]) -> None:
+        self.deliver = deliver
+        self.queued_entries = 0.0
+        self.message_count = self.entry_count = 0.0
 
-    def put(self, now: float, proxy: int, parcel: Parcel) -> list[str]:
-        self.messages += 1
-        self.lines += parcel.lines
-        self.deliver(proxy, parcel)
+    def enqueue(self, now: float, proxy: int, message: ProxyMessage) -> list[str]:
+        self.message_count += 1
+        self.entry_count += message.lines
+        self.deliver(proxy, message)
         return []
 
-    def due(self, now: float) -> list[tuple[int, Parcel]]:
+    def pop_due(self, now: float) -> list[tuple[int, ProxyMessage]]:
         return []
 
-    def next_at(self) -> float | None:
+    def next_due_at(self) -> float | None:
         return None
 
-    def forget(self, proxy: int) -> None:
+    def remove_proxy(self, proxy: int) -> None:
         """Nothing waits here."""
 
     def clear(self) -> None:
@@ -75,175 +85,201 @@
 
     def __init__(
         self,
-        told: terms.Terms,
+        config: platform_environment.PlatformConfig,
         environment: Mapping[str, str],
-        make: Callable[[face.Trade], Decider] = Balancer,
+        make_module: Callable[[ManagerSettings], DecisionModule] = Balancer,
     ) -> None:
-        self.told, self.environment = told, environment
-        products = tuple(product.name for product in told.trade.products)
-        self.orders = Orders(
-            products,
-            told.trade.usual_retry,
-            told.trade.channel.message_lines,
-            tuple(product.home_only for product in told.trade.products),
+        self.config = config
+        self.environment = environment
+        traffic_classes = tuple(
+            traffic_class.name for traffic_class in config.trade.traffic_classes
         )
-        self.peers = peers.Peers(
-            told.zones,
-            told.proxies,
-            products,
-            lambda worker: worker in self.orders.known,
-            self._tell,
+        self.installer = PlatformTableInstaller(
+            traffic_classes,
+            config.trade.default_retry_policy,
+            config.trade.channel.message_overhead,
+            tuple(traffic_class.same_zone_only for traffic_class in config.trade.traffic_classes),
+        )
+        self.peer_registry = connections.PeerRegistry(
+            config.zones,
+            config.proxies,
+            traffic_classes,
+            lambda worker: worker in self.installer.known_workers,
+            self._submit,
         )
         # Danger: unjoined connections must leave a descriptor for every proxy and every collector.
-        joined = told.proxies + peers.COLLECTORS_MOST * len(told.zones) + OWN_FILES
-        self.front = front.Front(self.peers, max(told.limits.sockets - joined, 8), say)
-        self.channel = Unpaced(self.front.deliver)
+        reserved_descriptors = (
+            config.proxies
+            + connections.MAX_COLLECTORS_PER_ZONE * len(config.zones)
+            + RESERVED_DESCRIPTORS
+        )
+        self.server = server.ConnectionServer(
+            self.peer_registry, max(config.limits.sockets - reserved_descriptors, 8), log_event
+        )
+        self.channel = UnpacedChannel(self.server.deliver)
         self.counts: Counter[str] = Counter()
-        self.loop = Loop(
-            make(told.trade),
-            self.orders,
+        self.loop = DecisionLoop(
+            make_module(config.trade),
+            self.installer,
             self.channel,
-            self.front.deliver,
-            self._note,
-            least=told.turn,
+            self.server.deliver,
+            self._log_loop_event,
+            min_batch_interval=config.turn,
         )
-        self.discovery = Discovery(
-            told.discovery, servers.Following(Random(told.trade.seed).uniform), self._tell, say
+        self.discovery = DiscoveryWatcher(
+            config.discovery,
+            discovery_state.DiscoveryState(Random(config.trade.seed).uniform),
+            self._submit,
+            log_event,
         )
-        path = LOAD if told.trade.reports_in != "none" else HEALTH
-        self.prober = Prober(
+        path = LOAD_PATH if config.trade.report_delivery != "none" else HEALTH_PATH
+        self.health_checker = HealthChecker(
             path,
-            PROBE_WITHIN,
-            PROBES_AT_ONCE,
-            self._tell,
+            HEALTH_CHECK_TIMEOUT_S,
+            MAX_CONCURRENT_HEALTH_CHECKS,
+            self._submit,
             self.discovery.addresses.__getitem__,
-            peers.read_report,
+            connections.parse_text_report,
         )
 
-    def _tell(self, event: face.Event) -> None:
+    def _submit(self, event: Event) -> None:
         self.counts[type(event).__name__] += 1
-        self.loop.tell(event)
+        self.loop.submit(event)
 
-    def _note(self, event: str, **said: Any) -> None:
+    def _log_loop_event(self, event: str, **fields: Any) -> None:
         """The loop tells of every reply; the log gets their sums."""
         if event != "decided":
-            say(event, **said)
+            log_event(event, **fields)
             return
-        for kind, count in said["orders"].items():
+        for kind, count in fields["orders"].items():
             self.counts[kind] += count
 
-    async def run(self, signals: Signals) -> None:
+    async def run(self, signals: SignalReceiver) -> None:
         """Serve until SIGTERM; raises OSError if the address is taken."""
-        listener = front.listen(*self.told.listen)
+        listener = server.listen(*self.config.listen)
         async with trio.open_nursery() as nursery:
-            self.discovery.places(self.told.known.instances, True)
-            self.discovery.news(
-                face.Listed(
+            self.discovery.update_addresses(self.config.known.instances, True)
+            self.discovery.publish(
+                EndpointsUpdated(
                     "kept",
-                    tuple(i.worker() for i in self.told.known.instances if i.lifecycle != "gone"),
+                    tuple(
+                        instance.worker()
+                        for instance in self.config.known.instances
+                        if instance.lifecycle != "gone"
+                    ),
                 )
             )
-            self.loop.others = {
-                face.Probe: lambda order: nursery.start_soon(self.prober.probe, order.worker)
+            self.loop.order_handlers = {
+                CheckHealth: lambda order: nursery.start_soon(
+                    self.health_checker.check, order.worker
+                )
             }
-            self.loop.turn(trio.current_time())
+            self.loop.run_batch(trio.current_time())
             nursery.start_soon(self.loop.run)
-            nursery.start_soon(self.discovery.follow)
-            nursery.start_soon(self.front.serve, listener)
-            nursery.start_soon(self._summaries)
+            nursery.start_soon(self.discovery.run)
+            nursery.start_soon(self.server.serve, listener)
+            nursery.start_soon(self._log_summaries)
             gc.collect()
             gc.freeze()  # what stands from the start need not be gone through again
-            say(
+            log_event(
                 "ready",
-                name=self.told.name,
-                listen=self.told.listen,
-                workers=len(self.told.known.instances),
-                limits=msgspec.to_builtins(self.told.limits),
-                channel=asdict(self.told.trade.channel),
-                duties=asdict(self.told.trade.duties),
+                name=self.config.name,
+                listen=self.config.listen,
+                workers=len(self.config.known.instances),
+                limits=msgspec.to_builtins(self.config.limits),
+                channel=asdict(self.config.trade.channel),
+                duties=asdict(self.config.trade.safety_limits),
             )
-            for unmet in self.told.unmet:
-                say("settings.unmet", what=unmet)
-            await self._until_stopped(signals)
+            for unmet in self.config.unmet:
+                log_event("settings.unmet", what=unmet)
+            await self._wait_for_stop(signals)
             self.loop.stop()
-            await self.front.finish()
+            await self.server.finish()
             nursery.cancel_scope.cancel()
-        say("stopped", batches=self.loop.batches)
+        log_event("stopped", batches=self.loop.batch_count)
 
-    async def _until_stopped(self, signals: Signals) -> None:
-        """Reloads as told. Danger: read while it is being written, the file would be refused and the place that it
-        names never asked; so a file that can't be used is read again for a while."""
-        tries = 0  # since the last signal, of a file that can't be used
+    async def _wait_for_stop(self, signals: SignalReceiver) -> None:
+        """Reloads as told. Danger: read while it is being written, the file would be refused and
+        the place that it names never asked; so a file that can't be used is read again for a
+        while.
+        """
+        attempts = 0  # since the last signal, of a file that can't be used
         while True:
             number = None
-            with trio.move_on_after(AGAIN * 2.0 ** (tries - 1) if tries else inf):
+            with trio.move_on_after(RELOAD_RETRY_S * 2.0 ** (attempts - 1) if attempts else inf):
                 number = await signals.receive()
-            if number in STOPS:
+            if number in STOP_SIGNALS:
                 return
-            tries = 1 if number is not None else tries + 1
-            if self._reload(quiet=number is None) or tries > AGAIN_MOST:
-                tries = 0
+            attempts = 1 if number is not None else attempts + 1
+            if self._reload(quiet=number is None) or attempts > MAX_RELOAD_RETRIES:
+                attempts = 0
 
     def _reload(self, quiet: bool = False) -> bool:
-        """Follow discovery where the file says now; a file that can't be read changes nothing. Tells whether it could
-        be; `quiet` where that was said already."""
+        """Follow discovery where the file says now; a file that can't be read changes nothing.
+        Tells whether it could be; `quiet` where that was said already.
+        """
         try:
-            fresh = terms.reread(self.environment)
-        except terms.TermsFault as fault:
+            new_config = platform_environment.reload_config(self.environment)
+        except platform_environment.EnvironmentConfigError as error:
             if not quiet:
-                say("reload.refused", why=str(fault))
+                log_event("reload.refused", why=str(error))
             return False
-        if fresh.discovery != self.told.discovery:
-            self.discovery.move(fresh.discovery)
-        fixed = [
+        if new_config.discovery != self.config.discovery:
+            self.discovery.set_address(new_config.discovery)
+        restart_fields = [
             name
             for name in ("name", "listen", "limits", "trade", "zones", "proxies", "turn")
-            if getattr(fresh, name) != getattr(self.told, name)
+            if getattr(new_config, name) != getattr(self.config, name)
         ]
-        self.told = terms.moved(self.told, fresh.discovery)
-        say("reload.done", discovery=fresh.discovery, needs_restart=fixed)
+        self.config = platform_environment.with_discovery(self.config, new_config.discovery)
+        log_event("reload.done", discovery=new_config.discovery, needs_restart=restart_fields)
         return True
 
-    async def _summaries(self) -> None:
+    async def _log_summaries(self) -> None:
         """What happened since the last line, in sums."""
-        batches = 0
+        previous_batches = 0
         while True:
-            await trio.sleep(SUMMARY)
-            say(
+            await trio.sleep(SUMMARY_INTERVAL_S)
+            log_event(
                 "summary",
-                batches=self.loop.batches - batches,
-                joined=len(self.peers.streams),
-                collectors={zone: len(kept) for zone, kept in self.peers.collectors.items()},
-                unjoined=len(self.front.unjoined),
-                accepted=self.front.accepted,
-                workers=len(self.orders.listed),
-                out=len(self.orders.out),
-                messages=round(self.channel.messages),
-                lines=round(self.channel.lines),
+                batches=self.loop.batch_count - previous_batches,
+                joined=len(self.peer_registry.peer_by_proxy),
+                collectors={
+                    zone: len(zone_collectors)
+                    for zone, zone_collectors in self.peer_registry.collectors.items()
+                },
+                unjoined=len(self.server.unjoined),
+                accepted=self.server.accepted_count,
+                workers=len(self.installer.listed_workers),
+                out=len(self.installer.ejected),
+                messages=round(self.channel.message_count),
+                lines=round(self.channel.entry_count),
                 cpu=round(time.process_time(), 2),
                 counts=dict(self.counts),
-                peers=dict(self.peers.counts),
-                samples=self.peers.samples,
+                peers=dict(self.peer_registry.counts),
+                samples=self.peer_registry.error_samples,
             )
-            batches = self.loop.batches
+            previous_batches = self.loop.batch_count
             self.counts.clear()
-            self.peers.counts.clear()
-            self.peers.samples.clear()
+            self.peer_registry.counts.clear()
+            self.peer_registry.error_samples.clear()
 
 
 def serve(environment: Mapping[str, str]) -> int:
-    """Run a manager as the environment says; gives the exit status: 2 for what can't be used, 1 for a fault."""
-    signals = Signals()
-    signals.take()
+    """Run a manager as the environment says; gives the exit status: 2 for what can't be used, 1 for
+    a fault.
+    """
+    signals = SignalReceiver()
+    signals.install_handlers()
     try:
-        told = terms.read(environment)
-    except terms.TermsFault as fault:
-        print(f"dunlinlug: {fault}", file=sys.stderr)
+        config = platform_environment.load_config(environment)
+    except platform_environment.EnvironmentConfigError as error:
+        print(f"dunlinlug: {error}", file=sys.stderr)
         return 2
     try:
-        trio.run(Manager(told, environment).run, signals)
-    except OSError as fault:
-        print(f"dunlinlug: cannot serve: {fault}", file=sys.stderr)
+        trio.run(Manager(config, environment).run, signals)
+    except OSError as error:
+        print(f"dunlinlug: cannot serve: {error}", file=sys.stderr)
         return 1
     except Exception:
         traceback.print_exc()
--- a/dunlinlug/platform/front.py
+++ b/dunlinlug/platform/server.py
@@ -1,7 +1,8 @@
-"""The manager's address on trio: accepts, moves bytes between sockets and `Peers`, writes orders at once.
+"""The manager's address on trio: accepts, moves bytes between sockets and `Peers`, writes orders at
+once.
 
-A connection is one task. What can't be written at once waits in the connection's own buffer, so that neither the
-decision loop nor another peer waits for a peer that does not read.
+A connection is one task. What can't be written at once waits in the connection's own buffer, so
+that neither the decision loop nor another peer waits for a peer that does not read.
 """
 
 import errno
@@ -14,34 +15,41 @@
 import trio
 
 from dunlinlug.platform import messages
-from dunlinlug.platform.orders import Parcel
-from dunlinlug.platform.peers import Peer, Peers, Turned
+from dunlinlug.platform.connections import ConnectionRejected, Peer, PeerRegistry
+from dunlinlug.platform.orders import ProxyMessage
 
-READ = 2**16  # bytes read at once
-UNSENT_MOST = (
+READ_BYTES = 2**16  # bytes read at once
+MAX_UNSENT_BYTES = (
     2**20
 )  # bytes that may wait for a peer: minutes of orders; beyond it the peer does not read at all
-JOIN_WITHIN = 1.0  # seconds: the protocol allows to close what has not joined by then
-HASTE = 0.25  # seconds that one not joined has at least where there are too many and it has begun to speak
-SILENT = 0.05  # seconds where it has said nothing: a joining follows its connect at once, and has come while it queued
-FINISH = 0.2  # seconds from a stop for what was begun to go out whole; a planned restart is killed after 0.7
-FULL_PAUSE = 0.02  # seconds to pause where descriptors have run out: who does not join leaves within a second
-BACKLOG = 4096  # connections that may wait to be accepted: every proxy of a large fleet at once, and many others
-GOODBYE = (
-    0.2  # seconds for a peer that was told an error to read it, before its connection is closed
-)
+JOIN_TIMEOUT_S = 1.0  # seconds: the protocol allows to close what has not joined by then
+# seconds that one not joined has at least where there are too many and it has begun to speak
+JOINING_GRACE_S = 0.25
+# seconds where it has said nothing: a joining follows its connect at once, and has come while it
+# queued
+SILENT_GRACE_S = 0.05
+# seconds from a stop for what was begun to go out whole; a planned restart is killed after 0.7
+SHUTDOWN_GRACE_S = 0.2
+# seconds to pause where descriptors have run out: who does not join leaves within a second
+DESCRIPTOR_PAUSE_S = 0.02
+# connections that may wait to be accepted: every proxy of a large fleet at once, and many others
+LISTEN_BACKLOG = 4096
+# seconds for a peer that was told an error to read it, before its connection is closed
+ERROR_LINGER_S = 0.2
 
 
 class Connection:
     """One connection's socket and what waits for it."""
 
     def __init__(self, sock: socket.socket, now: float) -> None:
-        self.sock, self.since = sock, now
+        self.sock = sock
+        self.accepted_at = now
         self.peer = Peer(self.end)
         self.unsent = bytearray()
-        self.more, self.emptied = trio.Event(), trio.Event()
+        self.output_queued = trio.Event()
+        self.output_drained = trio.Event()
         self.scope = trio.CancelScope()
-        self.why = ""
+        self.end_reason = ""
 
     def write(self, data: bytes) -> None:
         """Write at once what the socket takes; the rest follows as it takes more."""
@@ -54,41 +62,43 @@
                 return  # its task reads the end of it
         if data:
             self.unsent += data
-            self.more.set()
-            if len(self.unsent) > UNSENT_MOST:
+            self.output_queued.set()
+            if len(self.unsent) > MAX_UNSENT_BYTES:
                 self.end("it does not read")
 
     async def flush(self) -> None:
         """Write what waits, for as long as the connection stands."""
         while True:
-            await self.more.wait()
+            await self.output_queued.wait()
             while self.unsent:
                 await trio.lowlevel.wait_writable(self.sock)
                 try:
-                    del self.unsent[: self.sock.send(self.unsent[:READ])]
+                    del self.unsent[: self.sock.send(self.unsent[:READ_BYTES])]
                 except BlockingIOError:
                     continue
                 except OSError:
-                    self.nothing_waits()
+                    self.discard_unsent()
                     return
-            self.more = trio.Event()
-            self.nothing_waits()
+            self.output_queued = trio.Event()
+            self.discard_unsent()
 
-    def nothing_waits(self) -> None:
+    def discard_unsent(self) -> None:
         """All is written, or nothing more will be."""
         self.unsent.clear()
-        self.emptied.set()
-        self.emptied = trio.Event()
+        self.output_drained.set()
+        self.output_drained = trio.Event()
 
     async def finish(self) -> None:
-        """What was begun goes out, then our end of it. Danger: closed with bytes unread, a connection is reset, and
-        what was written and not yet taken is lost with it; so the peer closes first, if it does."""
+        """What was begun goes out, then our end of it. Danger: closed with bytes unread, a
+        connection is reset, and what was written and not yet taken is lost with it; so the peer
+        closes first, if it does.
+        """
         while self.unsent:
-            await self.emptied.wait()
+            await self.output_drained.wait()
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
-    def waiting(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether something has come, be it the end, that is not read yet."""
         if self.sock.fileno() < 0:
             return False
@@ -96,37 +106,41 @@
         poll.register(self.sock, select.POLLIN)
         return bool(poll.poll(0))
 
-    def end(self, why: str) -> None:
-        self.why = self.why or why
-        self.peer.over = True
+    def end(self, reason: str) -> None:
+        self.end_reason = self.end_reason or reason
+        self.peer.ended = True
         self.scope.cancel()
 
 
-class Front:
+class ConnectionServer:
     """All connections. At most `unjoined_most` that have not joined stand at once."""
 
-    def __init__(self, peers: Peers, unjoined_most: int, note: Callable[..., None]) -> None:
-        self.peers, self.unjoined_most, self.note = peers, unjoined_most, note
+    def __init__(
+        self, registry: PeerRegistry, max_unjoined: int, log_event: Callable[..., None]
+    ) -> None:
+        self.registry = registry
+        self.max_unjoined = max_unjoined
+        self.log_event = log_event
         self.unjoined: dict[Connection, None] = {}  # the longest there first
         self.connections: dict[Peer, Connection] = {}
-        self.room = trio.Event()
-        self.left = trio.Event()  # set at each connection's end, then replaced
-        self.accepting = trio.CancelScope()
-        self.accepted = 0
+        self.unjoined_left = trio.Event()
+        self.connection_ended = trio.Event()  # set at each connection's end, then replaced
+        self.accept_scope = trio.CancelScope()
+        self.accepted_count = 0
 
-    def deliver(self, proxy: int, parcel: Parcel) -> None:
-        peer = self.peers.streams.get(proxy)
+    def deliver(self, proxy: int, message: ProxyMessage) -> None:
+        peer = self.registry.peer_by_proxy.get(proxy)
         if peer is None:
             return
-        if parcel.mark is not None:
-            peer.marks[parcel.mark] = trio.current_time()
-        self.connections[peer].write(parcel.data)
+        if message.ack_number is not None:
+            peer.pending_acks[message.ack_number] = trio.current_time()
+        self.connections[peer].write(message.data)
 
     async def serve(self, listener: socket.socket) -> None:
         """Accept until `finish` or cancelled, and serve until cancelled; closes the listener."""
         async with trio.open_nursery() as nursery:
             try:
-                with self.accepting:
+                with self.accept_scope:
                     while True:
                         await trio.lowlevel.wait_readable(listener)
                         await self._make_room()
@@ -135,22 +149,24 @@
                 listener.close()
 
     async def finish(self) -> None:
-        """Nobody is taken any more; what was begun on streams goes out whole, as far as it is taken in FINISH."""
-        self.accepting.cancel()
-        streams = {self.connections[peer]: None for peer in self.peers.streams.values()}
+        """Nobody is taken any more; what was begun on streams goes out whole, as far as it is taken
+        in FINISH.
+        """
+        self.accept_scope.cancel()
+        streams = {self.connections[peer]: None for peer in self.registry.peer_by_proxy.values()}
         for connection in list(self.connections.values()):
             if connection not in streams:
                 connection.end("we stop")
-        with trio.move_on_after(FINISH):
+        with trio.move_on_after(SHUTDOWN_GRACE_S):
             async with trio.open_nursery() as nursery:
                 for connection in streams:
                     nursery.start_soon(connection.finish)
             while any(connection.peer in self.connections for connection in streams):
-                await self.left.wait()
+                await self.connection_ended.wait()
 
     async def _accept(self, listener: socket.socket, nursery: trio.Nursery) -> None:
         if (
-            self.accepting.cancel_called
+            self.accept_scope.cancel_called
         ):  # Danger: readable in the turn of the stop, it would still be taken
             return
         try:
@@ -160,82 +176,93 @@
         except OSError as error:
             # Danger: with no descriptor left the listener stays readable, and this would spin.
             if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                self.peers.counts["no descriptor"] += 1
-                await trio.sleep(FULL_PAUSE)
+                self.registry.counts["no descriptor"] += 1
+                await trio.sleep(DESCRIPTOR_PAUSE_S)
             return
         sock.setblocking(False)
         with suppress(OSError):  # it may already have been reset, which its first reading tells
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.accepted += 1
+        self.accepted_count += 1
         connection = Connection(sock, trio.current_time())
         self.connections[connection.peer] = connection
         self.unjoined[connection] = None
-        nursery.start_soon(self._attend, connection)
+        nursery.start_soon(self._serve_connection, connection)
 
     async def _make_room(self) -> None:
-        """Danger: unjoined ones by the hundred would leave no descriptor for proxies: the oldest of them gives way,
-        those that said nothing first, so that a proxy that waits behind them is soon taken."""
-        while len(self.unjoined) >= self.unjoined_most:
-            silent = (connection for connection in self.unjoined if not connection.peer.lines.rest)
+        """Danger: unjoined ones by the hundred would leave no descriptor for proxies: the oldest of
+        them gives way, those that said nothing first, so that a proxy that waits behind them is
+        soon taken.
+        """
+        while len(self.unjoined) >= self.max_unjoined:
+            silent = (
+                connection
+                for connection in self.unjoined
+                if not connection.peer.line_splitter.buffer
+            )
             oldest = next(silent, next(iter(self.unjoined)))
-            self.room = trio.Event()
-            with trio.move_on_at(oldest.since + (HASTE if oldest.peer.lines.rest else SILENT)):
-                await self.room.wait()
+            self.unjoined_left = trio.Event()
+            with trio.move_on_at(
+                oldest.accepted_at
+                + (JOINING_GRACE_S if oldest.peer.line_splitter.buffer else SILENT_GRACE_S)
+            ):
+                await self.unjoined_left.wait()
             if (
-                oldest.waiting()
+                oldest.has_unread_input()
             ):  # Danger: without a core for a while, its joining may have come long ago
                 await trio.lowlevel.checkpoint()
                 await trio.lowlevel.checkpoint()
-            if len(self.unjoined) >= self.unjoined_most and oldest in self.unjoined:
+            if len(self.unjoined) >= self.max_unjoined and oldest in self.unjoined:
                 oldest.end("there are too many that have not joined")
-                with trio.move_on_after(FULL_PAUSE):
-                    await self.room.wait()
+                with trio.move_on_after(DESCRIPTOR_PAUSE_S):
+                    await self.unjoined_left.wait()
 
-    def _known(self, connection: Connection) -> None:
+    def _mark_joined_or_ended(self, connection: Connection) -> None:
         """It has joined or ended."""
         if self.unjoined.pop(connection, self) is None:
-            self.room.set()
+            self.unjoined_left.set()
 
-    async def _attend(self, connection: Connection) -> None:
+    async def _serve_connection(self, connection: Connection) -> None:
         """One connection from its first byte to its end."""
         try:
             with connection.scope:
-                if await self._meet(connection):
+                if await self._wait_for_join(connection):
                     async with (
                         trio.open_nursery() as nursery
                     ):  # those that never join are spared this
                         nursery.start_soon(connection.flush)
-                        while await self._once(connection):
+                        while await self._read_when_ready(connection):
                             pass
                         nursery.cancel_scope.cancel()
         except Exception as error:  # Danger: a mistake of ours in one connection would end them all
-            self.note("connection.fault", why="".join(traceback.format_exception(error))[-2000:])
+            self.log_event(
+                "connection.fault", why="".join(traceback.format_exception(error))[-2000:]
+            )
         finally:
-            self.peers.left(connection.peer)
-            self._known(connection)
+            self.registry.remove_peer(connection.peer)
+            self._mark_joined_or_ended(connection)
             del self.connections[connection.peer]
             connection.sock.close()
-            connection.nothing_waits()
-            self.left.set()
-            self.left = trio.Event()
-            self.peers.counts[f"ended: {connection.why or 'by the peer'}"] += 1
+            connection.discard_unsent()
+            self.connection_ended.set()
+            self.connection_ended = trio.Event()
+            self.registry.counts[f"ended: {connection.end_reason or 'by the peer'}"] += 1
 
-    async def _meet(self, connection: Connection) -> bool:
+    async def _wait_for_join(self, connection: Connection) -> bool:
         """Until it joins; tells whether it has."""
-        with trio.move_on_at(connection.since + JOIN_WITHIN):
+        with trio.move_on_at(connection.accepted_at + JOIN_TIMEOUT_S):
             while not connection.peer.joined:
-                if not await self._once(connection):
+                if not await self._read_when_ready(connection):
                     return False
         # Danger: where we had no core for a while, a joining may be waiting that came in time.
         if not connection.peer.joined and not await self._read(connection):
             return False
         if connection.peer.joined:
-            self._known(connection)
+            self._mark_joined_or_ended(connection)
             return True
-        connection.why = "it did not join"
+        connection.end_reason = "it did not join"
         return False
 
-    async def _once(self, connection: Connection) -> bool:
+    async def _read_when_ready(self, connection: Connection) -> bool:
         """One reading; False at the connection's end."""
         await trio.lowlevel.wait_readable(connection.sock)
         return await self._read(connection)
@@ -243,7 +270,7 @@
     async def _read(self, connection: Connection) -> bool:
         """Take what has come, if anything."""
         try:
-            data = connection.sock.recv(READ)
+            data = connection.sock.recv(READ_BYTES)
         except BlockingIOError:
             return True
         except OSError:
@@ -251,31 +278,31 @@
         if not data:
             return False
         try:
-            answer = self.peers.take(connection.peer, data, trio.current_time())
-        except Turned as fault:
-            connection.why = "can't be read" if connection.peer.joined else "turned away"
-            self.peers.sample(f"{connection.why}: {fault}", data)
+            answer = self.registry.receive(connection.peer, data, trio.current_time())
+        except ConnectionRejected as error:
+            connection.end_reason = "can't be read" if connection.peer.joined else "turned away"
+            self.registry.add_sample(f"{connection.end_reason}: {error}", data)
             if (
                 not connection.peer.joined
             ):  # to collectors nothing is ever written, and what is left is left at once
-                await self._goodbye(connection, messages.error(str(fault)))
+                await self._send_error_and_close(connection, messages.encode_error(str(error)))
             return False
         if answer:
             connection.write(answer)
         return True
 
-    async def _goodbye(self, connection: Connection, last: bytes) -> None:
+    async def _send_error_and_close(self, connection: Connection, error_message: bytes) -> None:
         """Danger: closed with bytes unread, a connection is reset, and the peer may never see why."""
-        connection.write(last)
+        connection.write(error_message)
         try:
             connection.sock.shutdown(socket.SHUT_WR)
         except OSError:
             return
-        with trio.move_on_after(GOODBYE):
+        with trio.move_on_after(ERROR_LINGER_S):
             while True:
                 await trio.lowlevel.wait_readable(connection.sock)
                 try:
-                    if not connection.sock.recv(READ):
+                    if not connection.sock.recv(READ_BYTES):
                         return
                 except BlockingIOError:
                     continue
@@ -289,7 +316,7 @@
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
         listener.bind((host, port))
-        listener.listen(BACKLOG)
+        listener.listen(LISTEN_BACKLOG)
     except OSError:
         listener.close()
         raise
--- a/dunlinlug/rpc/__init__.py
+++ b/dunlinlug/rpc/__init__.py
@@ -1,21 +1,32 @@
-"""gRPC over HTTP/2 as bytes in, events out; no sockets and no event loop (in the manner of h11 and h2)."""
+"""gRPC over HTTP/2 as bytes in, events out; no sockets and no event loop (in the manner of h11 and
+h2).
+"""
 
 from dunlinlug.rpc.connection import Connection, Status
-from dunlinlug.rpc.events import Called, Closed, Event, HalfClosed, Message, Opened, Reset, Trailers
-from dunlinlug.rpc.framing import Deframer, FramingFault, frame
+from dunlinlug.rpc.events import (
+    CallReset,
+    CallStarted,
+    ConnectionClosed,
+    Event,
+    HalfClosed,
+    HeadersReceived,
+    MessageReceived,
+    TrailersReceived,
+)
+from dunlinlug.rpc.framing import Deframer, FramingError, frame
 
 __all__ = [
-    "Called",
-    "Closed",
+    "CallStarted",
+    "ConnectionClosed",
     "Connection",
     "Deframer",
     "Event",
-    "FramingFault",
+    "FramingError",
     "HalfClosed",
-    "Message",
-    "Opened",
-    "Reset",
+    "MessageReceived",
+    "HeadersReceived",
+    "CallReset",
     "Status",
-    "Trailers",
+    "TrailersReceived",
     "frame",
 ]
--- a/dunlinlug/rpc/events.py
+++ b/dunlinlug/rpc/events.py
@@ -4,26 +4,26 @@
 
 
 @dataclass(frozen=True)
-class Called:
+class CallStarted:
     """A peer opened a call (server side)."""
 
-    stream: int
+    stream_id: int
     path: str
     metadata: tuple[tuple[str, str], ...] = ()
 
 
 @dataclass(frozen=True)
-class Opened:
+class HeadersReceived:
     """The server's first headers have come (client side)."""
 
-    stream: int
+    stream_id: int
 
 
 @dataclass(frozen=True)
-class Message:
+class MessageReceived:
     """One whole message, its prefix taken off."""
 
-    stream: int
+    stream_id: int
     data: bytes
 
 
@@ -31,31 +31,39 @@
 class HalfClosed:
     """The peer will send nothing more on this call."""
 
-    stream: int
+    stream_id: int
 
 
 @dataclass(frozen=True)
-class Trailers:
+class TrailersReceived:
     """The server ended the call with a status (client side)."""
 
-    stream: int
+    stream_id: int
     status: int
     text: str
 
 
 @dataclass(frozen=True)
-class Reset:
+class CallReset:
     """The call was cut without a status, by the peer or for a fault of its own."""
 
-    stream: int
-    why: str
+    stream_id: int
+    reason: str
 
 
 @dataclass(frozen=True)
-class Closed:
+class ConnectionClosed:
     """The connection can't be used any more."""
 
-    why: str
+    reason: str
 
 
-Event = Called | Opened | Message | HalfClosed | Trailers | Reset | Closed
+Event = (
+    CallStarted
+    | HeadersReceived
+    | MessageReceived
+    | HalfClosed
+    | TrailersReceived
+    | CallReset
+    | ConnectionClosed
+)
--- a/dunlinlug/day/record.py
+++ b/dunlinlug/scenarios/records.py
@@ -6,8 +6,10 @@
 from typing import Any
 
 
-class Record:
-    """JSON lines, each with the time on the clock that all processes of a machine share, in seconds."""
+class RecordWriter:
+    """JSON lines, each with the time on the clock that all processes of a machine share, in
+    seconds.
+    """
 
     def __init__(self, path: Path) -> None:
         self.file = path.open("a", buffering=2**16, encoding="utf-8")
--- a/dunlinlug/day/terms.py
+++ b/dunlinlug/scenarios/schema.py
@@ -1,4 +1,6 @@
-"""What a day's INI holds beside the manager's own sections, and the run file made from it for all parts."""
+"""What a day's INI holds beside the manager's own sections, and the run file made from it for all
+parts.
+"""
 
 import configparser
 from collections.abc import Mapping
@@ -7,10 +9,11 @@
 
 import attrs
 
-from dunlinlug import terms as manager_terms
-from dunlinlug.config import Address, Book, Count, PerSecond, Seconds, Share, Words, read_book
+from dunlinlug.config import manager_config as manager_terms
+from dunlinlug.config.reader import ConfigFile, load_config
+from dunlinlug.config.units import Address, Count, PerSecond, Seconds, Share, Words
 
-Kind = Literal[
+FaultKind = Literal[
     "drain",
     "deploy",
     "slow",
@@ -43,9 +46,10 @@
 
 
 @attrs.frozen
-class Day:
-    """[day]: its name and length; `lead` seconds pass before the load begins. Managers' clocks drift by `drift`, one
-    ahead, the next behind."""
+class ScenarioConfig:
+    """[day]: its name and length; `lead` seconds pass before the load begins. Managers' clocks
+    drift by `drift`, one ahead, the next behind.
+    """
 
     name: str
     length: Seconds
@@ -55,7 +59,7 @@
 
 
 @attrs.frozen
-class Fleet:
+class FleetConfig:
     """[fleet]: workers, dealt over the zones; `kinds` are CORESxSPEED."""
 
     zones: Words
@@ -68,7 +72,7 @@
 
 
 @attrs.frozen
-class Proxies:
+class ProxiesConfig:
     """[proxies]: how many, in how many processes, and how soon a lost stream is dialled again."""
 
     count: Count
@@ -78,8 +82,10 @@
 
 
 @attrs.frozen
-class Load:
-    """[load]: txns a second over all proxies, seconds of a core each, and what clients do after a failure."""
+class LoadConfig:
+    """[load]: txns a second over all proxies, seconds of a core each, and what clients do after a
+    failure.
+    """
 
     txns_per_s: PerSecond
     work: Seconds
@@ -90,17 +96,17 @@
 
 
 @attrs.frozen
-class Mix:
+class MixConfig:
     """[mix NAME]: a product's part of the txns."""
 
     share: Share
 
 
 @attrs.frozen
-class Trouble:
+class FaultSpec:
     """[trouble NAME]: what, when, how long, to how much of what it strikes, how badly."""
 
-    kind: Kind
+    kind: FaultKind
     at: Seconds
     lasts: Seconds = Seconds(5.0)
     part: Share = Share(0.2)
@@ -110,9 +116,11 @@
 
 
 @attrs.frozen
-class Faults:
-    """[faults]: troubles drawn from the day's seed, in overlap, until `quiet` before its end: of these kinds, one each
-    `every` seconds in the mean, each for `least` to `most`, striking `part`."""
+class RandomFaultsConfig:
+    """[faults]: troubles drawn from the day's seed, in overlap, until `quiet` before its end: of
+    these kinds, one each `every` seconds in the mean, each for `least` to `most`, striking
+    `part`.
+    """
 
     kinds: Words = Words(())
     every: Seconds = Seconds(6.0)
@@ -122,15 +130,17 @@
     quiet: Seconds = Seconds(10.0)
 
     def __attrs_post_init__(self) -> None:
-        unknown = sorted(set(self.kinds) - set(get_args(Kind)))
+        unknown = sorted(set(self.kinds) - set(get_args(FaultKind)))
         if unknown:
-            raise ValueError(f"unknown kind {unknown[0]}; known are {', '.join(get_args(Kind))}")
+            raise ValueError(
+                f"unknown kind {unknown[0]}; known are {', '.join(get_args(FaultKind))}"
+            )
         if not 0 < self.least <= self.most:
             raise ValueError("least is to be above 0, and not above most")
 
 
 @attrs.frozen
-class WorkerPlace:
+class WorkerConfig:
     """[worker ADDRESS] of a run file."""
 
     zone: str
@@ -140,7 +150,7 @@
 
 
 @attrs.frozen
-class ProxyPlace:
+class ProxyConfig:
     """[proxy NAME] of a run file."""
 
     zone: str
@@ -149,45 +159,50 @@
     rate: float
 
 
-SINGLE = {
-    "day": Day,
-    "faults": Faults,
-    "fleet": Fleet,
-    "proxies": Proxies,
-    "load": Load,
-    **manager_terms.SINGLE,
+SECTION_TYPES = {
+    "day": ScenarioConfig,
+    "faults": RandomFaultsConfig,
+    "fleet": FleetConfig,
+    "proxies": ProxiesConfig,
+    "load": LoadConfig,
+    **manager_terms.SECTIONS,
 }
-NAMED = {
-    "mix": Mix,
-    "trouble": Trouble,
-    "worker": WorkerPlace,
-    "proxy": ProxyPlace,
-    **manager_terms.NAMED,
+NAMED_SECTION_TYPES = {
+    "mix": MixConfig,
+    "trouble": FaultSpec,
+    "worker": WorkerConfig,
+    "proxy": ProxyConfig,
+    **manager_terms.NAMED_SECTIONS,
 }
-OPTIONAL = manager_terms.OPTIONAL | {"faults"}
+OPTIONAL_SECTIONS = manager_terms.OPTIONAL_SECTIONS | {"faults"}
 
 
-def read(path: Path) -> Book:
+def read_scenario(path: Path) -> ConfigFile:
     """A day's or a run's file; raises ConfigFault."""
-    return read_book(path, SINGLE, NAMED, OPTIONAL)
+    return load_config(path, SECTION_TYPES, NAMED_SECTION_TYPES, OPTIONAL_SECTIONS)
 
 
 def copy_sections(
-    source: Path, extra: Mapping[str, Mapping[str, str]], only: frozenset[str] | None, target: Path
+    source: Path,
+    overrides: Mapping[str, Mapping[str, str]],
+    section_types: frozenset[str] | None,
+    target: Path,
 ) -> None:
-    """Write `target` from `source`'s sections (all, or those whose first word is in `only`) with `extra` laid over."""
-    made = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
-    made.optionxform = str  # type: ignore[assignment,method-assign]
-    made.read(source, encoding="utf-8")
-    for section in made.sections():
-        if only is not None and section.partition(" ")[0] not in only:
-            made.remove_section(section)
-    for section, values in extra.items():
-        if not made.has_section(section):
-            made.add_section(section)
+    """Write `target` from `source`'s sections (all, or those whose first word is in `only`) with
+    `extra` laid over.
+    """
+    parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
+    parser.optionxform = str  # type: ignore[assignment,method-assign]
+    parser.read(source, encoding="utf-8")
+    for section in parser.sections():
+        if section_types is not None and section.partition(" ")[0] not in section_types:
+            parser.remove_section(section)
+    for section, values in overrides.items():
+        if not parser.has_section(section):
+            parser.add_section(section)
         for key, value in values.items():
-            made.set(section, key, value)
-    part = target.with_suffix(".part")
-    with part.open("w", encoding="utf-8") as file:
-        made.write(file)
-    part.replace(target)  # a reader on a signal sees the whole file or the former one
+            parser.set(section, key, value)
+    partial_file = target.with_suffix(".part")
+    with partial_file.open("w", encoding="utf-8") as file:
+        parser.write(file)
+    partial_file.replace(target)  # a reader on a signal sees the whole file or the former one
--- a/dunlinlug/drill/host.py
+++ b/dunlinlug/simulator/host.py
@@ -2,50 +2,53 @@
 
 import json
 from dataclasses import dataclass
-from typing import BinaryIO
+from typing import Any, BinaryIO
 
 from dunlinlug.balance import Balancer
-from dunlinlug.drill import codec
+from dunlinlug.decision.events import Event
+from dunlinlug.simulator import codec
 
 
 @dataclass(frozen=True)
-class Hosted:
+class HostedModule:
     """A manager's module, and the names of the values in its load reports."""
 
     module: Balancer
-    fields: tuple[str, ...]
+    load_fields: tuple[str, ...]
 
 
-def serve(inflow: BinaryIO, outflow: BinaryIO) -> None:
+def serve(input_stream: BinaryIO, output_stream: BinaryIO) -> None:
     """Answer each batch with one flushed line until the input ends."""
-    instances: dict[str, Hosted] = {}
-    for number, line in enumerate(inflow, 1):
+    instances: dict[str, HostedModule] = {}
+    for line_number, line in enumerate(input_stream, 1):
         try:
             batch = codec.read_batch(line)
-            decisions = _answer(instances, batch)
-        except codec.WireFault as fault:
-            raise codec.WireFault(f"line {number}: {fault}") from None
-        reply = {} if batch.number is None else {"n": batch.number}
+            decisions = _decide_batch(instances, batch)
+        except codec.WireError as error:
+            raise codec.WireError(f"line {line_number}: {error}") from None
+        reply: dict[str, Any] = {} if batch.number is None else {"n": batch.number}
         reply["decisions"] = decisions
-        outflow.write(json.dumps(reply, separators=(",", ":")).encode() + b"\n")
-        outflow.flush()
+        output_stream.write(json.dumps(reply, separators=(",", ":")).encode() + b"\n")
+        output_stream.flush()
 
 
-def _answer(instances: dict[str, Hosted], batch: codec.Batch) -> list[dict]:
-    pending: dict[str, list] = {}
-    for manager, verb, body in batch.happened:
+def _decide_batch(
+    instances: dict[str, HostedModule], batch: codec.EventBatch
+) -> list[dict[str, Any]]:
+    pending: dict[str, list[Event]] = {}
+    for manager, verb, body in batch.events:
         if verb == "Detach":
             pending.pop(manager, None)
             instances.pop(manager, None)
         elif verb == "NewInstance":
             pending[manager] = []
-            trade = codec.read_start(body)
-            instances[manager] = Hosted(Balancer(trade), trade.report_fields)
+            settings = codec.read_settings_event(body)
+            instances[manager] = HostedModule(Balancer(settings), settings.load_report_fields)
         elif manager in instances:
             pending.setdefault(manager, []).append(
-                codec.read_event(verb, body, instances[manager].fields)
+                codec.read_event(verb, body, instances[manager].load_fields)
             )
-    decisions: list[dict] = []
+    decisions: list[dict[str, Any]] = []
     for manager, events in pending.items():
         try:
             orders = instances[manager].module.decide(batch.now, events)
--- /dev/null
+++ b/dunlinlug/standins/discovery.py
@@ -0,0 +1,116 @@
+"""Stand-in roster: Consul's health list with blocking queries, and the ways in which a roster
+fails.
+"""
+
+import time
+from dataclasses import replace
+from pathlib import Path
+
+import trio
+
+from dunlinlug.config import manager_config as manager_terms
+from dunlinlug.config.reader import ConfigFile
+from dunlinlug.decision.events import Endpoint
+from dunlinlug.discovery import entries
+from dunlinlug.net import http
+from dunlinlug.scenarios import schema
+from dunlinlug.scenarios.records import RecordWriter
+from dunlinlug.standins.control import Command, run_until_input_closes
+
+FIRST_INDEX = 100
+
+
+class DiscoveryServer:
+    """`fault` is '', stale, gone or cut_short."""
+
+    def __init__(self, config: ConfigFile, record: RecordWriter) -> None:
+        self.record = record
+        self.fault_mode = ""
+        self.index = FIRST_INDEX
+        self.duplicate_entry = False
+        self.address = config.section(manager_terms.DiscoveryConfig).address
+        self.workers = {
+            name: Endpoint(name, worker_config.zone, "", 0, "ready", worker_config.weight, None)
+            for name, worker_config in config.sections(schema.WorkerConfig).items()
+        }
+        self.visible_workers = dict(self.workers)
+        self.changed = trio.Event()
+
+    async def run(self) -> None:
+        await http.serve(
+            self.handle, await trio.open_tcp_listeners(self.address[1], host=self.address[0])
+        )
+
+    async def handle(self, request: http.Request) -> http.Response:
+        if self.fault_mode == "gone":
+            raise http.AbortConnection
+        requested_index = int(request.query.get("index", "0"))
+        if requested_index == self.index:
+            with trio.move_on_after(
+                int(request.query.get("wait", "1000ms").removesuffix("ms")) / 1000
+            ):
+                while requested_index == self.index and self.fault_mode != "gone":
+                    await self.changed.wait()
+        if self.fault_mode == "gone":
+            raise http.AbortConnection
+        body = entries.encode_workers([*self._duplicate_entries(), *self.visible_workers.values()])
+        if self.fault_mode == "cut_short":  # told as long as it was, but broken off: no list at all
+            return http.Response(200, {"x-consul-index": str(self.index)}, body[: len(body) // 2])
+        if request.headers.get("x-reader", "manager") == "manager":
+            self.record.write(
+                "served",
+                index=self.index,
+                states={
+                    worker.id: [
+                        worker.state,
+                        worker.started_at and worker.started_at - time.time() + time.monotonic(),
+                    ]
+                    for worker in self.visible_workers.values()
+                },
+            )
+        return http.Response(
+            200, {"x-consul-index": str(self.index), "content-type": "application/json"}, body
+        )
+
+    def _duplicate_entries(self) -> list[Endpoint]:
+        """The same address under a second, older entry."""
+        return (
+            [
+                replace(worker, state="draining", started_at=None)
+                for worker in list(self.visible_workers.values())[:1]
+            ]
+            if self.duplicate_entry
+            else []
+        )
+
+    async def execute(self, command: Command) -> None:
+        match command["do"]:
+            case "state":
+                for name in command["workers"]:
+                    worker = replace(self.workers[name], state=command["state"])
+                    self.workers[name] = (
+                        replace(worker, started_at=time.time())
+                        if command.get("started")
+                        else worker
+                    )
+            case "fault":
+                self.fault_mode = command["fault"]
+            case "double":
+                self.duplicate_entry = command["on"]
+            case "index":
+                self.index = 1  # a roster restored from an old copy counts from low again
+        if self.fault_mode != "stale":
+            self.visible_workers = {
+                name: listed_worker
+                for name, listed_worker in self.workers.items()
+                if listed_worker.state != "gone"
+            }
+            self.index += 1
+        self.changed.set()
+        self.changed = trio.Event()
+
+
+def main(run_file: Path, record_file: Path) -> None:
+    record = RecordWriter(record_file)
+    server = DiscoveryServer(schema.read_scenario(run_file), record)
+    trio.run(run_until_input_closes, record, [server.run], server.execute)
--- a/dunlinlug/xds/__init__.py
+++ b/dunlinlug/xds/__init__.py
@@ -1,1 +1,3 @@
-"""xDS as messages and plain records: rendering, reading, both sides' stream state; no sockets, no clock."""
+"""xDS as messages and plain records: rendering, reading, both sides' stream state; no sockets, no
+clock.
+"""
--- a/tests/test_pins.py
+++ b/tests/admin/test_overrides.py
@@ -13,23 +13,33 @@
 import trio
 from click.testing import CliRunner
 
-from dunlinlug import interface as face
+from dunlinlug.admin.api import TokenFileError, read_token
 from dunlinlug.cli import main
-from dunlinlug.guard import Pin, PinFault, Pins
-from dunlinlug.kept import refusals
+from dunlinlug.decision.events import (
+    Acknowledged,
+    DemandReported,
+    EndpointReported,
+    EndpointsUpdated,
+    Event,
+    OverrideChanged,
+    ProxyConnected,
+)
+from dunlinlug.decision.orders import RequestAcknowledgement, SetEjected, SetWeight
+from dunlinlug.decision.settings import ChannelSettings
+from dunlinlug.guard import Override, OverrideError, Overrides
 from dunlinlug.net import http
-from dunlinlug.operators.office import TokenFault, read_token
-from tests.helpers import Model, trade, worker
-from tests.running import WORKERS as FLEET_OF_SIX
-from tests.running import Running, bound, peer, running, until
-from tests.test_guard import COLD, WORKERS, bind, even, lay, listed
-from tests.test_guard import judge as fed
+from dunlinlug.storage.store import read_rejections
+from tests.decision.rules_model import Model, trade, worker
+from tests.fixtures.manager_process import WORKERS as FLEET_OF_SIX
+from tests.fixtures.manager_process import Running, bound, peer, running, until
+from tests.guard.test_order_validator import COLD, WORKERS, bind, even, lay, listed
+from tests.guard.test_order_validator import judge as fed
 
 FLEET = tuple(worker(n) for n in range(9))
-NARROW = face.Channel(100.0, 4.0, 900.0, 0.2, 0.5, 30, 10.0)
+NARROW = ChannelSettings(100.0, 4.0, 900.0, 0.2, 0.5, 30, 10.0)
 
 
-def settle(model: Model, *events: face.Event, seconds: float = 12.0) -> None:
+def settle(model: Model, *events: Event, seconds: float = 12.0) -> None:
     model.step(0.1, list(events))
     for _ in range(round(seconds / 0.1)):
         model.step(0.1, [])
@@ -41,23 +51,25 @@
 
 
 @pytest.mark.parametrize("channel", [trade().channel, NARROW])
-def test_a_pin_sets_one_product_apart_and_its_end_brings_it_back(channel: face.Channel) -> None:
+def test_a_pin_sets_one_product_apart_and_its_end_brings_it_back(channel: ChannelSettings) -> None:
     """Also where the channel is too slow for whole tables, and equal products share one."""
     model = Model(trade(channel=channel))
     settle(
-        model, face.Listed("kept", FLEET), *(face.Joined(p, "north", 5.0, True) for p in range(6))
+        model,
+        EndpointsUpdated("kept", FLEET),
+        *(ProxyConnected(p, "north", 5.0, True) for p in range(6)),
     )
     whole = {w.id: 1.0 for w in FLEET}
     for pin, pinned in (
         (
-            face.Pinned(1, ((FLEET[0].id, 1.0), (FLEET[4].id, 2.0)), False),
+            OverrideChanged(1, ((FLEET[0].id, 1.0), (FLEET[4].id, 2.0)), False),
             {FLEET[0].id: 1.0, FLEET[4].id: 2.0},
         ),
         (
-            face.Pinned(1, ((FLEET[3].id, 0.0), (FLEET[4].id, 0.5)), True),
+            OverrideChanged(1, ((FLEET[3].id, 0.0), (FLEET[4].id, 0.5)), True),
             {w: 0.5 if w == FLEET[4].id else 1.0 for w in whole if w != FLEET[3].id},
         ),
-        (face.Pinned(1), whole),
+        (OverrideChanged(1), whole),
     ):
         settle(model, pin)
         assert lines(model, 1) == [pinned] * 6
@@ -68,11 +80,15 @@
 def test_a_pin_and_drains_that_leave_nothing_of_it_give_way_at_once() -> None:
     model = Model(trade())
     settle(
-        model, face.Listed("kept", FLEET), *(face.Joined(p, "north", 5.0, True) for p in range(6))
+        model,
+        EndpointsUpdated("kept", FLEET),
+        *(ProxyConnected(p, "north", 5.0, True) for p in range(6)),
     )
-    settle(model, face.Pinned(0, tuple((w.id, 1.0) for w in FLEET[:2]), False))
+    settle(model, OverrideChanged(0, tuple((w.id, 1.0) for w in FLEET[:2]), False))
     settle(
-        model, face.Listed("changes", tuple(worker(n, "draining") for n in range(2))), seconds=2.0
+        model,
+        EndpointsUpdated("changes", tuple(worker(n, "draining") for n in range(2))),
+        seconds=2.0,
     )
     assert all(set(held) == {w.id for w in FLEET[2:]} for held in lines(model, 0))
     assert not model.broken
@@ -80,9 +96,9 @@
 
 def test_a_pin_leaves_the_ramp_as_it_is() -> None:
     model = Model(trade())
-    settle(model, face.Listed("kept", FLEET), face.Joined(0, "north", 5.0, True))
-    settle(model, face.Pinned(0, ((FLEET[0].id, 1.0), (FLEET[1].id, 2.0)), False))
-    settle(model, face.Listed("changes", (worker(1, since=model.now),)), seconds=3.0)
+    settle(model, EndpointsUpdated("kept", FLEET), ProxyConnected(0, "north", 5.0, True))
+    settle(model, OverrideChanged(0, ((FLEET[0].id, 1.0), (FLEET[1].id, 2.0)), False))
+    settle(model, EndpointsUpdated("changes", (worker(1, since=model.now),)), seconds=3.0)
     held = lines(model, 0)[0]
     assert held[FLEET[0].id] == 1.0 and held.get(FLEET[1].id, 0.0) <= 0.5, (
         "a quarter of what is pinned"
@@ -92,10 +108,12 @@
 def test_a_joiner_under_pins_gets_none_of_the_excluded() -> None:
     model = Model(trade(channel=NARROW))
     settle(
-        model, face.Listed("kept", FLEET), *(face.Joined(p, "north", 5.0, True) for p in range(6))
+        model,
+        EndpointsUpdated("kept", FLEET),
+        *(ProxyConnected(p, "north", 5.0, True) for p in range(6)),
     )
-    settle(model, face.Pinned(1, ((FLEET[2].id, 0.0),), True))
-    model.step(0.1, [face.Joined(7, "south", 5.0, True)])
+    settle(model, OverrideChanged(1, ((FLEET[2].id, 0.0),), True))
+    model.step(0.1, [ProxyConnected(7, "south", 5.0, True)])
     for _ in range(100):
         model.step(0.1, [])
         held = model.holds[7].get(1)
@@ -108,70 +126,77 @@
 NOW = 100.0
 
 
-def pins() -> Pins:
+def pins() -> Overrides:
     """Four proxies on an even table of eight workers, two of them cold."""
     judge = fed()
-    assert not judge.judge(NOW, [*lay(1, even()), *bind(1), face.Mark(1, False)])[1]
-    judge.hear(NOW, [face.Answered(p, 1, 0.1) for p in range(4)])
-    return Pins(judge, 60.0)
+    assert not judge.validate(NOW, [*lay(1, even()), *bind(1), RequestAcknowledgement(1, False)])[1]
+    judge.handle(NOW, [Acknowledged(p, 1, 0.1) for p in range(4)])
+    return Overrides(judge, 60.0)
 
 
 @pytest.mark.parametrize(
     ("pin", "said"),
     [
-        (Pin(7, {WORKERS[0]: 1.0}, True, NOW + 1), "unknown product"),
-        (Pin(0, {}, True, NOW + 1), "names no worker"),
-        (Pin(0, {WORKERS[0]: 1.0}, True, NOW + 61), "at most 60 s"),
-        (Pin(0, {WORKERS[0]: 1.0}, True, nan), "at most 60 s"),
-        (Pin(0, {WORKERS[0]: 1.0}, True, NOW), "more than 0"),
-        (Pin(0, {"10.9.9.9:80": 1.0}, True, NOW + 1), "never listed"),
+        (Override(7, {WORKERS[0]: 1.0}, True, NOW + 1), "unknown product"),
+        (Override(0, {}, True, NOW + 1), "names no worker"),
+        (Override(0, {WORKERS[0]: 1.0}, True, NOW + 61), "at most 60 s"),
+        (Override(0, {WORKERS[0]: 1.0}, True, nan), "at most 60 s"),
+        (Override(0, {WORKERS[0]: 1.0}, True, NOW), "more than 0"),
+        (Override(0, {"10.9.9.9:80": 1.0}, True, NOW + 1), "never listed"),
         *(
-            (Pin(0, {WORKERS[0]: bad}, True, NOW + 1), "0 to a million")
+            (Override(0, {WORKERS[0]: bad}, True, NOW + 1), "0 to a million")
             for bad in (nan, inf, -1.0, 1e300)
         ),
     ],
 )
-def test_a_pin_that_nothing_could_make_right_is_named(pin: Pin, said: str) -> None:
-    with pytest.raises(PinFault, match=said):
-        pins().check(pin, NOW)
+def test_a_pin_that_nothing_could_make_right_is_named(pin: Override, said: str) -> None:
+    with pytest.raises(OverrideError, match=said):
+        pins().validate(pin, NOW)
 
 
 def test_a_pin_is_weighed_by_all_proxies_together_and_changes_nothing() -> None:
     it = pins()
     for product in (0, 1):
         assert (
-            it.weigh(NOW, Pin(product, {WORKERS[0]: None, WORKERS[1]: 3.0}, False, NOW + 9))[0]
+            it.evaluate(
+                NOW, Override(product, {WORKERS[0]: None, WORKERS[1]: 3.0}, False, NOW + 9)
+            )[0]
             == []
         )
-        refusals, _ = it.weigh(NOW, Pin(product, {COLD[0]: None}, False, NOW + 9))
-        assert {r.rule for r in refusals} == {"pushed"} and "by all proxies" in refusals[0].said
+        refusals, _ = it.evaluate(NOW, Override(product, {COLD[0]: None}, False, NOW + 9))
+        assert {r.rule for r in refusals} == {"pushed"} and "by all proxies" in refusals[0].reason
         assert [
             r.rule
-            for r in it.weigh(NOW, Pin(product, dict.fromkeys(WORKERS, 0.0), True, NOW + 9))[0]
+            for r in it.evaluate(
+                NOW, Override(product, dict.fromkeys(WORKERS, 0.0), True, NOW + 9)
+            )[0]
         ] == ["bare"]
-        assert it.judge.holdings.tables_of(0, product) == [1] and -1 not in it.judge.holdings.tables
+        assert (
+            it.validator.usage.possible_tables(0, product) == [1]
+            and -1 not in it.validator.usage.tables
+        )
 
 
 def test_a_warm_worker_brought_a_multiple_of_what_it_settled_is_a_caution() -> None:
-    cautions = pins().weigh(NOW, Pin(0, {WORKERS[0]: None}, False, NOW + 9))[1]
+    cautions = pins().evaluate(NOW, Override(0, {WORKERS[0]: None}, False, NOW + 9))[1]
     assert len(cautions) == 1 and WORKERS[0] in cautions[0] and "of late it settled" in cautions[0]
 
 
 def test_the_guard_lifts_a_pin_whose_workers_are_gone_or_whose_line_was_refused() -> None:
     it = pins()
     subset, heavy = (
-        Pin(0, dict.fromkeys(WORKERS[:2]), False, NOW + 9),
-        Pin(1, {COLD[0]: 30.0}, True, NOW + 9),
+        Override(0, dict.fromkeys(WORKERS[:2]), False, NOW + 9),
+        Override(1, {COLD[0]: 30.0}, True, NOW + 9),
     )
-    it.put(subset), it.put(heavy)
-    it.judge.hear(NOW, [listed(ready=WORKERS[1:], draining=WORKERS[:1])])
-    assert it.review(NOW) == []
-    refusals = it.judge.judge(NOW, [face.Share(1, COLD[0], 30.0)])[1]
-    assert [(end.pin, end.lifted) for end in it.review(NOW, refusals)] == [(heavy, True)]
-    it.judge.judge(NOW, [face.Withdraw(WORKERS[1], True)])
-    assert [(end.pin, end.lifted) for end in it.review(NOW)] == [(subset, True)]
-    it.put(subset)
-    assert [end.lifted for end in it.review(NOW + 9)] == [False] and not it.standing
+    it.activate(subset), it.activate(heavy)
+    it.validator.handle(NOW, [listed(ready=WORKERS[1:], draining=WORKERS[:1])])
+    assert it.end_invalid(NOW) == []
+    refusals = it.validator.validate(NOW, [SetWeight(1, COLD[0], 30.0)])[1]
+    assert [(end.override, end.revoked) for end in it.end_invalid(NOW, refusals)] == [(heavy, True)]
+    it.validator.validate(NOW, [SetEjected(WORKERS[1], True)])
+    assert [(end.override, end.revoked) for end in it.end_invalid(NOW)] == [(subset, True)]
+    it.activate(subset)
+    assert [end.revoked for end in it.end_invalid(NOW + 9)] == [False] and not it.active
 
 
 # The whole way.
@@ -191,7 +216,7 @@
         f"[operators]\ntoken_file = {token}\nlisten = 127.0.0.1:0\nquiet_most = 300ms\n\n[roster]"
     )
     async with running(tmp_path, ("[roster]", section), *changes) as run:
-        yield run, Operator(http.Client(*run.manager.office_at))
+        yield run, Operator(http.Client(*run.manager.admin_address))
 
 
 class Operator:
@@ -208,7 +233,7 @@
             if body is not None
             else b""
         )
-        reply = await self.client.ask(method, path, {"authorization": f"Bearer {token}"}, raw)
+        reply = await self.client.request(method, path, {"authorization": f"Bearer {token}"}, raw)
         return reply.status, json.loads(reply.body)
 
     async def pin(
@@ -226,23 +251,26 @@
         proposed = {"product": BOOK, "lasts": 9, "only": FIRST}
         assert (await operator.say("POST", "/pins/propose", proposed))[1]["passes"] is True
         assert (await operator.pin(only=FIRST))[0] == 200
-        await proxy.until(lambda h: set(h.lines(BOOK)) == set(FIRST))
-        assert len(proxy.holdings.lines(READ)) == 6
+        await proxy.until(lambda h: set(h.usable_weights(BOOK)) == set(FIRST))
+        assert len(proxy.holdings.usable_weights(READ)) == 6
         status, shown = await operator.say("GET", f"/tables?product={BOOK}")
         assert status == 200 and [
             line["worker"] for line in shown[0]["tables"][0]["lines"]
         ] == sorted(FIRST)
         assert shown[0]["pin"]["weights"] == dict.fromkeys(FIRST)
         assert (await operator.say("DELETE", f"/pins/{BOOK}"))[0] == 200
-        await proxy.until(lambda h: len(h.lines(BOOK)) == 6)
+        await proxy.until(lambda h: len(h.usable_weights(BOOK)) == 6)
         assert (await operator.say("DELETE", f"/pins/{BOOK}"))[0] == 404
         assert (await operator.pin(READ, lasts=1.0, weights={FIRST[0]: 2.0}, without=[FIRST[1]]))[
             0
         ] == 200
         await proxy.until(
-            lambda h: h.lines(READ).get(FIRST[0]) == 2.0 and FIRST[1] not in h.lines(READ)
+            lambda h: (
+                h.usable_weights(READ).get(FIRST[0]) == 2.0
+                and FIRST[1] not in h.usable_weights(READ)
+            )
         )
-        await proxy.until(lambda h: len(h.lines(READ)) == 6)
+        await proxy.until(lambda h: len(h.usable_weights(READ)) == 6)
         assert [said["why"] for said in run.said("pin.ended")] == [
             "an operator's word",
             "its time is up",
@@ -287,11 +315,11 @@
             assert (await operator.say(method, path, good if method == "PUT" else None, token))[
                 0
             ] == status
-        slow = await trio.open_tcp_stream(*run.manager.office_at)
+        slow = await trio.open_tcp_stream(*run.manager.admin_address)
         await slow.send_all(b"PUT /pins HTTP/1.1\r\n")
         with trio.fail_after(5.0):
             assert await slow.receive_some() == b"", "a peer that makes no whole request is let go"
-        assert len(proxy.holdings.lines(BOOK)) == 6 and not run.said("pin.stands")
+        assert len(proxy.holdings.usable_weights(BOOK)) == 6 and not run.said("pin.stands")
 
 
 async def test_a_pin_that_would_push_a_cold_worker_is_refused_and_kept_on_record(
@@ -299,21 +327,21 @@
 ) -> None:
     async with open_to_operators(tmp_path) as (run, operator), peer(run, "p0") as proxy:
         await proxy.until(bound)
-        run.roster.workers[0] = replace(FLEET_OF_SIX[0], since=time.time())
+        run.roster.workers[0] = replace(FLEET_OF_SIX[0], started_at=time.time())
         run.roster.tell(w1="ready")
-        await until(lambda: bool(run.manager.watch.judge.recent))
-        run.manager.loop.inbox += [
-            face.Asked(0, BOOK, 500, 0, 1.0),
-            *(face.Met("north", w.id, 9, 0, 0.1, 1.0) for w in FLEET_OF_SIX[1:]),
+        await until(lambda: bool(run.manager.validation.validator.warming_up))
+        run.manager.loop.pending_events += [
+            DemandReported(0, BOOK, 500, 0, 1.0),
+            *(EndpointReported("north", w.id, 9, 0, 0.1, 1.0) for w in FLEET_OF_SIX[1:]),
         ]
-        run.manager.loop.come.set()
-        await until(lambda: bool(run.manager.watch.judge.reading.demand))
+        run.manager.loop.event_arrived.set()
+        await until(lambda: bool(run.manager.validation.validator.estimates.demand))
         status, answer = await operator.pin(weights={FIRST[0]: 100.0})
         assert status == 409 and answer["refusals"][0]["rule"] == "pushed"
         assert (await operator.pin(only=[w.id for w in FLEET_OF_SIX[3:]]))[0] == 200, (
             "what passes is not held back"
         )
-    kept = refusals(tmp_path / "store")
+    kept = read_rejections(tmp_path / "store")
     assert kept[-1]["source"] == "operator" and "txns a second by all proxies" in kept[-1]["why"]
 
 
@@ -323,13 +351,13 @@
     async with open_to_operators(tmp_path) as (run, operator), peer(run, "p0") as proxy:
         await proxy.until(bound)
         assert (await operator.pin(only=FIRST))[0] == 200
-        await proxy.until(lambda h: set(h.lines(BOOK)) == set(FIRST))
+        await proxy.until(lambda h: set(h.usable_weights(BOOK)) == set(FIRST))
         run.roster.tell(w0="draining", w1="draining")
-        await proxy.until(lambda h: set(h.lines(BOOK)) == {w.id for w in FLEET_OF_SIX[2:]})
+        await proxy.until(lambda h: set(h.usable_weights(BOOK)) == {w.id for w in FLEET_OF_SIX[2:]})
         assert "may be used any more" in run.said("pin.lifted")[0]["why"]
         run.roster.tell(w0="ready", w1="ready")
-        await proxy.until(lambda h: len(h.lines(BOOK)) == 6)
-    assert refusals(tmp_path / "store")[-1]["source"] == "guard, lifting a pin"
+        await proxy.until(lambda h: len(h.usable_weights(BOOK)) == 6)
+    assert read_rejections(tmp_path / "store")[-1]["source"] == "guard, lifting a pin"
 
 
 async def test_a_pin_outlives_its_manager_and_still_ends(tmp_path: Path) -> None:
@@ -337,10 +365,10 @@
         await proxy.until(bound)
         assert (await operator.pin(lasts=4.0, only=FIRST))[0] == 200
     async with open_to_operators(tmp_path) as (run, _), peer(run, "p0") as proxy:
-        await proxy.until(lambda h: set(h.lines(BOOK)) == set(FIRST))
-        assert len(proxy.holdings.lines(READ)) == 6
-        await proxy.until(lambda h: len(h.lines(BOOK)) == 6)
-    assert run.manager.kept is not None and [said["why"] for said in run.said("pin.ended")] == [
+        await proxy.until(lambda h: set(h.usable_weights(BOOK)) == set(FIRST))
+        assert len(proxy.holdings.usable_weights(READ)) == 6
+        await proxy.until(lambda h: len(h.usable_weights(BOOK)) == 6)
+    assert run.manager.store is not None and [said["why"] for said in run.said("pin.ended")] == [
         "its time is up"
     ]
 
@@ -357,7 +385,7 @@
         if text is not None:
             path.write_text(text)
             path.chmod(mode)
-        with pytest.raises(TokenFault, match=said):
+        with pytest.raises(TokenFileError, match=said):
             read_token(path)
 
 
@@ -370,7 +398,7 @@
         await proxy.until(bound)
         file = tmp_path / "asked.ini"
         text = (tmp_path / "manager.ini").read_text()
-        place = "listen = {}:{}\nquiet".format(*run.manager.office_at)
+        place = "listen = {}:{}\nquiet".format(*run.manager.admin_address)
         file.write_text(text.replace("listen = 127.0.0.1:0\nquiet", place))
         for words, status, said in [
             (("propose", BOOK, "--only", FIRST[0], "--for", "5min"), 0, "would pass"),
--- a/tests/test_wide.py
+++ b/tests/ads/test_state_of_the_world.py
@@ -17,11 +17,11 @@
 from envoy.config.route.v3 import route_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 
-from dunlinlug import interface as face
+from dunlinlug.decision.events import Endpoint
 from dunlinlug.net import grpc
-from dunlinlug.xds import full, names
-from dunlinlug.xds.stream import Acked, Refused, StreamFault
-from tests.running import running, until
+from dunlinlug.xds import names, state_of_the_world
+from dunlinlug.xds.stream import ResponseAcknowledged, ResponseRejected, StreamProtocolError
+from tests.fixtures.manager_process import running, until
 
 CLIENT = """
 import json, sys, threading, time
@@ -113,7 +113,7 @@
 async def test_an_unmodified_grpc_client_is_steered_by_our_tables(tmp_path: Path) -> None:
     workers = Workers(4)
     listed = [
-        face.Worker(name, "north", "", 0, "ready", weight, None)
+        Endpoint(name, "north", "", 0, "ready", weight, None)
         for name, weight in zip(workers.ids, (1.0, 1.0, 2.0, 4.0), strict=True)
     ]
     client: Any = None
@@ -124,9 +124,9 @@
             module = run.manager.loop.module
             await until(
                 lambda: (
-                    bool(module.current)
+                    bool(module.current_tables)
                     and all(  # type: ignore[attr-defined]
-                        len(table.shares) == 4 for table in module.current.values()
+                        len(table.weights) == 4 for table in module.current_tables.values()
                     )
                 )
             )  # type: ignore[attr-defined]
@@ -135,7 +135,7 @@
             assert set(met) == set(workers.ids), "all workers, and no failure"
             assert 0.4 < met[workers.ids[3]] / 800 < 0.6 and 0.07 < met[workers.ids[0]] / 800 < 0.18
             run.roster.tell(w3="draining")
-            await until(lambda: bool(run.manager.loop.module.out))  # type: ignore[attr-defined]
+            await until(lambda: bool(run.manager.loop.module.ejected_rows))  # type: ignore[attr-defined]
             with trio.fail_after(5.0):
                 while workers.ids[3] in await client.ask(50):
                     pass
@@ -144,8 +144,8 @@
             await until(
                 lambda: all(
                     not mark
-                    for proxy in module.seating.proxies.values()  # type: ignore[attr-defined]
-                    for tables in proxy.holds.values()
+                    for proxy in module.assignments.proxies.values()  # type: ignore[attr-defined]
+                    for tables in proxy.tables_in_use.values()
                     for _, mark in tables
                 )
             )
@@ -157,8 +157,10 @@
 
 
 async def test_a_client_with_a_stream_for_each_type_is_one_proxy(tmp_path: Path) -> None:
-    async with running(tmp_path) as run, grpc.dial(*run.address) as link:
-        calls = {type_url: link.call(path) for path, type_url in names.APART.items()}
+    async with running(tmp_path) as run, grpc.connect(*run.address) as link:
+        calls = {
+            type_url: link.start_call(path) for path, type_url in names.SINGLE_TYPE_METHODS.items()
+        }
 
         async def take(kind: str, *wanted: str) -> discovery_pb2.DiscoveryResponse:
             calls[kind].send(ask(kind, list(wanted)))
@@ -167,34 +169,34 @@
             calls[kind].send(ask(kind, list(wanted), found.nonce))
             return found
 
-        await take(names.LISTENERS, "press-book")
+        await take(names.LISTENERS_TYPE, "press-book")
         led = route_pb2.RouteConfiguration.FromString(
-            (await take(names.ROUTES, "press-book")).resources[0].value
+            (await take(names.ROUTES_TYPE, "press-book")).resources[0].value
         )
         cluster = led.virtual_hosts[0].routes[0].route.cluster
-        await take(names.CLUSTERS, cluster)
+        await take(names.CLUSTERS_TYPE, cluster)
         held = endpoint_pb2.ClusterLoadAssignment.FromString(
-            (await take(names.ENDPOINTS, cluster)).resources[0].value
+            (await take(names.ENDPOINTS_TYPE, cluster)).resources[0].value
         )
         assert len(held.endpoints) == 6
-        proxies = run.manager.loop.module.seating.proxies  # type: ignore[attr-defined]
+        proxies = run.manager.loop.module.assignments.proxies  # type: ignore[attr-defined]
         await until(
             lambda: (
                 len(proxies) == 1
                 and all(
                     not mark
                     for proxy in proxies.values()
-                    for tables in proxy.holds.values()
+                    for tables in proxy.tables_in_use.values()
                     for _, mark in tables
                 )
             )
         )
-        calls[names.CLUSTERS].send(ask(names.ENDPOINTS, [cluster]))
-        with trio.fail_after(5.0), pytest.raises(grpc.CallEnded, match="is not served"):
+        calls[names.CLUSTERS_TYPE].send(ask(names.ENDPOINTS_TYPE, [cluster]))
+        with trio.fail_after(5.0), pytest.raises(grpc.CallEndedError, match="is not served"):
             while True:
-                await calls[names.CLUSTERS].receive()
+                await calls[names.CLUSTERS_TYPE].receive()
         assert len(proxies) == 1
-        calls[names.LISTENERS].cancel()
+        calls[names.LISTENERS_TYPE].cancel()
         await until(lambda: not proxies)
 
 
@@ -211,42 +213,46 @@
     return request.SerializeToString()
 
 
-def offer(table: str, *former: str, weight: float = 1.0) -> full.Offer:
-    made: full.Offer = {kind: {} for kind in full.ORDER}
+def offer(table: str, *former: str, weight: float = 1.0) -> state_of_the_world.ResourcesByType:
+    made: state_of_the_world.ResourcesByType = {kind: {} for kind in state_of_the_world.TYPE_ORDER}
     name = names.cluster_name(table, "book")
-    made[names.LISTENERS]["book"] = full.listener("book")
-    made[names.ROUTES]["book"] = full.routes("book", name)
+    made[names.LISTENERS_TYPE]["book"] = state_of_the_world.encode_listener("book")
+    made[names.ROUTES_TYPE]["book"] = state_of_the_world.encode_routes("book", name)
     for held in [names.cluster_name(t, "book") for t in (*former, table)]:
-        made[names.CLUSTERS][held] = full.cluster(held)
-        made[names.ENDPOINTS][held] = full.endpoints(held, {"10.0.0.1:80": weight}, {}, 1.0, ())
+        made[names.CLUSTERS_TYPE][held] = state_of_the_world.encode_cluster(held)
+        made[names.ENDPOINTS_TYPE][held] = state_of_the_world.encode_endpoints(
+            held, {"10.0.0.1:80": weight}, {}, 1.0, ()
+        )
     return made
 
 
-def sent(stream: full.FullStream) -> dict[str, tuple[str, tuple[str, ...]]]:
+def sent(
+    stream: state_of_the_world.StateOfTheWorldStream,
+) -> dict[str, tuple[str, tuple[str, ...]]]:
     """By type the nonce and names of what is due."""
     found = {}
-    for type_url, nonce, named, data in stream.responses():
+    for type_url, nonce, named, data in stream.pending_responses():
         assert discovery_pb2.DiscoveryResponse.FromString(data).type_url == type_url
         found[type_url] = (nonce, named)
     return found
 
 
-def joined() -> full.FullStream:
+def joined() -> state_of_the_world.StateOfTheWorldStream:
     """A stream whose client holds table 1/1 whole."""
-    stream = full.FullStream()
-    stream.offered = offer("1/1")
+    stream = state_of_the_world.StateOfTheWorldStream()
+    stream.resources = offer("1/1")
     for kind, wanted in (
-        (names.LISTENERS, ["book"]),
-        (names.ROUTES, ["book"]),
-        (names.CLUSTERS, ["1/1/book"]),
-        (names.ENDPOINTS, ["1/1/book"]),
+        (names.LISTENERS_TYPE, ["book"]),
+        (names.ROUTES_TYPE, ["book"]),
+        (names.CLUSTERS_TYPE, ["1/1/book"]),
+        (names.ENDPOINTS_TYPE, ["1/1/book"]),
     ):
-        assert not stream.settled()
+        assert not stream.is_converged()
         stream.receive(ask(kind, wanted))
         nonce, named = sent(stream)[kind]
         assert list(named) == wanted
         stream.receive(ask(kind, wanted, nonce))
-    assert stream.settled() and not sent(stream)
+    assert stream.is_converged() and not sent(stream)
     return stream
 
 
@@ -254,51 +260,55 @@
     None
 ):
     stream = joined()
-    stream.offered = offer("1/2", "1/1")
+    stream.resources = offer("1/2", "1/1")
     due = sent(stream)
-    assert set(due) == {names.ROUTES} and not stream.settled(), (
+    assert set(due) == {names.ROUTES_TYPE} and not stream.is_converged(), (
         "the client has yet to ask for the new cluster"
     )
-    stream.receive(ask(names.ROUTES, ["book"], due[names.ROUTES][0]))
-    for kind in (names.CLUSTERS, names.ENDPOINTS):
+    stream.receive(ask(names.ROUTES_TYPE, ["book"], due[names.ROUTES_TYPE][0]))
+    for kind in (names.CLUSTERS_TYPE, names.ENDPOINTS_TYPE):
         stream.receive(ask(kind, ["1/1/book", "1/2/book"]))
         nonce, named = sent(stream)[kind]
-        assert named == ("1/1/book", "1/2/book") and not stream.settled()
+        assert named == ("1/1/book", "1/2/book") and not stream.is_converged()
         stream.receive(ask(kind, ["1/2/book"], nonce))
-    assert stream.settled()
+    assert stream.is_converged()
 
 
 def test_a_refusal_followed_by_an_old_answer_is_still_a_refusal() -> None:
     stream = joined()
-    stream.offered = offer("1/1", weight=2.0)
-    first = sent(stream)[names.ENDPOINTS][0]
-    stream.offered = offer("1/1", weight=3.0)
-    second = sent(stream)[names.ENDPOINTS][0]
-    assert stream.receive(ask(names.ENDPOINTS, ["1/1/book"], second, "no")) == [
-        Refused(second, "no")
+    stream.resources = offer("1/1", weight=2.0)
+    first = sent(stream)[names.ENDPOINTS_TYPE][0]
+    stream.resources = offer("1/1", weight=3.0)
+    second = sent(stream)[names.ENDPOINTS_TYPE][0]
+    assert stream.receive(ask(names.ENDPOINTS_TYPE, ["1/1/book"], second, "no")) == [
+        ResponseRejected(second, "no")
     ]
-    assert stream.receive(ask(names.ENDPOINTS, ["1/1/book"], first)) == [] and not stream.settled()
+    assert (
+        stream.receive(ask(names.ENDPOINTS_TYPE, ["1/1/book"], first)) == []
+        and not stream.is_converged()
+    )
     assert not sent(stream), "what was refused is not sent again"
-    stream.offered = offer("1/1", weight=4.0)
-    third = sent(stream)[names.ENDPOINTS][0]
+    stream.resources = offer("1/1", weight=4.0)
+    third = sent(stream)[names.ENDPOINTS_TYPE][0]
     assert (
-        stream.receive(ask(names.ENDPOINTS, ["1/1/book"], third)) == [Acked(third)]
-        and stream.settled()
+        stream.receive(ask(names.ENDPOINTS_TYPE, ["1/1/book"], third))
+        == [ResponseAcknowledged(third)]
+        and stream.is_converged()
     )
 
 
 def test_an_answer_to_what_is_no_longer_the_newest_changes_nothing_it_asked_for_then() -> None:
     stream = joined()
-    stream.offered = offer("1/1", weight=2.0)
-    old = sent(stream)[names.ENDPOINTS][0]
-    stream.offered = offer("1/1", weight=3.0)
-    new = sent(stream)[names.ENDPOINTS][0]
-    stream.receive(ask(names.ENDPOINTS, [], old))
-    assert stream.wanted[names.ENDPOINTS] == {"1/1/book"}, (
+    stream.resources = offer("1/1", weight=2.0)
+    old = sent(stream)[names.ENDPOINTS_TYPE][0]
+    stream.resources = offer("1/1", weight=3.0)
+    new = sent(stream)[names.ENDPOINTS_TYPE][0]
+    stream.receive(ask(names.ENDPOINTS_TYPE, [], old))
+    assert stream.subscribed[names.ENDPOINTS_TYPE] == {"1/1/book"}, (
         "crossed by a change: the newest answer counts"
     )
-    stream.receive(ask(names.ENDPOINTS, ["1/1/book"], new))
-    assert stream.settled()
+    stream.receive(ask(names.ENDPOINTS_TYPE, ["1/1/book"], new))
+    assert stream.is_converged()
 
 
 @pytest.mark.parametrize(
@@ -306,13 +316,13 @@
     [
         (b"\xff\xff", "not a DiscoveryRequest"),
         (ask("type.googleapis.com/x", []), "is not served"),
-        (ask(names.CLUSTERS, ["x"] * 10_001), "more than"),
+        (ask(names.CLUSTERS_TYPE, ["x"] * 10_001), "more than"),
         (
-            discovery_pb2.DiscoveryRequest(type_url=names.CLUSTERS).SerializeToString(),
+            discovery_pb2.DiscoveryRequest(type_url=names.CLUSTERS_TYPE).SerializeToString(),
             "must name its node",
         ),
     ],
 )
 def test_what_is_no_request_ends_the_stream_with_a_word(data: bytes, said: str) -> None:
-    with pytest.raises(StreamFault, match=said):
-        full.FullStream().receive(data)
+    with pytest.raises(StreamProtocolError, match=said):
+        state_of_the_world.StateOfTheWorldStream().receive(data)
--- a/tests/test_tls.py
+++ b/tests/ads/test_tls.py
@@ -11,8 +11,8 @@
 
 from dunlinlug import rpc
 from dunlinlug.net import grpc, tls
-from dunlinlug.xds import loads, names
-from tests.running import Peer, Running, bound, running, until
+from dunlinlug.xds import load_reports, names
+from tests.fixtures.manager_process import Peer, Running, bound, running, until
 
 
 class Keys:
@@ -38,7 +38,7 @@
         cert, key = self.folder / f"{name}.pem", self.folder / f"{name}.key"
         cert.write_bytes(b"".join(blob.bytes() for blob in made.cert_chain_pems))
         made.private_key_pem.write_to_path(key)
-        return tls.dialling(cert, key, self.folder / "clients.pem")
+        return tls.client_context(cert, key, self.folder / "clients.pem")
 
     @property
     def section(self) -> tuple[str, str]:
@@ -50,12 +50,12 @@
 
 @asynccontextmanager
 async def secure(run: Running, context: object, node: str) -> AsyncIterator[Peer]:
-    async with grpc.dial(*run.address, context=context) as link:  # type: ignore[arg-type]
+    async with grpc.connect(*run.address, tls_context=context) as link:  # type: ignore[arg-type]
         yield Peer(link, node)
 
 
-async def ended(call: grpc.Call) -> grpc.CallEnded:
-    with trio.fail_after(5.0), pytest.raises(grpc.CallEnded) as found:
+async def ended(call: grpc.Call) -> grpc.CallEndedError:
+    with trio.fail_after(5.0), pytest.raises(grpc.CallEndedError) as found:
         while True:
             await call.receive()
     return found.value
@@ -71,9 +71,13 @@
         ):
             await good.until(bound)
             end = await ended(impostor.call)
-            assert end.status == rpc.Status.PERMISSION_DENIED and "p0.proxies" in end.why
-            report = impostor.link.call(names.LRS)
-            report.send(loads.write(loads.Loads("p1.proxies", "north", 0.0), greeting=True))
+            assert end.status == rpc.Status.PERMISSION_DENIED and "p0.proxies" in end.reason
+            report = impostor.link.start_call(names.LRS_METHOD)
+            report.send(
+                load_reports.encode_report(
+                    load_reports.LoadReport("p1.proxies", "north", 0.0), is_first=True
+                )
+            )
             assert (await ended(report)).status == rpc.Status.PERMISSION_DENIED
         assert len(run.said("proxy.joined")) == 1
 
@@ -89,7 +93,7 @@
             keys.client("p2.proxies", trustme.CA()),
             keys.client("p3.proxies", lasts=-60.0),
         ):
-            with pytest.raises((OSError, grpc.CallEnded, ExceptionGroup)):
+            with pytest.raises((OSError, grpc.CallEndedError, ExceptionGroup)):
                 async with secure(run, context, "p2.proxies") as bad:
                     raise await ended(bad.call)
         async with await trio.open_tcp_stream(*run.address) as plain:
@@ -100,7 +104,7 @@
         await until(lambda: len(run.said("proxy.unproven")) >= 3)
         assert len(run.said("proxy.joined")) == 1
         run.roster.tell(w1="draining")
-        await good.until(lambda h: len(h.lines("press-book")) == 5)
+        await good.until(lambda h: len(h.usable_weights("press-book")) == 5)
 
 
 async def test_keys_change_on_reload_while_streams_stand(tmp_path: Path) -> None:
@@ -121,12 +125,12 @@
         assert run.said("reload.done")
         async with secure(run, keys.client("p1.proxies"), "p1.proxies") as new:
             await new.until(bound)
-            with pytest.raises((OSError, grpc.CallEnded, ExceptionGroup)):
+            with pytest.raises((OSError, grpc.CallEndedError, ExceptionGroup)):
                 async with secure(run, keys.client("p2.proxies", former), "p2.proxies") as late:
                     raise await ended(late.call)
             run.roster.tell(w1="draining")
             for proxy in (old, new):
-                await proxy.until(lambda h: len(h.lines("press-book")) == 5)
+                await proxy.until(lambda h: len(h.usable_weights("press-book")) == 5)
 
 
 async def test_a_certificate_that_runs_out_ends_its_streams(tmp_path: Path) -> None:
--- a/tests/test_audit.py
+++ b/tests/audit/test_rules.py
@@ -9,7 +9,7 @@
 from dunlinlug.audit import figures, records, rules
 from dunlinlug.audit.report import report
 
-DAY = (Path(__file__).parent.parent / "days" / "first.ini").read_text()
+DAY = (Path(__file__).parents[2] / "days" / "first.ini").read_text()
 W1, W2 = "127.0.0.1:7001", "127.0.0.1:7002"
 PLACES = "".join(
     f"\n[worker {w}]\nzone = north\ncores = 2\nspeed = 1\nweight = 1\n" for w in (W1, W2)
@@ -39,7 +39,7 @@
     (tmp_path / "all.jsonl").write_text(
         "".join(json.dumps(line) + "\n" for line in [*base, *lines])
     )
-    return [item.rule for item in rules.judge(records.read(tmp_path))]
+    return [item.rule for item in rules.find_violations(records.read_records(tmp_path))]
 
 
 def sent(at: float, worker: str = W1, proxy: str = "p0", **more: Any) -> dict[str, Any]:
@@ -281,9 +281,9 @@
         )
     ]
     judged(tmp_path, *txns)
-    sums = figures.figures(records.read(tmp_path))
-    assert sums.served == pytest.approx((5 + 1 + 0 + 1) / 12)
-    assert sums.by_product == pytest.approx({"press-book": 0.6, "ticket-read": 0.5})
+    sums = figures.summarize(records.read_records(tmp_path))
+    assert sums.served_fraction == pytest.approx((5 + 1 + 0 + 1) / 12)
+    assert sums.by_traffic_class == pytest.approx({"press-book": 0.6, "ticket-read": 0.5})
     assert sums.outcomes == {"settled": 2, "late": 1, "voided": 1}
 
 
@@ -291,7 +291,7 @@
     judged(tmp_path)
     path = tmp_path / "all.jsonl"
     path.write_text(path.read_text() + '{"at": 1')
-    records.read(tmp_path)
+    records.read_records(tmp_path)
     path.write_text('{"at": 1\n' + path.read_text())
-    with pytest.raises(records.RecordFault, match=r"all\.jsonl:1: not JSON"):
-        records.read(tmp_path)
+    with pytest.raises(records.RecordError, match=r"all\.jsonl:1: not JSON"):
+        records.read_records(tmp_path)
--- a/tests/test_capacity.py
+++ b/tests/bench/test_capacity_page.py
@@ -10,6 +10,7 @@
 
 from bench.scale import page, slopes
 from bench.scale.fit import FitFault, fit, is_quadratic, off, value
+from dunlinlug.decision.events import Acknowledged
 
 TERMS = ("1", "workers", "workers*products", "members*log2(members)")
 KNOWN = {"1": 0.02, "workers": 3e-4, "workers*products": 2e-5, "members*log2(members)": 5e-3}
@@ -303,10 +304,10 @@
 def test_members_settled_from_the_start_stay_so_and_speak_no_more_than_the_beat_asks() -> None:
     """Without loss nothing is news: a ping and an answer a beat and member, facts to each other one each second."""
     size, span = 12, 10.0
-    net = slopes.Sealed(1, loss=0.0)
+    net = slopes.SealedNetwork(1, loss=0.0)
     net.settled(size)
     found = slopes.steady(net, size, span)
-    assert net.agree() and not net.log
+    assert net.views_agree() and not net.observed_changes
     assert found["probes_messages"] == pytest.approx(2 / slopes.BEAT, rel=0.03)
     assert found["facts_messages"] == pytest.approx(size - 1, rel=0.15)
     assert 0 < found["exchange_messages"] < 0.4
@@ -324,9 +325,9 @@
     )  # no answer comes before the way there and back
     late = fleet.in_force[:]
     fleet.withdrawn[65001] = 1.0, {1, 2}
-    fleet.answers(3.0, [slopes.face.Answered(1, 65001, 0.2)])
+    fleet.answers(3.0, [Acknowledged(1, 65001, 0.2)])
     assert fleet.in_force == late
-    fleet.answers(4.0, [slopes.face.Answered(2, 65001, 0.2)])
+    fleet.answers(4.0, [Acknowledged(2, 65001, 0.2)])
     assert fleet.in_force == [*late, 3.0]
 
 
@@ -341,13 +342,13 @@
 
 
 def test_a_death_counts_until_the_last_that_was_there_all_the_while_says_so() -> None:
-    net = slopes.Sealed(2, loss=0.0)
+    net = slopes.SealedNetwork(2, loss=0.0)
     net.settled(9)
     net.run(1.0)
     dead = slopes.name_of(8)
     net.kill(dead)
     net.run(6.0)
     took = slopes.last_knows(net, 1.0, {dead: 1.0}, "failed")
-    says = [seen.at - 1.0 for seen in net.log if seen.now == "failed"]
-    assert len({seen.by for seen in net.log if seen.now == "failed"}) == 8
+    says = [seen.at - 1.0 for seen in net.observed_changes if seen.after == "failed"]
+    assert len({seen.observer for seen in net.observed_changes if seen.after == "failed"}) == 8
     assert took == [max(says)] and took[0] < 3.0
--- a/tests/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -36,11 +36,11 @@
     truth,
 )
 from bench.scale.__main__ import main
-from dunlinlug.config import ConfigFault
-from dunlinlug.fleet.members import codec
-from dunlinlug.fleet.members.words import ALIVE, Late, Ping, Send, Told
+from dunlinlug.config.reader import ConfigError
+from dunlinlug.fleet.membership import codec
+from dunlinlug.fleet.membership.messages import ALIVE, MemberState, Ping, ProcessPaused, Send
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SMALL = """[scale]
 name = small
 sizes = 4
@@ -61,7 +61,7 @@
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
 
 
-def book_of(folder: Path, text: str) -> scenario.Book:
+def book_of(folder: Path, text: str) -> scenario.ConfigFile:
     path = folder / "scenario.ini"
     path.write_text(text)
     return scenario.read(path)
@@ -115,7 +115,7 @@
 ) -> None:
     path = tmp_path / "a.ini"
     path.write_text(text)
-    with pytest.raises(ConfigFault, match=said.replace("'", ".")) as caught:
+    with pytest.raises(ConfigError, match=said.replace("'", ".")) as caught:
         scenario.read(path)
     assert str(caught.value).startswith(f"{path}:{line}: ")
     for words in (
@@ -131,7 +131,7 @@
     assert len(files) >= 8
     for path in files:
         book = scenario.read(path)
-        for size in map(int, book.one(scenario.Scale).sizes):
+        for size in map(int, book.section(scenario.Scale).sizes):
             plan = scenario.plan(book, size)
             assert len(plan.real) + len(plan.hollow) == size
             assert plan == scenario.plan(book, size)
@@ -466,7 +466,7 @@
     began = time.monotonic()
     while time.monotonic() < began + 0.05:
         pass
-    assert clock.current_time() <= 0.1 * (time.monotonic() - clock.began)
+    assert clock.current_time() <= 0.1 * (time.monotonic() - clock.started_at)
     assert clock.deadline_to_sleep_time(clock.current_time() + 1.0) == pytest.approx(10.0, abs=0.1)
     for rate in (0.0, 1.5):
         with pytest.raises(ValueError):
@@ -504,13 +504,13 @@
     meter, key = accounting.Meter(), bytes(32)
     sealer, opener = part.CountedSealer(key, bytes(8)), part.CountedOpener([key])
     sealer.meter = opener.meter = meter
-    ping = Ping(Told("a", (1, 0), ALIVE, ("127.0.0.1", 1), "a"), "b", 1, b"")
+    ping = Ping(MemberState("a", (1, 0), ALIVE, ("127.0.0.1", 1), "a"), "b", 1, b"")
     data = sealer.seal(ping)
     assert opener.open(data) == ping
-    with pytest.raises(codec.Refused, match="replay"):
+    with pytest.raises(codec.DatagramRejectedError, match="replay"):
         opener.open(data)
     opener.beyond = frozenset({"a"})
-    with pytest.raises(codec.Refused, match="cut"):
+    with pytest.raises(codec.DatagramRejectedError, match="cut"):
         opener.open(sealer.seal(ping))
     assert meter.said() == {
         "ping": {"in": 1, "out": 2, "bytes_in": len(data), "bytes_out": 2 * len(data)}
@@ -578,21 +578,22 @@
         crowd = hollow.Crowd(given, nursery)
         made = [member.first for member in crowd.members.values()]
         assert all(membership is not None for membership in made)
-        machines = [membership.machine for membership in made if membership is not None]
+        machines = [membership.protocol for membership in made if membership is not None]
         assert len({machine.table.digest() for machine in machines}) == 1
         assert all(
-            len(machine.table.living()) == 40 and not machine.table.fresh() for machine in machines
+            len(machine.table.live_members()) == 40 and not machine.table.has_unsent()
+            for machine in machines
         )
         late = machines[0]
         await trio.sleep(30.0)  # as long as the making of all the others takes
-        assert any(isinstance(order, Late) for order in late.tick(trio.current_time()))
+        assert any(isinstance(order, ProcessPaused) for order in late.tick(trio.current_time()))
         beats = set[float]()
         for member, machine in list(zip(crowd.members.values(), machines, strict=True))[1:]:
             member._begin(machine)
-            beats.add(machine.beat_at)
-            assert 0.0 <= machine.beat_at - trio.current_time() <= 0.2
-            orders = machine.tick(machine.beat_at)
-            assert not any(isinstance(order, Late) for order in orders) and any(
+            beats.add(machine.next_probe_at)
+            assert 0.0 <= machine.next_probe_at - trio.current_time() <= 0.2
+            orders = machine.tick(machine.next_probe_at)
+            assert not any(isinstance(order, ProcessPaused) for order in orders) and any(
                 isinstance(order, Send) and isinstance(order.message, Ping) for order in orders
             )
         assert len(beats) > 30  # a process of them does not probe as one
@@ -660,11 +661,11 @@
 
 
 def played(
-    book: scenario.Book,
+    book: scenario.ConfigFile,
     hold: dict[str, int] | None = None,
     meanwhile: Callable[[run.Run], Any] | None = None,
 ) -> tuple[run.Run, str]:
-    made = run.Run(book, int(book.one(scenario.Scale).sizes[0]), lambda line: None, hold)
+    made = run.Run(book, int(book.section(scenario.Scale).sizes[0]), lambda line: None, hold)
 
     async def both() -> str:
         async with trio.open_nursery() as nursery:
--- a/tests/test_cli.py
+++ b/tests/command_line/test_command_line.py
@@ -12,9 +12,9 @@
 from click.testing import CliRunner
 
 from dunlinlug.cli import main
-from tests.test_config import manager_file
+from tests.config.test_manager_config import manager_file
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_the_commented_example_is_in_order_and_a_bad_file_is_one_line_with_status_2(
--- a/tests/test_config.py
+++ b/tests/config/test_manager_config.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from dunlinlug import terms
-from dunlinlug.config import ConfigFault
+from dunlinlug.config import manager_config
+from dunlinlug.config.reader import ConfigError
 
-GOOD = (Path(__file__).parent.parent / "days" / "first.ini").read_text()
-OWN = {*terms.SINGLE, *terms.NAMED}
+GOOD = (Path(__file__).parents[2] / "days" / "first.ini").read_text()
+OWN = {*manager_config.SECTIONS, *manager_config.NAMED_SECTIONS}
 
 
 def manager_file(tmp_path: Path, *changes: tuple[str, str]) -> Path:
@@ -25,10 +25,16 @@
 
 
 def test_a_good_file_gives_the_trade(tmp_path: Path) -> None:
-    trade = terms.trade(terms.read(manager_file(tmp_path)))
-    assert [product.name for product in trade.products] == ["ticket-read", "press-book"]
-    assert trade.channel.transit == pytest.approx(0.02)
-    assert (trade.duties.cold_share, trade.channel.lines_per_s, trade.products[1].window) == (
+    trade = manager_config.manager_settings(
+        manager_config.load_manager_config(manager_file(tmp_path))
+    )
+    assert [product.name for product in trade.traffic_classes] == ["ticket-read", "press-book"]
+    assert trade.channel.transit_time == pytest.approx(0.02)
+    assert (
+        trade.safety_limits.initial_capacity_fraction,
+        trade.channel.entries_per_second,
+        trade.traffic_classes[1].deduplication_window,
+    ) == (
         0.3,
         1200.0,
         1.2,
@@ -60,8 +66,8 @@
     line = next(
         n for n, text in enumerate(path.read_text().splitlines(), 1) if text.startswith(new)
     )
-    with pytest.raises(ConfigFault) as caught:
-        terms.read(path)
+    with pytest.raises(ConfigError) as caught:
+        manager_config.load_manager_config(path)
     said = str(caught.value)
     assert (
         said.startswith(f"{path}:{line}: ") and key in said and right in said and "\n" not in said
@@ -74,11 +80,11 @@
         ("bare = 4s\n", "bare = 4s\nbare = 5s\n"),
         ("deadline = 2s", "deadline = 2ms"),
     ]:
-        with pytest.raises(ConfigFault) as caught:
-            terms.read(manager_file(tmp_path, change))
+        with pytest.raises(ConfigError) as caught:
+            manager_config.load_manager_config(manager_file(tmp_path, change))
         assert "\n" not in str(caught.value) and "manager.ini:" in str(caught.value)
-    with pytest.raises(ConfigFault, match="cannot be read"):
-        terms.read(tmp_path / "none.ini")
+    with pytest.raises(ConfigError, match="cannot be read"):
+        manager_config.load_manager_config(tmp_path / "none.ini")
 
 
 PLACE = "[member a]\npeers = 127.0.0.1:1\nserves = 127.0.0.1:2\nknows = 127.0.0.1:3\n"
@@ -108,8 +114,8 @@
     tmp_path: Path, members: str, section: str, said: str
 ) -> None:
     path = manager_file(tmp_path, ("[roster]", f"[members]\n{members}\n\n{section}\n\n[roster]"))
-    with pytest.raises(ConfigFault) as found:
-        terms.read(path)
+    with pytest.raises(ConfigError) as found:
+        manager_config.load_manager_config(path)
     assert said in str(found.value) and "\n" not in str(found.value)
 
 
@@ -118,8 +124,10 @@
         ("on = yes", r"\[owner\] on: .* needs \[members\]"),
         ("beat = 500ms", "at most a third"),
     ):
-        with pytest.raises(ConfigFault, match=said):
-            terms.read(manager_file(tmp_path, ("[roster]", f"[owner]\n{section}\n\n[roster]")))
+        with pytest.raises(ConfigError, match=said):
+            manager_config.load_manager_config(
+                manager_file(tmp_path, ("[roster]", f"[owner]\n{section}\n\n[roster]"))
+            )
 
 
 def test_without_members_succession_needs_an_address_of_each_and_with_them_none(
@@ -129,9 +137,11 @@
         PLACE.replace("peers = 127.0.0.1:1\n", ""),
         "[succession]\nmember = a\nkey_file = s\n",
     )
-    with pytest.raises(ConfigFault, match=r"\[member a\] peers: without \[members\]"):
-        terms.read(manager_file(tmp_path, ("[roster]", f"{place}\n{own}\n[roster]")))
-    terms.read(
+    with pytest.raises(ConfigError, match=r"\[member a\] peers: without \[members\]"):
+        manager_config.load_manager_config(
+            manager_file(tmp_path, ("[roster]", f"{place}\n{own}\n[roster]"))
+        )
+    manager_config.load_manager_config(
         manager_file(tmp_path, ("[roster]", f"{place}\n{own}\n[members]\nme = a\n\n[roster]"))
     )
 
@@ -146,4 +156,4 @@
                 "key_file = s\n\n[roster]",
             ),
         )
-        assert terms.member_key(terms.read(path)) == key
+        assert manager_config.member_key_file(manager_config.load_manager_config(path)) == key
--- a/tests/histories.py
+++ b/tests/decision/histories.py
@@ -1,4 +1,4 @@
-"""Generated histories for `tests/same_decisions.py`: a manager's surroundings in simulated time, from a seed alone.
+"""Generated histories for `tests/decision/reference_decisions.py`: a manager's surroundings in simulated time, from a seed alone.
 
 Workers have a true state that shapes what proxies meet; a channel of the trade's pace, proxies that answer, fall silent
 and come back, discovery with releases and losses, an operator's pins, cuts between managers, and orders refused.
@@ -12,11 +12,43 @@
 from itertools import count
 from math import ceil
 from random import Random
-from typing import Any
-
-from dunlinlug import interface as face
+from typing import Any, Protocol
+
+from dunlinlug.balance import Balancer
+from dunlinlug.decision.events import (
+    Acknowledged,
+    DemandReported,
+    Endpoint,
+    EndpointReported,
+    EndpointsUpdated,
+    Event,
+    HealthCheckCompleted,
+    ManagerLoadChanged,
+    OrderRejected,
+    OverrideChanged,
+    PartitionLimitsChanged,
+    PeerMessageReceived,
+    ProxyConnected,
+    ProxyDisconnected,
+    ShardAssigned,
+    ShardRestored,
+    TimerFired,
+)
+from dunlinlug.decision.orders import (
+    AssignTable,
+    CheckHealth,
+    DeleteTable,
+    Order,
+    RequestAcknowledgement,
+    SetAdmission,
+    SetEjected,
+    SetTimer,
+    SetWeight,
+    WatchEndpoints,
+)
+from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, SafetyLimits, TrafficClass
 
-Happening = face.Event | Callable[[], None]
+Happening = Event | Callable[[], None]
 
 # Workers, proxies, products and turns to go with them, and how often such a history is drawn.
 SIZES = (
@@ -60,7 +92,7 @@
     since: float | None = None
 
 
-def drawn(random: Random, seed: int) -> tuple[face.Trade, int, int, int]:
+def drawn(random: Random, seed: int) -> tuple[ManagerSettings, int, int, int]:
     """The trade, workers at the start, proxies, and turns."""
     sizes = {19: LARGE, 17: EVEN}.get(seed % 20) or random.choices(
         SIZES, [size[-1] for size in SIZES]
@@ -74,13 +106,13 @@
     even = sizes is EVEN
     home = random.choice(["none", "none", "all", "some"][: 1 if even else 4])
     wares = tuple(
-        face.Product(
+        TrafficClass(
             f"product-{k}",
             random.choice([0.4, 0.8, 2.0]),
             random.choice([1.0, 2.0]),
             1.0 + k * random.random(),
-            repeats=random.choice(["idempotent", "referenced", "non-idempotent"]),
-            home_only=home == "all" or home == "some" and random.random() < 0.5,
+            idempotency=random.choice(["idempotent", "referenced", "non-idempotent"]),
+            same_zone_only=home == "all" or home == "some" and random.random() < 0.5,
         )
         for k in range(n)
     )
@@ -89,17 +121,17 @@
     part = max(whole * random.choice([0.02, 0.3, 1.0, 5.0][: 2 if even else 4]), 60.0)
     pace = random.choice([part, 1200.0, 4400.0, 1e5][: 1 if even else 4])
     warm = random.choice([0.0, 1e-6, 5.0, 18.0, 18.0, 30.0][: 3 if even else 6])
-    trade = face.Trade(
+    trade = ManagerSettings(
         seed=seed,
         zone="zone-0",
-        products=wares,
-        admits=random.choice(["share", "share", "none"]),
-        may_probe=random.random() < 0.5,
-        must_ask=random.random() < 0.2,
-        usual_retry=random.choice([0, 1, 1, 3]),
-        standing=random.choice([1, 2, 4, 6, 12, 30]),
-        slices=8 if seed % 50 == 7 else 0,
-        channel=face.Channel(
+        traffic_classes=wares,
+        admission_mode=random.choice(["share", "share", "none"]),
+        can_check_health=random.random() < 0.5,
+        must_subscribe=random.random() < 0.2,
+        default_retry_policy=random.choice([0, 1, 1, 3]),
+        initial_subset_size=random.choice([1, 2, 4, 6, 12, 30]),
+        shard_count=8 if seed % 50 == 7 else 0,
+        channel=ChannelSettings(
             pace,
             random.choice([4.0, 10.0]),
             random.choice([0.3, 1.5, 4.0]) * pace + random.choice([400.0, 4.0 * (workers + n)]),
@@ -107,7 +139,7 @@
             0.5,
             random.choice([0, 0, 10, 30]),
         ),
-        duties=face.Duties(
+        safety_limits=SafetyLimits(
             5.0,
             3.0,
             random.choice([2.0, 10.0]),
@@ -120,6 +152,74 @@
     return trade, workers, proxies, turns
 
 
+class ObservedState(Protocol):
+    """What a history reads of the balancer whose orders it obeys."""
+
+    def owed_entries(self, ack_number: int) -> dict[int, float]:
+        """By proxy, the entries of the reply whose acknowledgement was asked for."""
+
+    def is_channel_constrained(self) -> bool:
+        """Whether the channel is too slow for whole tables, so that subsets stay."""
+
+    def has_subsets_in_use(self) -> bool:
+        """Whether proxies are connected and a subset table is used."""
+
+    def admitted_fractions(self) -> set[float]:
+        """The fractions that current tables admit; none where admission is not controlled."""
+
+
+class BalancerState:
+    """The state of the present Balancer."""
+
+    def __init__(self, balancer: Balancer) -> None:
+        self.balancer = balancer
+
+    def owed_entries(self, ack_number: int) -> dict[int, float]:
+        return self.balancer.budget.pending_replies[ack_number].entries_by_proxy
+
+    def is_channel_constrained(self) -> bool:
+        return self.balancer.is_channel_constrained
+
+    def has_subsets_in_use(self) -> bool:
+        return bool(self.balancer.assignments.proxies) and any(
+            table.use_count for table in self.balancer.subset_tables
+        )
+
+    def admitted_fractions(self) -> set[float]:
+        if not self.balancer.controls_admission:
+            return set()
+        tables = self.balancer.current_tables.values()
+        return {fraction for table in tables for fraction, _ in table.admission_levels}
+
+
+class ReferenceState:
+    """The state of the frozen Balancer of `tests/reference_model`, or of its counted copy."""
+
+    def __init__(self, balancer: Any) -> None:
+        self.balancer = balancer
+
+    def owed_entries(self, ack_number: int) -> dict[int, float]:
+        owed: dict[int, float] = self.balancer.account.sent[ack_number].owed
+        return owed
+
+    def is_channel_constrained(self) -> bool:
+        return bool(self.balancer.scant)
+
+    def has_subsets_in_use(self) -> bool:
+        return bool(self.balancer.seating.proxies) and any(
+            table.users for table in self.balancer.small
+        )
+
+    def admitted_fractions(self) -> set[float]:
+        if not self.balancer.admits:
+            return set()
+        return {n for table in self.balancer.current.values() for n, _ in table.levels}
+
+
+def observed(balancer: Any) -> ObservedState:
+    return BalancerState(balancer) if isinstance(balancer, Balancer) else ReferenceState(balancer)
+
+
 class Surroundings:
     """Draws `turns()`, one by one; after each the caller lets it `obey` the former text's orders."""
 
@@ -157,7 +257,7 @@
     def at(self, when: float, what: Happening) -> None:
         heapq.heappush(self.due, (when, next(self.order), what))
 
-    def turns(self) -> Iterator[tuple[float, list[face.Event]]]:
+    def turns(self) -> Iterator[tuple[float, list[Event]]]:
         gap = self.end / self.left
         while self.left > 0 and self.now < self.end:
             self.now += (
@@ -168,7 +268,7 @@
             self.skip = 0.0
             if self.grid:
                 self.now = ceil(self.now / self.grid) * self.grid
-            events = list[face.Event]()
+            events = list[Event]()
             while self.due and self.due[0][0] <= self.now:
                 what = heapq.heappop(self.due)[2]
                 if callable(what):
@@ -181,51 +281,52 @@
 
     # What the former text ordered, and what follows of it.
 
-    def obey(self, now: float, orders: list[face.Order], former: Any) -> None:
-        """`former` is read for the lines that its reply costs each proxy; it is frozen, so its books may be."""
+    def obey(self, now: float, orders: list[Order], balancer: Any) -> None:
+        """Let what follows of these orders come about. `balancer`, present or reference, gave them."""
+        state = observed(balancer)
         for order in orders:
             match order:
-                case face.Mark(number):
-                    self._send(now, number, former.account.sent[number].owed)
-                case face.Wake(after, token):
+                case RequestAcknowledgement(number):
+                    self._send(now, number, state.owed_entries(number))
+                case SetTimer(after, token):
                     self.at(
                         now + after + (0.3 if self.random.random() < 0.05 else 0.0),
-                        face.Rung(token),
+                        TimerFired(token),
                     )
-                case face.Probe(worker):
+                case CheckHealth(worker):
                     self.at(now + self.random.choice([0.02, 0.4, 1.0]), self._probed(worker))
-                case face.Follow():
+                case WatchEndpoints():
                     self.at(now + 0.1, self.fetched)
-                case face.Share() | face.Clear() | face.Bind() | face.Withdraw() | face.Admit():
+                case SetWeight() | DeleteTable() | AssignTable() | SetEjected() | SetAdmission():
                     if self.random.random() < self.refusing.get(type(order), 0.0):
                         self.said[f"refused {type(order).__name__}"] += 1
-                        self.at(now, face.Refused(order, "the guard's word"))
-        if former.scant:
+                        self.at(now, OrderRejected(order, "the guard's word"))
+        if state.is_channel_constrained():
             self.said["turns with small tables to stay"] += 1
-        if former.seating.proxies and any(table.users for table in former.small):
+        if state.has_subsets_in_use():
             self.said["turns with small tables in use"] += 1
-        for level in (
-            {n for table in former.current.values() for n, _ in table.levels}
-            if former.admits
-            else ()
-        ):
+        for level in state.admitted_fractions():
             self.said[f"turns with a level of {level:.2f}"] += 1
 
     def _send(self, now: float, mark: int, owed: dict[int, float]) -> None:
         for proxy, lines in owed.items():
-            self.busy = max(self.busy, now) + lines / (self.trade.channel.lines_per_s * self.pace)
-            arrives = self.busy + self.trade.channel.transit * self.random.uniform(0.5, 1.5)
+            self.busy = max(self.busy, now) + lines / (
+                self.trade.channel.entries_per_second * self.pace
+            )
+            arrives = self.busy + self.trade.channel.transit_time * self.random.uniform(0.5, 1.5)
             if proxy in self.mute or arrives - now > 30.0:
                 self.said["marks that nobody answers"] += 1
             else:
-                self.at(arrives, face.Answered(proxy, mark, arrives - now))
+                self.at(arrives, Acknowledged(proxy, mark, arrives - now))
 
     def _probed(self, worker: str) -> Callable[[], None]:
         def probed() -> None:
             machine = self.machines.get(worker)
             ok = machine is not None and machine.state == "well" and machine.listed != "gone"
             load = self.random.choice([{}, {"queue": 2.0}])
-            self.at(self.now, face.Probed(worker, ok, "ok" if ok else "timeout", 0.1, load))
+            self.at(
+                self.now, HealthCheckCompleted(worker, ok, "ok" if ok else "timeout", 0.1, load)
+            )
 
         return probed
 
@@ -239,13 +340,13 @@
         )
         return name
 
-    def entry(self, name: str) -> face.Worker:
+    def entry(self, name: str) -> Endpoint:
         machine = self.machines[name]
-        return face.Worker(name, machine.zone, "", 0, machine.listed, machine.weight, machine.since)
+        return Endpoint(name, machine.zone, "", 0, machine.listed, machine.weight, machine.since)
 
     def news(self, names: list[str], form: str = "changes") -> None:
         if names or form != "changes":
-            self.at(self.now, face.Listed(form, tuple(map(self.entry, names))))
+            self.at(self.now, EndpointsUpdated(form, tuple(map(self.entry, names))))
             self.said[f"lists {form}"] += 1
 
     def move(self, names: list[str], state: str, since: float | None = None) -> Callable[[], None]:
@@ -287,7 +388,7 @@
     def begin(self) -> None:
         """The start, what goes on all the time, and incidents."""
         random, end = self.random, self.end
-        if self.trade.must_ask and random.random() < 0.5:
+        if self.trade.must_subscribe and random.random() < 0.5:
             self.at(1.0, self.fetched)
         else:
             self.at(0.0, lambda: self.news(self.ready(), random.choice(["kept", "whole"])))
@@ -338,13 +439,13 @@
         def act() -> None:
             self.mute.discard(proxy)
             zone = self.joined.setdefault(proxy, self.random.choice(self.zones))
-            self.at(self.now, face.Joined(proxy, zone, self.random.choice(self.rates), first))
+            self.at(self.now, ProxyConnected(proxy, zone, self.random.choice(self.rates), first))
 
         return act
 
     def leaves(self, proxy: int) -> None:
         if self.joined.pop(proxy, None) is not None:
-            self.at(self.now, face.Left(proxy))
+            self.at(self.now, ProxyDisconnected(proxy))
 
     def churn(self) -> None:
         """Some or most proxies leave, at once, and come back, as many or a few."""
@@ -474,9 +575,9 @@
                 txns = self.random.randint(0, 40)
                 self.at(
                     self.now,
-                    face.Asked(
+                    DemandReported(
                         self.random.randrange(self.proxies),
-                        self.random.choice(self.trade.products).name,
+                        self.random.choice(self.trade.traffic_classes).name,
                         txns,
                         txns // 5 if self.load != "calm" else 0,
                         0.5,
@@ -500,7 +601,7 @@
             )
             self.at(
                 self.now,
-                face.Met(
+                EndpointReported(
                     self.random.choice(zones),
                     name,
                     tries,
@@ -558,13 +659,13 @@
         self.said["cuts"] += 1
         self.at(
             self.now,
-            face.Trusted(
+            PartitionLimitsChanged(
                 self.random.choice([0.05, 0.1, 0.2]),
                 self.random.random() < 0.4,
                 self.random.random() < 0.4,
             ),
         )
-        self.at(self.now + self.random.uniform(1.0, 15.0), face.Trusted(0.2))
+        self.at(self.now + self.random.uniform(1.0, 15.0), PartitionLimitsChanged(0.2))
 
     def zone_lost(self) -> None:
         """Its proxies leave and its workers answer nobody; after a while both are there again, the proxies one by
@@ -589,7 +690,7 @@
         self.at(self.now + after, back)
 
     def pin(self) -> None:
-        k = self.random.randrange(len(self.trade.products))
+        k = self.random.randrange(len(self.trade.traffic_classes))
         names = [*self.some(1, 6), *(["10.99.0.1:80"] if self.random.random() < 0.2 else [])]
         weights = tuple((name, self.random.choice([0.5, 1.0, 1.0, 0.0, None])) for name in names)
         way = self.random.choice(["some", "others", "none used", "ended", "nobody"])
@@ -597,16 +698,16 @@
         self.at(
             self.now,
             {
-                "some": face.Pinned(k, weights, False),
-                "others": face.Pinned(k, weights, True),
-                "none used": face.Pinned(k, tuple((name, 0.0) for name in names), True),
-                "ended": face.Pinned(k),
-                "nobody": face.Pinned(k, (), False),
+                "some": OverrideChanged(k, weights, False),
+                "others": OverrideChanged(k, weights, True),
+                "none used": OverrideChanged(k, tuple((name, 0.0) for name in names), True),
+                "ended": OverrideChanged(k),
+                "nobody": OverrideChanged(k, (), False),
             }[way],
         )
 
     def refuses(self) -> None:
-        kinds: list[type] = [face.Share, face.Bind, face.Clear, face.Withdraw, face.Admit]
+        kinds: list[type] = [SetWeight, AssignTable, DeleteTable, SetEjected, SetAdmission]
         for kind in self.random.choice([kinds, [self.random.choice(kinds)], kinds[3:], kinds[3:]]):
             self.refusing[kind] = self.random.choice([0.02, 0.2, 1.0])
         self.at(self.now + self.random.choice([0.5, 3.0, 9.0]), self.refusing.clear)
@@ -615,22 +716,26 @@
         """News that this module passes over, and some of who is not known."""
         self.said["oddities"] += 1
         for event in (
-            face.PeerSaid(2, "hello"),
-            face.Given(1, True),
-            face.Stored(1, "10.0.0.1:80", 1.0),
-            face.Laden("other", self.random.random() < 0.5, 40, 200.0),
-            face.Left(9999),
-            face.Answered(0, 64000, 0.1),
-            face.Answered(9999, 1, 0.1),
-            face.Rung(123456),
-            face.Met("zone-0", "10.98.0.1:80", 5, 5, 0.2, 0.5),
-            face.Met("", next(iter(self.machines), ""), 0, 0, 0.0, 0.5),
-            face.Pinned(
-                len(self.trade.products), (("10.98.0.1:80", 0.0),), self.random.random() < 0.5
+            PeerMessageReceived(2, "hello"),
+            ShardAssigned(1, True),
+            ShardRestored(1, "10.0.0.1:80", 1.0),
+            ManagerLoadChanged("other", self.random.random() < 0.5, 40, 200.0),
+            ProxyDisconnected(9999),
+            Acknowledged(0, 64000, 0.1),
+            Acknowledged(9999, 1, 0.1),
+            TimerFired(123456),
+            EndpointReported("zone-0", "10.98.0.1:80", 5, 5, 0.2, 0.5),
+            EndpointReported("", next(iter(self.machines), ""), 0, 0, 0.0, 0.5),
+            OverrideChanged(
+                len(self.trade.traffic_classes),
+                (("10.98.0.1:80", 0.0),),
+                self.random.random() < 0.5,
+            ),
+            DemandReported(None, "no-product", 5, 0, 0.5),
+            HealthCheckCompleted(
+                next(iter(self.machines), ""), self.random.random() < 0.5, "ok", 0.1, {}
             ),
-            face.Asked(None, "no-product", 5, 0, 0.5),
-            face.Probed(next(iter(self.machines), ""), self.random.random() < 0.5, "ok", 0.1, {}),
-            face.Probed("10.98.0.1:80", True, "ok", 0.1),
-            face.Refused(face.Bind(9999, (0,), 1), "unknown"),
+            HealthCheckCompleted("10.98.0.1:80", True, "ok", 0.1),
+            OrderRejected(AssignTable(9999, (0,), 1), "unknown"),
         ):
             self.at(self.now, event)
