--- a/tests/same_decisions.py
+++ b/tests/decision/reference_decisions.py
@@ -1,9 +1,9 @@
 """Same decisions: the former decision module and the present one over the same generated histories.
 
-    python -m tests.same_decisions --seeds 100:200 [--turns 2.0] [--shrink]
+    python -m tests.decision.reference_decisions --seeds 100:200 [--turns 2.0] [--shrink]
 
 A history is drawn from its seed alone: what a manager is told at its start, then turns of events. The former text
-(`tests/former`) drives it in simulated time, as answers, probes, refusals and timers follow its orders; its orders
+(`tests/reference_model`) drives it in simulated time, as answers, probes, refusals and timers follow its orders; its orders
 are kept beside the events, and the present text gets the very same turns and must give the very same orders.
 Where only floats differ, by no more than a part in 1e9, that counts as rounding and the comparison goes on.
 """
@@ -22,11 +22,20 @@
 from dataclasses import dataclass, field, fields, replace
 from typing import Any
 
-from dunlinlug import interface as face
 from dunlinlug.balance import Balancer
-from tests.histories import Surroundings
-
-Orders = list[face.Order]
+from dunlinlug.decision.events import Event
+from dunlinlug.decision.orders import (
+    AssignTable,
+    LogMessage,
+    Order,
+    RequestAcknowledgement,
+    SetEjected,
+    SetWeight,
+)
+from dunlinlug.decision.settings import ManagerSettings
+from tests.decision.histories import Surroundings
+
+Orders = list[Order]
 Decides = Any  # a Balancer of either text
 ROUNDING = 1e-9
 NUMBER = re.compile(r"\d+\.?\d*")
@@ -37,14 +46,14 @@
     """One call: the clock in seconds, its events, and the former text's orders."""
 
     now: float
-    events: list[face.Event]
+    events: list[Event]
     orders: Orders
 
 
 @dataclass
 class History:
     seed: int
-    trade: face.Trade
+    trade: ManagerSettings
     turns: list[Turn]
     counts: Counter[str]
 
@@ -89,10 +98,10 @@
     difference: Difference | None = None
 
 
-def told(trade: face.Trade) -> str:
+def told(trade: ManagerSettings) -> str:
     return (
-        str(replace(trade, products=trade.products[:2]))
-        + f" and {len(trade.products)} products in all"
+        str(replace(trade, traffic_classes=trade.traffic_classes[:2]))
+        + f" and {len(trade.traffic_classes)} products in all"
     )
 
 
@@ -105,7 +114,7 @@
     if isinstance(former, float):
         return math.isclose(former, present, rel_tol=ROUNDING, abs_tol=ROUNDING)
     if isinstance(
-        former, face.Note
+        former, LogMessage
     ):  # its figures are printed to two places, so a last one may tip over
         mine, other = (NUMBER.findall(note.text) for note in (former, present))
         return NUMBER.sub("#", former.text) == NUMBER.sub("#", present.text) and all(
@@ -118,7 +127,7 @@
 
 
 def record(
-    seed: int, scale: float = 1.0, make: Callable[[face.Trade], Decides] | None = None
+    seed: int, scale: float = 1.0, make: Callable[[ManagerSettings], Decides] | None = None
 ) -> History:
     """Play a history with the former text, its blocks counted unless `make` gives it."""
     counts, around, turns = Counter[str](), Surroundings(seed, scale), []
@@ -139,21 +148,21 @@
     )
 
 
-def kind(order: face.Order) -> str:
+def kind(order: Order) -> str:
     name = type(order).__name__
     match order:
-        case face.Withdraw(_, out):
+        case SetEjected(_, out):
             return f"order {name} {'out' if out else 'back'}"
-        case face.Share(_, _, weight):
+        case SetWeight(_, _, weight):
             return f"order {name} {'taken away' if not weight else 'set'}"
-        case face.Mark(_, everyone):
+        case RequestAcknowledgement(_, everyone):
             return f"order {name} {'to all' if everyone else 'to some'}"
-        case face.Bind(_, products, _) if len(products) > 1:
+        case AssignTable(_, products, _) if len(products) > 1:
             return f"order {name} of several products"
     return f"order {name}"
 
 
-def replay(history: History, make: Callable[[face.Trade], Decides] = Balancer) -> Verdict:
+def replay(history: History, make: Callable[[ManagerSettings], Decides] = Balancer) -> Verdict:
     """Give the present text the history's turns, up to the first difference that is not of rounding."""
     module, verdict = make(history.trade), Verdict()
     for place, turn in enumerate(history.turns):
@@ -176,13 +185,13 @@
 
 
 def shrink(
-    difference: Difference, make: Callable[[face.Trade], Decides] = Balancer, tries: int = 200
+    difference: Difference, make: Callable[[ManagerSettings], Decides] = Balancer, tries: int = 200
 ) -> Difference:
     """Cut turns, then events, for as long as the two texts still differ, each with this many tries. The rest stays as
     it was, so a cut history may hold answers to marks that were never given; both texts pass over those."""
-    from tests.former.balance import Balancer as Former
+    from tests.reference_model.balance import Balancer as Former
 
-    def differs(cut: list[tuple[float, tuple[face.Event, ...]]]) -> bool:
+    def differs(cut: list[tuple[float, tuple[Event, ...]]]) -> bool:
         nonlocal best
         former, turns = Former(difference.history.trade), []
         try:
@@ -273,10 +282,14 @@
         return node
 
 
-def counted() -> tuple[Callable[[face.Trade], Decides], list[str], list[int]]:
+def counted() -> tuple[Callable[[ManagerSettings], Decides], list[str], list[int]]:
     """The former Balancer with its blocks counted: their names, by function, line and column of
-    `tests/former/balance.py`, and how often each has run."""
-    former, blocks, ran = importlib.import_module("tests.former.balance"), _Blocks(), list[int]()
+    `tests/reference_model/balance.py`, and how often each has run."""
+    former, blocks, ran = (
+        importlib.import_module("tests.reference_model.balance"),
+        _Blocks(),
+        list[int](),
+    )
     tree = ast.fix_missing_locations(blocks.visit(ast.parse(inspect.getsource(former))))
     ran.extend([0] * len(blocks.names))
 
@@ -291,7 +304,7 @@
     )
 
 
-def made(code: types.CodeType, given: dict[str, Any]) -> Callable[[face.Trade], Decides]:
+def made(code: types.CodeType, given: dict[str, Any]) -> Callable[[ManagerSettings], Decides]:
     """The Balancer of a text of its own."""
     module = types.ModuleType("a_text_of_its_own")
     module.__dict__.update(given)
--- a/tests/test_failures.py
+++ b/tests/decision/test_regressions.py
@@ -1,18 +1,30 @@
 """One small test for each failure found on the bench or in an incident."""
 
-from dunlinlug import interface as face
-from tests.helpers import ZONES, Model, trade, worker
+from dunlinlug.decision.events import (
+    Acknowledged,
+    DemandReported,
+    EndpointReported,
+    EndpointsUpdated,
+    HealthCheckCompleted,
+    PartitionLimitsChanged,
+    ProxyConnected,
+    ProxyDisconnected,
+)
+from dunlinlug.decision.orders import AssignTable, Order, SetAdmission, WatchEndpoints
+from tests.decision.rules_model import ZONES, Model, trade, worker
 
 FLEET = tuple(worker(n) for n in range(9))
 
 
-def fleet(model: Model, met: dict[int, tuple[int, int, float]], seconds: float) -> list[face.Order]:
+def fleet(model: Model, met: dict[int, tuple[int, int, float]], seconds: float) -> list[Order]:
     """Let proxies report each half second: by worker tries, voided ones, and the others' pace."""
-    orders: list[face.Order] = []
+    orders: list[Order] = []
     for _ in range(round(seconds / 0.5)):
-        reports = [face.Met(ZONES[n % 3], worker(n).id, *seen, 0.5) for n, seen in met.items()]
+        reports = [
+            EndpointReported(ZONES[n % 3], worker(n).id, *seen, 0.5) for n, seen in met.items()
+        ]
         model.step(
-            0.5, [*reports, *(face.Asked(1, name, 100, 0, 0.5) for name in ("read", "book"))]
+            0.5, [*reports, *(DemandReported(1, name, 100, 0, 0.5) for name in ("read", "book"))]
         )
         orders += model.orders
     return orders
@@ -20,8 +32,8 @@
 
 def joined(workers: int = 9, proxies: int = 6, **changes: object) -> Model:
     model = Model(trade(**changes))
-    model.step(0.1, [face.Listed("kept", tuple(worker(n) for n in range(workers)))])
-    model.step(0.1, [face.Joined(p, ZONES[p % 3], 5.0, True) for p in range(proxies)])
+    model.step(0.1, [EndpointsUpdated("kept", tuple(worker(n) for n in range(workers)))])
+    model.step(0.1, [ProxyConnected(p, ZONES[p % 3], 5.0, True) for p in range(proxies)])
     return model
 
 
@@ -31,11 +43,11 @@
     return model
 
 
-def levels(orders: list[face.Order], product: int) -> list[float]:
+def levels(orders: list[Order], product: int) -> list[float]:
     return [
-        order.share
+        order.admitted_fraction
         for order in orders
-        if isinstance(order, face.Admit) and order.product == product
+        if isinstance(order, SetAdmission) and order.traffic_class == product
     ]
 
 
@@ -63,25 +75,25 @@
 def test_an_overfull_worker_keeps_half_its_share_and_goes_back_to_three_quarters() -> None:
     model = started()
     fleet(model, {n: (20, 12 if n == 4 else 0, 1.0 if n == 4 else 0.2) for n in range(9)}, 5.0)
-    assert not model.withdrawn and model.module.health.cap[4] == 0.5
+    assert not model.withdrawn and model.module.outlier_detector.weight_limits[4] == 0.5
     fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 8.0)
-    assert model.module.health.cap[4] == 0.75
+    assert model.module.outlier_detector.weight_limits[4] == 0.75
 
 
 def test_a_zone_in_reach_again_comes_back_without_trials() -> None:
     model = started()
-    model.step(0.1, [face.Left(p) for p in (1, 4)])  # the south's proxies
+    model.step(0.1, [ProxyDisconnected(p) for p in (1, 4)])  # the south's proxies
     fleet(model, {n: (20, 20 if n % 3 == 1 else 0, 0.2) for n in range(9)}, 3.0)
     assert model.withdrawn == {worker(n).id for n in (1, 4, 7)}
-    model.step(0.1, [face.Joined(1, "south", 5.0, False)])
-    assert [model.module.health.cap[n] for n in (1, 4, 7)] == [1.0] * 3
+    model.step(0.1, [ProxyConnected(1, "south", 5.0, False)])
+    assert [model.module.outlier_detector.weight_limits[n] for n in (1, 4, 7)] == [1.0] * 3
 
 
 def test_overload_refuses_the_least_revenue_first_and_then_opens_again() -> None:
     model = started()
     orders = fleet(model, {n: (20, 8, 1.2) for n in range(9)}, 2.0)
     assert levels(orders, 0)[-1] <= 0.1 < 0.5 < levels(orders, 1)[-1]
-    assert all(order.retry == 0 for order in orders if isinstance(order, face.Admit))
+    assert all(order.retry_policy == 0 for order in orders if isinstance(order, SetAdmission))
     orders = fleet(model, {n: (20, 0, 0.1) for n in range(9)}, 30.0)
     assert levels(orders, 0)[-1] == 1.0
 
@@ -89,42 +101,47 @@
 def test_a_manager_that_starts_in_a_jam_withdraws_nobody_and_lets_nobody_try_twice() -> None:
     model = started(4.0, 1.5, 15)
     orders = fleet(model, {n: (20, 20 if n < 4 else 15, 1.5) for n in range(9)}, 3.0)
-    assert not model.withdrawn and not [o for o in orders if isinstance(o, face.Admit) and o.retry]
+    assert not model.withdrawn and not [
+        o for o in orders if isinstance(o, SetAdmission) and o.retry_policy
+    ]
 
 
 def test_a_worker_that_restarts_in_place_is_out_until_its_first_share_is_bound() -> None:
     model = started()
-    model.step(0.1, [face.Listed("changes", (worker(4, "ready", model.now - 1.0),))])
+    model.step(0.1, [EndpointsUpdated("changes", (worker(4, "ready", model.now - 1.0),))])
     assert model.withdrawn == {worker(4).id}
     fleet(model, {}, 8.0)
     assert not model.withdrawn and not model.broken
 
 
 def test_levels_that_are_rates_never_shut_a_proxy() -> None:
-    orders = fleet(started(admits="rate"), {n: (20, 0, 0.2) for n in range(9)}, 1.0)
-    model = Model(trade(admits="rate", usual_retry=2))
-    model.step(0.1, [face.Listed("kept", FLEET)])
+    orders = fleet(started(admission_mode="rate"), {n: (20, 0, 0.2) for n in range(9)}, 1.0)
+    model = Model(trade(admission_mode="rate", default_retry_policy=2))
+    model.step(0.1, [EndpointsUpdated("kept", FLEET)])
     assert levels(model.orders, 0) and min(levels(orders + model.orders, 0)) > 1000
 
 
 def test_a_failed_call_for_the_list_is_made_again_in_time() -> None:
-    model = Model(trade(must_ask=True))
-    model.step(0.1, [face.Listed("kept", FLEET)])
-    assert face.Follow() in model.orders
+    model = Model(trade(must_subscribe=True))
+    model.step(0.1, [EndpointsUpdated("kept", FLEET)])
+    assert WatchEndpoints() in model.orders
     asked = [0.0]
     for _ in range(200):
-        model.step(0.1, [face.Listed("failed")] if face.Follow() in model.orders else [])
-        if face.Follow() in model.orders:
-            assert model.now - asked[-1] < model.trade.duties.ask_every / 2
+        model.step(0.1, [EndpointsUpdated("failed")] if WatchEndpoints() in model.orders else [])
+        if WatchEndpoints() in model.orders:
+            assert model.now - asked[-1] < model.trade.safety_limits.list_poll_interval / 2
             asked.append(model.now)
     assert len(asked) > 6
 
 
 def test_a_list_of_one_worker_none_and_gaps_is_borne() -> None:
     model = Model(trade())
-    model.step(0.1, [face.Listed("kept", ())])
-    model.step(0.1, [face.Joined(1, "north", 5.0, True)])
-    model.step(0.1, [face.Listed("whole", (worker(1),)), face.Answered(1, 999, 0.1), face.Left(7)])
+    model.step(0.1, [EndpointsUpdated("kept", ())])
+    model.step(0.1, [ProxyConnected(1, "north", 5.0, True)])
+    model.step(
+        0.1,
+        [EndpointsUpdated("whole", (worker(1),)), Acknowledged(1, 999, 0.1), ProxyDisconnected(7)],
+    )
     fleet(model, {}, 6.0)
     assert {name for _, t in model.holds[1].values() for name in t} == {
         worker(1).id
@@ -133,7 +150,7 @@
 
 def test_cold_workers_stay_out_in_a_storm_and_before_a_calm_fleet_was_seen() -> None:
     model = joined()
-    model.step(0.1, [face.Listed("changes", (worker(9, "ready", -2.0),))])
+    model.step(0.1, [EndpointsUpdated("changes", (worker(9, "ready", -2.0),))])
     assert model.withdrawn == {worker(9).id}  # nothing is known yet
     fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 3.0)
     assert model.withdrawn == {
@@ -148,7 +165,7 @@
 def test_a_cold_worker_in_a_laid_table_is_out_before_the_table_is_bound() -> None:
     model = started(1.0)  # no calm fleet was proven yet, so that a storm must be reckoned with
     cold = worker(10, "ready", model.now - 1.0)
-    model.step(0.1, [face.Listed("changes", (cold,))])
+    model.step(0.1, [EndpointsUpdated("changes", (cold,))])
     reached = set()
     for _ in range(25):
         model.step(0.1, [])
@@ -161,11 +178,11 @@
 
 def test_letting_in_again_is_not_held_back_by_the_messages_that_changes_leave() -> None:
     model = started()
-    for times in model.module.account.written.values():
+    for times in model.module.budget.sent_times.values():
         times.extend([model.now] * (15 - len(times)))
-    model.step(0.1, [face.Listed("changes", tuple(worker(n, "draining") for n in range(9)))])
+    model.step(0.1, [EndpointsUpdated("changes", tuple(worker(n, "draining") for n in range(9)))])
     assert len(model.withdrawn) == 9
-    model.step(0.1, [face.Listed("changes", FLEET)])
+    model.step(0.1, [EndpointsUpdated("changes", FLEET)])
     assert not model.withdrawn and not model.broken
 
 
@@ -176,12 +193,12 @@
 
 
 def test_a_crowd_of_joiners_soon_has_a_table() -> None:
-    model = joined(60, 60, standing=3)
+    model = joined(60, 60, initial_subset_size=3)
     fleet(model, {}, 1.5)
     assert all(number for tables in model.holds.values() for number, _ in tables.values())
     lost = set(model.tables[model.bound[59][0]])
     gone = [worker(n, "gone") for n in range(60) if worker(n).id in lost]
-    model.step(0.1, [face.Listed("changes", tuple(gone))])
+    model.step(0.1, [EndpointsUpdated("changes", tuple(gone))])
     assert (
         lost and not lost & model.tables[model.bound[59][0]].keys()
     )  # not left with those who are gone
@@ -189,9 +206,9 @@
 
 def test_in_a_crowded_channel_a_change_sends_differences_alone() -> None:
     model = crowd()
-    model.step(0.1, [face.Listed("changes", (worker(31), worker(4, "gone")))])
+    model.step(0.1, [EndpointsUpdated("changes", (worker(31), worker(4, "gone")))])
     orders = fleet(model, {n: (20, 0, 0.2) for n in range(5, 30)}, 4.0)
-    assert not [order for order in orders if isinstance(order, face.Bind)] and not model.broken
+    assert not [order for order in orders if isinstance(order, AssignTable)] and not model.broken
     assert all(
         worker(31).id in held for tables in model.holds.values() for _, held in tables.values()
     )
@@ -199,9 +216,13 @@
 
 def test_a_mass_of_workers_gone_is_answered_with_small_tables() -> None:
     model = crowd()
-    model.module.account.rate = 300.0  # a line for each worker and proxy would take two seconds
-    model.step(0.1, [face.Listed("changes", tuple(worker(n, "gone") for n in range(15)))])
-    assert {order.proxy for order in model.orders if isinstance(order, face.Bind)} == set(range(40))
+    model.module.budget.entries_per_second = (
+        300.0  # a line for each worker and proxy would take two seconds
+    )
+    model.step(0.1, [EndpointsUpdated("changes", tuple(worker(n, "gone") for n in range(15)))])
+    assert {order.proxy for order in model.orders if isinstance(order, AssignTable)} == set(
+        range(40)
+    )
 
 
 def test_a_drain_passes_in_a_slow_channel_whatever_health_and_levels_want() -> None:
@@ -209,7 +230,7 @@
     model.pace = 0.1
     fleet(model, {n: (20, 20 if n % 5 == 0 else 9, 1.2) for n in range(30)}, 8.0)
     assert sum(lines for _, lines, _ in model.queue) <= 600  # rather than all that the limit allows
-    model.step(0.1, [face.Listed("changes", (worker(7, "draining"),))])
+    model.step(0.1, [EndpointsUpdated("changes", (worker(7, "draining"),))])
     assert worker(7).id in model.withdrawn
 
 
@@ -222,7 +243,7 @@
 def test_a_cold_worker_waits_outside_while_a_tenth_of_all_tries_is_voided() -> None:
     model = started(12.0)
     fleet(model, {n: (20, 20 if n < 4 else 0, 0.2) for n in range(9)}, 0.5)
-    model.step(0.1, [face.Listed("changes", (worker(10, "ready", model.now - 1.0),))])
+    model.step(0.1, [EndpointsUpdated("changes", (worker(10, "ready", model.now - 1.0),))])
     assert worker(10).id in model.withdrawn
 
 
@@ -231,20 +252,23 @@
 ):
     for share, out in ((0.2, {worker(4).id}), (0.05, set())):
         model = started()
-        model.step(0.1, [face.Trusted(share)])
+        model.step(0.1, [PartitionLimitsChanged(share)])
         fleet(model, {n: (20, 12 if n == 4 else 0, 0.2) for n in range(9)}, 4.0)
         assert model.withdrawn == out
     model = started()
-    model.step(0.1, [face.Trusted(0.05)])
+    model.step(0.1, [PartitionLimitsChanged(0.05)])
     fleet(model, {n: (20, 20 if n == 4 else 0, 0.2) for n in range(9)}, 4.0)
     assert model.withdrawn == {worker(4).id}
 
 
 def test_what_others_met_is_evidence_on_workers_and_none_on_our_own_load() -> None:
     model = started()
-    before = model.module.gate.settled
-    model.step(0.1, [face.Met("", worker(4).id, 40.0, 40.0, 0.0, 0.5, own=False)])
-    assert model.module.gate.settled == before and model.module.health.voided[4] >= 40.0
+    before = model.module.admission_controller.succeeded
+    model.step(0.1, [EndpointReported("", worker(4).id, 40.0, 40.0, 0.0, 0.5, local=False)])
+    assert (
+        model.module.admission_controller.succeeded == before
+        and model.module.outlier_detector.failed[4] >= 40.0
+    )
 
 
 def shares(model: Model, n: int) -> set[float]:
@@ -255,11 +279,11 @@
 def test_half_of_a_set_steps_no_ramp_and_goes_on_once_more_are_in_touch() -> None:
     for raises in (True, False):
         model = started(12.0)
-        model.step(0.1, [face.Listed("changes", (worker(10, "ready", model.now - 0.5),))])
-        model.step(0.1, [face.Trusted(0.1, True, raises)])
+        model.step(0.1, [EndpointsUpdated("changes", (worker(10, "ready", model.now - 0.5),))])
+        model.step(0.1, [PartitionLimitsChanged(0.1, True, raises)])
         fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 9.0)
         assert shares(model, 10) == ({0.5} if raises else {0.25})
-        model.step(0.1, [face.Trusted(0.2)])
+        model.step(0.1, [PartitionLimitsChanged(0.2)])
         fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 4.0)
         assert shares(model, 10) == {0.75}, "as its age says, by which the rules go as well"
 
@@ -268,11 +292,11 @@
     slow = {n: (20, 12 if n == 4 else 0, 1.0 if n == 4 else 0.2) for n in range(9)}
     for begin in (True, False):
         model = started()
-        model.step(0.1, [face.Trusted(0.2, begin, begin)])
+        model.step(0.1, [PartitionLimitsChanged(0.2, begin, begin)])
         fleet(model, slow, 5.0)
         assert shares(model, 4) == {0.5 if begin else 1.0}
-        model.step(0.1, [face.Listed("changes", (worker(10), worker(2, "draining")))])
-        model.step(0.1, [face.Joined(9, ZONES[0], 5.0, True)])
+        model.step(0.1, [EndpointsUpdated("changes", (worker(10), worker(2, "draining")))])
+        model.step(0.1, [ProxyConnected(9, ZONES[0], 5.0, True)])
         fleet(model, slow, 5.0)
         assert worker(2).id in model.withdrawn or not shares(model, 2)
         assert shares(model, 10) == {1.0} and 9 in model.bound
@@ -282,7 +306,7 @@
     """Each steers a fifth of the proxies, and raises by the worker's age: parts of the traffic add up to the share."""
     models = [started(12.0, seed=n) for n in range(6)]
     for model in models:
-        model.step(0.1, [face.Listed("changes", (worker(10, "ready", model.now - 0.5),))])
+        model.step(0.1, [EndpointsUpdated("changes", (worker(10, "ready", model.now - 0.5),))])
     for _ in range(24):
         for model in models:
             fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 1.0)
@@ -305,7 +329,7 @@
         model.step(
             0.1,
             [
-                face.Listed(
+                EndpointsUpdated(
                     "changes", tuple(worker(n, "ready", model.now - 1.0) for n in range(replaced))
                 )
             ],
@@ -320,13 +344,13 @@
 
 
 def test_a_probe_of_a_worker_that_went_or_started_again_meanwhile_says_nothing_of_it() -> None:
-    model = started(may_probe=True)
+    model = started(can_check_health=True)
     fleet(model, {n: (20, 20 if n == 4 else 0, 0.2) for n in range(9)}, 2.0)
     assert model.withdrawn == {worker(4).id}
-    model.step(0.1, [face.Listed("changes", (worker(4, "gone"),))])
-    model.step(0.1, [face.Probed(worker(4).id, True, "ok", 0.1)])
+    model.step(0.1, [EndpointsUpdated("changes", (worker(4, "gone"),))])
+    model.step(0.1, [HealthCheckCompleted(worker(4).id, True, "ok", 0.1)])
     assert worker(4).id in model.withdrawn
-    model.step(0.1, [face.Listed("changes", (worker(4, "ready", model.now - 1.0),))])
-    cap = model.module.health.cap[4]
-    model.step(0.1, [face.Probed(worker(4).id, False, "timeout", 0.4)])
-    assert model.module.health.cap[4] == cap == 1.0 and not model.broken
+    model.step(0.1, [EndpointsUpdated("changes", (worker(4, "ready", model.now - 1.0),))])
+    cap = model.module.outlier_detector.weight_limits[4]
+    model.step(0.1, [HealthCheckCompleted(worker(4).id, False, "timeout", 0.4)])
+    assert model.module.outlier_detector.weight_limits[4] == cap == 1.0 and not model.broken
--- a/tests/test_small.py
+++ b/tests/decision/test_subsets.py
@@ -4,38 +4,49 @@
 
 import pytest
 
-from dunlinlug import interface as face
-from tests.helpers import ZONES, Model, trade, worker
+from dunlinlug.decision.events import (
+    DemandReported,
+    EndpointReported,
+    EndpointsUpdated,
+    Event,
+    ProxyConnected,
+    ProxyDisconnected,
+)
+from dunlinlug.decision.orders import AssignTable, Order
+from dunlinlug.decision.settings import ChannelSettings, SafetyLimits
+from tests.decision.rules_model import ZONES, Model, trade, worker
 
 WORKERS, PROXIES = 60, 200
 SCANT = {
-    "channel": face.Channel(400.0, 4.0, 6000.0, 0.2, 0.5, 30, 10.0),
-    "standing": 6,
-    "duties": face.Duties(30.0, 20.0, 10.0, 16.0, 0.2, 3.0, 2.0),
+    "channel": ChannelSettings(400.0, 4.0, 6000.0, 0.2, 0.5, 30, 10.0),
+    "initial_subset_size": 6,
+    "safety_limits": SafetyLimits(30.0, 20.0, 10.0, 16.0, 0.2, 3.0, 2.0),
 }
 
 
 def scant(rates: list[float] | None = None, workers: int = WORKERS) -> Model:
     """All have joined and hold a small table."""
     model = Model(trade(**SCANT))
-    model.step(0.1, [face.Listed("kept", tuple(worker(n) for n in range(workers)))])
+    model.step(0.1, [EndpointsUpdated("kept", tuple(worker(n) for n in range(workers)))])
     model.step(
         0.1,
-        [face.Joined(p, ZONES[p % 3], rates[p] if rates else 5.0, True) for p in range(PROXIES)],
+        [ProxyConnected(p, ZONES[p % 3], rates[p] if rates else 5.0, True) for p in range(PROXIES)],
     )
     meet(model, 12.0)
     assert all(number for tables in model.holds.values() for number, _ in tables.values())
     return model
 
 
-def meet(model: Model, seconds: float, voiding: frozenset[int] = frozenset()) -> list[face.Order]:
-    orders: list[face.Order] = []
+def meet(model: Model, seconds: float, voiding: frozenset[int] = frozenset()) -> list[Order]:
+    orders: list[Order] = []
     for _ in range(round(seconds / 0.5)):
         heard = [worker(n) for n in range(120) if worker(n).id in model.listed]
         model.step(
             0.5,
             [
-                face.Met(w.zone, w.id, 20, 20 if int(w.id[7:-3]) in voiding else 0, 0.2, 0.5)
+                EndpointReported(
+                    w.zone, w.id, 20, 20 if int(w.id[7:-3]) in voiding else 0, 0.2, 0.5
+                )
                 for w in heard
             ],
         )
@@ -59,7 +70,7 @@
 def test_nobody_is_sent_the_whole_table_and_every_worker_is_in_use() -> None:
     model = scant()
     orders = meet(model, 20.0)
-    assert not any(isinstance(order, face.Bind) for order in orders)  # each was bound once
+    assert not any(isinstance(order, AssignTable) for order in orders)  # each was bound once
     assert max(sizes(model)) <= 7 and len(used(model)) == WORKERS and not model.broken
 
 
@@ -69,11 +80,15 @@
     for n in range(30):
         model.step(
             0.1,
-            [face.Listed("changes", (worker(n, "draining"), worker(60 + n, "ready", model.now)))],
+            [
+                EndpointsUpdated(
+                    "changes", (worker(n, "draining"), worker(60 + n, "ready", model.now))
+                )
+            ],
         )
         meet(model, 0.5)
     for n in range(30):
-        model.step(0.1, [face.Listed("changes", (worker(n, "gone"),))])
+        model.step(0.1, [EndpointsUpdated("changes", (worker(n, "gone"),))])
     began = model.now
     while model.now < began + 30.0:
         meet(model, 0.5)
@@ -115,8 +130,8 @@
     dealt = []
     for seed in (1, 2):
         model = Model(trade(**SCANT, seed=seed))
-        model.step(0.1, [face.Listed("kept", tuple(worker(n) for n in range(WORKERS)))])
-        model.step(0.1, [face.Joined(p, "north", 5.0, True) for p in range(PROXIES)])
+        model.step(0.1, [EndpointsUpdated("kept", tuple(worker(n) for n in range(WORKERS)))])
+        model.step(0.1, [ProxyConnected(p, "north", 5.0, True) for p in range(PROXIES)])
         dealt.append({frozenset(table) for table in model.tables.values()})
     assert len(dealt[0] & dealt[1]) <= 1  # the whole one, which is laid and not sent
 
@@ -124,7 +139,7 @@
 def test_a_fleet_replaced_at_once_is_dealt_anew() -> None:
     model = scant()
     news = [worker(n, "gone") for n in range(50)] + [worker(n) for n in range(60, 110)]
-    model.step(0.1, [face.Listed("changes", tuple(news))])
+    model.step(0.1, [EndpointsUpdated("changes", tuple(news))])
     meet(model, 25.0)
     for tables in model.holds.values():
         usable = set(tables[0][1]) - model.withdrawn
@@ -134,7 +149,7 @@
 
 def test_who_stays_when_others_leave_gets_the_whole_table() -> None:
     model = scant()
-    model.step(0.1, [face.Left(p) for p in range(20, PROXIES)])
+    model.step(0.1, [ProxyDisconnected(p) for p in range(20, PROXIES)])
     meet(model, 20.0)
     assert sizes(model) == {WORKERS} and not model.broken
 
@@ -144,32 +159,32 @@
     chance, model = Random(seed), scant()
     ready = set(range(WORKERS))
     for _ in range(150):
-        events: list[face.Event] = []
+        events: list[Event] = []
         turn = chance.random()
         if turn < 0.2:
             events = (
-                [face.Left(p) for p in chance.sample(sorted(model.joined), 20)]
+                [ProxyDisconnected(p) for p in chance.sample(sorted(model.joined), 20)]
                 if len(model.joined) > 40
                 else []
             )
         elif turn < 0.4:
             away = sorted(set(range(PROXIES)) - model.joined.keys())
             events = [
-                face.Joined(p, ZONES[p % 3], 5.0, False) for p in away[: chance.randrange(1, 60)]
+                ProxyConnected(p, ZONES[p % 3], 5.0, False) for p in away[: chance.randrange(1, 60)]
             ]
         elif turn < 0.6:
             n = chance.randrange(90)
             state = "ready" if n not in ready else chance.choice(["draining", "gone"])
             if state == "ready" or len(ready) > 20:
                 (ready.add if state == "ready" else ready.discard)(n)
-                events = [face.Listed("changes", (worker(n, state, model.now - 1.0),))]
+                events = [EndpointsUpdated("changes", (worker(n, state, model.now - 1.0),))]
         bad = frozenset(chance.sample(range(90), 6))
         model.step(
             0.2,
             [
                 *events,
                 *(
-                    face.Met(worker(n).zone, worker(n).id, 9, 9 * (n in bad), 0.2, 0.5)
+                    EndpointReported(worker(n).zone, worker(n).id, 9, 9 * (n in bad), 0.2, 0.5)
                     for n in chance.sample(sorted(ready), 15)
                 ),
             ],
@@ -187,13 +202,13 @@
                 0.5,
                 [
                     *(
-                        face.Met(ZONES[n % 3], worker(n).id, 20, 8, 1.2, 0.5, load)
+                        EndpointReported(ZONES[n % 3], worker(n).id, 20, 8, 1.2, 0.5, load)
                         for n in range(WORKERS)
                     ),
-                    *(face.Asked(1, name, 10 * WORKERS, 0, 0.5) for name in ("read", "book")),
+                    *(DemandReported(1, name, 10 * WORKERS, 0, 0.5) for name in ("read", "book")),
                 ],
             )
-        shares.append(model.module.gate.share)
+        shares.append(model.module.admission_controller.admitted_fraction)
     return shares[0], shares[1]
 
 
@@ -216,18 +231,18 @@
         model.step(
             0.5,
             [
-                face.Met(ZONES[n % 3], worker(n).id, 20, 0, 0.2, 0.5, {"queue": 0.0})
+                EndpointReported(ZONES[n % 3], worker(n).id, 20, 0, 0.2, 0.5, {"queue": 0.0})
                 for n in range(WORKERS)
             ],
         )
-    assert model.module.gate.share == 1.0
+    assert model.module.admission_controller.admitted_fraction == 1.0
 
 
 def test_in_fleets_whose_reports_are_young_queues_open_nothing() -> None:
     """Danger: what is refused empties the queues, and the gate would swing open and shut."""
     model = Model(trade())
-    model.step(0.1, [face.Listed("kept", tuple(worker(n) for n in range(9)))])
-    model.step(0.1, [face.Joined(p, ZONES[p % 3], 5.0, True) for p in range(6)])
+    model.step(0.1, [EndpointsUpdated("kept", tuple(worker(n) for n in range(9)))])
+    model.step(0.1, [ProxyConnected(p, ZONES[p % 3], 5.0, True) for p in range(6)])
     meet(model, 5.0)
     before, after = jam(model, queue=0.0)
-    assert not model.module.scant and after <= before
+    assert not model.module.is_channel_constrained and after <= before
--- /dev/null
+++ b/tests/decision/test_turn_costs.py
@@ -0,0 +1,234 @@
+"""What a turn costs goes with what changed, not with what there is: counted in bytecode instructions
+run, never in time, nor in lines, whose number goes with the formatting.
+
+The same events come to a small deployment and to a large one. The former text, and the present one with a shortcut
+taken out, must be seen to cost more.
+"""
+
+import sys
+from collections.abc import Callable, Iterator
+from itertools import islice
+from pathlib import Path
+from types import FrameType
+from typing import Any
+
+import pytest
+
+from dunlinlug import balance, decision
+from dunlinlug.balance import Balancer
+from dunlinlug.decision.events import (
+    Acknowledged,
+    DemandReported,
+    Endpoint,
+    EndpointReported,
+    EndpointsUpdated,
+    Event,
+    ProxyConnected,
+    TimerFired,
+)
+from dunlinlug.decision.orders import RequestAcknowledgement, SetTimer
+from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, SafetyLimits, TrafficClass
+from dunlinlug.decision.state.assignments import Assignments, Table
+from dunlinlug.decision.state.coverage import Coverage
+from dunlinlug.decision.state.desired_weights import DesiredWeights
+from dunlinlug.decision.state.endpoints import Fleet
+from dunlinlug.decision.state.outlier_statistics import OutlierStatistics
+from tests import reference_model
+from tests.reference_model.balance import Balancer as Former
+
+History = Callable[[], Iterator[list[Event]]]
+PROXIES, STEP = 20, 0.1  # seconds between turns
+TEXT = (
+    Path(balance.__file__),
+    Path(decision.__file__).parent,
+    Path(reference_model.__file__).parent,
+)  # files and packages whose instructions count
+
+
+def worker(n: int, state: str = "ready", since: float | None = None) -> Endpoint:
+    return Endpoint(f"10.0.{n // 250}.{n % 250}:80", "abc"[n % 3], "", 0, state, 1.0, since)
+
+
+def trade(products: int) -> ManagerSettings:
+    return ManagerSettings(
+        seed=1,
+        zone="a",
+        traffic_classes=tuple(TrafficClass(f"p{k}", 0.8, 2.0, 1.0 + k) for k in range(products)),
+        admission_mode="share",
+        can_check_health=True,
+        initial_subset_size=6,
+        channel=ChannelSettings(1300.0, 4.0, 2350.0, 0.25, 0.5, 30),
+        safety_limits=SafetyLimits(4.7, 3.0, 10.0, 18.0, 0.2, 3.0, 2.0),
+    )
+
+
+class Counter:
+    """Bytecode instructions of the module that ran."""
+
+    def __init__(self) -> None:
+        self.instructions = 0
+
+    def local(self, frame: FrameType, event: str, arg: object) -> Any:
+        self.instructions += event == "opcode"
+        return self.local
+
+    def begin(self, frame: FrameType, event: str, arg: object) -> Any:
+        path = Path(frame.f_code.co_filename)
+        if not any(path.is_relative_to(counted) for counted in TEXT):
+            return None
+        frame.f_trace_lines, frame.f_trace_opcodes = False, True
+        return self.local
+
+    def run(self, act: Callable[[], Any]) -> Any:
+        before = sys.gettrace()
+        sys.settrace(self.begin)
+        try:
+            return act()
+        finally:
+            sys.settrace(before)
+
+
+class Played:
+    """One manager; every mark is answered by all a while later."""
+
+    def __init__(self, workers: int, products: int = 2, module: Any = Balancer) -> None:
+        self.module, self.now, self.counter = module(trade(products)), 0.0, Counter()
+        self.due: list[tuple[float, Event]] = []
+        self.turn([EndpointsUpdated("kept", tuple(worker(n) for n in range(workers)))])
+        self.turn([ProxyConnected(p, "abc"[p % 3], 5.0, True) for p in range(PROXIES)])
+        for _ in range(120):
+            self.turn([])
+
+    def turn(self, events: list[Event], counted: bool = False) -> int:
+        """Instructions that ran, if counted."""
+        self.now += STEP
+        events = [*events, *(event for at, event in self.due if at <= self.now)]
+        self.due = [entry for entry in self.due if entry[0] > self.now]
+        before = self.counter.instructions
+        act = lambda: self.module.decide(self.now, events)  # noqa: E731
+        for order in self.counter.run(act) if counted else act():
+            if isinstance(order, RequestAcknowledgement):
+                self.due += [
+                    (self.now + 0.3, Acknowledged(p, order.ack_number, 0.3)) for p in range(PROXIES)
+                ]
+            elif isinstance(order, SetTimer):
+                self.due.append((self.now + order.delay, TimerFired(order.token)))
+        return self.counter.instructions - before
+
+
+def reports() -> Iterator[list[Event]]:
+    """Four seconds of reports of workers that each size has; one of eight fails."""
+    for n in range(40):
+        rows = [(7 * n + m) % 200 for m in range(6)]
+        yield [
+            *(
+                EndpointReported("a", worker(i).id, 12, 8 if i % 8 == 0 else 0, 0.2, 0.5)
+                for i in rows
+            ),
+            DemandReported(n % PROXIES, "p0", 4, 0, 0.5),
+        ]
+
+
+def release() -> Iterator[list[Event]]:
+    """Thirty workers are replaced, each by news of its own."""
+    for n in range(30):
+        yield [EndpointsUpdated("changes", (worker(n, "draining"),))]
+        yield [EndpointsUpdated("changes", (worker(n, "ready", 1.0 + n / 10),))]
+
+
+def cost(events: History, *size: int, module: Any = Balancer, turns: int = 60) -> float:
+    """Instructions a turn, on the mean of so many at most."""
+    played = Played(*size, module=module)
+    counts = [played.turn(batch, counted=True) for batch in islice(events(), turns)]
+    return sum(counts) / len(counts)
+
+
+def grows(events: History, few: int, many: int, module: Any = Balancer, turns: int = 60) -> float:
+    return cost(events, many, 2, module=module, turns=turns) / cost(
+        events, few, 2, module=module, turns=turns
+    )
+
+
+@pytest.mark.parametrize("events", [reports, release])
+def test_a_turn_does_not_go_with_the_workers(events: History) -> None:
+    assert grows(events, 1500, 5000) <= 1.05  # small tables are tended at both
+    assert (
+        grows(events, 200, 1500) <= 3.0
+    )  # at 200 one table goes to all, so that there is nothing to tend
+
+
+@pytest.mark.parametrize(("events", "each"), [(reports, 510), (release, 770)])
+def test_a_product_costs_a_turn_few_instructions(events: History, each: int) -> None:
+    """Not the workers of its table: that were 200 for each."""
+    assert cost(events, 200, 270) - cost(events, 200, 2) <= 268 * each
+
+
+def test_the_former_text_goes_with_the_workers() -> None:
+    assert grows(reports, 200, 800, Former, 10) > 3.0
+    assert (
+        cost(reports, 200, 20, module=Former, turns=10)
+        - cost(reports, 200, 2, module=Former, turns=10)
+        > 18 * 2700
+    )
+
+
+def walks_all(
+    self: DesiredWeights, table: Table, desired: dict[int, float], include_missing: bool = True
+) -> set[int]:
+    rows = {**table.weights, **desired} if include_missing else table.weights
+    return {i for i in rows if table.weights.get(i) != desired.get(i)}
+
+
+def tells_all(self: Assignments, rows: set[int], ready: list[bool]) -> None:
+    for i in rows:
+        for table in self.tables.values():
+            (
+                table.unready_rows.add
+                if i in table.weight_fractions and not ready[i]
+                else table.unready_rows.discard
+            )(i)
+
+
+FAULTS: dict[str, tuple[History, type, str, Callable[..., object]]] = {
+    "differences are walked": (reports, DesiredWeights, "differing_rows", walks_all),
+    "all are judged": (
+        reports,
+        OutlierStatistics,
+        "due_recoveries",
+        lambda self, now: [i for i in self.ready_rows if self.weight_limits[i]],
+    ),
+    "who is out is walked": (
+        reports,
+        OutlierStatistics,
+        "due_ejections",
+        lambda self, now: [
+            i
+            for i in sorted(self.ready_rows)
+            if not self.weight_limits[i] and self.due_at[i] <= now
+        ],
+    ),
+    "all are planned anew": (
+        reports,
+        Fleet,
+        "take_changed_rows",
+        lambda self: set(self.ready_rows),
+    ),
+    "who is in no table is walked": (
+        reports,
+        Coverage,
+        "find_uncovered",
+        lambda self, weights, log, truncated: [
+            i for i in sorted(weights) if i not in self.table_counts
+        ],
+    ),
+    "who goes is told to all tables": (release, Assignments, "set_ready", tells_all),
+}
+
+
+@pytest.mark.parametrize("name", FAULTS)
+def test_a_shortcut_taken_out_is_seen(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    events, book, method, fault = FAULTS[name]
+    monkeypatch.setattr(book, method, fault)
+    text = Path(__file__)  # the fault's own instructions count
+    monkeypatch.setattr("tests.decision.test_turn_costs.TEXT", (*TEXT, text))
+    assert grows(events, 1500, 3000, turns=10) > 1.05
--- a/tests/test_members_wire.py
+++ b/tests/fleet/membership/test_transport.py
@@ -9,29 +9,39 @@
 import pytest
 import trio
 
-from dunlinlug.fleet.members import codec, standing
-from dunlinlug.fleet.members.host import Membership
-from dunlinlug.fleet.members.link import CALLS
-from dunlinlug.fleet.members.words import ALIVE, Ack, Extra, Ping, Row, Told, Whole
-from tests.fleet import free_ports
+from dunlinlug.fleet.membership import codec, partition
+from dunlinlug.fleet.membership.messages import (
+    ALIVE,
+    Ack,
+    Broadcast,
+    MemberState,
+    Ping,
+    ReachabilityReport,
+    StateSync,
+)
+from dunlinlug.fleet.membership.service import Membership
+from dunlinlug.fleet.membership.transport import MAX_DELEGATED_CONNECTIONS
+from tests.fixtures.manager_set import free_ports
 
 KEY, NEW = bytes(range(32)), bytes(32)
-OWN = Told("a", (3, 1), ALIVE, ("127.0.0.1", 9), "a")
-PING = Ping(OWN, "b", 7, b"12345678", (Row("a", (3, 1), ("c",)), Extra("k", b"x")))
+OWN = MemberState("a", (3, 1), ALIVE, ("127.0.0.1", 9), "a")
+PING = Ping(
+    OWN, "b", 7, b"12345678", (ReachabilityReport("a", (3, 1), ("c",)), Broadcast("k", b"x"))
+)
 
 
 def test_words_come_back_and_each_damage_is_refused() -> None:
-    sealer, opener = codec.Sealer(KEY, b"boot-one"), codec.Opener([NEW, KEY])
+    sealer, opener = codec.DatagramSealer(KEY, b"boot-one"), codec.DatagramOpener([NEW, KEY])
     data = sealer.seal(PING)
     assert opener.open(data) == PING
     for bad, why in (
         (data, "replay"),
         (data[:20], "size"),
         (b"\2" + data[1:], "version"),
-        (codec.Sealer(b"k" * 32, b"boot-two").seal(PING), "key"),
+        (codec.DatagramSealer(b"k" * 32, b"boot-two").seal(PING), "key"),
         (data[:-1] + b"?", "seal"),
     ):
-        with pytest.raises(codec.Refused, match=why):
+        with pytest.raises(codec.DatagramRejectedError, match=why):
             opener.open(bad)
 
 
@@ -39,35 +49,35 @@
     """Old and new side by side: what a later version adds at the end, an earlier one reads without."""
 
     class Later(msgspec.Struct, array_like=True, tag="a"):
-        own: Told
+        own: MemberState
         to: str
         seq: int
         of: str
         lived: int
         digest: bytes
-        gossip: tuple[Extra, ...]
+        gossip: tuple[Broadcast, ...]
         load: float
 
-    sealer = codec.Sealer(KEY, b"boot-one")
+    sealer = codec.DatagramSealer(KEY, b"boot-one")
     data = sealer.seal(Later(OWN, "b", 1, "a", 3, b"", (), 0.5))  # type: ignore[arg-type]
-    assert codec.Opener([KEY]).open(data) == Ack(OWN, "b", 1, "a", 3, b"")
+    assert codec.DatagramOpener([KEY]).open(data) == Ack(OWN, "b", 1, "a", 3, b"")
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_window_takes_each_number_once_in_any_order(seed: int) -> None:
-    chance, window, seen, highest = Random(seed), codec.Window(), set[int](), 0
+    chance, window, seen, highest = Random(seed), codec.ReplayWindow(), set[int](), 0
     for _ in range(3000):
         number = max(1, highest + chance.choice([1, 1, 2, -1, -3, -50, -1030, 400]))
-        plain = number not in seen and (number > highest or highest - number < codec.WINDOW)
-        assert window.fresh(number) == plain, (number, highest)
+        plain = number not in seen and (number > highest or highest - number < codec.REPLAY_WINDOW)
+        assert window.accept(number) == plain, (number, highest)
         seen.add(number)
         highest = max(highest, number)
 
 
 def test_fuzzed_datagrams_raise_nothing_but_refusals() -> None:
     """Signed by a key of ours, so that the words themselves are read."""
-    chance, opener = Random(5), codec.Opener([KEY])
-    whole, refused = msgspec.msgpack.encode(Whole(OWN, "b", True, (OWN, PING.gossip[0]))), 0
+    chance, opener = Random(5), codec.DatagramOpener([KEY])
+    whole, refused = msgspec.msgpack.encode(StateSync(OWN, "b", True, (OWN, PING.gossip[0]))), 0
     for n in range(4000):
         body = bytearray(msgspec.msgpack.encode(PING) if n % 2 else whole)
         for _ in range(chance.randrange(1, 4)):
@@ -80,11 +90,11 @@
                     body += b"\x00"
                 case 2:
                     body[at:at] = bytes(chance.choices(range(256), k=3))
-        head = codec.HEAD.pack(codec.VERSION, codec.short(KEY), b"boot-one", n + 1)
-        mac = codec.blake2b(head + body, key=KEY, digest_size=codec.MAC).digest()
+        head = codec.HEADER.pack(codec.FORMAT_VERSION, codec.key_id(KEY), b"boot-one", n + 1)
+        mac = codec.blake2b(head + body, key=KEY, digest_size=codec.MAC_BYTES).digest()
         try:
             opener.open(head + mac + bytes(body))
-        except codec.Refused:
+        except codec.DatagramRejectedError:
             refused += 1
     assert refused > 2000
 
@@ -105,44 +115,47 @@
 )
 def test_a_side_counts_by_the_set_agreed(size: int, touch: int, found: str) -> None:
     roll = [f"m{n}" for n in range(size)]
-    assert standing.standing(roll, [*roll[:touch], "a-stranger"]) == found
+    assert partition.partition_status(roll, [*roll[:touch], "a-stranger"]) == found
 
 
 def test_a_standing_is_ours_once_it_has_held_and_a_lost_answer_changes_nothing() -> None:
-    held, changes = standing.Held("all", 0.0, 0.2), list[float]()
+    held, changes = partition.Debounced("all", 0.0, 0.2), list[float]()
     for n, found in enumerate(
         ["most", "all", "most", "most", "few"] + ["few"] * 7 + ["all"] * 2 + ["few"]
     ):
-        if held.look(round(n * 0.2, 3), found):
+        if held.update(round(n * 0.2, 3), found):
             changes.append(n * 0.2)
     assert (
-        held.standing == "few"
+        held.status == "few"
         and changes == [pytest.approx(1.8)]
         and held.since == pytest.approx(1.8)
     )
 
 
 def test_means_never_grow_as_the_side_gets_smaller() -> None:
-    order = [standing.MEANS[name] for name in ("all", "most", "half", "few", "alone")]
+    order = [partition.LIMITS_BY_STATUS[name] for name in ("all", "most", "half", "few", "alone")]
     for larger, smaller in zip(order, order[1:], strict=False):
-        for name in ("trust", "begin", "raises", "plans"):
+        for name in ("max_ejected_fraction", "may_start_changes", "may_ramp_up", "may_plan_fleet"):
             assert getattr(larger, name) >= getattr(smaller, name)
-    assert not order[2].plans, "of two halves, both would plan"
+    assert not order[2].may_plan_fleet, "of two halves, both would plan"
 
 
 def test_what_is_between_two_is_named() -> None:
     rows = {
-        "a": Row("a", (1, 1), ("b",), ("b",)),
-        "b": Row("b", (1, 1), ("a",), ("a",)),
-        "c": Row("c", (1, 1), ("d",)),
-        "d": Row("d", (1, 1), (), ("c",)),
+        "a": ReachabilityReport("a", (1, 1), ("b",), ("b",)),
+        "b": ReachabilityReport("b", (1, 1), ("a",), ("a",)),
+        "c": ReachabilityReport("c", (1, 1), ("d",)),
+        "d": ReachabilityReport("d", (1, 1), (), ("c",)),
     }
     living = ("a", "b", "c", "d")
-    assert standing.named("a", "b", rows, living) == "cut from each other, and alive to others"
-    assert standing.named("c", "d", rows, living) == "c is not heard by d"
-    assert standing.named("d", "c", rows, living) == "c is not heard by d"
-    assert standing.named("a", "c", rows, living) == "in touch"
-    assert standing.named("a", "x", rows, living) == "x has failed"
+    assert (
+        partition.connection_summary("a", "b", rows, living)
+        == "cut from each other, and alive to others"
+    )
+    assert partition.connection_summary("c", "d", rows, living) == "c is not heard by d"
+    assert partition.connection_summary("d", "c", rows, living) == "c is not heard by d"
+    assert partition.connection_summary("a", "c", rows, living) == "in touch"
+    assert partition.connection_summary("a", "x", rows, living) == "x has failed"
 
 
 class Members:
@@ -178,7 +191,7 @@
             async with trio.open_nursery() as nursery:
                 await nursery.start(made.run)
                 task_status.started(scope)
-        self.ended[made.me].set()
+        self.ended[made.self_id].set()
 
     async def stop(self, name: str) -> None:
         """As by SIGKILL: without a goodbye."""
@@ -192,7 +205,7 @@
                 await trio.sleep(0.01)
 
     def stand(self, name: str) -> bool:
-        return all(member.standing == name for member in self.members.values())
+        return all(member.partition_status == name for member in self.members.values())
 
 
 @asynccontextmanager
@@ -222,42 +235,51 @@
         await run.stop("d")
         await run.until(
             lambda: all(
-                {row["member"]: row["state"] for row in m.state()["members"]}["d"] == "left"
+                {row["member"]: row["state"] for row in m.describe()["members"]}["d"] == "left"
                 for m in run.members.values()
             )
         )
         await run.start("e", born=2)
         await run.start("d", born=2)
         await run.until(lambda: run.stand("all"))
-        state = run.members["a"].state()
+        state = run.members["a"].describe()
         assert {row["start"] for row in state["members"]} == {1, 2} and state["standing"] == "all"
-        assert len({member.machine.table.digest() for member in run.members.values()}) == 1
+        assert len({member.protocol.table.digest() for member in run.members.values()}) == 1
 
 
 async def test_two_cut_sides_know_where_they_stand_and_come_together() -> None:
     async with members() as run:
         few = {run.places[name] for name in "de"}
         for name, member in run.members.items():
-            member.link.cut = lambda place, few=few, own=name in "de": (place in few) != own  # type: ignore[misc]
+            member.transport.is_blocked = lambda place, few=few, own=name in "de": (
+                (place in few) != own
+            )  # type: ignore[misc]
         await run.until(
             lambda: (
-                {name: m.standing for name, m in run.members.items()}
+                {name: m.partition_status for name, m in run.members.items()}
                 == dict(a="most", b="most", c="most", d="few", e="few")
             ),
             15.0,
         )
-        assert not run.members["d"].means.plans and run.members["a"].means.plans
+        assert (
+            not run.members["d"].partition_limits.may_plan_fleet
+            and run.members["a"].partition_limits.may_plan_fleet
+        )
         for member in run.members.values():
-            member.link.cut = lambda place: False
+            member.transport.is_blocked = lambda place: False
         await run.until(lambda: run.stand("all"), 15.0)
 
 
 async def test_a_key_is_changed_member_by_member_and_a_stranger_says_nothing() -> None:
     async with members("abc") as run:
         stranger = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
-        for data in (b"hello", codec.Sealer(b"k" * 32, b"stranger").seal(PING), bytes(1400)):
+        for data in (
+            b"hello",
+            codec.DatagramSealer(b"k" * 32, b"stranger").seal(PING),
+            bytes(1400),
+        ):
             await stranger.sendto(data, run.places["a"])
-        await run.until(lambda: sum(run.members["a"].link.refused.values()) == 3)
+        await run.until(lambda: sum(run.members["a"].transport.rejections.values()) == 3)
         for born, step in enumerate(([KEY, NEW], [NEW, KEY], [NEW]), 2):
             for name in "abc":
                 await run.stop(name)
@@ -269,14 +291,15 @@
 async def test_a_member_that_is_barred_is_out_until_it_is_let_in() -> None:
     async with members("abc") as run:
         with pytest.raises(ValueError, match="no member known here"):
-            run.members["a"].bar("nobody", True)
-        run.members["a"].bar("c", True)
+            run.members["a"].set_banned("nobody", True)
+        run.members["a"].set_banned("c", True)
         await run.until(
             lambda: (
-                run.members["b"].standing == "few" and run.members["c"].machine.state == "barred"
+                run.members["b"].partition_status == "few"
+                and run.members["c"].protocol.state == "barred"
             )
         )
-        run.members["b"].bar("c", False)
+        run.members["b"].set_banned("c", False)
         await run.until(lambda: run.stand("most"))
 
 
@@ -286,11 +309,14 @@
         def apart(on: bool) -> None:
             for name, member in run.members.items():
                 other = {run.places["c"]} if name != "c" else {run.places["a"], run.places["b"]}
-                member.link.cut = lambda place, other=other: on and place in other  # type: ignore[misc]
+                member.transport.is_blocked = lambda place, other=other: on and place in other  # type: ignore[misc]
 
         apart(True)
         await run.until(
-            lambda: run.members["c"].standing == "alone" and run.members["a"].standing == "few",
+            lambda: (
+                run.members["c"].partition_status == "alone"
+                and run.members["a"].partition_status == "few"
+            ),
             15.0,
         )
         for born, keys in ((5, [KEY, NEW]), (6, [NEW, KEY])):
@@ -299,9 +325,11 @@
                 await run.start(name, born, keys)
                 apart(True)
         apart(False)
-        await run.until(lambda: run.members["c"].link.refused["key"] > 5)
-        await run.until(lambda: run.members["a"].standing == "few")
-        assert run.members["c"].standing == "alone", "it hears nobody with a key that it knows"
+        await run.until(lambda: run.members["c"].transport.rejections["key"] > 5)
+        await run.until(lambda: run.members["a"].partition_status == "few")
+        assert run.members["c"].partition_status == "alone", (
+            "it hears nobody with a key that it knows"
+        )
         assert not any(
             said["now"] == "failed" and said["member"] in "ab"
             for name, event, said in run.log
@@ -321,20 +349,20 @@
             got.append(data)
             await trio.sleep_forever()
 
-        a.link.calls[b"S"] = take
+        a.transport.connection_handlers[b"S"] = take
         calls = list[trio.SocketStream]()
         with trio.fail_after(8.0):
-            for n in range(CALLS + 1):
+            for n in range(MAX_DELEGATED_CONNECTIONS + 1):
                 calls.append(await trio.open_tcp_stream(*run.places["a"]))
                 await calls[-1].send_all(b"S\x01b")
-                while len(got) < min(n + 1, CALLS):
+                while len(got) < min(n + 1, MAX_DELEGATED_CONNECTIONS):
                     await trio.sleep(0.001)
             assert await calls[-1].receive_some(1) == b"", "over the bound: closed"
-            while not a.link.refused["calls"]:
+            while not a.transport.rejections["calls"]:
                 await trio.sleep(0.001)
-        assert a.link.streams["calls"] == CALLS and got[0][:1] == b"S"
+        assert a.transport.streams["calls"] == MAX_DELEGATED_CONNECTIONS and got[0][:1] == b"S"
         b = await run.start("b")  # joins by a frame at that very door
         with trio.fail_after(5.0):
-            while not (a.machine.in_touch("b") and b.machine.in_touch("a")):
+            while not (a.protocol.is_reachable("b") and b.protocol.is_reachable("a")):
                 await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
--- a/tests/test_platform_messages.py
+++ b/tests/platform/test_messages.py
@@ -7,12 +7,26 @@
 
 import pytest
 
-from dunlinlug import interface as face
-from dunlinlug.manager.anchors import Anchors
-from dunlinlug.platform import messages, peers, servers
-from dunlinlug.platform.front import UNSENT_MOST, Connection
-from dunlinlug.platform.messages import Push, Unfit, Unreadable, write
-from dunlinlug.platform.peers import COLLECTORS_MOST, Peer, Peers, Turned
+from dunlinlug.decision.events import (
+    Acknowledged,
+    DemandReported,
+    Endpoint,
+    EndpointReported,
+    EndpointsUpdated,
+    Event,
+    ProxyConnected,
+    ProxyDisconnected,
+)
+from dunlinlug.manager.start_times import StartTimes
+from dunlinlug.platform import connections, discovery_state, messages
+from dunlinlug.platform.connections import (
+    MAX_COLLECTORS_PER_ZONE,
+    ConnectionRejected,
+    Peer,
+    PeerRegistry,
+)
+from dunlinlug.platform.messages import InvalidMessage, MalformedMessage, TableUpdate, encode
+from dunlinlug.platform.server import MAX_UNSENT_BYTES, Connection
 
 EXAMPLES = (
     b'{"@type":"agent","site":"a"}',
@@ -30,9 +44,9 @@
     """Peers at work: what the module is told, and who was ended."""
 
     def __init__(self) -> None:
-        self.told: list[face.Event] = []
+        self.told: list[Event] = []
         self.ended: list[Peer] = []
-        self.peers = Peers(
+        self.peers = PeerRegistry(
             ("a", "b"), 20, ("lookup", "order"), lambda w: w == "s-5be2a07c", self.told.append
         )
 
@@ -46,7 +60,7 @@
         return peer
 
     def say(self, peer: Peer, *lines: bytes, now: float = 1.0) -> bytes:
-        return self.peers.take(peer, b"".join(line + b"\n" for line in lines), now)
+        return self.peers.receive(peer, b"".join(line + b"\n" for line in lines), now)
 
 
 def test_streams_cut_at_every_byte_tell_the_same() -> None:
@@ -55,14 +69,16 @@
         collector, proxy = desk.peer(), desk.peer()
         for peer, lines in ((collector, [AGENT, PROBE, OUTCOMES]), (proxy, [HELLO, ACK, DEMAND])):
             data = b"\n".join(lines) + b"\n"
-            peer.marks[905] = 0.7
-            desk.peers.take(peer, data[:cut], 1.0)
-            desk.peers.take(peer, data[cut:], 1.0)
+            peer.pending_acks[905] = 0.7
+            desk.peers.receive(peer, data[:cut], 1.0)
+            desk.peers.receive(peer, data[cut:], 1.0)
         assert desk.told == [
-            face.Met("a", "s-5be2a07c", 212, 3, 41.7 / 1000, 1.0, {"held": 7.0, "busy": 0.61}),
-            face.Joined(17, "a", 21.5, True),
-            face.Answered(17, 905, 310.4 / 1000),
-            face.Asked(17, "lookup", 19, 0, 1.0),
+            EndpointReported(
+                "a", "s-5be2a07c", 212, 3, 41.7 / 1000, 1.0, {"held": 7.0, "busy": 0.61}
+            ),
+            ProxyConnected(17, "a", 21.5, True),
+            Acknowledged(17, 905, 310.4 / 1000),
+            DemandReported(17, "lookup", 19, 0, 1.0),
         ]
 
 
@@ -91,7 +107,7 @@
         HELLO.replace(b'"a"', b'"c"') + b"\n",
         AGENT.replace(b'"a"', b'"c"') + b"\n",
         b'{"@type":"agent","site":7}\n',
-        b'{"' + b"x" * messages.UNJOINED_MOST,
+        b'{"' + b"x" * messages.MAX_UNJOINED_LINE_BYTES,
         b'{"@type":"probe","x":' + b"[" * 3000 + b"\n",
         HELLO[:-1] + b',"rps":-1}\n',
         b'{"@type":"hello","id":17,"site":"a","rps":1,"new":1}\n',
@@ -101,8 +117,8 @@
 def test_a_stranger_that_can_t_be_read_or_used_is_turned_away(data: bytes) -> None:
     desk = Desk()
     peer = desk.peer()
-    with pytest.raises(Turned):
-        desk.peers.take(peer, data, 1.0)
+    with pytest.raises(ConnectionRejected):
+        desk.peers.receive(peer, data, 1.0)
     assert not peer.joined and not desk.told
 
 
@@ -150,12 +166,14 @@
 ) -> None:
     desk = Desk()
     peer = desk.joined(hello)
-    peer.marks.update({3: 0.9, 5: 0.9})
+    peer.pending_acks.update({3: 0.9, 5: 0.9})
     before = len(desk.told)
     desk.say(peer, good, json.dumps(spoilt).encode(), good)
     first, second = desk.told[before:]
-    assert first == second and isinstance(first, face.Asked | face.Met)
-    assert desk.peers.counts["spoilt"] + desk.peers.counts["unasked"] == 1 and set(peer.marks) == {
+    assert first == second and isinstance(first, DemandReported | EndpointReported)
+    assert desk.peers.counts["spoilt"] + desk.peers.counts["unasked"] == 1 and set(
+        peer.pending_acks
+    ) == {
         3,
         5,
     }
@@ -164,10 +182,10 @@
 def test_an_answer_settles_its_mark_and_those_before_it_once() -> None:
     desk = Desk()
     peer = desk.joined()
-    peer.marks.update({5: 0.5, 6: 0.6, 7: 0.7})
+    peer.pending_acks.update({5: 0.5, 6: 0.6, 7: 0.7})
     ack = b'{"@type":"ack","id":17,"seq":6,"ms":100}'
     desk.say(peer, ack, ack)
-    assert list(peer.marks) == [7] and desk.told[1:] == [face.Answered(17, 6, 0.1)]
+    assert list(peer.pending_acks) == [7] and desk.told[1:] == [Acknowledged(17, 6, 0.1)]
 
 
 def test_more_may_have_failed_than_came() -> None:
@@ -176,38 +194,38 @@
     desk.say(
         peer, HELLO, b'{"@type":"demand","id":17,"lane":"order","count":0,"fail":1,"over":500.0}'
     )
-    assert desk.told[1:] == [face.Asked(17, "order", 0, 1, 0.5)]
+    assert desk.told[1:] == [DemandReported(17, "order", 0, 1, 0.5)]
 
 
 def test_a_new_stream_takes_the_old_one_s_place_and_its_late_end_changes_nothing() -> None:
     desk = Desk()
     old, new = desk.joined(), desk.joined()
-    assert desk.ended == [old] and desk.peers.streams == {17: new}
-    desk.peers.left(old)
-    assert desk.peers.streams == {17: new}
+    assert desk.ended == [old] and desk.peers.peer_by_proxy == {17: new}
+    desk.peers.remove_peer(old)
+    assert desk.peers.peer_by_proxy == {17: new}
     assert desk.told == [
-        face.Joined(17, "a", 21.5, True),
-        face.Left(17),
-        face.Joined(17, "a", 21.5, True),
+        ProxyConnected(17, "a", 21.5, True),
+        ProxyDisconnected(17),
+        ProxyConnected(17, "a", 21.5, True),
     ]
-    desk.peers.left(new)
-    assert not desk.peers.streams and desk.told[3:] == [face.Left(17)]
+    desk.peers.remove_peer(new)
+    assert not desk.peers.peer_by_proxy and desk.told[3:] == [ProxyDisconnected(17)]
 
 
 def test_the_collector_that_brings_reports_outlasts_newcomers() -> None:
     desk = Desk()
     good = desk.joined(AGENT)
     desk.say(good, OUTCOMES)
-    for _ in range(2 * COLLECTORS_MOST):
+    for _ in range(2 * MAX_COLLECTORS_PER_ZONE):
         desk.joined(AGENT)
-    assert good not in desk.ended and len(desk.peers.collectors["a"]) == COLLECTORS_MOST
+    assert good not in desk.ended and len(desk.peers.collectors["a"]) == MAX_COLLECTORS_PER_ZONE
 
 
 def test_a_stream_that_goes_on_with_what_can_t_be_read_is_closed() -> None:
     desk = Desk()
     peer = desk.joined()
-    with pytest.raises(Turned):
-        desk.peers.take(peer, DEMAND + b"\n\x8f\x00garbage", 1.0)
+    with pytest.raises(ConnectionRejected):
+        desk.peers.receive(peer, DEMAND + b"\n\x8f\x00garbage", 1.0)
     assert len(desk.told) == 2  # what came before it counts
 
 
@@ -219,30 +237,34 @@
         data = bytearray(random.choice([line for line in EXAMPLES if line is not HELLO]) + b"\n")
         for _ in range(random.randrange(1, 6)):
             data[random.randrange(len(data))] = random.randrange(256)
-        with contextlib.suppress(Turned):
-            desk.peers.take(peer, bytes(data), 1.0)
-        desk.peers.left(peer)
+        with contextlib.suppress(ConnectionRejected):
+            desk.peers.receive(peer, bytes(data), 1.0)
+        desk.peers.remove_peer(peer)
         desk.told.clear()
         desk.say(good, DEMAND.replace(b"17", b"3"))
-        assert desk.told == [face.Asked(3, "lookup", 19, 0, 1.0)] and desk.peers.streams == {
-            3: good
-        }
+        assert desk.told == [
+            DemandReported(3, "lookup", 19, 0, 1.0)
+        ] and desk.peers.peer_by_proxy == {3: good}
 
 
 def test_a_flood_of_different_faults_keeps_a_few_samples() -> None:
     desk = Desk()
     for n in range(1000):
-        with pytest.raises(Turned):
+        with pytest.raises(ConnectionRejected):
             desk.say(desk.peer(), AGENT.replace(b'"a"', b'"none%d"' % n))
-        desk.peers.sample(f"turned away: {n}", b"x")
-    assert len(desk.peers.samples) == peers.SAMPLES_MOST
+        desk.peers.add_sample(f"turned away: {n}", b"x")
+    assert len(desk.peers.error_samples) == connections.MAX_SAMPLES
 
 
 def test_starts_are_reckoned_once_and_kept_for_the_listed_alone() -> None:
-    anchors, worker = Anchors(), face.Worker("w", "a", "", 0, "ready", 1.0, 100.0)
-    assert anchors.anchored(worker, -90.0).since == 10.0 == anchors.anchored(worker, -50.0).since
-    anchors.keep({"other": None})
-    assert not anchors.starts and anchors.anchored(worker, -50.0).since == 50.0
+    anchors, worker = StartTimes(), Endpoint("w", "a", "", 0, "ready", 1.0, 100.0)
+    assert (
+        anchors.to_module_clock(worker, -90.0).started_at
+        == 10.0
+        == anchors.to_module_clock(worker, -50.0).started_at
+    )
+    anchors.retain_only({"other": None})
+    assert not anchors.known_starts and anchors.to_module_clock(worker, -50.0).started_at == 50.0
 
 
 def test_what_waits_for_a_peer_that_does_not_read_is_bounded() -> None:
@@ -252,16 +274,18 @@
         link = Connection(ours, 0.0)
         for _ in range(100):
             link.write(b"x" * 2**16)
-            if link.why:
+            if link.end_reason:
                 break
-        assert link.why == "it does not read" and len(link.unsent) <= UNSENT_MOST + 2**16
+        assert (
+            link.end_reason == "it does not read" and len(link.unsent) <= MAX_UNSENT_BYTES + 2**16
+        )
         assert link.scope.cancel_called
 
 
 def test_orders_are_written_as_the_protocol_s_page_has_them() -> None:
     assert json.loads(
-        write(
-            Push(
+        encode(
+            TableUpdate(
                 routes=["lookup", "order"],
                 full=True,
                 endpoints=[("s-5be2a07c", 1.5)],
@@ -279,30 +303,30 @@
         "policy": 1,
         "continued": True,
     }
-    assert write(Push(eject=["s-77aa0310"], nonce_out=905)) == (
+    assert encode(TableUpdate(eject=["s-77aa0310"], nonce_out=905)) == (
         b'{"@type":"push","eject":["s-77aa0310"],"nonce_out":905}\n'
     )
-    assert write(Push()) == b'{"@type":"push"}\n'
+    assert encode(TableUpdate()) == b'{"@type":"push"}\n'
 
 
 def test_what_is_no_json_is_told_from_what_is_no_message() -> None:
     for line in (b'{"@type":"ack","id":1', b"nonsense", b'{"@type":"none",,}', b""):
-        with pytest.raises(Unreadable):
-            messages.read(line)
+        with pytest.raises(MalformedMessage):
+            messages.decode(line)
     for line in (
         b'{"@type":"ack","id":1}',
         b'{"@type":"none"}',
         b'{"a":' + b"[" * 40 + b"]" * 40 + b"}",
     ):
-        with pytest.raises(Unfit):
-            messages.read(line)
+        with pytest.raises(InvalidMessage):
+            messages.decode(line)
 
 
 def test_depth_is_bounded_before_anything_is_parsed() -> None:
-    deep = HELLO[:-1] + b',"x":' + b"[" * messages.DEEPEST + b"]" * messages.DEEPEST + b"}"
-    with pytest.raises(Unfit, match="deep"):
-        messages.read(deep)
-    assert messages.read(HELLO[:-1] + b',"x":[[]]}') == messages.Hello(17, "a", 21.5, True)
+    deep = HELLO[:-1] + b',"x":' + b"[" * messages.MAX_NESTING + b"]" * messages.MAX_NESTING + b"}"
+    with pytest.raises(InvalidMessage, match="deep"):
+        messages.decode(deep)
+    assert messages.decode(HELLO[:-1] + b',"x":[[]]}') == messages.ProxyHello(17, "a", 21.5, True)
 
 
 LIST = (
@@ -312,34 +336,44 @@
 
 
 def test_discovery_s_list_and_its_changes() -> None:
-    state = servers.Following(Random(1).uniform)
-    assert state.query() == "/v1/servers"
-    news = state.came(servers.read(LIST))
-    assert news == face.Listed(
-        "whole", (face.Worker("s-5be2a07c", "a", "m2", 3, "ready", 1.0, None),)
+    state = discovery_state.DiscoveryState(Random(1).uniform)
+    assert state.next_query() == "/v1/servers"
+    news = state.handle_response(discovery_state.decode_response(LIST))
+    assert news == EndpointsUpdated(
+        "whole", (Endpoint("s-5be2a07c", "a", "m2", 3, "ready", 1.0, None),)
     )
-    assert state.query() == "/v1/servers?index=41&wait=2000"
+    assert state.next_query() == "/v1/servers?index=41&wait=2000"
     changed = (
         LIST.replace(b"41", b"43")
         .replace(b"true", b"false")
         .replace(b"ready", b"draining")
         .replace(b'"startedAtMs":0', b'"startedAtMs":1500')
     )
-    news = state.came(servers.read(changed))
-    assert news == face.Listed(
-        "changes", (face.Worker("s-5be2a07c", "a", "m2", 3, "draining", 1.0, 1.5),)
+    news = state.handle_response(discovery_state.decode_response(changed))
+    assert news == EndpointsUpdated(
+        "changes", (Endpoint("s-5be2a07c", "a", "m2", 3, "draining", 1.0, 1.5),)
     )
-    assert state.came(servers.read(b'{"generation":43,"reset":false,"instances":[]}')) is None
-    assert state.query().startswith("/v1/servers?index=43&")
+    assert (
+        state.handle_response(
+            discovery_state.decode_response(b'{"generation":43,"reset":false,"instances":[]}')
+        )
+        is None
+    )
+    assert state.next_query().startswith("/v1/servers?index=43&")
 
 
 def test_a_version_that_went_back_asks_for_the_whole_list() -> None:
-    state = servers.Following(Random(1).uniform)
-    state.came(servers.read(LIST))
-    assert state.came(servers.read(b'{"generation":7,"reset":false,"instances":[]}')) is None
-    assert state.query() == "/v1/servers"
-    whole = state.came(servers.read(LIST.replace(b"41", b"7")))
-    assert whole is not None and whole.form == "whole" and "index=7&" in state.query()
+    state = discovery_state.DiscoveryState(Random(1).uniform)
+    state.handle_response(discovery_state.decode_response(LIST))
+    assert (
+        state.handle_response(
+            discovery_state.decode_response(b'{"generation":7,"reset":false,"instances":[]}')
+        )
+        is None
+    )
+    assert state.next_query() == "/v1/servers"
+    whole = state.handle_response(discovery_state.decode_response(LIST.replace(b"41", b"7")))
+    assert whole is not None and whole.update_type == "whole" and "index=7&" in state.next_query()
 
 
 @pytest.mark.parametrize(
@@ -357,24 +391,27 @@
     ],
 )
 def test_an_answer_that_is_no_list_changes_nothing(body: bytes) -> None:
-    with pytest.raises(servers.ServersFault):
-        servers.read(body)
+    with pytest.raises(discovery_state.DiscoveryError):
+        discovery_state.decode_response(body)
 
 
 def test_failures_are_waited_out_longer_up_to_a_bound() -> None:
-    state = servers.Following(Random(1).uniform)
-    pauses = [state.failed() for _ in range(40)]
-    assert 0.0 < pauses[0] <= servers.FIRST and max(pauses) <= servers.MOST
-    assert pauses[-1] >= servers.MOST / 2
+    state = discovery_state.DiscoveryState(Random(1).uniform)
+    pauses = [state.next_backoff() for _ in range(40)]
+    assert (
+        0.0 < pauses[0] <= discovery_state.INITIAL_BACKOFF_S
+        and max(pauses) <= discovery_state.MAX_BACKOFF_S
+    )
+    assert pauses[-1] >= discovery_state.MAX_BACKOFF_S / 2
 
 
 def test_reports_of_probes() -> None:
-    assert peers.read_report(b"TEXT inflight=7, queue=2, util=0.61") == {
+    assert connections.parse_text_report(b"TEXT inflight=7, queue=2, util=0.61") == {
         "held": 7.0,
         "queue": 2.0,
         "busy": 0.61,
     }
-    assert peers.read_report(b"TEXT latency_ms=40") == {"service_s": 0.04}
+    assert connections.parse_text_report(b"TEXT latency_ms=40") == {"service_s": 0.04}
     for body in (b"", b"TEXT x", b"JSON {}", b"TEXT queue=two"):
         with pytest.raises(ValueError):
-            peers.read_report(body)
+            connections.parse_text_report(body)
--- a/tests/test_platform_orders.py
+++ b/tests/platform/test_orders.py
@@ -7,9 +7,24 @@
 
 import pytest
 
-from dunlinlug import interface as face
-from dunlinlug.platform.orders import FORMER, Orders
-from tests.helpers import ZONES, Model, run, trade, worker
+from dunlinlug.decision.events import (
+    Endpoint,
+    EndpointsUpdated,
+    Event,
+    ProxyConnected,
+    ProxyDisconnected,
+)
+from dunlinlug.decision.orders import (
+    AssignTable,
+    Order,
+    RequestAcknowledgement,
+    SetAdmission,
+    SetEjected,
+    SetWeight,
+)
+from dunlinlug.decision.settings import ManagerSettings
+from dunlinlug.platform.orders import MAX_REMEMBERED_WORKERS, PlatformTableInstaller
+from tests.decision.rules_model import ZONES, Model, run, trade, worker
 
 NAMES = ("read", "book")
 
@@ -52,22 +67,24 @@
 class Both(Model):
     """The plain model of the rules, with each reply written out as well, and read by plain proxies."""
 
-    def __init__(self, what: face.Trade) -> None:
+    def __init__(self, what: ManagerSettings) -> None:
         super().__init__(what)
-        self.came: list[face.Event] = []
+        self.came: list[Event] = []
         self.messages = self.over = 0
 
     def restart(self) -> None:
         super().restart()
-        self.orders_out = Orders(NAMES, self.trade.usual_retry, self.trade.channel.message_lines)
+        self.orders_out = PlatformTableInstaller(
+            NAMES, self.trade.default_retry_policy, self.trade.channel.message_overhead
+        )
         self.plain: dict[int, PlainProxy] = {}
 
-    def _meet(self, event: face.Event) -> None:
+    def _meet(self, event: Event) -> None:
         super()._meet(event)
         self.came.append(event)
-        if isinstance(event, face.Joined):
+        if isinstance(event, ProxyConnected):
             proxy = self.plain.setdefault(event.proxy, PlainProxy())
-            if event.first:
+            if event.first_connection:
                 self.plain[event.proxy] = PlainProxy()
             else:  # another manager had it, and let nobody back
                 proxy.shut |= {worker(n).id for n in range(9) if n % 3 == event.proxy % 3}
@@ -75,15 +92,21 @@
     def _obey(self) -> None:
         super()._obey()
         came, self.came = self.came, []
-        self.orders_out.hear(came)
-        bare = {p for p, seat in self.orders_out.seats.items() if len(seat.bound) < len(NAMES)}
-        parcels = self.orders_out.obey(self.orders, self.now)
-        marks = [order.number for order in self.orders if isinstance(order, face.Mark)]
+        self.orders_out.handle_events(came)
+        bare = {
+            p
+            for p, seat in self.orders_out.proxies.items()
+            if len(seat.table_by_class) < len(NAMES)
+        }
+        parcels = self.orders_out.apply_orders(self.orders, self.now)
+        marks = [
+            order.ack_number for order in self.orders if isinstance(order, RequestAcknowledgement)
+        ]
         for proxy, parcel in parcels.items():
             lines, mark = self.plain[proxy].read(parcel.data)
             assert [mark] == marks or not marks
-            assert parcel.lines == lines + self.trade.channel.message_lines
-            reckoned = self.orders_out.touched[proxy] + (mark is not None)
+            assert parcel.lines == lines + self.trade.channel.message_overhead
+            reckoned = self.orders_out.entries_by_proxy[proxy] + (mark is not None)
             # Only who may have come with workers shut out costs more, and only at its first table.
             self.over += lines > reckoned and proxy not in bare
         self.messages += len(parcels)
@@ -91,15 +114,15 @@
 
     def _compare(self) -> None:
         orders = self.orders_out
-        for p, seat in orders.seats.items():
-            for k, tbl in seat.bound.items():
+        for p, seat in orders.proxies.items():
+            for k, tbl in seat.table_by_class.items():
                 name, laid, plain = NAMES[k], orders.tables[tbl], self.plain[p]
                 assert plain.held[name] == laid.lines
-                level = plain.level[name] or (1.0, self.trade.usual_retry)
-                retry, share = laid.levels.get(k, (self.trade.usual_retry, 1.0))
+                level = plain.level[name] or (1.0, self.trade.default_retry_policy)
+                retry, share = laid.levels.get(k, (self.trade.default_retry_policy, 1.0))
                 assert level == (share, retry)
-                assert orders.out & laid.lines.keys() <= plain.shut, "sent to while withdrawn"
-                sure = laid.lines.keys() - orders.out - seat.held.unsure
+                assert orders.ejected & laid.lines.keys() <= plain.shut, "sent to while withdrawn"
+                sure = laid.lines.keys() - orders.ejected - seat.sent_tables.possibly_ejected
                 assert not plain.shut & sure, "shut out for good"
 
 
@@ -112,13 +135,13 @@
     assert both.over == 0
 
 
-def laid(shares: dict[str, float], tbl: int = 1) -> list[face.Order]:
-    return [face.Share(tbl, name, weight) for name, weight in shares.items()]
+def laid(shares: dict[str, float], tbl: int = 1) -> list[Order]:
+    return [SetWeight(tbl, name, weight) for name, weight in shares.items()]
 
 
-def desk(*joined: face.Joined) -> Orders:
-    orders = Orders(NAMES, 1, 4.0)
-    orders.hear([face.Listed("kept", tuple(worker(n) for n in range(4))), *joined])
+def desk(*joined: ProxyConnected) -> PlatformTableInstaller:
+    orders = PlatformTableInstaller(NAMES, 1, 4.0)
+    orders.handle_events([EndpointsUpdated("kept", tuple(worker(n) for n in range(4))), *joined])
     return orders
 
 
@@ -127,9 +150,11 @@
 
 
 def test_products_that_share_a_table_are_named_together_and_a_level_rides_along() -> None:
-    orders = desk(face.Joined(3, "north", 5.0, True))
+    orders = desk(ProxyConnected(3, "north", 5.0, True))
     shares = {worker(0).id: 1.5, worker(1).id: 0.25}
-    parcel = orders.obey([*laid(shares), face.Bind(3, (0, 1), 1), face.Mark(905, False)], 0.0)[3]
+    parcel = orders.apply_orders(
+        [*laid(shares), AssignTable(3, (0, 1), 1), RequestAcknowledgement(905, False)], 0.0
+    )[3]
     assert list(lines_of(parcel.data)) == [
         {
             "@type": "push",
@@ -138,8 +163,13 @@
             "nonce_out": 905,
         }
     ]
-    parcel = orders.obey(
-        [face.Share(1, worker(1).id, 0.0), face.Admit(1, 1, 0, 0.5), face.Mark(906, False)], 0.0
+    parcel = orders.apply_orders(
+        [
+            SetWeight(1, worker(1).id, 0.0),
+            SetAdmission(1, 1, 0, 0.5),
+            RequestAcknowledgement(906, False),
+        ],
+        0.0,
     )[3]
     assert list(lines_of(parcel.data)) == [
         {"@type": "push", "endpoints": [[worker(1).id, 0.0]], "continued": True},
@@ -149,12 +179,12 @@
 
 
 def test_a_full_table_forgets_levels_so_that_they_are_sent_again() -> None:
-    orders = desk(face.Joined(3, "north", 5.0, True))
-    orders.obey(
-        [*laid({worker(0).id: 1.0}), face.Admit(1, 0, 1, 0.5), face.Bind(3, (0, 1), 1)], 0.0
+    orders = desk(ProxyConnected(3, "north", 5.0, True))
+    orders.apply_orders(
+        [*laid({worker(0).id: 1.0}), SetAdmission(1, 0, 1, 0.5), AssignTable(3, (0, 1), 1)], 0.0
     )
-    orders.hear([face.Left(3), face.Joined(3, "north", 5.0, False)])
-    parts = list(lines_of(orders.obey([face.Bind(3, (0, 1), 1)], 0.0)[3].data))
+    orders.handle_events([ProxyDisconnected(3), ProxyConnected(3, "north", 5.0, False)])
+    parts = list(lines_of(orders.apply_orders([AssignTable(3, (0, 1), 1)], 0.0)[3].data))
     assert parts[0]["full"] and parts[1] == {
         **parts[1],
         "routes": ["read"],
@@ -164,10 +194,11 @@
 
 
 def test_a_mark_goes_out_alone_where_nothing_differs() -> None:
-    orders = desk(face.Joined(3, "north", 5.0, True), face.Joined(4, "north", 5.0, True))
-    orders.obey([*laid({worker(0).id: 1.0}), face.Bind(3, (0, 1), 1)], 0.0)
-    parcels = orders.obey(
-        [*laid({worker(0).id: 1.0}, 2), face.Bind(3, (0, 1), 2), face.Mark(7, True)], 0.0
+    orders = desk(ProxyConnected(3, "north", 5.0, True), ProxyConnected(4, "north", 5.0, True))
+    orders.apply_orders([*laid({worker(0).id: 1.0}), AssignTable(3, (0, 1), 1)], 0.0)
+    parcels = orders.apply_orders(
+        [*laid({worker(0).id: 1.0}, 2), AssignTable(3, (0, 1), 2), RequestAcknowledgement(7, True)],
+        0.0,
     )
     assert (
         list(lines_of(parcels[3].data))
@@ -178,15 +209,15 @@
 
 def test_who_was_shut_out_on_an_earlier_stream_is_let_back_on_the_next() -> None:
     shares = {worker(n).id: 1.0 for n in range(3)}
-    orders = desk(face.Joined(3, "north", 5.0, True))
-    orders.obey([*laid(shares), face.Bind(3, (0, 1), 1)], 0.0)
-    (part,) = lines_of(orders.obey([face.Withdraw(worker(1).id, True)], 0.0)[3].data)
+    orders = desk(ProxyConnected(3, "north", 5.0, True))
+    orders.apply_orders([*laid(shares), AssignTable(3, (0, 1), 1)], 0.0)
+    (part,) = lines_of(orders.apply_orders([SetEjected(worker(1).id, True)], 0.0)[3].data)
     assert part == {"@type": "push", "eject": [worker(1).id]}
-    assert not orders.obey([face.Withdraw(worker(1).id, True)], 0.0), "told once"
-    orders.hear([face.Left(3)])
-    orders.obey([face.Withdraw(worker(1).id, False)], 0.0)
-    orders.hear([face.Joined(3, "north", 5.0, False)])
-    (part,) = lines_of(orders.obey([face.Bind(3, (0, 1), 1)], 0.0)[3].data)
+    assert not orders.apply_orders([SetEjected(worker(1).id, True)], 0.0), "told once"
+    orders.handle_events([ProxyDisconnected(3)])
+    orders.apply_orders([SetEjected(worker(1).id, False)], 0.0)
+    orders.handle_events([ProxyConnected(3, "north", 5.0, False)])
+    (part,) = lines_of(orders.apply_orders([AssignTable(3, (0, 1), 1)], 0.0)[3].data)
     assert part["restore"][0] == worker(1).id, "those that we know of come first"
 
 
@@ -194,45 +225,58 @@
     None
 ):
     shares = {worker(n).id: 1.0 for n in range(4)}
-    orders = desk(face.Joined(3, "north", 5.0, False))
-    first = orders.obey([*laid(shares), face.Bind(3, (0, 1), 1)], 0.0)[3]
+    orders = desk(ProxyConnected(3, "north", 5.0, False))
+    first = orders.apply_orders([*laid(shares), AssignTable(3, (0, 1), 1)], 0.0)[3]
     assert first.lines == 4 + 1 + 4
-    orders.obey(laid(shares, 2), 0.0)
-    second = orders.obey([face.Bind(3, (0, 1), 2)], 0.0)[3]
+    orders.apply_orders(laid(shares, 2), 0.0)
+    second = orders.apply_orders([AssignTable(3, (0, 1), 2)], 0.0)[3]
     assert list(lines_of(second.data)) == [{"@type": "push", "restore": sorted(shares)}]
-    orders.obey(laid(shares, 3), 0.0)
-    assert not orders.obey([face.Bind(3, (0, 1), 3)], 0.0), "once, and nothing differs"
+    orders.apply_orders(laid(shares, 3), 0.0)
+    assert not orders.apply_orders([AssignTable(3, (0, 1), 3)], 0.0), "once, and nothing differs"
 
 
 def test_what_is_kept_by_worker_has_an_end() -> None:
-    orders = desk(face.Joined(3, "north", 5.0, True))
-    for n in range(4 * FORMER):
-        fresh = face.Worker(f"w{n}", "north", "", 0, "ready", 1.0, None)
-        orders.hear([face.Listed("changes", (fresh,))])
-        orders.obey([face.Share(1, fresh.id, 1.0), face.Bind(3, (0, 1), 1)], 0.0)
-        orders.obey([face.Withdraw(fresh.id, True), face.Share(1, fresh.id, 0.0)], 0.0)
-        orders.hear(
-            [face.Listed("changes", (face.Worker(fresh.id, "north", "", 0, "gone", 1.0, None),))]
+    orders = desk(ProxyConnected(3, "north", 5.0, True))
+    for n in range(4 * MAX_REMEMBERED_WORKERS):
+        fresh = Endpoint(f"w{n}", "north", "", 0, "ready", 1.0, None)
+        orders.handle_events([EndpointsUpdated("changes", (fresh,))])
+        orders.apply_orders([SetWeight(1, fresh.id, 1.0), AssignTable(3, (0, 1), 1)], 0.0)
+        orders.apply_orders([SetEjected(fresh.id, True), SetWeight(1, fresh.id, 0.0)], 0.0)
+        orders.handle_events(
+            [EndpointsUpdated("changes", (Endpoint(fresh.id, "north", "", 0, "gone", 1.0, None),))]
         )
-        orders.obey([face.Withdraw(fresh.id, False)], 0.0)
-    assert len(orders.known) <= FORMER + 4
-    assert len(orders.seats[3].held.shut) <= FORMER + 4 and len(orders.suspects) <= FORMER + 4
+        orders.apply_orders([SetEjected(fresh.id, False)], 0.0)
+    assert len(orders.known_workers) <= MAX_REMEMBERED_WORKERS + 4
+    assert (
+        len(orders.proxies[3].sent_tables.ejected) <= MAX_REMEMBERED_WORKERS + 4
+        and len(orders.suspected_ejections) <= MAX_REMEMBERED_WORKERS + 4
+    )
 
 
 def test_a_product_for_its_own_zone_gets_the_lines_of_that_zone_alone() -> None:
-    orders = Orders(NAMES, 1, 4.0, (False, True))
-    orders.hear([face.Listed("whole", tuple(worker(n) for n in range(6)))])
-    orders.hear([face.Joined(1, "north", 5.0, True), face.Joined(2, "south", 5.0, True)])
-    shares = [face.Share(7, worker(n).id, 1.0) for n in range(6)]
-    parcels = orders.obey(
-        [*shares, face.Bind(1, (0, 1), 7), face.Bind(2, (0, 1), 7), face.Mark(3, False)], 1.0
+    orders = PlatformTableInstaller(NAMES, 1, 4.0, (False, True))
+    orders.handle_events([EndpointsUpdated("whole", tuple(worker(n) for n in range(6)))])
+    orders.handle_events(
+        [ProxyConnected(1, "north", 5.0, True), ProxyConnected(2, "south", 5.0, True)]
+    )
+    shares = [SetWeight(7, worker(n).id, 1.0) for n in range(6)]
+    parcels = orders.apply_orders(
+        [
+            *shares,
+            AssignTable(1, (0, 1), 7),
+            AssignTable(2, (0, 1), 7),
+            RequestAcknowledgement(3, False),
+        ],
+        1.0,
     )
     proxies = {1: PlainProxy(), 2: PlainProxy()}
     for p, plain in proxies.items():
         assert plain.read(parcels[p].data)[0] <= parcels[p].lines
         assert len(plain.held["read"]) == 6
         assert plain.held["book"].keys() == {worker(n).id for n in (p - 1, p + 2)}
-    parcels = orders.obey([face.Share(7, worker(0).id, 0.5), face.Share(7, worker(1).id, 0.0)], 2.0)
+    parcels = orders.apply_orders(
+        [SetWeight(7, worker(0).id, 0.5), SetWeight(7, worker(1).id, 0.0)], 2.0
+    )
     for p, plain in proxies.items():
         plain.read(parcels[p].data)
     assert proxies[1].held["book"] == {worker(0).id: 0.5, worker(3).id: 1.0}
@@ -243,23 +287,26 @@
 def test_lines_of_products_that_keep_to_the_zone_are_never_more_than_the_module_reckons(
     seed: int,
 ) -> None:
-    products = (trade().products[0], replace(trade().products[1], home_only=True))
-    model = Model(trade(products=products, standing=3, seed=seed))
-    model.step(0.1, [face.Listed("kept", tuple(worker(n) for n in range(60)))])
-    orders = Orders(NAMES, 1, model.trade.channel.message_lines, (False, True))
-    orders.hear([face.Listed("kept", tuple(worker(n) for n in range(60)))])
-    account, written = model.module.account, 0.0
+    products = (
+        trade().traffic_classes[0],
+        replace(trade().traffic_classes[1], same_zone_only=True),
+    )
+    model = Model(trade(traffic_classes=products, initial_subset_size=3, seed=seed))
+    model.step(0.1, [EndpointsUpdated("kept", tuple(worker(n) for n in range(60)))])
+    orders = PlatformTableInstaller(NAMES, 1, model.trade.channel.message_overhead, (False, True))
+    orders.handle_events([EndpointsUpdated("kept", tuple(worker(n) for n in range(60)))])
+    account, written = model.module.budget, 0.0
     for n in range(60):
-        events: list[face.Event] = [face.Joined(n, ZONES[n % 3], 5.0, True)]
+        events: list[Event] = [ProxyConnected(n, ZONES[n % 3], 5.0, True)]
         if n % 7 == 6:
-            events.append(face.Listed("changes", (worker(n, "gone"),)))
-        orders.hear(events)
+            events.append(EndpointsUpdated("changes", (worker(n, "gone"),)))
+        orders.handle_events(events)
         model.step(0.05, events)
-        parcels = orders.obey(model.orders, model.now)
+        parcels = orders.apply_orders(model.orders, model.now)
         reckoned = sum(
-            account.sent[p.mark].owed[proxy]
+            account.pending_replies[p.ack_number].entries_by_proxy[proxy]
             for proxy, p in parcels.items()
-            if p.mark in account.sent
+            if p.ack_number in account.pending_replies
         )
         written += sum(parcel.lines for parcel in parcels.values())
         assert sum(parcel.lines for parcel in parcels.values()) <= reckoned
--- a/tests/test_platform_process.py
+++ b/tests/platform/test_process.py
@@ -16,11 +16,11 @@
 import trio
 
 from dunlinlug.net import http
-from dunlinlug.standin.platform import Client, Discovery
-from tests.fleet import free_ports
-from tests.test_adapter import INFO
+from dunlinlug.standins.platform import DiscoveryServer, PlatformClient
+from tests.fixtures.manager_set import free_ports
+from tests.simulator.test_simulator_wire import INFO
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 ZONES = ("a", "b")
 SETTINGS: dict[str, Any] = {
     **INFO,
@@ -55,19 +55,19 @@
 class Running:
     process: trio.Process
     port: int
-    discovery: Discovery
+    discovery: DiscoveryServer
     config: Path
     log: Path
 
-    async def dial(self) -> Client:
-        return Client(await trio.open_tcp_stream("127.0.0.1", self.port))
+    async def dial(self) -> PlatformClient:
+        return PlatformClient(await trio.open_tcp_stream("127.0.0.1", self.port))
 
-    async def proxy(self) -> Client:
+    async def proxy(self) -> PlatformClient:
         """Number 3, joined and with a table."""
         made = await self.dial()
-        await made.hello(3, ZONES[1])
+        await made.join(3, ZONES[1])
         with trio.fail_after(10):
-            await made.table()
+            await made.wait_for_table()
         return made
 
     def said(self, event: str) -> list[dict[str, Any]]:
@@ -97,8 +97,8 @@
     changes to the settings' specifics."""
     async with trio.open_nursery() as nursery:
         doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        discovery = Discovery([instance(n) for n in range(6)])
-        nursery.start_soon(http.serve, discovery.answer, doors)
+        discovery = DiscoveryServer([instance(n) for n in range(6)])
+        nursery.start_soon(http.serve, discovery.handle, doors)
         port, config, log = free_ports(1)[0], folder / "config.json", folder / "log"
         place = f"127.0.0.1:{doors[0].socket.getsockname()[1]}"
         settings = {**SETTINGS, "specifics": {**SETTINGS["specifics"], **(specifics or {})}}
@@ -149,8 +149,8 @@
                 break
             except OSError:
                 await trio.sleep(0.02)
-        await client.say(kind="probe")
-        assert await client.hear() == {"@type": "alive"}
+        await client.send(message_type="probe")
+        assert await client.receive() == {"@type": "alive"}
         await client.stream.aclose()
 
 
@@ -201,31 +201,31 @@
 ) -> None:
     async with manager(tmp_path) as running:
         proxy = await running.dial()
-        await proxy.hello(3, ZONES[1])
+        await proxy.join(3, ZONES[1])
         with trio.fail_after(10):
-            assert (await proxy.table(**{f"s-{n}": 1.0 for n in range(6)})).keys() == {
+            assert (await proxy.wait_for_table(**{f"s-{n}": 1.0 for n in range(6)})).keys() == {
                 f"s-{n}" for n in range(6)
             }
-            running.discovery.tell(instance(2, lifecycle="draining"))
-            await proxy.table("s-2")
-        assert {call.get("wait") for call in running.discovery.calls} == {None, "2000"}
+            running.discovery.update(instance(2, lifecycle="draining"))
+            await proxy.wait_for_table("s-2")
+        assert {call.get("wait") for call in running.discovery.received_queries} == {None, "2000"}
 
 
 async def test_what_was_known_serves_while_discovery_is_silent_and_its_return_is_noticed(
     tmp_path: Path,
 ) -> None:
     async with manager(tmp_path, known=3) as running:
-        running.discovery.hung = True
-        running.discovery.tell()
+        running.discovery.unresponsive = True
+        running.discovery.update()
         await running.until_said("discovery.failed")
         proxy = await running.dial()
-        await proxy.hello(3, ZONES[1])
+        await proxy.join(3, ZONES[1])
         with trio.fail_after(10):
-            assert len(await proxy.table()) >= 3
-            running.discovery.hung = False
+            assert len(await proxy.wait_for_table()) >= 3
+            running.discovery.unresponsive = False
             running.discovery.instances = [instance(n) for n in (0, 1, 7)]
             running.discovery.generation = 0  # put back
-            await proxy.table("s-2", "s-3", **{"s-7": 1.0})
+            await proxy.wait_for_table("s-2", "s-3", **{"s-7": 1.0})
 
 
 async def test_sigterm_ends_it_at_once_with_status_0(tmp_path: Path) -> None:
@@ -257,8 +257,8 @@
             running.process.send_signal(signal.SIGHUP)
             assert "config.json" in (await running.until_said("reload.refused", n))["why"]
         doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        other = Discovery([instance(n) for n in (0, 1, 9)])
-        nursery.start_soon(http.serve, other.answer, doors)
+        other = DiscoveryServer([instance(n) for n in (0, 1, 9)])
+        nursery.start_soon(http.serve, other.handle, doors)
         told = json.loads(whole)
         told["discovery"] = f"127.0.0.1:{doors[0].socket.getsockname()[1]}"
         told["limits"]["sockets"] = 300
@@ -267,22 +267,22 @@
             running.process.send_signal(signal.SIGHUP)
         assert (await running.until_said("reload.done"))["needs_restart"] == ["limits"]
         other.generation = 5
-        other.tell(instance(9))
+        other.update(instance(9))
         with trio.fail_after(10):
-            await proxy.table(**{"s-9": 1.0})
+            await proxy.wait_for_table(**{"s-9": 1.0})
         nursery.cancel_scope.cancel()
 
 
 async def test_a_second_stream_of_a_proxy_ends_the_first(tmp_path: Path) -> None:
     async with manager(tmp_path) as running:
         old, new = await running.proxy(), await running.dial()
-        await new.hello(3, ZONES[1], new=False)
+        await new.join(3, ZONES[1], new=False)
         with trio.fail_after(10):
-            while await old.hear() is not None:
+            while await old.receive() is not None:
                 pass
-            await new.table()
-            running.discovery.tell(instance(2, lifecycle="gone"))
-            await new.table("s-2")
+            await new.wait_for_table()
+            running.discovery.update(instance(2, lifecycle="gone"))
+            await new.wait_for_table("s-2")
 
 
 async def test_a_joined_stream_that_can_t_be_read_any_more_is_closed_without_a_word(
@@ -292,9 +292,9 @@
         proxy = await running.proxy()
         with trio.fail_after(10):
             await proxy.stream.send_all(b"\x8fgarbage")
-            while (order := await proxy.hear()) is not None:
+            while (order := await proxy.receive()) is not None:
                 assert order["@type"] == "push"
-            await (await running.proxy()).table()
+            await (await running.proxy()).wait_for_table()
 
 
 async def test_bad_clients_are_told_so_and_closed_at_once(tmp_path: Path) -> None:
@@ -303,9 +303,9 @@
             client = await running.dial()
             with trio.fail_after(1):
                 await client.stream.send_all(data)
-                answer = await client.hear()
+                answer = await client.receive()
                 assert answer is not None and answer["@type"] == "error"
-                assert await client.hear() is None
+                assert await client.receive() is None
 
 
 async def test_hundreds_of_silent_strangers_leave_room_for_every_proxy(tmp_path: Path) -> None:
@@ -319,9 +319,9 @@
             if n % 3 == 0:
                 await client.stream.send_all(b'{"@type":"hel')
             elif n % 3 == 1:
-                await client.say(kind="probe")
+                await client.send(message_type="probe")
             with trio.fail_after(12):
-                while await client.hear() is not None:
+                while await client.receive() is not None:
                     pass
             ended += 1
 
@@ -339,10 +339,10 @@
             ):  # on a busy machine its hello may come too late; then it dials again, as proxies do
                 with suppress(ConnectionError, trio.BrokenResourceError):
                     client = await running.dial()
-                    await client.hello(n, ZONES[n % 2])
-                    await client.table()
+                    await client.join(n, ZONES[n % 2])
+                    await client.wait_for_table()
                     joined.add(n)
-            await client.hear()
+            await client.receive()
 
         nursery.start_soon(count)
         for n in range(300):
@@ -392,6 +392,10 @@
         "msgpack",
         "cattrs",
         "dunlinlug.fleet",
+        "dunlinlug.ads",
+        "dunlinlug.rpc",
+        "dunlinlug.storage",
+        "dunlinlug.xds",
     ]
     code = f"import sys, dunlinlug.platform.main; print([name for name in {heavy} if name in sys.modules])"
     ended = subprocess.run(
--- a/tests/standing.py
+++ b/tests/race_conditions/processes.py
@@ -11,11 +11,11 @@
 
 import trio
 
-from dunlinlug.standin.platform import Discovery
-from tests.fleet import free_ports
-from tests.test_crossings_process import told
-from tests.test_platform_process import ROOT, SETTINGS, STARTED, Running
-from tests.test_platform_process import _alive as alive
+from dunlinlug.standins.platform import DiscoveryServer
+from tests.fixtures.manager_set import free_ports
+from tests.platform.test_process import ROOT, SETTINGS, STARTED, Running
+from tests.platform.test_process import _alive as alive
+from tests.race_conditions.test_process_signals import told
 
 NETLINK_INET_DIAG, SOCK_DIAG_BY_FAMILY, NLM_F_REQUEST = (
     4,
@@ -135,7 +135,7 @@
                 env={**environment, "ROUTER_CONFIG": str(self.config(n))},
             )
         self.processes.append(process)
-        self.running[n] = Running(process, self.ports[n], Discovery([]), self.config(n), log)
+        self.running[n] = Running(process, self.ports[n], DiscoveryServer([]), self.config(n), log)
 
     async def until_alive(self, *numbers: int) -> None:
         for n in numbers:
--- a/tests/roaming.py
+++ b/tests/race_conditions/roaming_proxies.py
@@ -10,8 +10,8 @@
 
 import trio
 
-from dunlinlug.standin.platform import Client
-from tests.test_platform_process import SETTINGS
+from dunlinlug.standins.platform import PlatformClient
+from tests.platform.test_process import SETTINGS
 
 LANES = tuple(lane["name"] for lane in SETTINGS["lanes"])
 PUSH = {
@@ -99,7 +99,7 @@
                     await trio.sleep(0.02)
             if stream is not None:
                 async with stream:
-                    await self._serve(Client(stream), last)
+                    await self._serve(PlatformClient(stream), last)
             self.joined = None
             self._tell()
 
@@ -109,7 +109,7 @@
         self.changed.set()
         self.changed = trio.Event()
 
-    async def _serve(self, client: Client, port: int) -> None:
+    async def _serve(self, client: PlatformClient, port: int) -> None:
         self.streams.append(stream := Stream(port, trio.current_time()))
         try:
             async with trio.open_nursery() as nursery:
@@ -121,7 +121,7 @@
         except* json.JSONDecodeError as fault:
             self.faults.append(f"can't be read: {fault.exceptions}")
 
-    async def _follow(self, client: Client, stream: Stream) -> None:
+    async def _follow(self, client: PlatformClient, stream: Stream) -> None:
         """Orders up to the stream's end. What is begun and not ended has no effect."""
         parts = list[dict[str, Any]]()
         await self._say(
@@ -130,9 +130,9 @@
         while True:
             order: dict[str, Any] | None = None
             with trio.move_on_after(inf if stream.order_times else self.FIRST):
-                order = await client.hear()
+                order = await client.receive()
             if order is None:
-                stream.bytes_after = len(client.rest) + len(parts)
+                stream.bytes_after = len(client.buffer) + len(parts)
                 return
             parts.append(order)
             if not order.get("continued"):
@@ -141,7 +141,7 @@
                     await self._say(client, "ack", seq=mark, ms=1.0)
                 parts = []
 
-    async def _report(self, client: Client) -> None:
+    async def _report(self, client: PlatformClient) -> None:
         while True:
             await trio.sleep(self.USAGE)
             for lane in self.lanes:
@@ -154,9 +154,9 @@
                     over=1000.0 * self.USAGE,
                 )
 
-    async def _say(self, client: Client, kind: str, **message: Any) -> None:
+    async def _say(self, client: PlatformClient, kind: str, **message: Any) -> None:
         async with self.writing:
-            await client.say(kind=kind, id=self.number, **message)
+            await client.send(message_type=kind, id=self.number, **message)
 
     def _take(self, stream: Stream, parts: list[dict[str, Any]]) -> None:
         stream.order_times.append(trio.current_time())
--- a/tests/test_crossings_ads.py
+++ b/tests/race_conditions/test_ads_shutdown.py
@@ -11,8 +11,8 @@
 
 from dunlinlug import rpc
 from dunlinlug.net import grpc
-from tests.test_cli import Process
-from tests.test_config import manager_file
+from tests.command_line.test_command_line import Process
+from tests.config.test_manager_config import manager_file
 
 GOAWAY = 7
 
@@ -57,22 +57,22 @@
 async def test_a_frame_under_way_at_the_stop_goes_out_whole_where_its_peer_reads(
     reads: bool,
 ) -> None:
-    begun, links = trio.Event(), list[grpc.Link]()
+    begun, links = trio.Event(), list[grpc.GrpcConnection]()
 
     async def answer(call: grpc.Call) -> None:
-        links.append(call.link)
-        assert isinstance(call.link.socket, trio.SocketStream)
-        call.link.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        links.append(call.connection)
+        assert isinstance(call.connection.socket, trio.SocketStream)
+        call.connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         call.accept()
         call.send(b"x" * 400_000)
         begun.set()
         await trio.sleep_forever()
 
     doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
-    peer, ours = socket.socket(), rpc.Connection(client=True)
+    peer, ours = socket.socket(), rpc.Connection(is_client=True)
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     peer.connect(doors[0].socket.getsockname())
-    ours.call("/a", "h")
+    ours.start_call("/a", "h")
     peer.sendall(ours.data_to_send())
     peer.setblocking(False)
     scope, data = trio.CancelScope(), b""
@@ -92,7 +92,7 @@
                 not reads
             ):  # until the bound is over, and then at once: the cut frame leaves room for a goodbye
                 await trio.testing.wait_all_tasks_blocked()
-                await trio.sleep_until(links[0].ends_at)
+                await trio.sleep_until(links[0].close_deadline)
                 with suppress(BlockingIOError):
                     while part := peer.recv(8192):
                         data += part
@@ -102,7 +102,7 @@
                 if not part:
                     break
                 data += part
-        assert trio.current_time() - began < grpc.GOODBYE + 0.5
+        assert trio.current_time() - began < grpc.CLOSE_TIMEOUT + 0.5
     peer.close()
     if reads:
         assert len(data) > 60_000 and frames(data)[-1] == GOAWAY
--- a/tests/test_crossings_full.py
+++ b/tests/race_conditions/test_descriptor_exhaustion.py
@@ -10,9 +10,9 @@
 
 import trio
 
-from tests.roaming import Proxy, Requests, Workers
-from tests.standing import Source, known, managers, settings
-from tests.test_platform_process import ZONES, instance
+from tests.platform.test_process import ZONES, instance
+from tests.race_conditions.processes import Source, known, managers, settings
+from tests.race_conditions.roaming_proxies import Proxy, Requests, Workers
 
 PROXIES, LEAVE = 40, 8
 FILES = 30  # descriptors of the first manager, of which it uses a dozen itself
--- a/tests/test_crossings_discovery.py
+++ b/tests/race_conditions/test_discovery_failures.py
@@ -12,13 +12,35 @@
 import pytest
 import trio
 
-from dunlinlug import interface as face
 from dunlinlug.balance import Balancer
-from dunlinlug.platform import servers
-from tests.helpers import trade, worker
-from tests.roaming import LANES, Proxy
-from tests.standing import Agent, answered, chunked, known, listed, serving, settings
-from tests.test_platform_process import ZONES, instance
+from dunlinlug.decision.events import (
+    Acknowledged,
+    EndpointsUpdated,
+    Event,
+    ProxyConnected,
+    TimerFired,
+)
+from dunlinlug.decision.orders import (
+    AssignTable,
+    DeleteTable,
+    RequestAcknowledgement,
+    SetTimer,
+    SetWeight,
+)
+from dunlinlug.decision.settings import ChannelSettings
+from dunlinlug.platform import discovery_state
+from tests.decision.rules_model import trade, worker
+from tests.platform.test_process import ZONES, instance
+from tests.race_conditions.processes import (
+    Agent,
+    answered,
+    chunked,
+    known,
+    listed,
+    serving,
+    settings,
+)
+from tests.race_conditions.roaming_proxies import LANES, Proxy
 
 NEWS = 300  # versions before the silence, as fast as they are asked for
 
@@ -135,11 +157,15 @@
             )
         with trio.fail_after(1):
             await played.closed.wait()
-        bound = servers.WITHIN + (0.0 if whole else servers.WAIT) + servers.MOST
+        bound = (
+            discovery_state.ANSWER_TIMEOUT_S
+            + (0.0 if whole else discovery_state.WATCH_WAIT_S)
+            + discovery_state.MAX_BACKOFF_S
+        )
         assert played.again_at - played.broke_at < bound + 0.5
         assert len(running.said("discovery.failed")) == 1
         asked = played.agent.asked[NEWS + whole]
-        assert asked == servers.PATH if whole else f"index={NEWS}&" in asked
+        assert asked == discovery_state.SERVERS_PATH if whole else f"index={NEWS}&" in asked
         assert not proxy.faults and not late.faults and len(proxy.streams) == len(late.streams) == 1
         nursery.cancel_scope.cancel()
 
@@ -193,7 +219,7 @@
         before, began = len(played.agent.asked), trio.current_time()
         await played.agent.calls(before + (300 if moves_on else 30))
         took = trio.current_time() - began
-        assert moves_on or took > 28 * servers.LEAST, (
+        assert moves_on or took > 28 * discovery_state.MIN_QUERY_INTERVAL_S, (
             "one that stands still is not asked without a pause"
         )
         played.over = True
@@ -221,34 +247,34 @@
 ) -> None:
     """Nothing else happens behind it: no report, no usage. Danger: left for want of messages and not looked at again, a
     change would wait for the next report, and proxies of an idle fleet would hold a table of nobody."""
-    module = Balancer(trade(channel=face.Channel(1300.0, 4.0, 2000.0, 0.252, 0.63, 10, 2.0)))
+    module = Balancer(trade(channel=ChannelSettings(1300.0, 4.0, 2000.0, 0.252, 0.63, 10, 2.0)))
     turns = [range(6), range(3, 9), range(0)]
-    due, numbers = list[tuple[float, int, face.Event]](), count()
+    due, numbers = list[tuple[float, int, Event]](), count()
 
-    def later(at: float, event: face.Event) -> None:
+    def later(at: float, event: Event) -> None:
         heapq.heappush(due, (at, next(numbers), event))
 
     for p in range(2):
-        later(0.0, face.Joined(p, "north", 5.0, True))
-    later(0.0, face.Listed("kept", tuple(map(worker, range(6)))))
+        later(0.0, ProxyConnected(p, "north", 5.0, True))
+    later(0.0, EndpointsUpdated("kept", tuple(map(worker, range(6)))))
     for n in range(lists):
-        later(0.001 + gap * n, face.Listed("whole", tuple(map(worker, turns[n % 3]))))
-    later(0.001 + gap * lists, face.Listed("whole", tuple(map(worker, range(4)))))
+        later(0.001 + gap * n, EndpointsUpdated("whole", tuple(map(worker, turns[n % 3]))))
+    later(0.001 + gap * lists, EndpointsUpdated("whole", tuple(map(worker, range(4)))))
     tables, bound = defaultdict[int, dict[str, float]](dict), dict[tuple[int, int], int]()
     while due and due[0][0] < 30.0:
         now, _, event = heapq.heappop(due)
         for order in module.decide(now, [event]):
             match order:
-                case face.Share(tbl, name, weight):
+                case SetWeight(tbl, name, weight):
                     tables[tbl][name] = weight
-                case face.Clear(tbl):
+                case DeleteTable(tbl):
                     tables.pop(tbl, None)
-                case face.Bind(proxy, products, tbl):
+                case AssignTable(proxy, products, tbl):
                     bound.update({(proxy, k): tbl for k in products})
-                case face.Mark(number):
+                case RequestAcknowledgement(number):
                     for p in range(2):
-                        later(now + answer, face.Answered(p, number, answer))
-                case face.Wake(after, token):
-                    later(now + max(after, 0.001), face.Rung(token))
+                        later(now + answer, Acknowledged(p, number, answer))
+                case SetTimer(after, token):
+                    later(now + max(after, 0.001), TimerFired(token))
     held = [{name for name, weight in tables[tbl].items() if weight} for tbl in bound.values()]
     assert held and all(names == {worker(n).id for n in range(4)} for names in held)
--- a/tests/test_crossings_http.py
+++ b/tests/race_conditions/test_http_connections.py
@@ -11,10 +11,10 @@
 import trio
 import trio.testing
 
-from dunlinlug import interface as face
-from dunlinlug.manager.probes import REPORT_MOST, Prober, from_json
+from dunlinlug.decision.events import Event, HealthCheckCompleted
+from dunlinlug.manager.health_checks import MAX_REPORT_BYTES, HealthChecker, parse_json_report
 from dunlinlug.net import http
-from dunlinlug.platform.peers import read_report
+from dunlinlug.platform.connections import parse_text_report
 
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
@@ -81,13 +81,13 @@
     peer = Scripted(crossed, answers)
     async with peer.client() as client:
         with trio.fail_after(5):
-            assert (await client.ask(method, "/a")).body == b"ok"
+            assert (await client.request(method, "/a")).body == b"ok"
             if method == "GET":
-                assert (await client.ask(method, "/b")).body == b"ok" and peer.dialled == 2
+                assert (await client.request(method, "/b")).body == b"ok" and peer.dialled == 2
                 return
-            with pytest.raises(http.HttpFault) as fault:
-                await client.ask(method, "/b")
-        assert fault.value.sent and peer.dialled == 1
+            with pytest.raises(http.HttpError) as fault:
+                await client.request(method, "/b")
+        assert fault.value.request_sent and peer.dialled == 1
 
 
 async def test_an_answer_that_began_is_not_asked_for_again() -> None:
@@ -101,19 +101,19 @@
     peer = Scripted(breaks_off, answers)
     async with peer.client() as client:
         with trio.fail_after(5):
-            await client.ask("GET", "/a")
-            with pytest.raises(http.HttpFault) as fault:
-                await client.ask("GET", "/b")
-        assert fault.value.answered and peer.dialled == 1
+            await client.request("GET", "/a")
+            with pytest.raises(http.HttpError) as fault:
+                await client.request("GET", "/b")
+        assert fault.value.response_started and peer.dialled == 1
 
 
 async def test_a_kept_connection_that_its_server_has_closed_is_not_written_to() -> None:
     peer = Scripted(answers_and_closes, answers)
     async with peer.client() as client:
         with trio.fail_after(5):
-            await client.ask("POST", "/a")
+            await client.request("POST", "/a")
             await peer.closed[0].wait()
-            assert (await client.ask("POST", "/b")).body == b"ok"
+            assert (await client.request("POST", "/b")).body == b"ok"
 
 
 @pytest.mark.parametrize("at_once", [True, False])
@@ -134,12 +134,12 @@
     peer = Scripted(says_too_much, answers)
     async with peer.client() as client:
         with trio.fail_after(5):
-            assert (await client.ask("GET", "/a")).status == 200
+            assert (await client.request("GET", "/a")).status == 200
             asked.set()
             await sent.wait()
             if not at_once:
-                await trio.lowlevel.wait_readable(client.idle[0][0].socket)
-            assert (await client.ask("GET", "/b")).status == 200
+                await trio.lowlevel.wait_readable(client.idle_connections[0][0].socket)
+            assert (await client.request("GET", "/b")).status == 200
 
 
 @pytest.mark.parametrize(
@@ -154,9 +154,9 @@
 )
 async def test_what_can_t_be_asked_is_a_fault_of_the_exchange_alone(host: str, path: str) -> None:
     async with Scripted(answers).client() as client:
-        with trio.fail_after(5), pytest.raises(http.HttpFault) as fault:
-            await http.Client(host, client.port).ask("GET", path)
-        assert not fault.value.sent
+        with trio.fail_after(5), pytest.raises(http.HttpError) as fault:
+            await http.Client(host, client.port).request("GET", path)
+        assert not fault.value.request_sent
 
 
 @pytest.mark.parametrize(
@@ -181,13 +181,16 @@
         )
 
     async with Scripted(reports).client() as client:
-        told, read = list[face.Event](), from_json if body.startswith(b"{") else read_report
-        await Prober(
+        told, read = (
+            list[Event](),
+            parse_json_report if body.startswith(b"{") else parse_text_report,
+        )
+        await HealthChecker(
             "/load", 5.0, 1, told.append, lambda worker: ("127.0.0.1", client.port), read
-        ).probe("w")
-        assert [(event.ok, event.load) for event in told if isinstance(event, face.Probed)] == [
-            (True, load)
-        ]
+        ).check("w")
+        assert [
+            (event.healthy, event.load) for event in told if isinstance(event, HealthCheckCompleted)
+        ] == [(True, load)]
 
 
 @pytest.mark.parametrize("ends", ["never", "early"])
@@ -210,14 +213,21 @@
 
     peer = Scripted(floods)
     async with peer.client() as client:
-        told = list[face.Event]()
-        prober = Prober(
-            "/load", 5.0, 1, told.append, lambda worker: ("127.0.0.1", client.port), read_report
+        told = list[Event]()
+        prober = HealthChecker(
+            "/load",
+            5.0,
+            1,
+            told.append,
+            lambda worker: ("127.0.0.1", client.port),
+            parse_text_report,
         )
         with trio.fail_after(4):
-            await prober.probe("w")
-        assert [event.result for event in told if isinstance(event, face.Probed)] == ["reset"]
-        assert taken < 100 * REPORT_MOST  # what socket buffers hold, at most
+            await prober.check("w")
+        assert [event.result for event in told if isinstance(event, HealthCheckCompleted)] == [
+            "reset"
+        ]
+        assert taken < 100 * MAX_REPORT_BYTES  # what socket buffers hold, at most
 
 
 async def test_a_worker_that_goes_while_its_probe_waits_for_a_place_is_not_dialled() -> None:
@@ -232,20 +242,24 @@
     peer = Scripted(slow)
     async with peer.client() as client:
         told, listed = (
-            list[face.Event](),
+            list[Event](),
             {"first": ("127.0.0.1", client.port), "second": ("127.0.0.1", client.port)},
         )
-        prober = Prober("/healthz", 5.0, 1, told.append, listed.__getitem__, read_report)
+        prober = HealthChecker(
+            "/healthz", 5.0, 1, told.append, listed.__getitem__, parse_text_report
+        )
         with trio.fail_after(5):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(prober.probe, "first")
+                nursery.start_soon(prober.check, "first")
                 await begun.wait()
-                nursery.start_soon(prober.probe, "second")
+                nursery.start_soon(prober.check, "second")
                 await trio.testing.wait_all_tasks_blocked()
                 del listed["second"], listed["first"]  # the one that runs ends as it would have
                 go.set()
         assert [
-            (event.worker, event.result) for event in told if isinstance(event, face.Probed)
+            (event.worker, event.result)
+            for event in told
+            if isinstance(event, HealthCheckCompleted)
         ] == [("first", "ok"), ("second", "connect_failed")]
         assert peer.dialled == 1
 
@@ -296,8 +310,8 @@
     ],
 )
 async def test_no_request_ends_the_server(request_line: str) -> None:
-    async def handler(request: http.Request) -> http.Reply:
-        return http.Reply.json({"at": request.path}, 200 if request.method == "GET" else 401)
+    async def handler(request: http.Request) -> http.Response:
+        return http.Response.json({"at": request.path}, 200 if request.method == "GET" else 401)
 
     async with Door(handler).open() as dial:
         with trio.fail_after(5):
@@ -317,16 +331,16 @@
     begun, go = trio.Event(), trio.Event()
     effects = list[str]()
 
-    async def handler(request: http.Request) -> http.Reply:
+    async def handler(request: http.Request) -> http.Response:
         begun.set()
         await go.wait()
         effects.append(request.path)
         await (
             trio.lowlevel.checkpoint()
         )  # Danger: the point at which the stop used to come between effect and answer
-        return http.Reply(200, body=b"done")
+        return http.Response(200, body=b"done")
 
-    door = Door(handler, finish=5.0)
+    door = Door(handler, grace_period=5.0)
     async with door.open() as dial:
         with trio.fail_after(8):
             mine, idle = await dial(), await dial()
@@ -344,12 +358,12 @@
 async def test_a_stop_waits_for_no_handler_longer_than_its_bound() -> None:
     begun = trio.Event()
 
-    async def handler(request: http.Request) -> http.Reply:
+    async def handler(request: http.Request) -> http.Response:
         begun.set()
         await trio.sleep_forever()
         raise AssertionError
 
-    door = Door(handler, finish=0.1)
+    door = Door(handler, grace_period=0.1)
     async with door.open() as dial:
         with trio.fail_after(5):
             mine = await dial()
@@ -363,10 +377,10 @@
 async def test_a_request_that_lies_there_when_the_idle_bound_ends_is_answered() -> None:
     """Both in one turn: the clock jumps over the bound while the request is in the socket."""
 
-    async def handler(request: http.Request) -> http.Reply:
-        return http.Reply(200, body=b"ok")
+    async def handler(request: http.Request) -> http.Response:
+        return http.Response(200, body=b"ok")
 
-    async with Door(handler, quiet_most=0.2).open() as dial:
+    async with Door(handler, idle_timeout=0.2).open() as dial:
         for _ in range(5):
             stream = await dial()
             await trio.testing.wait_all_tasks_blocked()
--- a/tests/test_crossings_kill.py
+++ b/tests/race_conditions/test_kill_points.py
@@ -7,9 +7,9 @@
 import pytest
 import trio
 
-from tests.roaming import LANES, Proxy, Requests, Workers
-from tests.standing import Managers, Source, known, managers, settings
-from tests.test_platform_process import ZONES, instance
+from tests.platform.test_process import ZONES, instance
+from tests.race_conditions.processes import Managers, Source, known, managers, settings
+from tests.race_conditions.roaming_proxies import LANES, Proxy, Requests, Workers
 
 HOOK = """
 import os, signal, socket
--- a/tests/test_crossings_many.py
+++ b/tests/race_conditions/test_many_managers.py
@@ -14,11 +14,12 @@
 import pytest
 import trio
 
-from dunlinlug import interface as face
-from tests.helpers import Model, trade, worker
-from tests.roaming import LANES, Proxy, Requests, Workers
-from tests.standing import Managers, Source, known, managers, settings
-from tests.test_platform_process import SETTINGS, ZONES, instance
+from dunlinlug.decision.events import EndpointReported, EndpointsUpdated, ProxyConnected
+from dunlinlug.decision.settings import SafetyLimits
+from tests.decision.rules_model import Model, trade, worker
+from tests.platform.test_process import SETTINGS, ZONES, instance
+from tests.race_conditions.processes import Managers, Source, known, managers, settings
+from tests.race_conditions.roaming_proxies import LANES, Proxy, Requests, Workers
 
 MANAGERS, PROXIES, WARM, COLD, LATER = 20, 40, 12, 8, 4
 BUSY = 0.95  # of what the warm bear, asked of all workers in calm
@@ -256,13 +257,13 @@
 ) -> None:
     """In calm, by one manager for all proxies. Danger: a ramp of fixed steps reaches the whole share in 15 s, however
     long workers stay cold and however little they bear meanwhile."""
-    model = Model(trade(duties=face.Duties(5.0, 3.0, 10.0, cold, 0.2, multiple, 2.0)))
+    model = Model(trade(safety_limits=SafetyLimits(5.0, 3.0, 10.0, cold, 0.2, multiple, 2.0)))
     fleet = [worker(n, since=None if n < WARM else 0.0) for n in range(WARM + COLD)]
-    model.step(0.1, [face.Listed("kept", tuple(fleet))])
-    model.step(0.1, [face.Joined(0, "north", 5.0, True)])
+    model.step(0.1, [EndpointsUpdated("kept", tuple(fleet))])
+    model.step(0.1, [ProxyConnected(0, "north", 5.0, True)])
     parts = []
     for _ in range(100):
-        model.step(0.2, [face.Met("north", one.id, 20, 0, 0.05, 0.2) for one in fleet])
+        model.step(0.2, [EndpointReported("north", one.id, 20, 0, 0.05, 0.2) for one in fleet])
         lines = {
             name: weight
             for name, weight in model.holds[0][0][1].items()
--- a/tests/test_crossings_pieces.py
+++ b/tests/race_conditions/test_partial_messages.py
@@ -7,9 +7,10 @@
 
 import trio
 
-from dunlinlug.platform.front import JOIN_WITHIN
-from dunlinlug.standin.platform import Client
-from tests.standing import (
+from dunlinlug.platform.server import JOIN_TIMEOUT_S
+from dunlinlug.standins.platform import PlatformClient
+from tests.platform.test_process import Running, instance
+from tests.race_conditions.processes import (
     Agent,
     answered,
     chunked,
@@ -20,7 +21,6 @@
     serving,
     settings,
 )
-from tests.test_platform_process import Running, instance
 
 ZONE, LANE, WORKER = "zürich-東", "läsen-頁", "s-é€"
 NAMED = {"settings": settings((ZONE, "b"), (LANE, "book"), messagesMost=0)}
@@ -62,26 +62,26 @@
     ]
 
 
-async def joined(running: Running, pieces: list[bytes]) -> Client:
+async def joined(running: Running, pieces: list[bytes]) -> PlatformClient:
     """Who has not joined after its second is closed, as it may be on a busy machine: then it dials again."""
     for _ in range(5):
         began, client = trio.current_time(), await running.dial()
-        client.number = 17
+        client.proxy_id = 17
         try:
             await in_pieces(client.stream, pieces)
             with trio.fail_after(8):
-                await client.table(**{f"{WORKER}0": 1.0, f"{WORKER}1": 1.0})
+                await client.wait_for_table(**{f"{WORKER}0": 1.0, f"{WORKER}1": 1.0})
             return client
         except (trio.BrokenResourceError, ConnectionError):
-            assert trio.current_time() - began >= JOIN_WITHIN
+            assert trio.current_time() - began >= JOIN_TIMEOUT_S
     raise TimeoutError("no joining within its second in five")
 
 
-async def alive(client: Client, count: int) -> None:
+async def alive(client: PlatformClient, count: int) -> None:
     """Exactly so many probes are answered: none is lost or answered twice, whatever orders stand between."""
     with trio.fail_after(8):
         while count:
-            answer = await client.hear()
+            answer = await client.receive()
             assert answer is not None and answer["@type"] in ("alive", "push"), answer
             count -= answer["@type"] == "alive"
 
@@ -119,7 +119,11 @@
         await in_pieces(collector.stream, [PROBE])
         await alive(collector, 1)  # so that all before it was heard
         asked = 1 + len(cuts(DEMAND)) + 2 + 2  # as `said` has them
-        expected = {"Joined": len(joinings) + 1, "Asked": asked, "Met": len(reports)}
+        expected = {
+            "ProxyConnected": len(joinings) + 1,
+            "DemandReported": asked,
+            "EndpointReported": len(reports),
+        }
         before = len(running.said("summary"))
         await running.until_said("summary", before + 1)  # what was heard by now is in it
         sums = running.said("summary")[: before + 1]
@@ -165,10 +169,12 @@
         _,
     ):
         proxy = await running.dial()
-        await proxy.hello(17, ZONE)
+        await proxy.join(17, ZONE)
         with trio.fail_after(10):
             await steps.agent.calls(len(versions))
-            await proxy.table(**{f"{WORKER}{n}": 1.0 for n in (0, *map(int, versions[1:]))})
+            await proxy.wait_for_table(
+                **{f"{WORKER}{n}": 1.0 for n in (0, *map(int, versions[1:]))}
+            )
         assert not running.said("discovery.failed")
         asked = [target.partition("index=")[2].partition("&")[0] for target in steps.agent.asked]
         assert asked == versions and steps.agent.connections == 1
@@ -185,9 +191,9 @@
         _,
     ):
         proxy = await running.dial()
-        await proxy.hello(17, ZONE)
+        await proxy.join(17, ZONE)
         with trio.fail_after(10):
-            table = await proxy.table(**{f"{WORKER}{n}": 1.0 for n in (2, 3, 4)})
+            table = await proxy.wait_for_table(**{f"{WORKER}{n}": 1.0 for n in (2, 3, 4)})
         assert f"{WORKER}9" not in table and not running.said("discovery.failed")
         await steps.agent.calls(5)
         assert "index=4" in steps.agent.asked[4] and steps.agent.connections == 3
@@ -221,14 +227,14 @@
     ):
         nursery.start_soon(trio.serve_listeners, load, doors)
         proxy, collector = await running.dial(), await running.dial()
-        await proxy.hello(17, ZONE)
-        await collector.say(kind="agent", site=ZONE)
+        await proxy.join(17, ZONE)
+        await collector.send(message_type="agent", site=ZONE)
 
         async def report_failures() -> None:
             while True:
                 for n in range(len(fleet)):
-                    await collector.say(
-                        kind="outcomes",
+                    await collector.send(
+                        message_type="outcomes",
                         site=ZONE,
                         target=f"{WORKER}{n}",
                         count=50,
@@ -239,9 +245,9 @@
                 await trio.sleep(0.1)
 
         with trio.fail_after(12):
-            await proxy.table(**{f"{WORKER}0": 1.0})
+            await proxy.wait_for_table(**{f"{WORKER}0": 1.0})
             nursery.start_soon(report_failures)
-            await proxy.table(f"{WORKER}0")
-            await proxy.table(**{f"{WORKER}0": 1.0})
+            await proxy.wait_for_table(f"{WORKER}0")
+            await proxy.wait_for_table(**{f"{WORKER}0": 1.0})
         assert asked and asked[0].startswith(b"GET /load ")
         nursery.cancel_scope.cancel()
--- a/tests/test_crossings.py
+++ b/tests/race_conditions/test_platform_sockets.py
@@ -14,14 +14,27 @@
 import trio
 import trio.testing
 
-from dunlinlug import interface as face
-from dunlinlug.manager.loop import Loop
-from dunlinlug.platform import messages, servers
-from dunlinlug.platform.discovery import Discovery
-from dunlinlug.platform.front import FINISH, SILENT, Connection, Front, listen
-from dunlinlug.platform.main import Unpaced
-from dunlinlug.platform.orders import Parcel
-from dunlinlug.platform.peers import Peers, Turned
+from dunlinlug.decision.events import (
+    DemandReported,
+    EndpointsUpdated,
+    Event,
+    ProxyConnected,
+    ProxyDisconnected,
+)
+from dunlinlug.decision.orders import Order, SetTimer
+from dunlinlug.manager.decision_loop import DecisionLoop
+from dunlinlug.platform import discovery_state, messages
+from dunlinlug.platform.connections import ConnectionRejected, PeerRegistry
+from dunlinlug.platform.discovery import DiscoveryWatcher
+from dunlinlug.platform.main import UnpacedChannel
+from dunlinlug.platform.orders import ProxyMessage
+from dunlinlug.platform.server import (
+    SHUTDOWN_GRACE_S,
+    SILENT_GRACE_S,
+    Connection,
+    ConnectionServer,
+    listen,
+)
 
 HELLO = b'{"@type":"hello","id":17,"site":"a","rps":2.0,"new":true}\n'
 DEMAND = b'{"@type":"demand","id":17,"lane":"read","count":7,"fail":0,"over":1000.0}\n'
@@ -31,9 +44,11 @@
     """A front at work, what it told, and raw clients of it that block nothing."""
 
     def __init__(self, unjoined_most: int = 64) -> None:
-        self.told, self.notes = list[face.Event](), list[Any]()
-        self.peers = Peers(("a", "b"), 400, ("read", "book"), lambda worker: True, self.told.append)
-        self.front = Front(
+        self.told, self.notes = list[Event](), list[Any]()
+        self.peers = PeerRegistry(
+            ("a", "b"), 400, ("read", "book"), lambda worker: True, self.told.append
+        )
+        self.front = ConnectionServer(
             self.peers, unjoined_most, lambda event, **said: self.notes.append((event, said))
         )
         self.clients: list[socket.socket] = []
@@ -65,21 +80,21 @@
         """A proxy whose end takes little at a time, joined, and our connection to it, which holds little either."""
         made, before = (
             self.dial(receives=4096),
-            sum(isinstance(event, face.Joined) for event in self.told),
+            sum(isinstance(event, ProxyConnected) for event in self.told),
         )
         made.sendall(HELLO.replace(b"17", b"%d" % number))
         await self.until(before + 1)
-        ours = self.front.connections[self.peers.streams[number]]
+        ours = self.front.connections[self.peers.peer_by_proxy[number]]
         ours.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return made, ours
 
-    async def until(self, count: int, kind: type = face.Joined) -> None:
+    async def until(self, count: int, kind: type = ProxyConnected) -> None:
         with trio.fail_after(8):
             while sum(isinstance(event, kind) for event in self.told) < count:
                 await trio.sleep(0.001)
 
     async def joined(self, hello: bytes = HELLO) -> socket.socket:
-        made, before = self.dial(), sum(isinstance(event, face.Joined) for event in self.told)
+        made, before = self.dial(), sum(isinstance(event, ProxyConnected) for event in self.told)
         made.sendall(hello)
         await self.until(before + 1)
         return made
@@ -114,23 +129,23 @@
             await trio.testing.wait_all_tasks_blocked()
             old = new
         # Read ahead of the new hello it counts, and then the old stream's Left comes next; behind it, it is nothing.
-        spoke = [n for n, event in enumerate(stage.told) if isinstance(event, face.Asked)]
-        assert all(isinstance(stage.told[n + 1], face.Left) for n in spoke)
+        spoke = [n for n, event in enumerate(stage.told) if isinstance(event, DemandReported)]
+        assert all(isinstance(stage.told[n + 1], ProxyDisconnected) for n in spoke)
 
 
 def test_who_was_turned_away_or_ended_joins_no_more() -> None:
     stage = Stage()
     left, right = socket.socketpair()
     joining = Connection(left, 0.0)
-    with pytest.raises(Turned):
-        stage.peers.take(joining.peer, b"garbage\n", 0.0)
-    assert stage.peers.take(joining.peer, HELLO, 0.0) == b"" and not stage.told
+    with pytest.raises(ConnectionRejected):
+        stage.peers.receive(joining.peer, b"garbage\n", 0.0)
+    assert stage.peers.receive(joining.peer, HELLO, 0.0) == b"" and not stage.told
     ended = Connection(right, 0.0)
     ended.end("there are too many that have not joined")
     assert (
-        stage.peers.take(ended.peer, HELLO + DEMAND, 0.0) == b""
+        stage.peers.receive(ended.peer, HELLO + DEMAND, 0.0) == b""
         and not stage.told
-        and not stage.peers.streams
+        and not stage.peers.peer_by_proxy
     )
     left.close(), right.close()
 
@@ -146,10 +161,10 @@
                 trio.testing.wait_all_tasks_blocked()
             )  # the second waits for the first to give way
             first.sendall(HELLO)
-            busy(2 * SILENT)  # so that its time is over in the turn in which it can be read
+            busy(2 * SILENT_GRACE_S)  # so that its time is over in the turn in which it can be read
             await stage.until(1)
             await trio.testing.wait_all_tasks_blocked()
-            assert not any(isinstance(event, face.Left) for event in stage.told)
+            assert not any(isinstance(event, ProxyDisconnected) for event in stage.told)
 
 
 @pytest.mark.parametrize("begun", [b"", b'{"@type":"hel'])
@@ -177,10 +192,10 @@
             reset(gone)
             ended.sendall(HELLO + DEMAND[:cut])
             ended.close()
-        await stage.until(len(range(0, len(HELLO) + 1, 7)), face.Left)
+        await stage.until(len(range(0, len(HELLO) + 1, 7)), ProxyDisconnected)
         good.sendall(DEMAND.replace(b"17", b"3"))
-        await stage.until(1, face.Asked)
-        assert 3 in stage.peers.streams
+        await stage.until(1, DemandReported)
+        assert 3 in stage.peers.peer_by_proxy
 
 
 async def test_a_line_that_comes_a_byte_in_a_turn_is_one_line() -> None:
@@ -190,13 +205,13 @@
         for byte in HELLO + DEMAND:
             client.sendall(bytes([byte]))
             await trio.testing.wait_all_tasks_blocked()
-        await stage.until(1, face.Asked)
-        assert [type(event) for event in stage.told] == [face.Joined, face.Asked]
+        await stage.until(1, DemandReported)
+        assert [type(event) for event in stage.told] == [ProxyConnected, DemandReported]
 
 
 def order(lines: int) -> bytes:
     endpoints = [(f"worker-{n:06}.of-some-length", 1.0) for n in range(lines)]
-    return messages.write(messages.Push(full=True, endpoints=endpoints))
+    return messages.encode(messages.TableUpdate(full=True, endpoints=endpoints))
 
 
 async def read_to_the_end(client: socket.socket) -> bytes:
@@ -218,7 +233,7 @@
     async with stage.open():
         client, connection = await stage.slow()
         whole = order(4000) + order(100)
-        stage.front.deliver(17, Parcel(whole, 4000.0, None))
+        stage.front.deliver(17, ProxyMessage(whole, 4000.0, None))
         assert connection.unsent, "the socket took a part"
         client.sendall(
             DEMAND
@@ -244,7 +259,7 @@
         await stage.slow()
         silent = stage.dial()
         await trio.testing.wait_all_tasks_blocked()
-        stage.front.deliver(17, Parcel(order(4000) * 4, 16000.0, None))
+        stage.front.deliver(17, ProxyMessage(order(4000) * 4, 16000.0, None))
         began = trio.current_time()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stage.front.finish)
@@ -255,7 +270,7 @@
             assert await read_to_the_end(silent) == b""
             with pytest.raises(OSError):
                 stage.dial()
-        assert FINISH <= trio.current_time() - began < FINISH + 0.5
+        assert SHUTDOWN_GRACE_S <= trio.current_time() - began < SHUTDOWN_GRACE_S + 0.5
 
 
 async def test_writes_while_older_bytes_wait_keep_their_order() -> None:
@@ -276,7 +291,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(read)
                 for part in parts:
-                    stage.front.deliver(17, Parcel(part, 1.0, None))
+                    stage.front.deliver(17, ProxyMessage(part, 1.0, None))
                     await trio.lowlevel.checkpoint()
         assert got == b"".join(parts)
 
@@ -296,14 +311,14 @@
                 await trio.lowlevel.wait_readable(
                     door
                 )  # woken with the accepting task, in an order that is chance
-                at_the_stop.append(stage.front.accepted)
+                at_the_stop.append(stage.front.accepted_count)
                 await stage.front.finish()
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(stop)
                 await trio.testing.wait_all_tasks_blocked()
                 stage.dial()
-            assert [stage.front.accepted] == at_the_stop
+            assert [stage.front.accepted_count] == at_the_stop
             door.close()
 
 
@@ -312,14 +327,16 @@
     async with stage.open():
         good = await stage.joined()
         gone, connection = await stage.slow(18)
-        stage.front.deliver(18, Parcel(order(4000) * 4, 16000.0, None))
+        stage.front.deliver(18, ProxyMessage(order(4000) * 4, 16000.0, None))
         assert connection.unsent
         reset(gone)
-        await stage.until(1, face.Left)
-        stage.front.deliver(18, Parcel(order(10), 10.0, None))  # for a stream that has ended: lost
+        await stage.until(1, ProxyDisconnected)
+        stage.front.deliver(
+            18, ProxyMessage(order(10), 10.0, None)
+        )  # for a stream that has ended: lost
         good.sendall(DEMAND)
-        await stage.until(1, face.Asked)
-        assert stage.peers.streams.keys() == {17}
+        await stage.until(1, DemandReported)
+        assert stage.peers.peer_by_proxy.keys() == {17}
 
 
 # The loop.
@@ -331,17 +348,17 @@
     def __init__(self) -> None:
         self.calls = 0
 
-    def decide(self, now: float, events: Iterable[face.Event]) -> list[face.Order]:
+    def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
         self.calls += 1
-        return [face.Wake(0.0, self.calls)]
+        return [SetTimer(0.0, self.calls)]
 
 
 class Nothing:
-    def hear(self, events: Iterable[face.Event]) -> None:
+    def handle_events(self, events: Iterable[Event]) -> None:
         """Nothing."""
 
-    def obey(
-        self, orders: Iterable[face.Order], now: float, concerned: Iterable[int] = ()
+    def apply_orders(
+        self, orders: Iterable[Order], now: float, awaited_proxies: Iterable[int] = ()
     ) -> dict[int, Any]:
         return {}
 
@@ -349,10 +366,10 @@
 async def test_a_turn_that_is_due_as_we_are_told_to_stop_decides_nothing() -> None:
     for timer in (False, True) * 5:
         module = Counting()
-        loop = Loop(
+        loop = DecisionLoop(
             module,
             Nothing(),
-            Unpaced(lambda proxy, parcel: None),
+            UnpacedChannel(lambda proxy, parcel: None),
             lambda proxy, parcel: None,
             lambda event, **said: None,
         )
@@ -361,10 +378,10 @@
             await trio.testing.wait_all_tasks_blocked()
             if timer:
                 loop.timers.append((trio.current_time(), 1))
-            loop.tell(face.Left(1))
+            loop.submit(ProxyDisconnected(1))
             loop.stop()  # the loop is woken already, and has not run
             await trio.testing.wait_all_tasks_blocked()
-            loop.tell(face.Left(2))
+            loop.submit(ProxyDisconnected(2))
             await trio.testing.wait_all_tasks_blocked()
             nursery.cancel_scope.cancel()
         assert not module.calls
@@ -429,33 +446,33 @@
 @asynccontextmanager
 async def followed(
     *agents: Agent,
-) -> AsyncIterator[tuple[Discovery, list[face.Listed], list[tuple[str, int]]]]:
-    told = list[face.Event]()
+) -> AsyncIterator[tuple[DiscoveryWatcher, list[EndpointsUpdated], list[tuple[str, int]]]]:
+    told = list[Event]()
     async with trio.open_nursery() as nursery:
         places = []
         for agent in agents:
             doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, agent.serve, doors)
             places.append(doors[0].socket.getsockname()[:2])
-        state = servers.Following(lambda low, high: low)
-        discovery = Discovery(places[0], state, told.append, lambda event, **said: None)
-        nursery.start_soon(discovery.follow)
+        state = discovery_state.DiscoveryState(lambda low, high: low)
+        discovery = DiscoveryWatcher(places[0], state, told.append, lambda event, **said: None)
+        nursery.start_soon(discovery.run)
         yield discovery, told, places  # type: ignore[misc]
         nursery.cancel_scope.cancel()
 
 
-def names(told: face.Event) -> set[str]:
-    assert isinstance(told, face.Listed)
-    return {worker.id for worker in told.workers}
+def names(told: Event) -> set[str]:
+    assert isinstance(told, EndpointsUpdated)
+    return {worker.id for worker in told.endpoints}
 
 
 async def test_a_new_place_is_asked_for_its_whole_list_though_both_count_alike() -> None:
     old, new = Agent(listed(5, "s-1")), Agent(listed(5, "s-2"))
     async with followed(old, new) as (discovery, told, places):
         await old.calls(2)
-        discovery.move(places[1])
+        discovery.set_address(places[1])
         await new.calls(2)
-        assert new.asked[0] == servers.PATH and "index=5" in new.asked[1]
+        assert new.asked[0] == discovery_state.SERVERS_PATH and "index=5" in new.asked[1]
         assert names(told[-1]) == {"s-2"}
 
 
@@ -472,21 +489,23 @@
 
             async def move(
                 twin: socket.socket = twin,
-                discovery: Discovery = discovery,
+                discovery: DiscoveryWatcher = discovery,
                 told: list[Any] = told,
                 place: tuple[str, int] = places[1],
                 told_before: list[int] = told_before,
             ) -> None:
                 await trio.lowlevel.wait_readable(twin)
                 told_before.append(len(told))
-                discovery.move(place)
+                discovery.set_address(place)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(move)
                 await trio.testing.wait_all_tasks_blocked()
                 old.raw.send(Agent.answered(listed(9, "s-9")))
             await new.calls(2)
-            assert new.asked[0] == servers.PATH, "not a watch from a version of the old place"
+            assert new.asked[0] == discovery_state.SERVERS_PATH, (
+                "not a watch from a version of the old place"
+            )
             assert [names(list_) for list_ in told[told_before[0] :]] == [{"s-2"}]
             twin.close()
 
@@ -526,14 +545,17 @@
     agent = Agent(*answers)
     async with followed(agent):
         await agent.calls(10)
-        assert agent.at[9] - agent.at[0] >= least * servers.LEAST * 0.9
+        assert agent.at[9] - agent.at[0] >= least * discovery_state.MIN_QUERY_INTERVAL_S * 0.9
 
 
 async def test_changes_that_move_on_are_followed_without_a_pause() -> None:
     agent = Agent(listed(5, "s-1"), *(listed(6 + n, f"s-{n}", reset=False) for n in range(30)))
     async with followed(agent) as (_, told, _):
         await agent.calls(32)
-        assert agent.at[31] - agent.at[0] < 30 * servers.LEAST and len(told) == 31
+        assert (
+            agent.at[31] - agent.at[0] < 30 * discovery_state.MIN_QUERY_INTERVAL_S
+            and len(told) == 31
+        )
 
 
 async def test_a_list_that_breaks_off_or_names_what_can_t_be_dialled_changes_nothing() -> None:
--- a/tests/test_crossings_process.py
+++ b/tests/race_conditions/test_process_signals.py
@@ -15,10 +15,10 @@
 
 from bench.restart import once
 from dunlinlug.net import http
-from dunlinlug.platform import front, terms
-from dunlinlug.standin.platform import Discovery
-from tests.fleet import free_ports
-from tests.test_platform_process import ROOT, SETTINGS, ZONES, Running, instance, manager
+from dunlinlug.platform import environment, server
+from dunlinlug.standins.platform import DiscoveryServer
+from tests.fixtures.manager_set import free_ports
+from tests.platform.test_process import ROOT, SETTINGS, ZONES, Running, instance, manager
 
 
 def told(port: int, **more: Any) -> dict[str, Any]:
@@ -72,7 +72,7 @@
 async def test_a_reload_before_the_settings_are_read_is_done_once_it_serves(tmp_path: Path) -> None:
     config, log, port = tmp_path / "config.json", tmp_path / "log", free_ports(1)[0]
     process = await start(config, log)
-    running = Running(process, port, Discovery([]), config, log)
+    running = Running(process, port, DiscoveryServer([]), config, log)
     try:
         with trio.fail_after(20):
             pipe = await at_its_settings(config)
@@ -93,11 +93,11 @@
     async with manager(tmp_path) as running:
         proxies = [await running.dial() for _ in range(3)]
         for n, proxy in enumerate(proxies):
-            await proxy.hello(n, ZONES[n % 2])
+            await proxy.join(n, ZONES[n % 2])
         with trio.fail_after(5):
-            await proxies[0].table()
+            await proxies[0].wait_for_table()
             running.process.send_signal(signal.SIGTERM)
-            while await proxies[0].hear() is not None:
+            while await proxies[0].receive() is not None:
                 pass
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
                 running.process.send_signal(number)
@@ -122,8 +122,8 @@
         proxy = await running.proxy()
         whole = json.loads(running.config.read_text())
         doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        other = Discovery([instance(n) for n in (0, 1, 9)])
-        nursery.start_soon(http.serve, other.answer, doors)
+        other = DiscoveryServer([instance(n) for n in (0, 1, 9)])
+        nursery.start_soon(http.serve, other.handle, doors)
         whole["discovery"] = f"127.0.0.1:{doors[0].socket.getsockname()[1]}"
         text = json.dumps(whole)
         with running.config.open("w") as file:
@@ -133,7 +133,7 @@
             await running.until_said("reload.refused")
             file.write(text[len(text) // 2 :])
         with trio.fail_after(10):
-            await proxy.table("s-2", "s-3", **{"s-9": 1.0})
+            await proxy.wait_for_table("s-2", "s-3", **{"s-9": 1.0})
         assert len(running.said("reload.refused")) == 1
         nursery.cancel_scope.cancel()
 
@@ -144,8 +144,8 @@
     async with manager(tmp_path) as running:
         proxy = await running.proxy()
         running.process.send_signal(signal.SIGSTOP)
-        running.discovery.hung = True
-        await proxy.say(kind="ack", id=3, seq=1, ms=1.0)
+        running.discovery.unresponsive = True
+        await proxy.send(message_type="ack", id=3, seq=1, ms=1.0)
         await proxy.stream.aclose()
         running.process.send_signal(signal.SIGTERM)
         running.process.send_signal(signal.SIGCONT)
@@ -194,8 +194,8 @@
     inside[name] = value
     config = tmp_path / "config.json"
     config.write_text(json.dumps(told(9, settings=settings)))
-    with pytest.raises(terms.TermsFault) as fault:
-        terms.read({"ROUTER_CONFIG": str(config)})
+    with pytest.raises(environment.EnvironmentConfigError) as fault:
+        environment.load_config({"ROUTER_CONFIG": str(config)})
     assert name in str(fault.value) and "\n" not in str(fault.value)
 
 
@@ -235,17 +235,17 @@
     }
     config.write_text(json.dumps(told(port, settings=settings, known=known)))
     process = await start(config, log)
-    running = Running(process, port, Discovery([]), config, log)
+    running = Running(process, port, DiscoveryServer([]), config, log)
     try:
         await running.until_said("ready")
-        assert len(await (await running.proxy()).table()) == 6
+        assert len(await (await running.proxy()).wait_for_table()) == 6
     finally:
         process.kill()
 
 
 def test_the_door_holds_every_proxy_of_a_large_fleet_at_once() -> None:
     """Nobody is accepted meanwhile, as in a long turn of the loop."""
-    listener = front.listen("127.0.0.1", 0)
+    listener = server.listen("127.0.0.1", 0)
     room = min(int(Path("/proc/sys/net/core/somaxconn").read_text()), 2 * 1600)
     for _ in range(room):
         with socket.socket() as client:
--- a/tests/test_crossings_reload.py
+++ b/tests/race_conditions/test_reload_then_shutdown.py
@@ -13,9 +13,18 @@
 import trio
 import trio.testing
 
-from tests.roaming import Proxy, Requests, Workers
-from tests.standing import Agent, Managers, Source, answered, known, listed, managers, settings
-from tests.test_platform_process import ZONES, instance
+from tests.platform.test_process import ZONES, instance
+from tests.race_conditions.processes import (
+    Agent,
+    Managers,
+    Source,
+    answered,
+    known,
+    listed,
+    managers,
+    settings,
+)
+from tests.race_conditions.roaming_proxies import Proxy, Requests, Workers
 
 DRAINED = 0.7  # seconds from SIGTERM after which a planned restart is killed
 
--- a/tests/recorded/fleet_examples.py
+++ b/tests/recorded/fleet_examples.py
@@ -1,138 +1,207 @@
 """One example or more of each message that managers send each other, by the name under which it is recorded."""
 
-from dunlinlug import interface as face
-from dunlinlug.fleet.members import words as members
-from dunlinlug.fleet.owner import book
-from dunlinlug.fleet.owner import words as owner
-from dunlinlug.fleet.succession import facts
-from dunlinlug.fleet.succession import words as succession
+from dunlinlug.decision.events import (
+    Acknowledged,
+    DemandReported,
+    Endpoint,
+    EndpointReported,
+    EndpointsUpdated,
+    Event,
+    HealthCheckCompleted,
+    ManagerLoadChanged,
+    OrderRejected,
+    OverrideChanged,
+    PartitionLimitsChanged,
+    PeerMessageReceived,
+    ProxyConnected,
+    ProxyDisconnected,
+    ShardAssigned,
+    ShardRestored,
+    TimerFired,
+)
+from dunlinlug.decision.orders import AssignTable, DeleteTable, SetAdmission, SetEjected, SetWeight
+from dunlinlug.fleet.election import messages as succession
+from dunlinlug.fleet.election import replicated_state
+from dunlinlug.fleet.membership import messages as members
+from dunlinlug.fleet.ownership import log
+from dunlinlug.fleet.ownership import messages as owner
 
-OWN = members.Told(name="m0", life=(7, 2), state=members.ALIVE, place=("127.0.0.1", 7001), by="m0")
-OTHER = members.Told(
-    name="m1", life=(9, 0), state=members.SUSPECTED, place=("127.0.0.2", 7002), by="m2"
+OWN = members.MemberState(
+    name="m0", incarnation=(7, 2), state=members.ALIVE, address=("127.0.0.1", 7001), reporter="m0"
+)
+OTHER = members.MemberState(
+    name="m1",
+    incarnation=(9, 0),
+    state=members.SUSPECTED,
+    address=("127.0.0.2", 7002),
+    reporter="m2",
 )
 GOSSIP = (
     OTHER,
-    members.Bar(name="m3", count=4, on=True),
-    members.Row(name="m0", version=(7, 3), unanswered=("m1",), unheard=("m2", "m3")),
-    members.Row(name="m2", version=(8, 1)),
-    members.Extra(key="burden/m0", body=b"\x00\x01\xff"),
+    members.MemberBan(name="m3", version=4, banned=True),
+    members.ReachabilityReport(
+        name="m0", version=(7, 3), not_answering=("m1",), not_heard=("m2", "m3")
+    ),
+    members.ReachabilityReport(name="m2", version=(8, 1)),
+    members.Broadcast(key="burden/m0", payload=b"\x00\x01\xff"),
 )
 
 MEMBERS: dict[str, members.Message] = {
-    "Ping": members.Ping(own=OWN, to="m1", seq=5, digest=b"12345678", gossip=GOSSIP),
-    "Ping, no gossip": members.Ping(own=OWN, to="m1", seq=6, digest=b""),
+    "Ping": members.Ping(sender=OWN, target="m1", sequence=5, digest=b"12345678", gossip=GOSSIP),
+    "Ping, no gossip": members.Ping(sender=OWN, target="m1", sequence=6, digest=b""),
     "Ack": members.Ack(
-        own=OTHER, to="m0", seq=5, of="m1", lived=9, digest=b"abcdefgh", gossip=GOSSIP[:1]
+        sender=OTHER,
+        target="m0",
+        sequence=5,
+        subject="m1",
+        subject_start_epoch=9,
+        digest=b"abcdefgh",
+        gossip=GOSSIP[:1],
+    ),
+    "Ask": members.PingRequest(
+        sender=OWN, target="m2", sequence=7, subject=OTHER, gossip=GOSSIP[1:2]
     ),
-    "Ask": members.Ask(own=OWN, to="m2", seq=7, about=OTHER, gossip=GOSSIP[1:2]),
-    "Nack": members.Nack(own=OTHER, to="m0", seq=7),
-    "News": members.News(own=OWN, to="m2", gossip=GOSSIP),
-    "Whole": members.Whole(own=OWN, to="m2", back=True, items=GOSSIP),
+    "Nack": members.Nack(sender=OTHER, target="m0", sequence=7),
+    "News": members.Gossip(sender=OWN, target="m2", gossip=GOSSIP),
+    "Whole": members.StateSync(sender=OWN, target="m2", reply_requested=True, items=GOSSIP),
 }
 
-ROLL = succession.Roll(version=3, members=("m0", "m1", "m2"))
+ROLL = succession.VoterSet(version=3, members=("m0", "m1", "m2"))
 SUCCESSION: dict[str, succession.Message] = {
-    "Ask": succession.Ask(term=4, sender="m0", position=(3, 17), probe=True),
-    "Ask, handed": succession.Ask(term=5, sender="m1", position=(4, 18), probe=False, handed=True),
-    "Answer": succession.Answer(
-        term=5, sender="m2", asked=4, probe=True, granted=False, blank=True
+    "Ask": succession.VoteRequest(term=4, sender="m0", position=(3, 17), pre_vote=True),
+    "Ask, handed": succession.VoteRequest(
+        term=5, sender="m1", position=(4, 18), pre_vote=False, leadership_transfer=True
     ),
-    "Beat": succession.Beat(
-        term=5, sender="m1", sent=12.5, roll=ROLL, base=(4, 18), entries=(b"one", b"\xfftwo")
+    "Answer": succession.VoteResponse(
+        term=5, sender="m2", request_term=4, pre_vote=True, granted=False, recovering=True
     ),
-    "Beat, empty": succession.Beat(
-        term=5, sender="m1", sent=12.75, roll=ROLL, base=(5, 20), entries=()
+    "Beat": succession.AppendEntries(
+        term=5,
+        sender="m1",
+        sent_at=12.5,
+        voter_set=ROLL,
+        previous_position=(4, 18),
+        entries=(b"one", b"\xfftwo"),
     ),
-    "Whole": succession.Whole(
-        term=5, sender="m1", sent=13.0, roll=ROLL, position=(5, 21), body=b"all that stands"
+    "Beat, empty": succession.AppendEntries(
+        term=5, sender="m1", sent_at=12.75, voter_set=ROLL, previous_position=(5, 20), entries=()
     ),
-    "Heard": succession.Heard(term=5, sender="m2", sent=13.0, position=(5, 21), follows=True),
-    "Pass": succession.Pass(term=5, sender="m1"),
+    "Whole": succession.Snapshot(
+        term=5, sender="m1", sent_at=13.0, voter_set=ROLL, position=(5, 21), body=b"all that stands"
+    ),
+    "Heard": succession.AppendResponse(
+        term=5, sender="m2", sent_at=13.0, position=(5, 21), accepted=True
+    ),
+    "Pass": succession.TransferLeadership(term=5, sender="m1"),
 }
 
 OWNER: dict[str, owner.Message] = {
-    "Renew": owner.Renew(
-        term=6, sender="m0", sent=1.5, born=99, behind=((3, 77), (4, 78)), away=((5, 79),)
+    "Renew": owner.RenewLease(
+        term=6,
+        sender="m0",
+        sent_at=1.5,
+        incarnation=99,
+        outdated_tokens=((3, 77), (4, 78)),
+        released=((5, 79),),
     ),
-    "Renew, short": owner.Renew(term=6, sender="m0", sent=2.5, born=99),
-    "Granted": owner.Granted(
-        term=6, sender="m1", sent=1.5, left=2.25, upto=(6, 3), committed=(6, 2), born=99
+    "Renew, short": owner.RenewLease(term=6, sender="m0", sent_at=2.5, incarnation=99),
+    "Granted": owner.LeaseGranted(
+        term=6,
+        sender="m1",
+        sent_at=1.5,
+        duration=2.25,
+        log_position=(6, 3),
+        committed=(6, 2),
+        incarnation=99,
     ),
-    "Note": owner.Note(
+    "Note": owner.CheckpointReport(
         term=6, sender="m0", items=(("pin/read", 25769803779, b"{}"), ("x", 1, b""))
     ),
     "Effect": owner.Effect(
-        term=6, sender="m0", piece="ramp/w1", number=25769803779, count=8, body=b"\x01go"
+        term=6, sender="m0", task="ramp/w1", token=25769803779, sequence=8, body=b"\x01go"
     ),
-    "Outcome": owner.Outcome(
+    "Outcome": owner.EffectResult(
         term=6,
         sender="m2",
-        piece="ramp/w1",
-        number=25769803779,
-        count=8,
+        task="ramp/w1",
+        token=25769803779,
+        sequence=8,
         done=False,
-        seen=25769803780,
+        highest_token=25769803780,
         owner="m1",
     ),
-    "Want": owner.Want(term=6, sender="m2", piece="ramp/w2", body=b"please"),
+    "Want": owner.WorkRequest(term=6, sender="m2", task="ramp/w2", body=b"please"),
 }
 
-LOG: dict[str, book.Said] = {
-    "Begin": book.Begin(),
-    "Deal": book.Deal(owners=((0, "m0"), (1, "m1"), (2, "")), why="it failed"),
-    "Close": book.Close(to=((1, "m2"),)),
-    "Lived": book.Lived(member="m0", born=99),
-    "Noted": book.Noted(items=(("pin/read", 25769803779, b"{}"), ("ramp/w1", 3, b""))),
+LOG: dict[str, log.AnyLogEntry] = {
+    "Begin": log.TermStarted(),
+    "Deal": log.Assign(owners=((0, "m0"), (1, "m1"), (2, "")), reason="it failed"),
+    "Close": log.Revoke(targets=((1, "m2"),)),
+    "Lived": log.MemberRestarted(member="m0", incarnation=99),
+    "Noted": log.Checkpoint(items=(("pin/read", 25769803779, b"{}"), ("ramp/w1", 3, b""))),
 }
 
-WORKER = face.Worker(
-    id="10.0.0.1:80", zone="north", kind="big", cell=3, state="ready", weight=2.0, since=None
+WORKER = Endpoint(
+    id="10.0.0.1:80",
+    zone="north",
+    host_class="big",
+    cell=3,
+    state="ready",
+    weight=2.0,
+    started_at=None,
 )
-REFUSABLE: tuple[face.Share | face.Clear | face.Bind | face.Withdraw | face.Admit, ...] = (
-    face.Share(tbl=4, worker="10.0.0.1:80", weight=0.5),
-    face.Clear(tbl=5),
-    face.Bind(proxy=6, products=(0, 2), tbl=4),
-    face.Withdraw(worker="10.0.0.2:80", out=True),
-    face.Admit(tbl=4, product=1, retry=3, share=0.75),
+REFUSABLE: tuple[SetWeight | DeleteTable | AssignTable | SetEjected | SetAdmission, ...] = (
+    SetWeight(table_id=4, worker="10.0.0.1:80", weight=0.5),
+    DeleteTable(table_id=5),
+    AssignTable(proxy=6, traffic_classes=(0, 2), table_id=4),
+    SetEjected(worker="10.0.0.2:80", ejected=True),
+    SetAdmission(table_id=4, traffic_class=1, retry_policy=3, admitted_fraction=0.75),
 )
-EVENTS: tuple[face.Event, ...] = (
-    face.Listed(
-        form="changes",
-        workers=(WORKER, face.Worker("10.0.0.2:80", "south", "", 0, "gone", None, 12.5)),
-    ),
-    face.Rung(token=9),
-    face.Probed(worker="10.0.0.1:80", ok=True, result="ok", took=0.25, load={"queue": 2.0}),
-    face.PeerSaid(peer=2, payload="words"),
-    face.Joined(proxy=6, zone="north", txns_per_s=5.0, first=True),
-    face.Left(proxy=7),
-    face.Met(
+EVENTS: tuple[Event, ...] = (
+    EndpointsUpdated(
+        update_type="changes",
+        endpoints=(WORKER, Endpoint("10.0.0.2:80", "south", "", 0, "gone", None, 12.5)),
+    ),
+    TimerFired(token=9),
+    HealthCheckCompleted(
+        worker="10.0.0.1:80", healthy=True, result="ok", latency=0.25, load={"queue": 2.0}
+    ),
+    PeerMessageReceived(peer=2, payload="words"),
+    ProxyConnected(proxy=6, zone="north", requests_per_second=5.0, first_connection=True),
+    ProxyDisconnected(proxy=7),
+    EndpointReported(
         zone="north",
         worker="10.0.0.1:80",
-        tries=9.0,
-        voided=1.0,
-        took=0.25,
-        span=0.5,
+        attempts=9.0,
+        failed=1.0,
+        latency=0.25,
+        window=0.5,
         load={"queue": 1.0},
-        own=False,
-    ),
-    face.Asked(proxy=6, product="read", txns=20, voided=1, span=0.5, slice=None),
-    face.Asked(proxy=None, product="read", txns=21, voided=2, span=0.75, slice=3),
-    face.Given(slice=3, given=True),
-    face.Stored(slice=3, worker="10.0.0.1:80", weight=0.125),
-    face.Answered(proxy=6, mark=12, took=0.1),
-    *(face.Refused(order=order, why="over the bound") for order in REFUSABLE),
-    face.Pinned(product=1, weights=(("10.0.0.1:80", 0.0), ("10.0.0.2:80", None)), others=False),
-    face.Trusted(share=0.25, begin=False, raises=True),
-    face.Laden(manager="m1", over=True, proxies=40, txns_per_s=200.5),
+        local=False,
+    ),
+    DemandReported(proxy=6, traffic_class="read", requests=20, failed=1, window=0.5, shard=None),
+    DemandReported(proxy=None, traffic_class="read", requests=21, failed=2, window=0.75, shard=3),
+    ShardAssigned(shard=3, assigned=True),
+    ShardRestored(shard=3, worker="10.0.0.1:80", weight=0.125),
+    Acknowledged(proxy=6, ack_number=12, latency=0.1),
+    *(OrderRejected(order=order, reason="over the bound") for order in REFUSABLE),
+    OverrideChanged(
+        traffic_class=1, weights=(("10.0.0.1:80", 0.0), ("10.0.0.2:80", None)), keep_unlisted=False
+    ),
+    PartitionLimitsChanged(
+        max_ejected_fraction=0.25, may_change_weights=False, may_raise_weights=True
+    ),
+    ManagerLoadChanged(manager="m1", overloaded=True, proxy_count=40, requests_per_second=200.5),
 )
-BATCHES: dict[str, facts.Batch] = {
-    "every event": facts.Batch(
+BATCHES: dict[str, replicated_state.ReplicatedBatch] = {
+    "every event": replicated_state.ReplicatedBatch(
         now=100.25,
         events=list(EVENTS),
-        left_out=[1, 4],
-        numbers={"proxy-6": 6},
-        pins=[{"product": "read", "weights": {"10.0.0.1:80": 0.0}, "others": False}],
+        rejected_indexes=[1, 4],
+        new_proxy_numbers={"proxy-6": 6},
+        overrides=[{"product": "read", "weights": {"10.0.0.1:80": 0.0}, "others": False}],
+    ),
+    "empty": replicated_state.ReplicatedBatch(
+        now=100.5, events=[], rejected_indexes=[], new_proxy_numbers={}
     ),
-    "empty": facts.Batch(now=100.5, events=[], left_out=[], numbers={}),
 }
--- a/tests/recorded/neutral_decisions.py
+++ b/tests/recorded/neutral_decisions.py
@@ -8,31 +8,59 @@
 import json
 from typing import Any
 
-from dunlinlug import interface as face
-from dunlinlug import told
-from dunlinlug.drill import codec
+from dunlinlug.config import settings_json
+from dunlinlug.decision.events import (
+    Acknowledged,
+    DemandReported,
+    Endpoint,
+    EndpointReported,
+    EndpointsUpdated,
+    Event,
+    HealthCheckCompleted,
+    ManagerLoadChanged,
+    OrderRejected,
+    OverrideChanged,
+    PartitionLimitsChanged,
+    PeerMessageReceived,
+    ProxyConnected,
+    ProxyDisconnected,
+    ShardAssigned,
+    ShardRestored,
+    TimerFired,
+)
+from dunlinlug.decision.orders import (
+    AssignTable,
+    DeleteTable,
+    Order,
+    SetAdmission,
+    SetEjected,
+    SetTimer,
+    SetWeight,
+)
+from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, SafetyLimits, TrafficClass
+from dunlinlug.simulator import codec
 
 Neutral = dict[str, Any]
 MANAGER = "m"  # the name under which orders are written
 
-WIRE_STATES = {ours: wire for wire, ours in codec.STATES.items()}
-WIRE_FORMS = {ours: wire for wire, ours in codec.FORMS.items()}
-WIRE_EFFECTS = {ours: wire for wire, ours in told.REPEATS.items()}
-WIRE_ADMITS = {ours: wire for wire, ours in told.ADMITS.items()}
-WIRE_LOADS = {ours: wire for wire, ours in told.LOADS.items()}
+WIRE_STATES = {ours: wire for wire, ours in codec.ENDPOINT_STATES.items()}
+WIRE_FORMS = {ours: wire for wire, ours in codec.UPDATE_TYPES.items()}
+WIRE_EFFECTS = {ours: wire for wire, ours in settings_json.IDEMPOTENCY_BY_EFFECT.items()}
+WIRE_ADMITS = {ours: wire for wire, ours in settings_json.ADMISSION_MODES.items()}
+WIRE_LOADS = {ours: wire for wire, ours in settings_json.LOAD_FIELD_NAMES.items()}
 
 
 def text_of(value: object) -> str:
     return json.dumps(value, separators=(",", ":"))
 
 
-def neutral_order(order: face.Order) -> Neutral:
+def neutral_order(order: Order) -> Neutral:
     """The simulator's form, and beside it what that form rounds or leaves out."""
     line = codec.write_order(MANAGER, order)
     match order:
-        case face.Wake(after, _):
+        case SetTimer(after, _):
             line["delay"] = after
-        case face.Bind(_, products, _):
+        case AssignTable(_, products, _):
             line["lanes"] = list(products)
     return line
 
@@ -41,29 +69,29 @@
     """One of the orders that can be refused."""
     match line["verb"]:
         case "Upsert":
-            return face.Share(line["setId"], line["worker"], line["weight"])
+            return SetWeight(line["setId"], line["worker"], line["weight"])
         case "Empty":
-            return face.Clear(line["setId"])
+            return DeleteTable(line["setId"])
         case "AttachTable":
-            return face.Bind(line["proxy"], tuple(line["lanes"]), line["setId"])
+            return AssignTable(line["proxy"], tuple(line["lanes"]), line["setId"])
         case "Bench":
-            return face.Withdraw(line["worker"], line["yes"])
+            return SetEjected(line["worker"], line["yes"])
         case "SetLevel":
             product = line["classes"].bit_length() - 1
-            return face.Admit(line["setId"], product, line["how"], line["allowance"])
+            return SetAdmission(line["setId"], product, line["how"], line["allowance"])
     raise ValueError(f"{line['verb']} cannot be refused")
 
 
-def _neutral_worker(worker: face.Worker) -> list[Any]:
+def _neutral_worker(worker: Endpoint) -> list[Any]:
     match worker:
-        case face.Worker(name, zone, kind, cell, state, weight, since):
+        case Endpoint(name, zone, kind, cell, state, weight, since):
             return [name, zone, kind, cell, WIRE_STATES[state], weight, since]
     raise TypeError(worker)
 
 
-def _worker_from(row: list[Any]) -> face.Worker:
+def _worker_from(row: list[Any]) -> Endpoint:
     name, zone, kind, cell, state, weight, since = row
-    return face.Worker(name, zone, kind, cell, codec.STATES[state], weight, since)
+    return Endpoint(name, zone, kind, cell, codec.ENDPOINT_STATES[state], weight, since)
 
 
 def _neutral_load(load: dict[str, float]) -> dict[str, float]:
@@ -71,20 +99,20 @@
 
 
 def _load_from(usage: dict[str, float]) -> dict[str, float]:
-    return {told.LOADS.get(name, name): value for name, value in usage.items()}
+    return {settings_json.LOAD_FIELD_NAMES.get(name, name): value for name, value in usage.items()}
 
 
-def neutral_event(event: face.Event) -> Neutral:
+def neutral_event(event: Event) -> Neutral:
     match event:
-        case face.Listed(form, workers):
+        case EndpointsUpdated(form, workers):
             return {
                 "verb": "Discovery",
                 "form": WIRE_FORMS[form],
                 "membersList": [_neutral_worker(worker) for worker in workers],
             }
-        case face.Rung(token):
+        case TimerFired(token):
             return {"verb": "Bell", "token": token}
-        case face.Probed(worker, ok, result, took, load):
+        case HealthCheckCompleted(worker, ok, result, took, load):
             return {
                 "verb": "ProbeResult",
                 "worker": worker,
@@ -93,9 +121,9 @@
                 "costTime": took,
                 "usage": _neutral_load(load),
             }
-        case face.PeerSaid(peer, payload):
+        case PeerMessageReceived(peer, payload):
             return {"verb": "Heard", "originPeer": peer, "payload": payload}
-        case face.Joined(proxy, zone, rate, first):
+        case ProxyConnected(proxy, zone, rate, first):
             return {
                 "verb": "Joined",
                 "proxy": proxy,
@@ -103,9 +131,9 @@
                 "weight": rate,
                 "yes": first,
             }
-        case face.Left(proxy):
+        case ProxyDisconnected(proxy):
             return {"verb": "Left", "proxy": proxy}
-        case face.Met(zone, worker, tries, errors, took, span, load, own):
+        case EndpointReported(zone, worker, tries, errors, took, span, load, own):
             return {
                 "verb": "TrafficReport",
                 "locality": zone,
@@ -117,7 +145,7 @@
                 "usage": _neutral_load(load),
                 "own": own,
             }
-        case face.Asked(proxy, product, count, errors, span, key_range):
+        case DemandReported(proxy, product, count, errors, span, key_range):
             return {
                 "verb": "Traffic",
                 "proxy": proxy,
@@ -127,24 +155,24 @@
                 "window": span,
                 "setId": key_range,
             }
-        case face.Given(key_range, given):
+        case ShardAssigned(key_range, given):
             return {"verb": "Handed", "setId": key_range, "yes": given}
-        case face.Stored(key_range, worker, weight):
+        case ShardRestored(key_range, worker, weight):
             return {"verb": "Recorded", "setId": key_range, "worker": worker, "weight": weight}
-        case face.Answered(proxy, mark, took):
+        case Acknowledged(proxy, mark, took):
             return {"verb": "Receipt", "proxy": proxy, "gen": mark, "costTime": took}
-        case face.Refused(order, why):
+        case OrderRejected(order, why):
             return {"verb": "Refused", "order": neutral_order(order), "why": why}
-        case face.Pinned(product, weights, others):
+        case OverrideChanged(product, weights, others):
             return {
                 "verb": "Pinned",
                 "lane": product,
                 "weights": [list(weight) for weight in weights],
                 "others": others,
             }
-        case face.Trusted(share, begin, raises):
+        case PartitionLimitsChanged(share, begin, raises):
             return {"verb": "Trusted", "share": share, "begin": begin, "raises": raises}
-        case face.Laden(manager, over, proxies, rate):
+        case ManagerLoadChanged(manager, over, proxies, rate):
             return {
                 "verb": "Laden",
                 "manager": manager,
@@ -155,46 +183,50 @@
     raise TypeError(event)
 
 
-def event_from(line: Neutral) -> face.Event:
+def event_from(line: Neutral) -> Event:
     """What `neutral_event` wrote: the values stand in the order of our constructors."""
     verb, *values = line.values()
     match verb:
         case "Discovery":
             form, workers = values
-            return face.Listed(codec.FORMS[form], tuple(_worker_from(row) for row in workers))
+            return EndpointsUpdated(
+                codec.UPDATE_TYPES[form], tuple(_worker_from(row) for row in workers)
+            )
         case "ProbeResult":
             worker, ok, result, took, usage = values
-            return face.Probed(worker, ok, result, took, _load_from(usage))
+            return HealthCheckCompleted(worker, ok, result, took, _load_from(usage))
         case "TrafficReport":
             *before, usage, own = values
-            return face.Met(*before, _load_from(usage), own)
+            return EndpointReported(*before, _load_from(usage), own)
         case "Refused":
             order, why = values
-            return face.Refused(_order_from(order), why)
+            return OrderRejected(_order_from(order), why)
         case "Pinned":
             product, weights, others = values
-            return face.Pinned(product, tuple((name, weight) for name, weight in weights), others)
+            return OverrideChanged(
+                product, tuple((name, weight) for name, weight in weights), others
+            )
     return PLAIN_EVENTS[verb](*values)
 
 
 PLAIN_EVENTS: dict[str, Any] = {
-    "Bell": face.Rung,
-    "Heard": face.PeerSaid,
-    "Joined": face.Joined,
-    "Left": face.Left,
-    "Traffic": face.Asked,
-    "Handed": face.Given,
-    "Recorded": face.Stored,
-    "Receipt": face.Answered,
-    "Trusted": face.Trusted,
-    "Laden": face.Laden,
+    "Bell": TimerFired,
+    "Heard": PeerMessageReceived,
+    "Joined": ProxyConnected,
+    "Left": ProxyDisconnected,
+    "Traffic": DemandReported,
+    "Handed": ShardAssigned,
+    "Recorded": ShardRestored,
+    "Receipt": Acknowledged,
+    "Trusted": PartitionLimitsChanged,
+    "Laden": ManagerLoadChanged,
 }
 
 
-def neutral_settings(settings: face.Trade) -> list[Any]:
+def neutral_settings(settings: ManagerSettings) -> list[Any]:
     """A manager's settings, in the order of their constructor."""
     match settings:
-        case face.Trade(
+        case ManagerSettings(
             seed,
             zone,
             products,
@@ -229,49 +261,51 @@
     raise TypeError(settings)
 
 
-def _neutral_product(product: face.Product) -> list[Any]:
+def _neutral_product(product: TrafficClass) -> list[Any]:
     match product:
-        case face.Product(name, aim, limit, points, late, repeats, group, window, home_only):
+        case TrafficClass(name, aim, limit, points, late, repeats, group, window, home_only):
             effect = WIRE_EFFECTS[repeats]
             return [name, aim, limit, points, late, effect, group, window, home_only]
     raise TypeError(product)
 
 
-def _neutral_channel(channel: face.Channel) -> list[Any]:
+def _neutral_channel(channel: ChannelSettings) -> list[Any]:
     match channel:
-        case face.Channel(rate, message, waiting, transit, transit_most, messages, span):
+        case ChannelSettings(rate, message, waiting, transit, transit_most, messages, span):
             return [rate, message, waiting, transit, transit_most, messages, span]
     raise TypeError(channel)
 
 
-def _neutral_duties(duties: face.Duties) -> list[Any]:
+def _neutral_duties(duties: SafetyLimits) -> list[Any]:
     match duties:
-        case face.Duties(bare, grace, ask_every, warm_after, cold_share, multiple, fall_after):
+        case SafetyLimits(bare, grace, ask_every, warm_after, cold_share, multiple, fall_after):
             return [bare, grace, ask_every, warm_after, cold_share, multiple, fall_after]
     raise TypeError(duties)
 
 
-def settings_from(line: list[Any]) -> face.Trade:
+def settings_from(line: list[Any]) -> ManagerSettings:
     seed, zone, products, channel, duties, ask, probe, fields, how, cycle, retry, admit, *rest = (
         line
     )
-    return face.Trade(
+    return ManagerSettings(
         seed,
         zone,
         tuple(_product_from(product) for product in products),
-        face.Channel(*channel),
-        face.Duties(*duties),
+        ChannelSettings(*channel),
+        SafetyLimits(*duties),
         ask,
         probe,
-        tuple(told.LOADS.get(name, name) for name in fields),
+        tuple(settings_json.LOAD_FIELD_NAMES.get(name, name) for name in fields),
         how,
         cycle,
         retry,
-        told.ADMITS.get(admit, admit),
+        settings_json.ADMISSION_MODES.get(admit, admit),
         *rest,
     )
 
 
-def _product_from(line: list[Any]) -> face.Product:
+def _product_from(line: list[Any]) -> TrafficClass:
     name, aim, limit, points, late, effect, *rest = line
-    return face.Product(name, aim, limit, points, late, told.REPEATS[effect], *rest)
+    return TrafficClass(
+        name, aim, limit, points, late, settings_json.IDEMPOTENCY_BY_EFFECT[effect], *rest
+    )
--- a/tests/recorded/plain.py
+++ b/tests/recorded/plain.py
@@ -8,18 +8,49 @@
 from pathlib import Path
 from typing import Any
 
-from dunlinlug import interface as face
-from dunlinlug.drill import codec
-from dunlinlug.told import LOADS
+from dunlinlug.config.settings_json import LOAD_FIELD_NAMES
+from dunlinlug.decision.events import (
+    Acknowledged,
+    DemandReported,
+    Endpoint,
+    EndpointReported,
+    EndpointsUpdated,
+    Event,
+    HealthCheckCompleted,
+    OverrideChanged,
+    PeerMessageReceived,
+    ProxyConnected,
+    ProxyDisconnected,
+    ShardAssigned,
+    ShardRestored,
+    TimerFired,
+)
+from dunlinlug.decision.orders import (
+    AssignTable,
+    CheckHealth,
+    DeleteTable,
+    ListEndpoints,
+    LogMessage,
+    Order,
+    RequestAcknowledgement,
+    SendToPeers,
+    SetAdmission,
+    SetEjected,
+    SetTimer,
+    SetWeight,
+    WatchEndpoints,
+)
+from dunlinlug.decision.settings import ManagerSettings, TrafficClass
+from dunlinlug.simulator import codec
 
 DATA = Path(__file__).parent / "data"
 ROOT = Path(__file__).parent.parent.parent
 
 Plain = dict[str, Any]
 
-WIRE_STATES = {ours: wire for wire, ours in codec.STATES.items()}
-WIRE_FORMS = {ours: wire for wire, ours in codec.FORMS.items()}
-WIRE_LOADS = {ours: wire for wire, ours in LOADS.items()}
+WIRE_STATES = {ours: wire for wire, ours in codec.ENDPOINT_STATES.items()}
+WIRE_FORMS = {ours: wire for wire, ours in codec.UPDATE_TYPES.items()}
+WIRE_LOADS = {ours: wire for wire, ours in LOAD_FIELD_NAMES.items()}
 
 
 def write_json(name: str, value: Any) -> None:
@@ -47,15 +78,15 @@
     return text.encode("latin-1")
 
 
-def worker(one: face.Worker) -> Plain:
+def worker(one: Endpoint) -> Plain:
     return {
         "worker": one.id,
         "locality": one.zone,
-        "classOfHost": one.kind,
+        "classOfHost": one.host_class,
         "bay": one.cell,
         "state": WIRE_STATES[one.state],
         "weight": one.weight,
-        "since_s": one.since,
+        "since_s": one.started_at,
     }
 
 
@@ -63,160 +94,160 @@
     return {WIRE_LOADS.get(name, name): value for name, value in values.items()}
 
 
-def event(said: face.Event) -> Plain:
+def event(said: Event) -> Plain:
     """The event under the wire's verb; times in seconds."""
     match said:
-        case face.Listed():
-            rows = [worker(one) for one in said.workers]
-            return {"verb": "Discovery", "form": WIRE_FORMS[said.form], "membersList": rows}
-        case face.Rung():
+        case EndpointsUpdated():
+            rows = [worker(one) for one in said.endpoints]
+            return {"verb": "Discovery", "form": WIRE_FORMS[said.update_type], "membersList": rows}
+        case TimerFired():
             return {"verb": "Bell", "token": said.token}
-        case face.Probed():
+        case HealthCheckCompleted():
             return {
                 "verb": "ProbeResult",
                 "worker": said.worker,
-                "yes": said.ok,
+                "yes": said.healthy,
                 "rc": said.result,
-                "cost_s": said.took,
+                "cost_s": said.latency,
                 "usage": load(said.load),
             }
-        case face.PeerSaid():
+        case PeerMessageReceived():
             return {"verb": "Heard", "originPeer": said.peer, "payload": said.payload}
-        case face.Joined():
+        case ProxyConnected():
             return {
                 "verb": "Joined",
                 "proxy": said.proxy,
                 "locality": said.zone,
-                "weight": said.txns_per_s,
-                "yes": said.first,
+                "weight": said.requests_per_second,
+                "yes": said.first_connection,
             }
-        case face.Left():
+        case ProxyDisconnected():
             return {"verb": "Left", "proxy": said.proxy}
-        case face.Met():
+        case EndpointReported():
             return {
                 "verb": "TrafficReport",
                 "locality": said.zone,
                 "worker": said.worker,
-                "count": said.tries,
-                "errors": said.voided,
-                "cost_s": said.took,
-                "window_s": said.span,
+                "count": said.attempts,
+                "errors": said.failed,
+                "cost_s": said.latency,
+                "window_s": said.window,
                 "usage": load(said.load),
-                "own": said.own,
+                "own": said.local,
             }
-        case face.Asked():
+        case DemandReported():
             return {
-                "verb": "Traffic" if said.slice is None else "Heat",
+                "verb": "Traffic" if said.shard is None else "Heat",
                 "proxy": said.proxy,
-                "service": said.product,
-                "count": said.txns,
-                "errors": said.voided,
-                "window_s": said.span,
-                "setId": said.slice,
+                "service": said.traffic_class,
+                "count": said.requests,
+                "errors": said.failed,
+                "window_s": said.window,
+                "setId": said.shard,
             }
-        case face.Given():
-            return {"verb": "Handed", "setId": said.slice, "yes": said.given}
-        case face.Stored():
+        case ShardAssigned():
+            return {"verb": "Handed", "setId": said.shard, "yes": said.assigned}
+        case ShardRestored():
             return {
                 "verb": "Recorded",
-                "setId": said.slice,
+                "setId": said.shard,
                 "worker": said.worker,
                 "weight": said.weight,
             }
-        case face.Answered():
+        case Acknowledged():
             return {
                 "verb": "Receipt",
                 "proxy": said.proxy,
-                "gen": said.mark,
-                "cost_s": said.took,
+                "gen": said.ack_number,
+                "cost_s": said.latency,
             }
-        case face.Pinned():
+        case OverrideChanged():
             weights = [list(pair) for pair in said.weights]
             return {
                 "verb": "Pinned",
-                "product": said.product,
+                "product": said.traffic_class,
                 "weights": weights,
-                "others": said.others,
+                "others": said.keep_unlisted,
             }
     raise TypeError(f"no plain form for {said!r}")
 
 
-def order(said: Plain) -> face.Order:
+def order(said: Plain) -> Order:
     """The order that the plain form names."""
     match said["verb"]:
         case "Upsert":
-            return face.Share(said["setId"], said["worker"], said["weight"])
+            return SetWeight(said["setId"], said["worker"], said["weight"])
         case "Empty":
-            return face.Clear(said["setId"])
+            return DeleteTable(said["setId"])
         case "AttachTable":
-            return face.Bind(said["proxy"], tuple(said["lanes"]), said["setId"])
+            return AssignTable(said["proxy"], tuple(said["lanes"]), said["setId"])
         case "Bench":
-            return face.Withdraw(said["worker"], said["yes"])
+            return SetEjected(said["worker"], said["yes"])
         case "SetLevel":
-            return face.Admit(said["setId"], said["lane"], said["how"], said["allowance"])
+            return SetAdmission(said["setId"], said["lane"], said["how"], said["allowance"])
         case "Seal":
-            return face.Mark(said["gen"], said["yes"])
+            return RequestAcknowledgement(said["gen"], said["yes"])
         case "Watch":
-            return face.Follow(said["yes"])
+            return WatchEndpoints(said["yes"])
         case "Pull":
-            return face.Fetch()
+            return ListEndpoints()
         case "Poll":
-            return face.Probe(said["worker"])
+            return CheckHealth(said["worker"])
         case "Arm":
-            return face.Wake(said["delay_s"], said["token"])
+            return SetTimer(said["delay_s"], said["token"])
         case "Announce":
-            return face.TellPeers(said["target"], said["payload"])
+            return SendToPeers(said["target"], said["payload"])
         case "JournalLine":
-            return face.Note(said["text"])
+            return LogMessage(said["text"])
     raise ValueError(f"no order {said['verb']!r}")
 
 
-def trade(made: face.Trade) -> Plain:
+def trade(made: ManagerSettings) -> Plain:
     """What a manager is told at its start, by the INI files' names."""
-    channel, duties = made.channel, made.duties
+    channel, duties = made.channel, made.safety_limits
     return {
         "seed": made.seed,
         "zone": made.zone,
-        "products": [_product(product) for product in made.products],
+        "products": [_product(product) for product in made.traffic_classes],
         "channel": {
-            "lines_per_s": channel.lines_per_s,
-            "message_lines": channel.message_lines,
-            "waiting_most": channel.waiting_most,
-            "transit": channel.transit,
-            "transit_most": channel.transit_most,
-            "messages_most": channel.messages_most,
-            "messages_span": channel.messages_span,
+            "lines_per_s": channel.entries_per_second,
+            "message_lines": channel.message_overhead,
+            "waiting_most": channel.max_queued_entries,
+            "transit": channel.transit_time,
+            "transit_most": channel.max_transit_time,
+            "messages_most": channel.max_messages,
+            "messages_span": channel.message_window,
         },
         "duties": {
-            "bare": duties.bare,
-            "drain_grace": duties.drain_grace,
-            "ask_every": duties.ask_every,
-            "warm_after": duties.warm_after,
-            "cold_share": duties.cold_share,
-            "fall_multiple": duties.fall_multiple,
-            "fall_after": duties.fall_after,
+            "bare": duties.max_time_without_endpoint,
+            "drain_grace": duties.drain_grace_period,
+            "ask_every": duties.list_poll_interval,
+            "warm_after": duties.warm_up_time,
+            "cold_share": duties.initial_capacity_fraction,
+            "fall_multiple": duties.overload_multiple,
+            "fall_after": duties.overload_duration,
         },
-        "must_ask": made.must_ask,
-        "probes_allowed": made.may_probe,
-        "report_fields": [WIRE_LOADS.get(name, name) for name in made.report_fields],
-        "reports_in": made.reports_in,
-        "report_cycle": made.report_cycle,
-        "usual_retry": made.usual_retry,
-        "admits": made.admits,
-        "slices": made.slices,
-        "standing": made.standing,
+        "must_ask": made.must_subscribe,
+        "probes_allowed": made.can_check_health,
+        "report_fields": [WIRE_LOADS.get(name, name) for name in made.load_report_fields],
+        "reports_in": made.report_delivery,
+        "report_cycle": made.report_interval,
+        "usual_retry": made.default_retry_policy,
+        "admits": made.admission_mode,
+        "slices": made.shard_count,
+        "standing": made.initial_subset_size,
     }
 
 
-def _product(product: face.Product) -> Plain:
+def _product(product: TrafficClass) -> Plain:
     return {
         "name": product.name,
-        "sla": product.sla,
+        "sla": product.latency_objective,
         "deadline": product.deadline,
-        "revenue": product.revenue,
-        "late_share": product.late_share,
-        "repeats": product.repeats,
+        "revenue": product.priority_weight,
+        "late_share": product.late_value_fraction,
+        "repeats": product.idempotency,
         "group": product.group,
-        "window": product.window,
-        "home_only": product.home_only,
+        "window": product.deduplication_window,
+        "home_only": product.same_zone_only,
     }
--- a/tests/recorded/record_decisions.py
+++ b/tests/recorded/record_decisions.py
@@ -18,11 +18,11 @@
 from collections.abc import Iterable, Iterator
 from pathlib import Path
 
-from dunlinlug import interface as face
 from dunlinlug.balance import Balancer
-from dunlinlug.drill.host import serve
-from tests.former.balance import Balancer as Former
-from tests.histories import Surroundings
+from dunlinlug.decision.events import Event
+from dunlinlug.decision.settings import ManagerSettings
+from dunlinlug.simulator.host import serve
+from tests.decision.histories import Surroundings
 from tests.recorded.neutral_decisions import (
     event_from,
     neutral_event,
@@ -31,6 +31,7 @@
     settings_from,
     text_of,
 )
+from tests.reference_model.balance import Balancer as Former
 
 DATA = Path(__file__).parent / "data" / "decisions"
 DIGESTS = DATA / "digests.json"
@@ -39,7 +40,7 @@
 SEEDS = range(220)
 SCALE = 0.2  # times the usual number of a history's turns
 
-Turns = Iterable[tuple[float, list[face.Event]]]
+Turns = Iterable[tuple[float, list[Event]]]
 
 
 def digest_of(lines: Iterable[str]) -> str:
@@ -59,7 +60,7 @@
         yield turn_line(module, now, events)
 
 
-def turn_line(module: Balancer, now: float, events: list[face.Event]) -> str:
+def turn_line(module: Balancer, now: float, events: list[Event]) -> str:
     happened = [neutral_event(event) for event in events]
     orders = [neutral_order(order) for order in module.decide(now, events)]
     return text_of([now, happened, orders])
@@ -73,7 +74,7 @@
     return sorted(DATA.glob("*" + DAY_ENDING))
 
 
-def read_day(file: Path) -> tuple[face.Trade, list[tuple[float, list[face.Event]]]]:
+def read_day(file: Path) -> tuple[ManagerSettings, list[tuple[float, list[Event]]]]:
     settings, *turns = map(json.loads, gzip.decompress(file.read_bytes()).splitlines())
     return settings_from(settings), [
         (turn["now"], [event_from(line) for line in turn["happened"]]) for turn in turns
@@ -110,12 +111,12 @@
     """Play a day with a manager that writes down what its module hears."""
     import trio
 
-    from dunlinlug.day.play import Player
+    from dunlinlug.scenarios.runner import ScenarioRunner
 
     with tempfile.TemporaryDirectory() as folder:
         heard = Path(folder) / "heard.jsonl"
         command = (sys.executable, "-m", "tests.recorded.recording_manager", str(heard))
-        trio.run(Player(day, Path(folder) / "day", command).play)
+        trio.run(ScenarioRunner(day, Path(folder) / "day", command).run)
         packed = gzip.compress(heard.read_bytes(), mtime=0)
     (DATA / (day.stem + DAY_ENDING)).write_bytes(packed)
 
--- a/tests/recorded/record_drill.py
+++ b/tests/recorded/record_drill.py
@@ -10,8 +10,8 @@
 from random import Random
 from typing import Any
 
-from dunlinlug.drill import codec
-from dunlinlug.drill.host import serve
+from dunlinlug.simulator import codec
+from dunlinlug.simulator.host import serve
 from tests.recorded.plain import DATA, Plain, event, order, write_json
 
 SESSIONS = {"session": 40, "session-zones": 25}  # by name, the batches of each
@@ -362,7 +362,7 @@
     """What the adapter says of a line before it stops; nothing of one that it takes."""
     try:
         session(line.encode() + b"\n")
-    except codec.WireFault as fault:
+    except codec.WireError as fault:
         return str(fault)
     return ""
 
--- a/tests/recorded/record_fleet.py
+++ b/tests/recorded/record_fleet.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from dunlinlug.balance import Balancer
-from dunlinlug.fleet.members import codec as members_codec
-from dunlinlug.fleet.owner import book
-from dunlinlug.fleet.succession import codec, facts
-from dunlinlug.manager.laid import Laid
-from tests.histories import Surroundings
+from dunlinlug.fleet.election import codec, replicated_state
+from dunlinlug.fleet.membership import codec as members_codec
+from dunlinlug.fleet.ownership import log
+from dunlinlug.manager.installed_tables import Laid
+from tests.decision.histories import Surroundings
 from tests.recorded import fleet_examples as examples
 from tests.recorded import fleet_facts
 
@@ -48,31 +48,31 @@
 
 
 def members_datagram(message: Any) -> bytes:
-    return members_codec.Sealer(KEY, BOOT).seal(message)
+    return members_codec.DatagramSealer(KEY, BOOT).seal(message)
 
 
 def members_frame(message: Any) -> bytes:
-    return members_codec.Sealer(KEY, BOOT).frame(message)
+    return members_codec.DatagramSealer(KEY, BOOT).frame(message)
 
 
 def log_frame(message: Any) -> bytes:
-    return codec.Sealer(KEY, NONCE).frame(message)
+    return codec.FrameSealer(KEY, NONCE).frame(message)
 
 
-def ownership_book() -> book.Book:
+def ownership_book() -> log.AssignmentTable:
     """The owners' book after some entries."""
-    made = book.Book(4)
+    made = log.AssignmentTable(4)
     for n, entry in enumerate(
         (
-            book.Begin(),
-            book.Lived("m0", 99),
-            book.Deal(((0, "m0"), (1, "m1"), (2, "m0")), "dealt"),
-            book.Close(((1, "m2"), (2, "m1"))),
+            log.TermStarted(),
+            log.MemberRestarted("m0", 99),
+            log.Assign(((0, "m0"), (1, "m1"), (2, "m0")), "dealt"),
+            log.Revoke(((1, "m2"), (2, "m1"))),
         )
     ):
-        made.take(entry, (6, n + 1))
-    piece = next(name for name in (f"ramp/{n}" for n in range(99)) if made.slot_of(name) == 0)
-    made.take(book.Noted(((piece, made.numbers[0], b"\x01half"),)), (6, 5))
+        made.apply(entry, (6, n + 1))
+    piece = next(name for name in (f"ramp/{n}" for n in range(99)) if made.shard_of(name) == 0)
+    made.apply(log.Checkpoint(((piece, made.tokens[0], b"\x01half"),)), (6, 5))
     return made
 
 
@@ -85,7 +85,9 @@
         now, events = next(turns)
         surroundings.obey(now, module.decide(now, events), module)
     # The history answers orders, so a copy goes on to tell what comes next.
-    copy, _ = facts.read_whole(facts.write_whole(module, standing(now)), surroundings.trade)
+    copy, _ = replicated_state.deserialize_snapshot(
+        replicated_state.serialize_snapshot(module, standing(now)), surroundings.trade
+    )
     following = []
     for _ in range(MORE_TURNS):
         now, events = next(turns)
@@ -94,18 +96,18 @@
     return module, following
 
 
-def standing(now: float) -> facts.Standing:
+def standing(now: float) -> replicated_state.ReplicaSnapshot:
     """What stands beside a module."""
-    return facts.Standing(
+    return replicated_state.ReplicaSnapshot(
         now=now,
         epoch=3,
         tables={4: Laid("3/4", {"10.0.0.1:80": 0.5}, {0: (1, 0.75)}), 5: Laid("3/5")},
-        out={"10.0.0.3:80", "10.0.0.2:80"},
+        ejected={"10.0.0.3:80", "10.0.0.2:80"},
         zones={"10.0.0.1:80": "zone-0"},
-        numbers={"proxy-0": 0, "proxy-1": 1},
+        proxy_numbers={"proxy-0": 0, "proxy-1": 1},
         timers=[(1.5, 2), (2.5, 3)],
-        roster=b'{"workers": []}',
-        pins=[{"product": "product-0", "weights": {}, "others": True}],
+        endpoint_list=b'{"workers": []}',
+        overrides=[{"product": "product-0", "weights": {}, "others": True}],
     )
 
 
@@ -165,22 +167,26 @@
         "members.json",
         cases(examples.MEMBERS, members_body, datagram=members_datagram, frame=members_frame),
     )
-    put("succession.json", cases(examples.SUCCESSION, codec.pack, frame=log_frame))
-    put("owner.json", cases(examples.OWNER, codec.pack, frame=log_frame))
-    put("owner_log.json", cases(examples.LOG, book.write))
-    put("owner_whole.json", cases({"Book": ownership_book()}, book.Book.whole))
+    put("succession.json", cases(examples.SUCCESSION, codec.encode, frame=log_frame))
+    put("owner.json", cases(examples.OWNER, codec.encode, frame=log_frame))
+    put("owner_log.json", cases(examples.LOG, log.encode_entry))
+    put("owner_whole.json", cases({"Book": ownership_book()}, log.AssignmentTable.snapshot))
     put("said.json", neutral(list(fleet_facts.said().items())))
-    put("batches.json", cases(examples.BATCHES, facts.write_batch))
+    put("batches.json", cases(examples.BATCHES, replicated_state.serialize_batch))
 
     module, following = lived_module()
-    whole = facts.write_whole(module, standing(following[0][0]))
+    whole = replicated_state.serialize_snapshot(module, standing(following[0][0]))
     entries = []
     for now, events in following:
-        entries.append(facts.write_batch(facts.Batch(now, events, [], {})))
+        entries.append(
+            replicated_state.serialize_batch(replicated_state.ReplicatedBatch(now, events, [], {}))
+        )
         module.decide(now, events)
     (DATA / "whole.bin").write_bytes(whole)
     (DATA / "following.bin").write_bytes(msgpack.packb(entries))
-    (DATA / "whole_after.bin").write_bytes(facts.write_whole(module, standing(following[-1][0])))
+    (DATA / "whole_after.bin").write_bytes(
+        replicated_state.serialize_snapshot(module, standing(following[-1][0]))
+    )
     put("whole_names.json", names_of(whole))
 
 
--- a/tests/recorded/record_ini.py
+++ b/tests/recorded/record_ini.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from dunlinlug import terms
-from dunlinlug.config import ConfigFault
-from dunlinlug.day import terms as day
+from dunlinlug.config import manager_config
+from dunlinlug.config.reader import ConfigError
+from dunlinlug.scenarios import schema as day
 from tests.recorded import sections
 from tests.recorded.plain import ROOT, Plain, trade, write_json
 
@@ -134,9 +134,11 @@
     kind, path = kind_of(name), ROOT / name
     said = {"sections": READERS[kind](path)}
     if kind == "manager":
-        said["trade"] = trade(terms.trade(terms.read(path)))
+        said["trade"] = trade(
+            manager_config.manager_settings(manager_config.load_manager_config(path))
+        )
     elif kind == "day":
-        said["trade"] = trade(terms.trade(day.read(path)))
+        said["trade"] = trade(manager_config.manager_settings(day.read_scenario(path)))
     return said
 
 
@@ -146,7 +148,7 @@
     path.write_text(text, encoding="utf-8")
     try:
         READERS[kind](path)
-    except ConfigFault as fault:
+    except ConfigError as fault:
         return str(fault).replace(str(path), "FILE")
     return ""
 
