--- a/tests/recorded/record_operators.py
+++ b/tests/recorded/record_operators.py
@@ -16,14 +16,14 @@
 import trio
 from trio.testing import MockClock
 
-from dunlinlug import terms
+from dunlinlug.admin import api
 from dunlinlug.ads.main import Manager
-from dunlinlug.drill import codec
-from dunlinlug.fleet.members.words import Changed
-from dunlinlug.fleet.owner import book
-from dunlinlug.fleet.owner.words import Dealt
+from dunlinlug.config import manager_config
+from dunlinlug.fleet.membership.messages import MemberStateChanged
+from dunlinlug.fleet.ownership import log
+from dunlinlug.fleet.ownership.messages import OwnershipChanged
 from dunlinlug.net.http import Request
-from dunlinlug.operators import office
+from dunlinlug.simulator import codec
 from tests.recorded.plain import Plain, bytes_of, text_of, write_json
 
 ANSWERS, TOKENS = "operators/answers.json", "operators/tokens.json"
@@ -108,7 +108,7 @@
     for name, place in (("STORE", folder / "store"), ("= TOKEN", token), ("KEYS", keys)):
         text = text.replace(name, f"= {place}" if name.startswith("=") else str(place))
     path.write_text(text)
-    return Manager(path, terms.read(path))
+    return Manager(path, manager_config.load_manager_config(path))
 
 
 def _rows() -> list[Plain]:
@@ -161,20 +161,27 @@
 
 def _stand_among_others(manager: Manager) -> None:
     """As when the manager runs, but that nothing is dialled or served."""
-    manager.helm = manager._helm(manager.succession)
-    manager.membership = manager._membership(manager.members)
-    assert manager.office is not None and manager.owners is not None
-    manager.office.fleet, manager.office.members = manager.helm, manager.membership
-    manager.membership.verdicts.append((99.5, Changed("b", "alive", "failed", "no answer")))
-    owners = manager.owners
-    owned = book.Deal(((0, "a"), (1, "b"), (7, "b")), "b is new")
-    for number, said in enumerate((owned, book.Close(((1, "a"),)))):
-        for change in owners.machine.book.take(said, (3, number + 1)):
-            owners.last.append((99.75, Dealt(change.slot, change.owner, change.number, change.why)))
-    slot = owners.machine.book.slot_of("pin/press-book")
-    owners.machine.book.take(book.Deal(((slot, "b"),), "moved"), (3, 9))
-    noted = ("pin/press-book", owners.machine.book.numbers[slot], b'{"a": 1}')
-    owners.machine.book.take(book.Noted((noted,)), (3, 10))
+    manager.leadership = manager._create_leadership(manager.election_config)
+    manager.membership = manager._create_membership(manager.membership_config)
+    assert manager.admin_api is not None and manager.ownership is not None
+    manager.admin_api.leadership, manager.admin_api.membership = (
+        manager.leadership,
+        manager.membership,
+    )
+    manager.membership.recent_changes.append(
+        (99.5, MemberStateChanged("b", "alive", "failed", "no answer"))
+    )
+    owners = manager.ownership
+    owned = log.Assign(((0, "a"), (1, "b"), (7, "b")), "b is new")
+    for number, said in enumerate((owned, log.Revoke(((1, "a"),)))):
+        for change in owners.protocol.assignments.apply(said, (3, number + 1)):
+            owners.recent_changes.append(
+                (99.75, OwnershipChanged(change.shard, change.owner, change.token, change.reason))
+            )
+    slot = owners.protocol.assignments.shard_of("pin/press-book")
+    owners.protocol.assignments.apply(log.Assign(((slot, "b"),), "moved"), (3, 9))
+    noted = ("pin/press-book", owners.protocol.assignments.tokens[slot], b'{"a": 1}')
+    owners.protocol.assignments.apply(log.Checkpoint((noted,)), (3, 10))
 
 
 def _ask(method: str, path: str, body: Any = None, token: str | None = TOKEN) -> Plain:
@@ -306,21 +313,21 @@
 
 
 async def _answers(manager: Manager, steps: list[Plain], clock: MockClock) -> list[Plain | None]:
-    assert manager.office is not None
+    assert manager.admin_api is not None
     answers = list[Plain | None]()
     for step in steps:
         if "wait" in step:
             clock.jump(step["wait"])
-            manager.office.board.review(trio.current_time(), [])
+            manager.admin_api.overrides.end_invalid(trio.current_time(), [])
         for body in step.get("hear", ()):
-            manager.loop.tell(codec.read_event(body["verb"], body, ()))
+            manager.loop.submit(codec.read_event(body["verb"], body, ()))
             if body["verb"] == "Joined":
-                manager.desk.join(body["proxy"], body["proxy"] == 0, ())
+                manager.installer.add_proxy(body["proxy"], body["proxy"] == 0, ())
         if "method" not in step:
-            manager.loop.turn(trio.current_time())
+            manager.loop.run_batch(trio.current_time())
             answers.append(None)
             continue
-        reply = await manager.office.answer(_request(step))
+        reply = await manager.admin_api.handle(_request(step))
         answers.append(
             {
                 "status": reply.status,
@@ -328,7 +335,7 @@
                 "body": text_of(reply.body),
             }
         )
-        manager.loop.turn(trio.current_time())
+        manager.loop.run_batch(trio.current_time())
     return answers
 
 
@@ -341,14 +348,14 @@
     async def whole() -> Plain:
         async with trio.open_nursery() as nursery:
             manager = _manager(text, folder)
-            assert manager.watch is not None
-            manager.note = manager.loop.note = manager.watch.note = _unheard
+            assert manager.validation is not None
+            manager.log_event = manager.loop.log_event = manager.validation.log_event = _unheard
             manager.nursery = nursery
-            if manager.succession.member:
+            if manager.election_config.member:
                 _stand_among_others(manager)
             answers = await _answers(manager, steps, clock)
-            pins = manager.kept.pins()
-            manager.kept.close()
+            pins = manager.store.overrides()
+            manager.store.close()
             nursery.cancel_scope.cancel()
         return {"answers": answers, "pins": pins}
 
@@ -382,8 +389,8 @@
         path.write_text(text, encoding="utf-8")
         path.chmod(mode)
     try:
-        return {"token": office.read_token(path)}
-    except office.TokenFault as fault:
+        return {"token": api.read_token(path)}
+    except api.TokenFileError as fault:
         return {"fault": str(fault).replace(str(path), "FILE")}
 
 
--- a/tests/recorded/record_platform.py
+++ b/tests/recorded/record_platform.py
@@ -9,10 +9,10 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from dunlinlug import interface as face
-from dunlinlug.drill import codec
-from dunlinlug.platform import messages, peers, servers, terms
-from dunlinlug.platform.orders import Orders
+from dunlinlug.decision.events import Event
+from dunlinlug.platform import connections, discovery_state, environment, messages
+from dunlinlug.platform.orders import PlatformTableInstaller
+from dunlinlug.simulator import codec
 from tests.recorded import record_drill
 from tests.recorded.plain import (
     Plain,
@@ -93,11 +93,11 @@
 def message(said: messages.Message) -> Plain:
     """A message by the names that it has on the wire."""
     match said:
-        case messages.Probe():
+        case messages.LivenessProbe():
             return {"@type": "probe"}
-        case messages.Agent():
+        case messages.CollectorHello():
             return {"@type": "agent", "site": said.site}
-        case messages.Hello():
+        case messages.ProxyHello():
             return {
                 "@type": "hello",
                 "id": said.id,
@@ -105,9 +105,9 @@
                 "rps": said.rps,
                 "new": said.new,
             }
-        case messages.Ack():
+        case messages.Acknowledgement():
             return {"@type": "ack", "id": said.id, "seq": said.seq, "ms": said.ms}
-        case messages.Outcomes():
+        case messages.EndpointReport():
             return {
                 "@type": "outcomes",
                 "site": said.site,
@@ -118,7 +118,7 @@
                 "over": said.over,
                 "util": said.util,
             }
-        case messages.Demand():
+        case messages.DemandReport():
             return {
                 "@type": "demand",
                 "id": said.id,
@@ -133,21 +133,21 @@
 def line(text: str) -> Plain:
     """What one line gives: its message, or which fault it is and what is said of it."""
     try:
-        return {"message": message(messages.read(bytes_of(text)))}
-    except messages.Unreadable as fault:
+        return {"message": message(messages.decode(bytes_of(text)))}
+    except messages.MalformedMessage as fault:
         return {"unreadable": str(fault)}
-    except messages.Unfit as fault:
+    except messages.InvalidMessage as fault:
         return {"unfit": str(fault)}
 
 
 def pieces(cuts: list[str], most: int) -> list[Plain]:
     """The lines that each piece of a stream ends, or the fault."""
-    lines, steps = messages.Lines(most), list[Plain]()
+    lines, steps = messages.LineSplitter(most), list[Plain]()
     for cut in cuts:
-        step: Plain = {"piece": cut, "lines": [text_of(one) for one in lines.take(bytes_of(cut))]}
+        step: Plain = {"piece": cut, "lines": [text_of(one) for one in lines.feed(bytes_of(cut))]}
         try:
-            lines.check()
-        except messages.Unreadable as fault:
+            lines.check_partial_line()
+        except messages.MalformedMessage as fault:
             step["unreadable"] = str(fault)
         steps.append(step)
     return steps
@@ -189,25 +189,27 @@
 
 def stream(comes: list[list[Any]]) -> Plain:
     """All that a manager's address makes of what comes: answers, ends, events, counts and samples."""
-    told, open_peers, ended = list[face.Event](), dict[str, peers.Peer](), list[list[str]]()
-    desk = peers.Peers(SITES, PROXIES, LANES, lambda target: target == TARGET, told.append)
+    told, open_peers, ended = list[Event](), dict[str, connections.Peer](), list[list[str]]()
+    desk = connections.PeerRegistry(
+        SITES, PROXIES, LANES, lambda target: target == TARGET, told.append
+    )
     steps = list[Plain]()
     for name, now, text in comes:
         if name not in open_peers:
-            open_peers[name] = peers.Peer(lambda why, name=name: ended.append([name, why]))
+            open_peers[name] = connections.Peer(lambda why, name=name: ended.append([name, why]))
             if name == "proxy":
-                open_peers[name].marks.update(ASKED)
+                open_peers[name].pending_acks.update(ASKED)
         step: Plain = {}
         try:
-            step["answer"] = text_of(desk.take(open_peers[name], bytes_of(text), now))
-        except peers.Turned as fault:
+            step["answer"] = text_of(desk.receive(open_peers[name], bytes_of(text), now))
+        except connections.ConnectionRejected as fault:
             step["turned"] = str(fault)
-            step["error"] = text_of(messages.error(str(fault)))
+            step["error"] = text_of(messages.encode_error(str(fault)))
         step["events"] = [event(said) for said in told]
         told.clear()
         steps.append(step)
     counts = {"spoilt": desk.counts["spoilt"], "unasked": desk.counts["unasked"]}
-    return {"steps": steps, "ended": ended, "counts": counts, "samples": desk.samples}
+    return {"steps": steps, "ended": ended, "counts": counts, "samples": desk.error_samples}
 
 
 PUSH_PARTS: list[Plain] = [
@@ -236,8 +238,8 @@
 def push(part: Plain) -> str:
     endpoints = part.get("endpoints")
     return text_of(
-        messages.write(
-            messages.Push(
+        messages.encode(
+            messages.TableUpdate(
                 routes=part.get("routes"),
                 full=part.get("full", False),
                 endpoints=None if endpoints is None else [(w, weight) for w, weight in endpoints],
@@ -315,17 +317,17 @@
 
 def replies(steps: list[list[list[Plain]]], home: list[bool]) -> list[Plain]:
     """By step, the bytes, lines and mark for each proxy that it concerns."""
-    orders_out = Orders(LANES, 1, 4.0, tuple(home))
+    orders_out = PlatformTableInstaller(LANES, 1, 4.0, tuple(home))
     found = list[Plain]()
     for n, (events, orders) in enumerate(steps):
-        orders_out.hear([codec.read_event(body["verb"], body, ()) for body in events])
-        parcels = orders_out.obey([order(body) for body in orders], float(n))
+        orders_out.handle_events([codec.read_event(body["verb"], body, ()) for body in events])
+        parcels = orders_out.apply_orders([order(body) for body in orders], float(n))
         found.append(
             {
                 str(proxy): {
                     "data": text_of(parcel.data),
                     "lines": parcel.lines,
-                    "gen": parcel.mark,
+                    "gen": parcel.ack_number,
                 }
                 for proxy, parcel in parcels.items()
             }
@@ -413,8 +415,8 @@
     path = folder / "router.json"
     path.write_text(text)
     try:
-        made = terms.read({**variables, "ROUTER_CONFIG": str(path)})
-    except terms.TermsFault as fault:
+        made = environment.load_config({**variables, "ROUTER_CONFIG": str(path)})
+    except environment.EnvironmentConfigError as fault:
         return {"fault": str(fault).replace(str(path), "FILE")}
     return {
         "name": made.name,
@@ -434,7 +436,7 @@
     }
 
 
-def _known(said: servers.Servers) -> Plain:
+def _known(said: discovery_state.DiscoveryResponse) -> Plain:
     return {
         "generation": said.generation,
         "reset": said.reset,
@@ -495,24 +497,24 @@
 
 def discovery(comes: list[str]) -> list[Plain]:
     """Each query of one follower, and what it makes of what comes of it."""
-    following = servers.Following(Random(5).uniform)
+    following = discovery_state.DiscoveryState(Random(5).uniform)
     steps = list[Plain]()
     for come in comes:
         step: Plain = {
-            "query": following.query(),
-            "within_s": following.within(),
+            "query": following.next_query(),
+            "within_s": following.answer_timeout(),
             "comes": come,
         }
         if come == "failed":
-            step["pause_s"] = following.failed()
+            step["pause_s"] = following.next_backoff()
         elif come == "moved":
-            following.moved()
+            following.forget_version()
         else:
             try:
-                news = following.came(servers.read(come.encode()))
+                news = following.handle_response(discovery_state.decode_response(come.encode()))
                 step["news"] = None if news is None else event(news)
-                step["wait_s"] = following.pause
-            except servers.ServersFault as fault:
+                step["wait_s"] = following.min_pause
+            except discovery_state.DiscoveryError as fault:
                 step["fault"] = str(fault)
         steps.append(step)
     return steps
@@ -531,7 +533,7 @@
 def report(body: str) -> Plain:
     """A probe's load report by the module's reading, under the simulator's names."""
     try:
-        return {"usage": load(peers.read_report(bytes_of(body)))}
+        return {"usage": load(connections.parse_text_report(bytes_of(body)))}
     except ValueError as fault:
         return {"fault": str(fault)}
 
@@ -545,9 +547,9 @@
         PUSHES,
         {
             "pushes": [{"part": part, "line": push(part)} for part in PUSH_PARTS],
-            "alive": text_of(messages.alive()),
+            "alive": text_of(messages.encode_alive()),
             "errors": [
-                {"why": why, "line": text_of(messages.error(why))}
+                {"why": why, "line": text_of(messages.encode_error(why))}
                 for why in ("there is no site 'c'", "\u00e9" * 300)
             ],
         },
--- a/tests/recorded/record_roster.py
+++ b/tests/recorded/record_roster.py
@@ -7,10 +7,10 @@
 from random import Random
 from typing import Any
 
-from dunlinlug import interface as face
-from dunlinlug.drill import codec
-from dunlinlug.roster import entries
-from dunlinlug.roster.follow import Following
+from dunlinlug.decision.events import Endpoint
+from dunlinlug.discovery import entries
+from dunlinlug.discovery.blocking_query import BlockingQuery
+from dunlinlug.simulator import codec
 from tests.recorded.plain import Plain, text_of, worker, write_json
 
 ANSWERS, WRITTEN, QUERIES = "roster/answers.json", "roster/written.json", "roster/queries.json"
@@ -106,39 +106,39 @@
 def answer(body: str) -> Plain:
     """What an answer's body gives: its workers and the ids that stand there twice, or the fault."""
     try:
-        workers, double = entries.read(body.encode(), OFFSET)
-    except entries.RosterFault as fault:
+        workers, double = entries.decode_workers(body.encode(), OFFSET)
+    except entries.DiscoveryResponseError as fault:
         return {"fault": str(fault)}
     return {"workers": [worker(one) for one in workers], "double": double}
 
 
 def written(rows: list[Plain]) -> str:
     workers = [
-        face.Worker(
+        Endpoint(
             row["place"],
             row["zone"],
             "2x1.0" if n % 2 else "",
             n,
-            codec.STATES[row["state"]],
+            codec.ENDPOINT_STATES[row["state"]],
             row["weight"],
             row["since_s"],
         )
         for n, row in enumerate(rows)
     ]
-    return text_of(entries.write(workers))
+    return text_of(entries.encode_workers(workers))
 
 
 def queries(comes: list[str | None]) -> list[Plain]:
     """Each query of one follower, and what it makes of what comes of it."""
-    following = Following("order-nodes", 9.9996, Random(5).uniform)
+    following = BlockingQuery("order-nodes", 9.9996, Random(5).uniform)
     steps: list[Plain] = []
     for come in comes:
-        step: Plain = {"query": following.query(), "comes": come}
+        step: Plain = {"query": following.request_path(), "comes": come}
         if come == "failed":
-            step["pause_s"] = following.failed()
+            step["pause_s"] = following.next_backoff()
         else:
             try:
-                step["news"] = following.came(come)
+                step["news"] = following.record_index(come)
             except ValueError as fault:
                 step["fault"] = str(fault)
         steps.append(step)
--- a/tests/recorded/record_session.py
+++ b/tests/recorded/record_session.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from tests.recorded.record_decisions import SESSION
-from tests.test_adapter import INFO
+from tests.simulator.test_simulator_wire import INFO
 
 Line = dict[str, Any]
 MANAGERS = {"north-1": "automatic", "south-1": "subscribe"}
--- a/tests/recorded/record_store.py
+++ b/tests/recorded/record_store.py
@@ -10,11 +10,11 @@
 
 import lmdb
 
-from dunlinlug.fleet.owner.host import OF as OWNERS_LOG
-from dunlinlug.guard import Judge, Refusal
-from dunlinlug.kept import SIZE, Kept, refusals
-from dunlinlug.manager.watch import Watch
-from tests.helpers import trade
+from dunlinlug.fleet.ownership.service import VOTE_STORE_NAME as OWNERS_LOG
+from dunlinlug.guard import OrderValidator, Rejection
+from dunlinlug.manager.order_validation import RecordingOrderValidation
+from dunlinlug.storage.store import MAP_SIZE_BYTES, Store, read_rejections
+from tests.decision.rules_model import trade
 from tests.recorded import plain
 from tests.recorded.plain import DATA, Plain, bytes_of, text_of, write_json
 
@@ -119,31 +119,31 @@
 
 def put(folder: Path, values: Plain) -> None:
     """Write a store with these values by the code's own functions."""
-    kept = Kept(folder)
+    kept = Store(folder)
     for _ in range(values["lives"]):
         kept.next_epoch()
-    kept.put_list(bytes_of(values["list"]))
+    kept.put_endpoint_list(bytes_of(values["list"]))
     term, voted, version, members = values["succession"]
     kept.put_vote(term, voted, version, members)
     term, voted, version, members = values["owners"]
     kept.put_vote(term, voted, version, members, OWNERS_LOG)
-    kept.put_pins(values["pins"])
+    kept.put_overrides(values["pins"])
     for batch in values["refusals"]:
         _refuse(kept, batch, values["most"])
     kept.close()
 
 
-def _refuse(kept: Kept, batch: Plain, most: int) -> None:
+def _refuse(kept: Store, batch: Plain, most: int) -> None:
     """Refusals as the guard's part in a manager keeps them."""
     obeyed = batch["obeyed"]
-    watch = Watch(
-        Judge(trade(), obeyed),
+    watch = RecordingOrderValidation(
+        OrderValidator(trade(), obeyed),
         obeyed,
         lambda event, **said: None,
-        lambda records: kept.put_refusals(records, most),
+        lambda records: kept.put_rejections(records, most),
     )
     refused = [
-        Refusal(
+        Rejection(
             plain.order(said["order"]),
             said["rule"],
             said["why"],
@@ -154,33 +154,33 @@
         for said in batch["refusals"]
     ]
     with mock.patch("time.time", lambda: WALL):
-        watch.record(refused, batch["source"])
+        watch.record_rejections(refused, batch["source"])
 
 
 def pairs(folder: Path) -> list[list[str]]:
     """All that a store holds, key by key, bytes as text."""
-    with lmdb.open(str(folder), map_size=SIZE, readonly=True) as env, env.begin() as view:
+    with lmdb.open(str(folder), map_size=MAP_SIZE_BYTES, readonly=True) as env, env.begin() as view:
         return [[text_of(key), text_of(value)] for key, value in view.cursor()]
 
 
 def fill(folder: Path, rows: list[list[str]]) -> None:
     """A store of these keys and values, written past the code's own functions."""
     folder.mkdir(parents=True)
-    with lmdb.open(str(folder), map_size=SIZE) as env, env.begin(write=True) as change:
+    with lmdb.open(str(folder), map_size=MAP_SIZE_BYTES) as env, env.begin(write=True) as change:
         for key, value in rows:
             change.put(bytes_of(key), bytes_of(value))
 
 
 def got(folder: Path) -> Plain:
     """What the code's own functions read of a store, and the number of the life that begins with it."""
-    shown = refusals(folder)
-    kept = Kept(folder)
-    body, vote, owners = kept.body(), kept.vote(), kept.vote(OWNERS_LOG)
+    shown = read_rejections(folder)
+    kept = Store(folder)
+    body, vote, owners = kept.endpoint_list(), kept.vote(), kept.vote(OWNERS_LOG)
     found = {
         "list": None if body is None else text_of(body),
         "succession": None if vote is None else list(vote),
         "owners": None if owners is None else list(owners),
-        "pins": kept.pins(),
+        "pins": kept.overrides(),
         "refusals": shown,
         "next_epoch": kept.next_epoch(),
     }
@@ -195,7 +195,7 @@
         rows = pairs(full)
         (DATA / FOLDER).mkdir(parents=True, exist_ok=True)
         shutil.copy(full / "data.mdb", DATA / FOLDER / "data.mdb")
-        Kept(empty).close()
+        Store(empty).close()
         nothing = pairs(empty)
         write_json(
             CASES,
--- a/tests/recorded/record_xds.py
+++ b/tests/recorded/record_xds.py
@@ -18,7 +18,16 @@
 
 from dunlinlug import rpc
 from dunlinlug.rpc import framing
-from dunlinlug.xds import fence, full, loads, names, read, render, stream, subscriber
+from dunlinlug.xds import (
+    decoding,
+    encoding,
+    fencing_term,
+    names,
+    state_of_the_world,
+    stream,
+    subscriber,
+)
+from dunlinlug.xds import load_reports as xds_load_reports
 
 DATA = Path(__file__).parent / "data" / "xds" / "xds.json"
 LINES = {"10.0.0.1:80": 1.0, "10.0.0.2:8080": 0.0004, "10.0.1.1:80": 2.3456, "host-a:443": 0.1}
@@ -26,10 +35,10 @@
 SHUT = ("10.0.1.1:80",)
 LEVELS = {"read": 0.75, "book": 1.0, "cancel": 1 / 3}
 WAYS = (
-    ("read", "3/1", render.Way(0)),
-    ("book", "3/2", render.Way(1)),
-    ("cancel", "3/2", render.Way(2, 0.4)),
-    ("refund", "3/1", render.Way(3, 0.0)),
+    ("read", "3/1", encoding.RetryPolicy(0)),
+    ("book", "3/2", encoding.RetryPolicy(1)),
+    ("cancel", "3/2", encoding.RetryPolicy(2, 0.4)),
+    ("refund", "3/1", encoding.RetryPolicy(3, 0.0)),
 )
 MOST = 64  # bytes of the largest framed message here
 
@@ -47,61 +56,69 @@
 # Written.
 
 
-def small_table(name: str, worker: str = "10.0.0.1:80") -> render.Resource:
-    return render.table(name, {worker: 1.0}, {worker: "south"}, {})
+def small_table(name: str, worker: str = "10.0.0.1:80") -> encoding.EncodedResource:
+    return encoding.encode_table(name, {worker: 1.0}, {worker: "south"}, {})
 
 
-def resources() -> dict[str, render.Resource]:
+def resources() -> dict[str, encoding.EncodedResource]:
     return {
-        "table": render.table("3/1", LINES, ZONES, LEVELS, SHUT),
-        "table without lines": render.table("3/2", {}, {}, {"read": 0.0}),
+        "table": encoding.encode_table("3/1", LINES, ZONES, LEVELS, SHUT),
+        "table without lines": encoding.encode_table("3/2", {}, {}, {"read": 0.0}),
         "table of one line": small_table("3/2"),
-        "nobody is out": render.withdrawn(()),
-        "three are out": render.withdrawn(["10.0.1.1:80", "10.0.0.1:80", "host-a:443"]),
-        "routes": render.routes(WAYS),
-        "no routes": render.routes(()),
+        "nobody is out": encoding.encode_ejections(()),
+        "three are out": encoding.encode_ejections(["10.0.1.1:80", "10.0.0.1:80", "host-a:443"]),
+        "routes": encoding.encode_routes(WAYS),
+        "no routes": encoding.encode_routes(()),
     }
 
 
-def offered() -> dict[str, full.Offered]:
+def offered() -> dict[str, state_of_the_world.VersionedResource]:
     return {
-        "listener": full.listener("read"),
-        "route": full.routes("read", "3/1/read"),
-        "cluster": full.cluster("3/1/read"),
-        "endpoints": full.endpoints("3/1/read", LINES, ZONES, 0.75, SHUT),
-        "endpoints, all let in": full.endpoints("3/2/read", {"10.0.0.1:80": 0.0001}, {}, 1.0, ()),
+        "listener": state_of_the_world.encode_listener("read"),
+        "route": state_of_the_world.encode_routes("read", "3/1/read"),
+        "cluster": state_of_the_world.encode_cluster("3/1/read"),
+        "endpoints": state_of_the_world.encode_endpoints("3/1/read", LINES, ZONES, 0.75, SHUT),
+        "endpoints, all let in": state_of_the_world.encode_endpoints(
+            "3/2/read", {"10.0.0.1:80": 0.0001}, {}, 1.0, ()
+        ),
     }
 
 
 def responses() -> dict[str, bytes]:
     made = resources()
     tables = (made["table"], made["three are out"])
-    term = fence.written(7, "a")
+    term = fencing_term.format_identifier(7, "a")
     return {
-        "response of tables": render.response(names.ENDPOINTS, tables, (), "1", "t1"),
-        "response that takes away": render.response(
-            names.ENDPOINTS, (), ("3/8", "3/9"), "22", "", term
+        "response of tables": encoding.encode_response(names.ENDPOINTS_TYPE, tables, (), "1", "t1"),
+        "response that takes away": encoding.encode_response(
+            names.ENDPOINTS_TYPE, (), ("3/8", "3/9"), "22", "", term
+        ),
+        "response of routes": encoding.encode_response(
+            names.ROUTES_TYPE, (made["routes"],), (), "3", "t3", term
         ),
-        "response of routes": render.response(names.ROUTES, (made["routes"],), (), "3", "t3", term),
     }
 
 
-def reported(span: float = 0.5) -> loads.Loads:
-    made = loads.Loads("p1", "south", span)
-    made.workers["10.0.0.1:80"] = loads.AtWorker(12, 3, 1.1 + 2.2, {"queue": 2.0, "busy": 0.25})
-    made.workers["host-a:443"] = loads.AtWorker(1, 0, 0.1)
-    made.products.update({"read": (13, 3), "book": (0, 0)})
+def reported(span: float = 0.5) -> xds_load_reports.LoadReport:
+    made = xds_load_reports.LoadReport("p1", "south", span)
+    made.workers["10.0.0.1:80"] = xds_load_reports.WorkerStatistics(
+        12, 3, 1.1 + 2.2, {"queue": 2.0, "busy": 0.25}
+    )
+    made.workers["host-a:443"] = xds_load_reports.WorkerStatistics(1, 0, 0.1)
+    made.traffic_classes.update({"read": (13, 3), "book": (0, 0)})
     return made
 
 
 def load_reports() -> dict[str, bytes]:
     return {
-        "load report, first": loads.write(reported(), True),
-        "load report, later": loads.write(reported(1 / 3), False),
-        "load report, empty": loads.write(loads.Loads("p2", "", 1.0), False),
+        "load report, first": xds_load_reports.encode_report(reported(), True),
+        "load report, later": xds_load_reports.encode_report(reported(1 / 3), False),
+        "load report, empty": xds_load_reports.encode_report(
+            xds_load_reports.LoadReport("p2", "", 1.0), False
+        ),
         "load report of a plain client": plain_client_report(),
-        "load answer": loads.answer(0.35),
-        "load answer, too quick": loads.answer(0.001),
+        "load answer": xds_load_reports.encode_response(0.35),
+        "load answer, too quick": xds_load_reports.encode_response(0.001),
     }
 
 
@@ -121,13 +138,15 @@
 
 def greetings() -> dict[str, bytes]:
     """A proxy's first requests, anew and when it holds something; they have maps."""
-    holdings = subscriber.Holdings()
-    anew = subscriber.Subscriber(holdings, "p1", "south", {}).greet()
-    holdings.versions[names.ENDPOINTS].update({"3/1": "aa", "3/2": "bb", names.OUT: "cc"})
-    holdings.versions[names.ROUTES][names.ROUTE] = "dd"
-    holdings.fence.admits(7, "a")
+    holdings = subscriber.ProxyState()
+    anew = subscriber.DeltaSubscriber(holdings, "p1", "south", {}).initial_requests()
+    holdings.versions[names.ENDPOINTS_TYPE].update(
+        {"3/1": "aa", "3/2": "bb", names.EJECTIONS_RESOURCE: "cc"}
+    )
+    holdings.versions[names.ROUTES_TYPE][names.ROUTES_RESOURCE] = "dd"
+    holdings.fencing_term.rejection_reason(7, "a")
     metadata = {"products": ["read", "book"], "txns_per_s": 8.5}
-    again = subscriber.Subscriber(holdings, "p1", "south", metadata).greet()
+    again = subscriber.DeltaSubscriber(holdings, "p1", "south", metadata).initial_requests()
     return {
         "greeting for tables": canonical_request(anew[0]),
         "greeting for routes": canonical_request(anew[1]),
@@ -143,7 +162,7 @@
 
 
 def written() -> dict[str, str]:
-    made = {name: resource.wrapped for name, resource in resources().items()}
+    made = {name: resource.encoded for name, resource in resources().items()}
     made |= {f"full {name}": body for name, (_, body, _) in offered().items()}
     made |= responses() | load_reports() | greetings()
     made["frame"] = framing.frame(b"hello")
@@ -164,46 +183,61 @@
 # Read.
 
 
-def plain_table(table: read.Table) -> Plain:
+def plain_table(table: decoding.DecodedTable) -> Plain:
     return [
         table.name,
-        list(map(list, table.lines.items())),
+        list(map(list, table.weights.items())),
         list(map(list, table.zones.items())),
-        list(map(list, table.levels.items())),
-        sorted(table.shut),
+        list(map(list, table.admitted_fractions.items())),
+        sorted(table.unhealthy),
     ]
 
 
-def plain_routes(routes: dict[str, tuple[str, render.Way]]) -> Plain:
-    return [[product, name, way.retry, way.per_try] for product, (name, way) in routes.items()]
+def plain_routes(routes: dict[str, tuple[str, encoding.RetryPolicy]]) -> Plain:
+    return [
+        [product, name, way.mode, way.attempt_timeout] for product, (name, way) in routes.items()
+    ]
 
 
-def plain_loads(found: loads.Loads) -> Plain:
+def plain_loads(found: xds_load_reports.LoadReport) -> Plain:
     return {
-        "node": found.node,
+        "node": found.node_id,
         "zone": found.zone,
-        "span": found.span,
+        "span": found.window,
         "workers": [
-            [worker, at.tries, at.voided, at.took, list(map(list, at.load.items())), at.untimed]
+            [
+                worker,
+                at.attempts,
+                at.failed,
+                at.total_latency,
+                list(map(list, at.load_metrics.items())),
+                at.untimed_successes,
+            ]
             for worker, at in found.workers.items()
         ],
-        "products": [[name, *sums] for name, sums in found.products.items()],
+        "products": [[name, *sums] for name, sums in found.traffic_classes.items()],
     }
 
 
-def plain_said(said: stream.Said) -> Plain:
+def plain_said(said: stream.StreamEvent) -> Plain:
     match said:
-        case stream.Greeted(node):
+        case stream.NodeIdentified(node):
             return ["greeted", node]
-        case stream.Acked(nonce):
+        case stream.ResponseAcknowledged(nonce):
             return ["acked", nonce]
-        case stream.Refused(nonce, why):
+        case stream.ResponseRejected(nonce, why):
             return ["refused", nonce, why]
     raise TypeError(said)
 
 
-def plain_applied(applied: subscriber.Applied) -> Plain:
-    return [applied.type_url, applied.tag, applied.lines, applied.refused, list(applied.by)]
+def plain_applied(applied: subscriber.AppliedResponse) -> Plain:
+    return [
+        applied.type_url,
+        applied.tag,
+        applied.entry_count,
+        applied.rejection_reason,
+        list(applied.control_plane),
+    ]
 
 
 def plain_held(held: dict[str, dict[str, str]]) -> Plain:
@@ -212,14 +246,14 @@
 
 def plain_server(server: stream.DeltaStream) -> Plain:
     return {
-        "node": server.node,
+        "node": server.node_id,
         "zone": server.zone,
         "metadata": server.metadata,
         "features": sorted(server.features),
-        "held": plain_held(server.held),
+        "held": plain_held(server.acked_versions),
         "subscribed": {name: sorted(wanted) for name, wanted in server.subscribed.items()},
-        "sent": sorted(server.sent),
-        "ready": server.ready(),
+        "sent": sorted(server.unacknowledged),
+        "ready": server.is_ready(),
     }
 
 
@@ -232,14 +266,14 @@
     data = {name: bytes_of(text) for name, text in kept.items()}
     found: dict[str, Plain] = {}
     for name in ("table", "table without lines", "table of one line", *OUTS):
-        found[name] = plain_table(read.table(resource_value(data[name])))
+        found[name] = plain_table(decoding.decode_table(resource_value(data[name])))
     for name in ("routes", "no routes"):
-        found[name] = plain_routes(read.routes(resource_value(data[name])))
+        found[name] = plain_routes(decoding.decode_routes(resource_value(data[name])))
     for name in load_reports():
         if name.startswith("load report"):
-            found[name] = plain_loads(loads.read(data[name]))
+            found[name] = plain_loads(xds_load_reports.decode_report(data[name]))
     for name in ("load answer", "load answer, too quick"):
-        found[name] = loads.read_answer(data[name])
+        found[name] = xds_load_reports.decode_response(data[name])
     for kind in ("greeting", "greeting with what is held,"):
         server = stream.DeltaStream()
         tables, routes = GREETINGS[kind]
@@ -271,44 +305,49 @@
 
 def delta_conversation() -> Plain:
     """A manager and a proxy over delta ADS: applied, refused for what it bears, and refused for its term."""
-    server, holdings = stream.DeltaStream(), subscriber.Holdings()
-    proxy = subscriber.Subscriber(holdings, "p1", "south", {"products": ["read"]})
+    server, holdings = stream.DeltaStream(), subscriber.ProxyState()
+    proxy = subscriber.DeltaSubscriber(holdings, "p1", "south", {"products": ["read"]})
     steps: list[Plain] = []
-    for request in proxy.greet():
+    for request in proxy.initial_requests():
         said = [plain_said(each) for each in server.receive(request)]
         steps.append(["request", base64_of(canonical_request(request)), said])
     made = resources()
-    twice = render.routes((("read", "9/9", render.Way(0)),))
-    used_routes = render.routes((("read", "3/1", render.Way(3, 0.2)),))
-    control = fence.written(7, "a")
-    script: list[tuple[str, str, tuple[render.Resource, ...], tuple[str, ...]]] = [
-        (control, names.ENDPOINTS, (made["table"], made["three are out"]), ()),
-        (control, names.ROUTES, (twice,), ()),
-        (control, names.ROUTES, (used_routes,), ()),
-        (control, names.ENDPOINTS, (), ("3/1",)),
-        (control, names.ENDPOINTS, (small_table("3/5"), made["nobody is out"]), ()),
-        (control, names.ENDPOINTS, (), ("3/5",)),
-        (fence.written(6, "b"), names.ENDPOINTS, (small_table("3/6"),), ()),
-        (fence.written(7, "b"), names.ENDPOINTS, (small_table("3/6"),), ()),
-        ("dunlinlug", names.ENDPOINTS, (small_table("3/6"),), ()),
-        (fence.written(8, "b"), names.ENDPOINTS, (made["table without lines"],), ()),
+    twice = encoding.encode_routes((("read", "9/9", encoding.RetryPolicy(0)),))
+    used_routes = encoding.encode_routes((("read", "3/1", encoding.RetryPolicy(3, 0.2)),))
+    control = fencing_term.format_identifier(7, "a")
+    script: list[tuple[str, str, tuple[encoding.EncodedResource, ...], tuple[str, ...]]] = [
+        (control, names.ENDPOINTS_TYPE, (made["table"], made["three are out"]), ()),
+        (control, names.ROUTES_TYPE, (twice,), ()),
+        (control, names.ROUTES_TYPE, (used_routes,), ()),
+        (control, names.ENDPOINTS_TYPE, (), ("3/1",)),
+        (control, names.ENDPOINTS_TYPE, (small_table("3/5"), made["nobody is out"]), ()),
+        (control, names.ENDPOINTS_TYPE, (), ("3/5",)),
+        (fencing_term.format_identifier(6, "b"), names.ENDPOINTS_TYPE, (small_table("3/6"),), ()),
+        (fencing_term.format_identifier(7, "b"), names.ENDPOINTS_TYPE, (small_table("3/6"),), ()),
+        ("dunlinlug", names.ENDPOINTS_TYPE, (small_table("3/6"),), ()),
+        (
+            fencing_term.format_identifier(8, "b"),
+            names.ENDPOINTS_TYPE,
+            (made["table without lines"],),
+            (),
+        ),
     ]
     for number, (identifier, type_url, sent, removed) in enumerate(script):
-        server.control = identifier
+        server.control_plane_id = identifier
         nonce, data = server.respond(type_url, sent, removed, f"t{number}")
         answer, applied = proxy.receive(data)
         said = [plain_said(each) for each in server.receive(answer)]
         steps.append(
             [nonce, base64_of(data), plain_applied(applied), base64_of(answer), said]
-            + [holdings.lines("read"), holdings.level("read")]
+            + [holdings.usable_weights("read"), holdings.admitted_fraction("read")]
         )
     return {
         "steps": steps,
         "server": plain_server(server),
         "versions": plain_held(holdings.versions),
         "tables": sorted(holdings.tables),
-        "out": sorted(holdings.out),
-        "fence": [holdings.fence.term, holdings.fence.member],
+        "out": sorted(holdings.ejected),
+        "fence": [holdings.fencing_term.term, holdings.fencing_term.member],
     }
 
 
@@ -323,22 +362,26 @@
     return request.SerializeToString(deterministic=True)
 
 
-def offer(number: int, weight: float) -> full.Offer:
+def offer(number: int, weight: float) -> state_of_the_world.ResourcesByType:
     """Two products, whose tables have this number."""
-    made: full.Offer = {type_url: {} for type_url in full.ORDER}
+    made: state_of_the_world.ResourcesByType = {
+        type_url: {} for type_url in state_of_the_world.TYPE_ORDER
+    }
     for product in ("read", "book"):
         name = names.cluster_name(names.table_name(3, number), product)
-        made[names.LISTENERS][product] = full.listener(product)
-        made[names.ROUTES][product] = full.routes(product, name)
-        made[names.CLUSTERS][name] = full.cluster(name)
-        made[names.ENDPOINTS][name] = full.endpoints(name, {"10.0.0.1:80": weight}, {}, 1.0, ())
+        made[names.LISTENERS_TYPE][product] = state_of_the_world.encode_listener(product)
+        made[names.ROUTES_TYPE][product] = state_of_the_world.encode_routes(product, name)
+        made[names.CLUSTERS_TYPE][name] = state_of_the_world.encode_cluster(name)
+        made[names.ENDPOINTS_TYPE][name] = state_of_the_world.encode_endpoints(
+            name, {"10.0.0.1:80": weight}, {}, 1.0, ()
+        )
     return made
 
 
 def full_conversation() -> Plain:
     """A plain client of the full form: it asks on, takes, refuses once, and is led to another table."""
-    server, steps = full.FullStream(), list[Plain]()
-    server.control = fence.written(7, "a")
+    server, steps = state_of_the_world.StateOfTheWorldStream(), list[Plain]()
+    server.control_plane_id = fencing_term.format_identifier(7, "a")
 
     def ask(type_url: str, *wanted: str, nonce: str = "", why: str = "") -> None:
         request = full_request(type_url, wanted, nonce, why)
@@ -348,38 +391,40 @@
     def respond() -> None:
         made = [
             [type_url, nonce, list(sent), base64_of(data)]
-            for type_url, nonce, sent, data in server.responses()
+            for type_url, nonce, sent, data in server.pending_responses()
         ]
-        steps.append(["responses", made, server.ready(), server.settled(), server.sent_all()])
+        steps.append(
+            ["responses", made, server.is_ready(), server.is_converged(), server.has_sent_all()]
+        )
 
-    server.offered = offer(1, 1.0)
-    ask(names.LISTENERS, "read", "unknown")
+    server.resources = offer(1, 1.0)
+    ask(names.LISTENERS_TYPE, "read", "unknown")
     respond()
-    ask(names.LISTENERS, "read", nonce="1")
-    ask(names.ROUTES, "read")
-    ask(names.CLUSTERS, "3/1/read")
-    ask(names.ENDPOINTS, "3/1/read")
+    ask(names.LISTENERS_TYPE, "read", nonce="1")
+    ask(names.ROUTES_TYPE, "read")
+    ask(names.CLUSTERS_TYPE, "3/1/read")
+    ask(names.ENDPOINTS_TYPE, "3/1/read")
     respond()
-    ask(names.ROUTES, "read", nonce="4")
-    ask(names.CLUSTERS, "3/1/read", nonce="2")
-    ask(names.ENDPOINTS, "3/1/read", nonce="3", why="no such locality")
+    ask(names.ROUTES_TYPE, "read", nonce="4")
+    ask(names.CLUSTERS_TYPE, "3/1/read", nonce="2")
+    ask(names.ENDPOINTS_TYPE, "3/1/read", nonce="3", why="no such locality")
     respond()
-    server.offered = offer(1, 0.5)
+    server.resources = offer(1, 0.5)
     respond()
-    ask(names.ENDPOINTS, "3/1/read", nonce="3")
-    ask(names.ENDPOINTS, "3/1/read", nonce="5")
+    ask(names.ENDPOINTS_TYPE, "3/1/read", nonce="3")
+    ask(names.ENDPOINTS_TYPE, "3/1/read", nonce="5")
     respond()
-    server.offered = offer(2, 0.5)
-    ask(names.CLUSTERS, "3/1/read", "3/2/read")
-    ask(names.ENDPOINTS, "3/1/read", "3/2/read")
+    server.resources = offer(2, 0.5)
+    ask(names.CLUSTERS_TYPE, "3/1/read", "3/2/read")
+    ask(names.ENDPOINTS_TYPE, "3/1/read", "3/2/read")
     respond()
-    server.forget(names.ENDPOINTS)
+    server.close_type(names.ENDPOINTS_TYPE)
     respond()
     return {
         "steps": steps,
-        "node": [server.node, server.zone, server.metadata],
-        "sent": plain_held(server.sent),
-        "refused": plain_held(server.refused),
+        "node": [server.node_id, server.zone, server.metadata],
+        "sent": plain_held(server.sent_versions),
+        "refused": plain_held(server.rejected_versions),
     }
 
 
@@ -389,97 +434,132 @@
     def text(act: Callable[[], object]) -> str:
         try:
             act()
-        except (stream.StreamFault, read.ReadFault, loads.LoadFault) as fault:
+        except (
+            stream.StreamProtocolError,
+            decoding.DecodingError,
+            xds_load_reports.LoadReportError,
+        ) as fault:
             return str(fault).split(": Error parsing")[0]
-        except framing.FramingFault as fault:
+        except framing.FramingError as fault:
             return f"{fault.status} {fault}"
         raise AssertionError("no fault")
 
     rubbish = b"\xff\xff\xff"
-    nameless = discovery_pb2.DeltaDiscoveryRequest(type_url=names.ENDPOINTS).SerializeToString()
-    nameless_full = discovery_pb2.DiscoveryRequest(type_url=names.ROUTES).SerializeToString()
+    nameless = discovery_pb2.DeltaDiscoveryRequest(
+        type_url=names.ENDPOINTS_TYPE
+    ).SerializeToString()
+    nameless_full = discovery_pb2.DiscoveryRequest(type_url=names.ROUTES_TYPE).SerializeToString()
     other = discovery_pb2.DeltaDiscoveryRequest(type_url="x")
     other.node.id = "p1"
     unknown = other.SerializeToString()
-    many = tuple(map(str, range(stream.NAMES + 1)))
-    proxy = subscriber.Subscriber(subscriber.Holdings(), "p1", "", {})
+    many = tuple(map(str, range(stream.MAX_RESOURCE_NAMES + 1)))
+    proxy = subscriber.DeltaSubscriber(subscriber.ProxyState(), "p1", "", {})
     return {
         "delta, rubbish": text(lambda: stream.DeltaStream().receive(rubbish)),
         "delta, nameless": text(lambda: stream.DeltaStream().receive(nameless)),
         "delta, unknown type": text(lambda: stream.DeltaStream().receive(unknown)),
-        "full, rubbish": text(lambda: full.FullStream().receive(rubbish)),
-        "full, nameless": text(lambda: full.FullStream().receive(nameless_full)),
-        "full, unknown type": text(lambda: full.FullStream().receive(full_request("x", ()))),
+        "full, rubbish": text(lambda: state_of_the_world.StateOfTheWorldStream().receive(rubbish)),
+        "full, nameless": text(
+            lambda: state_of_the_world.StateOfTheWorldStream().receive(nameless_full)
+        ),
+        "full, unknown type": text(
+            lambda: state_of_the_world.StateOfTheWorldStream().receive(full_request("x", ()))
+        ),
         "full, other type": text(
-            lambda: full.FullStream().receive(full_request(names.ROUTES, ()), names.CLUSTERS)
+            lambda: state_of_the_world.StateOfTheWorldStream().receive(
+                full_request(names.ROUTES_TYPE, ()), names.CLUSTERS_TYPE
+            )
         ),
         "full, many names": text(
-            lambda: full.FullStream().receive(full_request(names.ROUTES, many))
+            lambda: state_of_the_world.StateOfTheWorldStream().receive(
+                full_request(names.ROUTES_TYPE, many)
+            )
         ),
         "response, rubbish": text(lambda: proxy.receive(rubbish)),
-        "table, rubbish": text(lambda: read.table(rubbish)),
-        "routes, rubbish": text(lambda: read.routes(rubbish)),
-        "load report, rubbish": text(lambda: loads.read(rubbish)),
-        "load answer, rubbish": text(lambda: loads.read_answer(rubbish)),
+        "table, rubbish": text(lambda: decoding.decode_table(rubbish)),
+        "routes, rubbish": text(lambda: decoding.decode_routes(rubbish)),
+        "load report, rubbish": text(lambda: xds_load_reports.decode_report(rubbish)),
+        "load answer, rubbish": text(lambda: xds_load_reports.decode_response(rubbish)),
         "frame, compressed": text(lambda: framing.Deframer(MOST).feed(b"\x01\x00\x00\x00\x01x")),
         "frame, too large": text(lambda: framing.Deframer(MOST).feed(framing.frame(bytes(65)))),
     }
 
 
 def fence_words() -> Plain:
-    admitted, own = list[Plain](), fence.Fence()
+    admitted, own = list[Plain](), fencing_term.FencingTerm()
     for term, member in ((0, ""), (3, "a"), (3, "a"), (3, "b"), (2, "b"), (0, ""), (4, "b")):
-        why = own.admits(term, member)
-        admitted.append([term, member, why, fence.refused_for(why)])
+        why = own.rejection_reason(term, member)
+        admitted.append([term, member, why, fencing_term.superseding_term(why)])
     identifiers = ("term 12 of a-b.c:1", "dunlinlug", "term x of a", "term 1 of ")
     return {
-        "written": fence.written(12, "a-b.c:1"),
-        "read": [[text, *fence.read(text)] for text in identifiers],
+        "written": fencing_term.format_identifier(12, "a-b.c:1"),
+        "read": [[text, *fencing_term.parse_identifier(text)] for text in identifiers],
         "admitted": admitted,
     }
 
 
 def wire_names() -> Plain:
     return {
-        "types": [names.ENDPOINTS, names.ROUTES, names.LISTENERS, names.CLUSTERS],
-        "paths": [names.ADS, names.FULL, names.LRS, dict(names.APART)],
-        "resources": [names.OUT, names.ROUTE, names.OVERLAY, names.NEVER_RAN, names.OTHER_HOST],
-        "metrics": [names.TXNS, names.TXNS_VOIDED, names.SETTLE_S, names.LOAD],
+        "types": [
+            names.ENDPOINTS_TYPE,
+            names.ROUTES_TYPE,
+            names.LISTENERS_TYPE,
+            names.CLUSTERS_TYPE,
+        ],
+        "paths": [
+            names.DELTA_ADS_METHOD,
+            names.STATE_OF_THE_WORLD_ADS_METHOD,
+            names.LRS_METHOD,
+            dict(names.SINGLE_TYPE_METHODS),
+        ],
+        "resources": [
+            names.EJECTIONS_RESOURCE,
+            names.ROUTES_RESOURCE,
+            names.EJECTION_OVERLAY_FEATURE,
+            names.NOT_EXECUTED_HEADER,
+            names.PREVIOUS_HOSTS_PREDICATE,
+        ],
+        "metrics": [
+            names.REQUESTS_METRIC,
+            names.FAILED_REQUESTS_METRIC,
+            names.SUCCESS_LATENCY_METRIC,
+            names.LOAD_METRIC_PREFIX,
+        ],
         "table": names.table_name(3, 17),
         "cluster": names.cluster_name("3/17", "read/all"),
-        "product": [names.product_of(text) for text in ("3/17/read/all", "3/17", "workers")],
+        "product": [names.traffic_class_of(text) for text in ("3/17/read/all", "3/17", "workers")],
     }
 
 
 def plain_rpc(event: rpc.Event) -> Plain:
     match event:
-        case rpc.Called(number, path, metadata):
+        case rpc.CallStarted(number, path, metadata):
             return ["called", number, path, list(map(list, metadata))]
-        case rpc.Opened(number):
+        case rpc.HeadersReceived(number):
             return ["opened", number]
-        case rpc.Message(number, data):
+        case rpc.MessageReceived(number, data):
             return ["message", number, base64_of(data)]
         case rpc.HalfClosed(number):
             return ["half closed", number]
-        case rpc.Trailers(number, status, text):
+        case rpc.TrailersReceived(number, status, text):
             return ["trailers", number, int(status), text]
-        case rpc.Reset(number, why):
+        case rpc.CallReset(number, why):
             return ["reset", number, why]
-        case rpc.Closed(why):
+        case rpc.ConnectionClosed(why):
             return ["closed", why]
     raise TypeError(event)
 
 
 def grpc_conversation() -> Plain:
     """Two calls over one connection: one ended with a status and a text, one cancelled."""
-    client, server = rpc.Connection(client=True), rpc.Connection(client=False)
+    client, server = rpc.Connection(is_client=True), rpc.Connection(is_client=False)
     steps: list[Plain] = []
 
     def move(source: rpc.Connection, target: rpc.Connection) -> None:
         data = source.data_to_send()
         steps.append([base64_of(data), [plain_rpc(event) for event in target.receive(data)]])
 
-    first = client.call(names.ADS, "manager")
+    first = client.start_call(names.DELTA_ADS_METHOD, "manager")
     client.send(first, b"one")
     move(client, server)
     server.accept(first)
@@ -487,7 +567,7 @@
     server.send(first, b"")
     move(server, client)
     move(client, server)
-    second = client.call(names.LRS, "manager")
+    second = client.start_call(names.LRS_METHOD, "manager")
     client.half_close(first)
     move(client, server)
     server.finish(first, rpc.Status.RESOURCE_EXHAUSTED, "messages come too fast: 100% ä")
--- a/tests/recorded/sections.py
+++ b/tests/recorded/sections.py
@@ -9,15 +9,15 @@
 from typing import Any
 
 from bench.scale import scenario
-from dunlinlug import terms
-from dunlinlug.config import Book
-from dunlinlug.day import terms as day
+from dunlinlug.config import manager_config
+from dunlinlug.config.reader import ConfigFile
+from dunlinlug.scenarios import schema as day
 from tests.recorded.plain import Plain
 
 Writer = Callable[[Any], Plain]
 
 
-def manager_section(one: terms.Desk) -> Plain:
+def manager_section(one: manager_config.ServerConfig) -> Plain:
     return {
         "listen": list(one.listen),
         "store": one.store,
@@ -33,7 +33,7 @@
     }
 
 
-def channel_section(one: terms.Outlet) -> Plain:
+def channel_section(one: manager_config.ChannelConfig) -> Plain:
     return {
         "lines_per_s": one.lines_per_s,
         "message_lines": one.message_lines,
@@ -46,7 +46,7 @@
     }
 
 
-def duties_section(one: terms.Obligations) -> Plain:
+def duties_section(one: manager_config.SafetyConfig) -> Plain:
     return {
         "bare": one.bare,
         "drain_grace": one.drain_grace,
@@ -58,7 +58,7 @@
     }
 
 
-def roster_section(one: terms.Source) -> Plain:
+def roster_section(one: manager_config.DiscoveryConfig) -> Plain:
     return {
         "address": list(one.address),
         "service": one.service,
@@ -68,7 +68,7 @@
     }
 
 
-def probes_section(one: terms.Probing) -> Plain:
+def probes_section(one: manager_config.HealthCheckConfig) -> Plain:
     return {
         "allowed": one.allowed,
         "path": one.path,
@@ -77,7 +77,7 @@
     }
 
 
-def reports_section(one: terms.Hearing) -> Plain:
+def reports_section(one: manager_config.ReportConfig) -> Plain:
     return {
         "cycle": one.cycle,
         "lines_per_s": one.lines_per_s,
@@ -85,14 +85,14 @@
     }
 
 
-def guard_section(one: terms.Guarding) -> Plain:
+def guard_section(one: manager_config.GuardConfig) -> Plain:
     return {
         "mode": one.mode,
         "remember": one.remember,
     }
 
 
-def operators_section(one: terms.Operators) -> Plain:
+def operators_section(one: manager_config.AdminConfig) -> Plain:
     return {
         "token_file": one.token_file,
         "listen": list(one.listen),
@@ -101,7 +101,7 @@
     }
 
 
-def succession_section(one: terms.Succession) -> Plain:
+def succession_section(one: manager_config.ElectionConfig) -> Plain:
     return {
         "member": one.member,
         "key_file": one.key_file,
@@ -113,7 +113,7 @@
     }
 
 
-def members_section(one: terms.Members) -> Plain:
+def members_section(one: manager_config.MembershipConfig) -> Plain:
     return {
         "me": one.me,
         "key_file": one.key_file,
@@ -122,7 +122,7 @@
     }
 
 
-def owner_section(one: terms.Owning) -> Plain:
+def owner_section(one: manager_config.LeaseConfig) -> Plain:
     return {
         "on": one.on,
         "lease": one.lease,
@@ -133,7 +133,7 @@
     }
 
 
-def tls_section(one: terms.Tls) -> Plain:
+def tls_section(one: manager_config.TlsConfig) -> Plain:
     return {
         "cert": one.cert,
         "key": one.key,
@@ -141,7 +141,7 @@
     }
 
 
-def product_section(one: terms.Ware) -> Plain:
+def product_section(one: manager_config.TrafficClassConfig) -> Plain:
     return {
         "sla": one.sla,
         "deadline": one.deadline,
@@ -153,7 +153,7 @@
     }
 
 
-def member_section(one: terms.Member) -> Plain:
+def member_section(one: manager_config.MemberConfig) -> Plain:
     return {
         "serves": list(one.serves),
         "peers": list(one.peers),
@@ -161,7 +161,7 @@
     }
 
 
-def day_day_section(one: day.Day) -> Plain:
+def day_day_section(one: day.ScenarioConfig) -> Plain:
     return {
         "name": one.name,
         "length": one.length,
@@ -171,7 +171,7 @@
     }
 
 
-def day_faults_section(one: day.Faults) -> Plain:
+def day_faults_section(one: day.RandomFaultsConfig) -> Plain:
     return {
         "kinds": list(one.kinds),
         "every": one.every,
@@ -182,7 +182,7 @@
     }
 
 
-def day_fleet_section(one: day.Fleet) -> Plain:
+def day_fleet_section(one: day.FleetConfig) -> Plain:
     return {
         "zones": list(one.zones),
         "workers": one.workers,
@@ -194,7 +194,7 @@
     }
 
 
-def day_proxies_section(one: day.Proxies) -> Plain:
+def day_proxies_section(one: day.ProxiesConfig) -> Plain:
     return {
         "count": one.count,
         "processes": one.processes,
@@ -203,7 +203,7 @@
     }
 
 
-def day_load_section(one: day.Load) -> Plain:
+def day_load_section(one: day.LoadConfig) -> Plain:
     return {
         "txns_per_s": one.txns_per_s,
         "work": one.work,
@@ -214,13 +214,13 @@
     }
 
 
-def day_mix_section(one: day.Mix) -> Plain:
+def day_mix_section(one: day.MixConfig) -> Plain:
     return {
         "share": one.share,
     }
 
 
-def day_trouble_section(one: day.Trouble) -> Plain:
+def day_trouble_section(one: day.FaultSpec) -> Plain:
     return {
         "kind": one.kind,
         "at": one.at,
@@ -232,7 +232,7 @@
     }
 
 
-def day_worker_section(one: day.WorkerPlace) -> Plain:
+def day_worker_section(one: day.WorkerConfig) -> Plain:
     return {
         "zone": one.zone,
         "cores": one.cores,
@@ -241,7 +241,7 @@
     }
 
 
-def day_proxy_section(one: day.ProxyPlace) -> Plain:
+def day_proxy_section(one: day.ProxyConfig) -> Plain:
     return {
         "zone": one.zone,
         "address": list(one.address),
@@ -305,37 +305,37 @@
 
 
 MANAGER: dict[str, tuple[type, Writer]] = {
-    "manager": (terms.Desk, manager_section),
-    "channel": (terms.Outlet, channel_section),
-    "duties": (terms.Obligations, duties_section),
-    "roster": (terms.Source, roster_section),
-    "probes": (terms.Probing, probes_section),
-    "reports": (terms.Hearing, reports_section),
-    "guard": (terms.Guarding, guard_section),
-    "operators": (terms.Operators, operators_section),
-    "succession": (terms.Succession, succession_section),
-    "members": (terms.Members, members_section),
-    "owner": (terms.Owning, owner_section),
-    "tls": (terms.Tls, tls_section),
+    "manager": (manager_config.ServerConfig, manager_section),
+    "channel": (manager_config.ChannelConfig, channel_section),
+    "duties": (manager_config.SafetyConfig, duties_section),
+    "roster": (manager_config.DiscoveryConfig, roster_section),
+    "probes": (manager_config.HealthCheckConfig, probes_section),
+    "reports": (manager_config.ReportConfig, reports_section),
+    "guard": (manager_config.GuardConfig, guard_section),
+    "operators": (manager_config.AdminConfig, operators_section),
+    "succession": (manager_config.ElectionConfig, succession_section),
+    "members": (manager_config.MembershipConfig, members_section),
+    "owner": (manager_config.LeaseConfig, owner_section),
+    "tls": (manager_config.TlsConfig, tls_section),
 }
 MANAGER_NAMED: dict[str, tuple[type, Writer]] = {
-    "product": (terms.Ware, product_section),
-    "member": (terms.Member, member_section),
+    "product": (manager_config.TrafficClassConfig, product_section),
+    "member": (manager_config.MemberConfig, member_section),
 }
 DAY: dict[str, tuple[type, Writer]] = {
     **MANAGER,
-    "day": (day.Day, day_day_section),
-    "faults": (day.Faults, day_faults_section),
-    "fleet": (day.Fleet, day_fleet_section),
-    "proxies": (day.Proxies, day_proxies_section),
-    "load": (day.Load, day_load_section),
+    "day": (day.ScenarioConfig, day_day_section),
+    "faults": (day.RandomFaultsConfig, day_faults_section),
+    "fleet": (day.FleetConfig, day_fleet_section),
+    "proxies": (day.ProxiesConfig, day_proxies_section),
+    "load": (day.LoadConfig, day_load_section),
 }
 DAY_NAMED: dict[str, tuple[type, Writer]] = {
     **MANAGER_NAMED,
-    "mix": (day.Mix, day_mix_section),
-    "trouble": (day.Trouble, day_trouble_section),
-    "worker": (day.WorkerPlace, day_worker_section),
-    "proxy": (day.ProxyPlace, day_proxy_section),
+    "mix": (day.MixConfig, day_mix_section),
+    "trouble": (day.FaultSpec, day_trouble_section),
+    "worker": (day.WorkerConfig, day_worker_section),
+    "proxy": (day.ProxyConfig, day_proxy_section),
 }
 SCENARIO: dict[str, tuple[type, Writer]] = {
     "scale": (scenario.Scale, scale_scale_section),
@@ -350,22 +350,22 @@
 
 
 def _sections(
-    book: Book, single: dict[str, tuple[type, Writer]], named: dict[str, tuple[type, Writer]]
+    book: ConfigFile, single: dict[str, tuple[type, Writer]], named: dict[str, tuple[type, Writer]]
 ) -> Plain:
     """Every section with all its values, also those that a file leaves out."""
-    found = {f"[{name}]": write(book.one(kind)) for name, (kind, write) in single.items()}
+    found = {f"[{name}]": write(book.section(kind)) for name, (kind, write) in single.items()}
     for word, (kind, write) in named.items():
-        for name, record in book.many(kind).items():
+        for name, record in book.sections(kind).items():
             found[f"[{word} {name}]"] = write(record)
     return found
 
 
 def manager_file(path: Path) -> Plain:
-    return _sections(terms.read(path), MANAGER, MANAGER_NAMED)
+    return _sections(manager_config.load_manager_config(path), MANAGER, MANAGER_NAMED)
 
 
 def day_file(path: Path) -> Plain:
-    return _sections(day.read(path), DAY, DAY_NAMED)
+    return _sections(day.read_scenario(path), DAY, DAY_NAMED)
 
 
 def scenario_file(path: Path) -> Plain:
--- a/tests/recorded/test_decisions.py
+++ b/tests/recorded/test_decisions.py
@@ -7,9 +7,18 @@
 
 import pytest
 
-from dunlinlug import interface as face
 from dunlinlug.balance import Balancer
-from tests.histories import Surroundings
+from dunlinlug.decision.events import Event, OrderRejected
+from dunlinlug.decision.orders import (
+    AssignTable,
+    DeleteTable,
+    Order,
+    SetAdmission,
+    SetEjected,
+    SetTimer,
+    SetWeight,
+)
+from tests.decision.histories import Surroundings
 from tests.recorded.neutral_decisions import (
     event_from,
     neutral_event,
@@ -80,13 +89,13 @@
                 seen.add(line["verb"])
                 assert event_from(json.loads(text_of(line))) == event
     for order in (
-        face.Share(1, "10.0.0.1:80", 0.1),
-        face.Clear(2),
-        face.Bind(3, (0, 2), 4),
-        face.Withdraw("10.0.0.1:80", True),
-        face.Admit(5, 1, 3, 0.7),
+        SetWeight(1, "10.0.0.1:80", 0.1),
+        DeleteTable(2),
+        AssignTable(3, (0, 2), 4),
+        SetEjected("10.0.0.1:80", True),
+        SetAdmission(5, 1, 3, 0.7),
     ):
-        event = face.Refused(order, "a reason")
+        event = OrderRejected(order, "a reason")
         assert event_from(json.loads(text_of(neutral_event(event)))) == event
     assert len(seen) >= 13, sorted(seen)
 
@@ -94,10 +103,10 @@
 class LastBitOff(Balancer):
     """Its timers are late by one unit of the last place, or as they are."""
 
-    def decide(self, now: float, events: list[face.Event]) -> list[face.Order]:  # type: ignore[override]
+    def decide(self, now: float, events: list[Event]) -> list[Order]:  # type: ignore[override]
         return [
-            face.Wake(order.after * (1 + 2**-52), order.token)
-            if isinstance(order, face.Wake)
+            SetTimer(order.delay * (1 + 2**-52), order.token)
+            if isinstance(order, SetTimer)
             else order
             for order in super().decide(now, events)
         ]
@@ -114,5 +123,5 @@
 
 
 def test_what_the_wire_rounds_is_in_the_neutral_form() -> None:
-    assert neutral_order(face.Wake(0.1 + 0.2, 1))["delay"] == 0.1 + 0.2
-    assert neutral_order(face.Bind(1, (2, 0), 3))["lanes"] == [2, 0]
+    assert neutral_order(SetTimer(0.1 + 0.2, 1))["delay"] == 0.1 + 0.2
+    assert neutral_order(AssignTable(1, (2, 0), 3))["lanes"] == [2, 0]
--- a/tests/recorded/test_platform_bytes.py
+++ b/tests/recorded/test_platform_bytes.py
@@ -28,8 +28,8 @@
     for case in recorded["pushes"]:
         assert record_platform.push(case["part"]) == case["line"]
     for case in recorded["errors"]:
-        assert text_of(messages.error(case["why"])) == case["line"]
-    assert text_of(messages.alive()) == recorded["alive"]
+        assert text_of(messages.encode_error(case["why"])) == case["line"]
+    assert text_of(messages.encode_alive()) == recorded["alive"]
 
 
 def test_replies_go_out_as_the_recorded_bytes() -> None:
--- a/tests/recorded/test_rolling_upgrade.py
+++ b/tests/recorded/test_rolling_upgrade.py
@@ -20,14 +20,13 @@
 import pytest
 import trio
 
-from dunlinlug import terms
 from dunlinlug.audit import figures, records, rules
-from dunlinlug.config import units
-from dunlinlug.day.play import Part, Player
-from dunlinlug.fleet.owner import history
-from dunlinlug.fleet.succession import facts
+from dunlinlug.config import manager_config, units
+from dunlinlug.fleet.election import replicated_state
+from dunlinlug.fleet.ownership import history
 from dunlinlug.net import http
-from tests.test_config import manager_file
+from dunlinlug.scenarios.runner import ScenarioProcess, ScenarioRunner
+from tests.config.test_manager_config import manager_file
 
 # Names in the managers' logs, for each version. A change of the present names changes `PRESENT_LOG` alone.
 
@@ -163,12 +162,12 @@
             for line in self.events(names.leads)
         ]
 
-    def work(self) -> Iterator[history.Seen]:
+    def work(self) -> Iterator[history.Observation]:
         """What this manager did and refused as a carrier of work."""
         names = self.version.log
         for line in self.lines():
             if line.get("event") in (names.carried, names.not_carried):
-                yield history.Seen(
+                yield history.Observation(
                     seconds(line),
                     self.log.stem,
                     line[names.work],
@@ -194,7 +193,7 @@
 class Upgrade:
     """The managers of a day that is being played, and what is done to them."""
 
-    player: Player
+    player: ScenarioRunner
     admin: dict[str, str]
     runs: list[Run] = field(default_factory=list)
     counts: list[tuple[str, str, dict[str, int]]] = field(default_factory=list)
@@ -213,7 +212,7 @@
     def crossings(self) -> set[tuple[str, str]]:
         """Of work that was done: the versions of its owner and of its carrier, each pair once."""
         return {
-            (self.version_at(seen.owner, seen.at), run.version.name)
+            (self.version_at(seen.owner, seen.observed_at), run.version.name)
             for run in self.runs
             for seen in run.work()
             if seen.done
@@ -221,11 +220,11 @@
 
     async def ask(self, member: str, path: str) -> dict[str, Any] | None:
         """An answer of the operators' endpoint; None while the manager does not serve it."""
-        client = http.Client(*units.address(self.admin[member]))
+        client = http.Client(*units.parse_address(self.admin[member]))
         with trio.move_on_after(2.0):
             try:
-                reply = await client.ask("GET", path, {"authorization": f"Bearer {TOKEN}"})
-            except http.HttpFault:
+                reply = await client.request("GET", path, {"authorization": f"Bearer {TOKEN}"})
+            except http.HttpError:
                 return None
             assert reply.status == 200, (member, path, reply)
             answer: dict[str, Any] = json.loads(reply.body)
@@ -279,14 +278,14 @@
         part = self.player.managers.pop(member)
         if kill:
             part.process.kill()
-        await part.end()
+        await part.stop()
         log = self.player.folder / f"run-{len(self.runs)}-{member}-{version.name}.log"
-        file = self.player.file_of(member, "ini")
+        file = self.player.manager_file(member, "ini")
         with log.open("wb") as errors:
             process = await trio.lowlevel.open_process(
                 [*version.manager, str(file), "--until-input-closes"], stdin=PIPE, stderr=errors
             )
-        self.player.managers[member] = Part("manager", process)
+        self.player.managers[member] = ScenarioProcess("manager", process)
         self.runs.append(Run(member, version, log))
 
     async def restart_follower(self, member: str, version: Version, leader: str) -> None:
@@ -322,7 +321,7 @@
         """A planned change of leader, by the command line of this checkout."""
         await self.followed(to, leader)
         former = await self.until(leader, "the leader", lambda state: bool(state[LEADS]))
-        file = str(self.player.file_of(leader, "ini"))
+        file = str(self.player.manager_file(leader, "ini"))
         command = PRESENT.python("-m", "dunlinlug", "fleet", "hand-over", file, to)
         with trio.move_on_after(WITHIN):
             # Refused where a batch is under way for longer than the command waits.
@@ -341,7 +340,7 @@
             while len(self.player.managers) < 3:
                 await trio.sleep(0.05)
         self.runs += [
-            Run(member, RECORDED, self.player.file_of(member, "log"))
+            Run(member, RECORDED, self.player.manager_file(member, "log"))
             for member in self.player.managers
         ]
         first, state = await self.leader()
@@ -393,23 +392,23 @@
     return path
 
 
-def open_admin(player: Player, folder: Path) -> dict[str, str]:
+def open_admin(player: ScenarioRunner, folder: Path) -> dict[str, str]:
     """Give each manager's file an operators' endpoint; its address by member."""
     token = folder / "token"
     token.write_text(TOKEN)
     token.chmod(0o600)
-    admin = {member: player.places.take() for member in player.members}
+    admin = {member: player.addresses.allocate() for member in player.members}
     for member, address in admin.items():
-        with player.file_of(member, "ini").open("a") as file:
+        with player.manager_file(member, "ini").open("a") as file:
             file.write(f"\n[operators]\ntoken_file = {token}\nlisten = {address}\n")
     return admin
 
 
 @asynccontextmanager
-async def played(player: Player) -> AsyncIterator[None]:
+async def played(player: ScenarioRunner) -> AsyncIterator[None]:
     """The day goes on beside the block, and to its end after it."""
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(player.play)
+        nursery.start_soon(player.run)
         yield
 
 
@@ -434,29 +433,35 @@
     script = str(Path(__file__).parent / "write_states.py")
     subprocess.run(RECORDED.python(script, str(file), str(tmp_path)), check=True)
     before, after = (tmp_path / f"{name}.state" for name in ("before", "after"))
-    module, standing = facts.read_whole(before.read_bytes(), terms.trade(terms.read(file)))
-    assert facts.write_whole(module, standing) == before.read_bytes()
+    module, standing = replicated_state.deserialize_snapshot(
+        before.read_bytes(),
+        manager_config.manager_settings(manager_config.load_manager_config(file)),
+    )
+    assert replicated_state.serialize_snapshot(module, standing) == before.read_bytes()
     batches = [path.read_bytes() for path in sorted(tmp_path.glob("*.batch"))]
     assert len(batches) > 100
     for data in batches:
-        batch = facts.read_batch(data)
-        assert facts.write_batch(batch) == data
+        batch = replicated_state.deserialize_batch(data)
+        assert replicated_state.serialize_batch(batch) == data
         module.decide(batch.now, batch.events)
-    _, expected = facts.read_whole(after.read_bytes(), terms.trade(terms.read(file)))
-    assert facts.write_whole(module, expected) == after.read_bytes()
+    _, expected = replicated_state.deserialize_snapshot(
+        after.read_bytes(),
+        manager_config.manager_settings(manager_config.load_manager_config(file)),
+    )
+    assert replicated_state.serialize_snapshot(module, expected) == after.read_bytes()
 
 
 async def test_three_managers_are_upgraded_one_after_the_other(tmp_path: Path) -> None:
-    player = Player(day_file(tmp_path), tmp_path / "day", RECORDED.manager)
+    player = ScenarioRunner(day_file(tmp_path), tmp_path / "day", RECORDED.manager)
     upgrade = Upgrade(player, open_admin(player, tmp_path))
     async with played(player):
         await upgrade.roll()
 
     # Proxies, workers and callers saw no broken rule, and traffic was served.
-    found = records.read(player.folder)
-    assert rules.judge(found) == []
-    sums = figures.figures(found)
-    assert sums.served > 0.3 and sum(sums.outcomes.values()) > 300, sums
+    found = records.read_records(player.folder)
+    assert rules.find_violations(found) == []
+    sums = figures.summarize(found)
+    assert sums.served_fraction > 0.3 and sum(sums.outcomes.values()) > 300, sums
 
     # The leadership passed between the versions, and one alone began from nothing.
     takeovers = sorted(
@@ -493,8 +498,8 @@
 
     # Work had one owner at a time; it was refused only for reasons that a restart gives.
     work = [seen for run in upgrade.runs for seen in run.work()]
-    assert history.judge(work) == []
-    done = {(seen.owner, seen.carrier) for seen in work if seen.done}
+    assert history.find_violations(work) == []
+    done = {(seen.owner, seen.executor) for seen in work if seen.done}
     assert {owner for owner, _ in done} == set(player.members)
     assert {carrier for _, carrier in done} == {run.log.stem for run in upgrade.runs}
     versions = (RECORDED.name, PRESENT.name)
--- a/tests/recorded/test_wire_forms.py
+++ b/tests/recorded/test_wire_forms.py
@@ -9,17 +9,22 @@
 import msgpack
 import pytest
 
-from dunlinlug import interface as face
 from dunlinlug.balance import Balancer
-from dunlinlug.fleet.owner import words as owner
-from dunlinlug.fleet.succession import codec, facts, module_state
-from dunlinlug.fleet.succession import words as succession
-from dunlinlug.fleet.succession.plain import Codec, FieldFault, PlainFault, WireForm
+from dunlinlug.decision.events import Event
+from dunlinlug.fleet.election import codec, module_state, replicated_state
+from dunlinlug.fleet.election import messages as succession
+from dunlinlug.fleet.election.serialization import (
+    FieldFault,
+    ObjectSerializer,
+    SerializationError,
+    WireForm,
+)
+from dunlinlug.fleet.ownership import messages as owner
 from dunlinlug.fleet.wire_names import by_wire_name, wire
 from tests.recorded import fleet_examples as examples
 from tests.recorded import record_fleet as record
 
-FORMS = {form.name: form for form in (*facts.FORMS, module_state.MODULE)}
+FORMS = {form.name: form for form in (*replicated_state.FORMS, module_state.MODULE)}
 ANOTHER = "another_attribute"
 
 
@@ -53,11 +58,11 @@
 
 def test_every_class_that_travels_has_one_form_and_every_form_its_class() -> None:
     assert instances().keys() == {form.kind for form in FORMS.values()}
-    assert len(FORMS) == len(facts.FORMS) + 1
+    assert len(FORMS) == len(replicated_state.FORMS) + 1
 
 
 def test_every_event_has_a_form() -> None:
-    events = {kind for kind in face.Event.__args__}
+    events = {kind for kind in Event.__args__}
     assert events <= {form.kind for form in FORMS.values()}
 
 
@@ -77,7 +82,7 @@
     instance = copy(instances()[form.kind])
     object.__setattr__(instance, ANOTHER, 1)
     with pytest.raises(FieldFault, match=ANOTHER) as caught:
-        Codec(*FORMS.values()).write(instance)
+        ObjectSerializer(*FORMS.values()).serialize(instance)
     assert (caught.value.class_name, caught.value.field) == (name, ANOTHER)
 
 
@@ -88,20 +93,20 @@
     attribute = next(iter(form.fields.values()))
     del vars(instance)[attribute]
     with pytest.raises(FieldFault) as caught:
-        Codec(*FORMS.values()).write(instance)
+        ObjectSerializer(*FORMS.values()).serialize(instance)
     assert (caught.value.class_name, caught.value.field) == (name, attribute)
 
 
 @pytest.mark.parametrize("name", FORMS)
 def test_fields_unknown_missing_or_twice_there_are_refused_when_read(name: str) -> None:
-    reader = Codec(*FORMS.values())
+    reader = ObjectSerializer(*FORMS.values())
     pairs = [part for wire_name in FORMS[name].fields for part in (wire_name, 1)]
     cases = {"unknown here": [*pairs, "surplus", 1], "missing": pairs[2:]}
     if len(pairs) > 2:
         cases["there twice"] = [*pairs, *pairs[:2]]
     for problem, found in cases.items():
         with pytest.raises(FieldFault, match=problem) as caught:
-            reader.read(msgpack.packb(["o", 0, name, *found]))
+            reader.deserialize(msgpack.packb(["o", 0, name, *found]))
         assert caught.value.class_name == name
 
 
@@ -128,14 +133,14 @@
     class Former:
         number: int
 
-    now = Codec(WireForm(Renamed, "Former", {"number": "count"}))
-    before = Codec(WireForm(Former, "Former", {"number": "number"}))
-    assert now.write(Renamed(7)) == before.write(Former(7))
-    assert now.read(before.write(Former(7))) == Renamed(7)
-    with pytest.raises(PlainFault):
-        now.write(Former(7))
+    now = ObjectSerializer(WireForm(Renamed, "Former", {"number": "count"}))
+    before = ObjectSerializer(WireForm(Former, "Former", {"number": "number"}))
+    assert now.serialize(Renamed(7)) == before.serialize(Former(7))
+    assert now.deserialize(before.serialize(Former(7))) == Renamed(7)
+    with pytest.raises(SerializationError):
+        now.serialize(Former(7))
     with pytest.raises(TypeError):
-        Codec(WireForm(Former, "Former", {}), WireForm(Renamed, "Former", {}))
+        ObjectSerializer(WireForm(Former, "Former", {}), WireForm(Renamed, "Former", {}))
 
 
 def test_message_names_of_classes_and_attributes_do_not_reach_bytes() -> None:
@@ -145,9 +150,9 @@
         epoch: int = field(metadata=wire("term"))
         member: str = field(metadata=wire("sender"))
 
-    body = codec.pack(succession.Pass(term=5, sender="m1"))
-    assert codec.pack(Renamed(epoch=5, member="m1")) == body
-    assert codec.unpack(body, by_wire_name([Renamed])) == Renamed(epoch=5, member="m1")
+    body = codec.encode(succession.TransferLeadership(term=5, sender="m1"))
+    assert codec.encode(Renamed(epoch=5, member="m1")) == body
+    assert codec.decode(body, by_wire_name([Renamed])) == Renamed(epoch=5, member="m1")
 
 
 def test_messages_without_wire_names_are_refused() -> None:
@@ -169,25 +174,28 @@
 
     for message in (Nameless(1), Halfway(1, "m0"), Twice(1, 2)):
         with pytest.raises(TypeError, match="declares no"):
-            codec.pack(message)
+            codec.encode(message)
         with pytest.raises(TypeError, match="declares no"):
             by_wire_name([type(message)])
 
 
 def test_every_message_is_in_the_examples() -> None:
     for kinds, messages in (
-        (codec.KINDS, examples.SUCCESSION),
-        (owner.KINDS, examples.OWNER),
+        (codec.MESSAGE_TYPES, examples.SUCCESSION),
+        (owner.MESSAGE_TYPES, examples.OWNER),
     ):
         assert {type(message) for message in messages.values()} == set(kinds.values())
 
 
 def test_a_message_with_an_unknown_or_missing_field_is_forged() -> None:
-    for kinds, messages in ((codec.KINDS, examples.SUCCESSION), (owner.KINDS, examples.OWNER)):
+    for kinds, messages in (
+        (codec.MESSAGE_TYPES, examples.SUCCESSION),
+        (owner.MESSAGE_TYPES, examples.OWNER),
+    ):
         for message in messages.values():
-            name, found = msgpack.unpackb(codec.pack(message))
-            with pytest.raises(codec.Forged):
-                codec.unpack(msgpack.packb([name, {**found, "surplus": 1}]), kinds)
+            name, found = msgpack.unpackb(codec.encode(message))
+            with pytest.raises(codec.AuthenticationError):
+                codec.decode(msgpack.packb([name, {**found, "surplus": 1}]), kinds)
             del found["sender"]
-            with pytest.raises(codec.Forged):
-                codec.unpack(msgpack.packb([name, found]), kinds)
+            with pytest.raises(codec.AuthenticationError):
+                codec.decode(msgpack.packb([name, found]), kinds)
--- a/tests/recorded/test_xds_bytes.py
+++ b/tests/recorded/test_xds_bytes.py
@@ -47,7 +47,11 @@
     ):
         kept = KEPT["written"][name]
         assert (
-            base64_of(record_xds.loads.write(record_xds.loads.read(bytes_of(kept)), greeting))
+            base64_of(
+                record_xds.xds_load_reports.encode_report(
+                    record_xds.xds_load_reports.decode_report(bytes_of(kept)), greeting
+                )
+            )
             == kept
         )
 
--- a/tests/former/__init__.py
+++ b/tests/reference_model/__init__.py
@@ -1,7 +1,7 @@
-"""The decision module as it stood before a turn came to cost what changed: the model for `tests/same_decisions.py`.
+"""The decision module as it stood before a turn came to cost what changed: the model for `tests/decision/reference_decisions.py`.
 
 `balance.py`, `state.py`, `listing.py`, `seating.py` and `outstanding.py` are copies of `dunlinlug/` at a2de667 with
-their imports turned to this package, and nothing else; events and orders are those of `dunlinlug/interface.py`. Not
+their imports turned to this package, and nothing else; events, orders and settings are those of `dunlinlug/decision/`. Not
 to be edited: whatever the present text does faster, it decides as this one does. It falls away in the round in which
 decisions themselves are changed and measured anew. One mend of a fault stands in both: a timer for what was left for
 want of messages (`Reply.left`).
--- a/tests/former/balance.py
+++ b/tests/reference_model/balance.py
@@ -13,11 +13,37 @@
 from random import Random
 from statistics import median
 
-from dunlinlug import interface as face
-from tests.former.listing import Fleet
-from tests.former.outstanding import Outstanding, free
-from tests.former.seating import Seating, Table, Tops
-from tests.former.state import Change, Wanted
+from dunlinlug.decision.events import (
+    Acknowledged,
+    DemandReported,
+    EndpointReported,
+    EndpointsUpdated,
+    Event,
+    HealthCheckCompleted,
+    OrderRejected,
+    OverrideChanged,
+    PartitionLimitsChanged,
+    ProxyConnected,
+    ProxyDisconnected,
+)
+from dunlinlug.decision.orders import (
+    AssignTable,
+    CheckHealth,
+    DeleteTable,
+    LogMessage,
+    Order,
+    RequestAcknowledgement,
+    SetAdmission,
+    SetEjected,
+    SetTimer,
+    SetWeight,
+    WatchEndpoints,
+)
+from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, TrafficClass
+from tests.reference_model.listing import Fleet
+from tests.reference_model.outstanding import Outstanding, free
+from tests.reference_model.seating import Seating, Table, Tops
+from tests.reference_model.state import Change, Wanted
 
 
 class Account(Outstanding):
@@ -33,10 +59,10 @@
         (0.0, 0.4, 0.4, 0.5),
     )  # parts: rules, health, levels, rest
 
-    def __init__(self, channel: face.Channel) -> None:
-        most = channel.messages_most
+    def __init__(self, channel: ChannelSettings) -> None:
+        most = channel.max_messages
         super().__init__(most or 1)
-        self.channel, self.rate = channel, channel.lines_per_s
+        self.channel, self.rate = channel, channel.entries_per_second
         # By rank, the messages within the span from which on a proxy gets no more; 0: no bound.
         self.few = [
             next((n for n in range(1, most + 1) if 1.0 - n / most <= kept), 0) for kept in self.KEPT
@@ -45,15 +71,15 @@
     def scarce(self, proxy: int, now: float, rank: int) -> bool:
         times, few = self.written.get(proxy, ()), self.few[rank]
         return (
-            0 < few <= len(times) and times[-few] >= now - self.channel.messages_span - self.LATER
+            0 < few <= len(times) and times[-few] >= now - self.channel.message_window - self.LATER
         )
 
     def heard(self, proxy: int, mark: int, took: float) -> list[int]:
         """An answer: tells which marks it settles."""
-        ahead, usual = self.sent[mark].ahead, self.channel.lines_per_s
+        ahead, usual = self.sent[mark].ahead, self.channel.entries_per_second
         passed = self.answered(proxy, mark)
         if mark not in self.sent and ahead >= self.SAMPLE * usual:
-            seen = ahead / max(took - self.channel.transit, 0.001)
+            seen = ahead / max(took - self.channel.transit_time, 0.001)
             self.rate = min(max((self.rate + seen) / 2, self.SLOWEST * usual), usual)
         return passed
 
@@ -63,9 +89,9 @@
 
     def __init__(self, account: Account, now: float, mark: int) -> None:
         self.account, self.now, self.mark = account, now, mark
-        self.orders: list[face.Order] = []
+        self.orders: list[Order] = []
         self.lines: dict[int, float] = {}
-        self.spent, self.head = 0.0, account.channel.message_lines + 1.0
+        self.spent, self.head = 0.0, account.channel.message_overhead + 1.0
         self.left = (
             False  # something, for want of messages. Danger: not looked at again before an event
         )
@@ -76,7 +102,7 @@
         return self.account.waits + spent > budget * self.account.rate
 
     def fits(self, lines: float, rank: int) -> bool:
-        most = self.account.channel.waiting_most * (1.0 - Account.KEPT_BACK[rank])
+        most = self.account.channel.max_queued_entries * (1.0 - Account.KEPT_BACK[rank])
         return self.account.waits + self.spent + lines <= most
 
     def price(
@@ -260,11 +286,12 @@
         1.5,
     )  # least let in; queues that tell a jam's end; a zone of three spare
 
-    def __init__(self, products: tuple[face.Product, ...]) -> None:
+    def __init__(self, products: tuple[TrafficClass, ...]) -> None:
         # Work is not told; the SLA time stands for it, as longer work is given more time.
-        self.sla = [product.sla for product in products]
+        self.sla = [product.latency_objective for product in products]
         self.order = sorted(
-            range(len(products)), key=lambda k: products[k].revenue / products[k].sla
+            range(len(products)),
+            key=lambda k: products[k].priority_weight / products[k].latency_objective,
         )
         self.asked = [1.0] * len(products)  # txns a second of each product, smoothed
         self.came = dict.fromkeys(
@@ -353,37 +380,39 @@
     )  # seconds between looks while busy; before the list is asked again, doubled
     HOT = 1.25  # times what is usually asked of a worker, from which on a small table gets one more: a raise
 
-    def __init__(self, trade: face.Trade) -> None:
+    def __init__(self, trade: ManagerSettings) -> None:
         self.uniform = Random(trade.seed).uniform
-        self.products, self.usual_retry = len(trade.products), trade.usual_retry
+        self.products, self.usual_retry = len(trade.traffic_classes), trade.default_retry_policy
         self.ask_every, self.warm_after = (
-            trade.duties.ask_every,
-            trade.duties.warm_after or 1e-6,
+            trade.safety_limits.list_poll_interval,
+            trade.safety_limits.warm_up_time or 1e-6,
         )  # divides
         cold, rise = (
-            trade.duties.cold_share,
-            (1.0 - trade.duties.cold_share) * self.RAISE / self.warm_after,
+            trade.safety_limits.initial_capacity_fraction,
+            (1.0 - trade.safety_limits.initial_capacity_fraction) * self.RAISE / self.warm_after,
         )
         self.bears = (
-            trade.duties.fall_multiple
+            trade.safety_limits.overload_multiple
             * min(  # times its share, at the weakest moment of its ramp
                 min(1.0, cold + n * rise) / self.STEP / (n + 1) for n in range(round(1 / self.STEP))
             )
         )
         self.may_probe, self.sliced, self.standing = (
-            trade.may_probe,
-            trade.slices > 0,
-            trade.standing,
+            trade.can_check_health,
+            trade.shard_count > 0,
+            trade.initial_subset_size,
         )
         self.home = [
-            k for k, product in enumerate(trade.products) if product.home_only
+            k for k, product in enumerate(trade.traffic_classes) if product.same_zone_only
         ]  # their zone's alone
         self.each = (
             2.0 if 0 < len(self.home) < self.products else 1.0
         )  # lines for a worker: those apart
         self.fleet, self.account = Fleet(), Account(trade.channel)
-        self.health = Health(self.uniform, max(p.deadline for p in trade.products) + self.LATENESS)
-        self.gate, self.admits = Gate(trade.products), trade.admits == "share"
+        self.health = Health(
+            self.uniform, max(p.deadline for p in trade.traffic_classes) + self.LATENESS
+        )
+        self.gate, self.admits = Gate(trade.traffic_classes), trade.admission_mode == "share"
         self.all_in = (
             1.0 if self.admits else 1e6
         )  # where levels are rates, a share of 1 would shut a proxy
@@ -392,29 +421,32 @@
         self.versions = self.last_mark = self.last_number = self.last_token = 0
         self.out, self.small = set[int](), list[Table]()  # the latter: over which all are dealt
         self.since = -inf  # who was written to before and has not answered is silent
-        self.ask_at, self.ask_wait = -inf if trade.must_ask else inf, self.ASK_WAIT
+        self.ask_at, self.ask_wait = -inf if trade.must_subscribe else inf, self.ASK_WAIT
         self.noted, self.told, self.scant = dict[int, float](), False, False
         self.barred: dict[int, float] = {}  # by worker, until when what was refused of it stays so
         self.kept: dict[int, float] = {}  # by product, until when levels stay after one was refused
-        self.pins: dict[int, face.Pinned] = {}  # by product, an operator's word
-        self.means, self.parts = face.Trusted(Health.CEILING), dict[int, float]()  # as planned last
+        self.pins: dict[int, OverrideChanged] = {}  # by product, an operator's word
+        self.means, self.parts = (
+            PartitionLimitsChanged(Health.CEILING),
+            dict[int, float](),
+        )  # as planned last
 
     # Events: what is known.
 
-    def decide(self, now: float, events: Iterable[face.Event]) -> list[face.Order]:
+    def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
         if self.sliced:
             told, self.told = self.told, True
-            return [] if told else [face.Note("slices are not decided by this version")]
+            return [] if told else [LogMessage("slices are not decided by this version")]
         for event in events:
             self._learn(now, event)
         return self._emit(now, self._plan(now))
 
-    def _learn(self, now: float, event: face.Event) -> None:
+    def _learn(self, now: float, event: Event) -> None:
         match event:
-            case face.Listed(form="failed"):
+            case EndpointsUpdated(update_type="failed"):
                 self.ask_at = now + self.ask_wait * self.uniform(0.5, 1.0)
                 self.ask_wait = min(2 * self.ask_wait, max(self.ask_every / 4, self.ASK_WAIT))
-            case face.Listed():
+            case EndpointsUpdated():
                 self.ask_wait = self.ASK_WAIT
                 held = self.seating.named() | self.out | self.barred.keys()
                 for i, new in self.fleet.fold(event, held):
@@ -422,68 +454,68 @@
                         self.health.admit(i)
                         self.noted.pop(i, None)
                     self.health.start(i, 1.0, now)
-            case face.Joined(proxy) | face.Left(proxy):
+            case ProxyConnected(proxy) | ProxyDisconnected(proxy):
                 self.account.forget(proxy)
                 self.seating.leave(proxy)
                 for change in self.changes.values():
                     change.awaited.discard(proxy)
-                if isinstance(event, face.Joined):
+                if isinstance(event, ProxyConnected):
                     back = all(other.zone != event.zone for other in self.seating.proxies.values())
                     for i, zone in enumerate(self.fleet.zones if back else ()):
                         if zone == event.zone and not self.health.cap[i]:
                             self.health.start(
                                 i, 1.0, now
                             )  # first proxy back: the zone is in reach again
-                    self.seating.join(proxy, event.zone, event.txns_per_s)
-            case face.Answered(proxy, mark, took) if mark in self.account.asked.get(proxy, ()):
+                    self.seating.join(proxy, event.zone, event.requests_per_second)
+            case Acknowledged(proxy, mark, took) if mark in self.account.asked.get(proxy, ()):
                 passed = self.account.heard(proxy, mark, took)
                 self.seating.answered(proxy, passed)
                 for change in self.changes.values():
                     change.awaited -= {proxy} if change.mark in passed else set()
-            case face.Met(worker=worker) if worker in self.fleet.index:
+            case EndpointReported(worker=worker) if worker in self.fleet.index:
                 i = self.fleet.index[worker]
-                self.gate.settled += (event.tries - event.voided) * event.own
+                self.gate.settled += (event.attempts - event.failed) * event.local
                 self.gate.queues.extend(
                     [event.load["queue"]] if self.scant and "queue" in event.load else ()
                 )
                 if self.health.cap[i]:
-                    self.health.met(i, now, event.tries, event.voided, event.took)
-            case face.Probed(worker=worker) if worker in self.fleet.index:
+                    self.health.met(i, now, event.attempts, event.failed, event.latency)
+            case HealthCheckCompleted(worker=worker) if worker in self.fleet.index:
                 if not self.health.cap[i := self.fleet.index[worker]]:
                     share, pause = (
-                        (Health.TRIAL_SHARE, Health.TRIAL) if event.ok else (0.0, Health.AGAIN)
+                        (Health.TRIAL_SHARE, Health.TRIAL) if event.healthy else (0.0, Health.AGAIN)
                     )
                     self.health.start(i, share, now + pause)
-            case face.Asked(product=name) if name in self.gate.came:
-                self.gate.came[name] += event.txns
-            case face.Refused(order=order):
+            case DemandReported(traffic_class=name) if name in self.gate.came:
+                self.gate.came[name] += event.requests
+            case OrderRejected(order=order):
                 self._refused(now, order)
-            case face.Pinned(k):
+            case OverrideChanged(k):
                 self.pins[k] = event
-            case face.Trusted():
-                self.means, self.health.ceiling = event, event.share
+            case PartitionLimitsChanged():
+                self.means, self.health.ceiling = event, event.max_ejected_fraction
 
-    def _refused(self, now: float, order: face.Order) -> None:
+    def _refused(self, now: float, order: Order) -> None:
         """The order was not carried out: go by what is, and leave it for the time of a raise."""
         tables, proxies = self.seating.tables, self.seating.proxies
         match order:
-            case face.Share(tbl, worker) if worker in self.fleet.index:
+            case SetWeight(tbl, worker) if worker in self.fleet.index:
                 self.barred[i := self.fleet.index[worker]] = now + self.RAISE
                 if tbl in tables:
                     tables[tbl].shares.pop(i, None), tables[tbl].parts.pop(i, None)
-            case face.Bind(proxy, products, tbl) if proxy in proxies:
+            case AssignTable(proxy, products, tbl) if proxy in proxies:
                 # Danger: a joiner left bare for a raise, having come before the list, at an empty table.
                 empty = tbl in tables and not tables[tbl].shares
                 proxies[proxy].wait = now + (self.BEAT if empty else self.RAISE)
                 self.seating.drop(proxy, products, tbl)
-            case face.Withdraw(worker, out) if worker in self.fleet.index:
+            case SetEjected(worker, out) if worker in self.fleet.index:
                 self.barred[i := self.fleet.index[worker]] = now + self.RAISE
                 (self.out.discard if out else self.out.add)(i)
-            case face.Admit(tbl, k) if k < self.products:
+            case SetAdmission(tbl, k) if k < self.products:
                 self.kept[k] = now + self.RAISE
                 if tbl in tables:
                     tables[tbl].levels[k] = tables[tbl].were.get(k, (self.all_in, self.usual_retry))
-            case face.Clear(tbl):  # Danger: a number in use would be given out again
+            case DeleteTable(tbl):  # Danger: a number in use would be given out again
                 tables.setdefault(tbl, Table(tbl, {}, {}, []))
 
     # The wanted state.
@@ -526,8 +558,14 @@
             parts[i] = min(
                 part, cap or Health.TRIAL_SHARE
             )  # ahead of its trial, which then needs no change
-            if not self.means.begin or not self.means.raises and age < self.warm_after:  # cut off
-                parts[i] = min(parts[i] if self.means.begin else part, self.parts.get(i, part))
+            if (
+                not self.means.may_change_weights
+                or not self.means.may_raise_weights
+                and age < self.warm_after
+            ):  # cut off
+                parts[i] = min(
+                    parts[i] if self.means.may_change_weights else part, self.parts.get(i, part)
+                )
             # Danger: a storm of repeats brings cold workers many times their share, more so to a new manager.
             most[i] = cap if cap < Health.JAMMED_SHARE else inf
             shut = storm or i not in inside and rough
@@ -569,24 +607,28 @@
         self, k: int, plain: dict[int, float], parts: dict[int, float], out: set[int]
     ) -> dict[int, float]:
         """A product's shares as pinned: other weights, the same ramp. Danger: all its workers out."""
-        pin = self.pins.get(k, face.Pinned(k))
+        pin = self.pins.get(k, OverrideChanged(k))
         weights = {
             self.fleet.index[w]: weight for w, weight in pin.weights if w in self.fleet.index
         }
-        if not weights and pin.others:
+        if not weights and pin.keep_unlisted:
             return plain
         given = {
             i: weight * parts[i]
             for i, weight in weights.items()
             if weight is not None and i in plain
         }
-        shares = {i: n for i, n in {**plain, **given}.items() if n and (pin.others or i in weights)}
+        shares = {
+            i: n for i, n in {**plain, **given}.items() if n and (pin.keep_unlisted or i in weights)
+        }
         return plain if out >= shares.keys() else shares
 
     def _advance(self, now: float) -> None:
         """Move each change on as far as answers and timers let it."""
         patience = (
-            self.SILENT + self.account.waits / self.account.rate + 2 * self.account.channel.transit
+            self.SILENT
+            + self.account.waits / self.account.rate
+            + 2 * self.account.channel.transit_time
         )
         self.since = now - patience
         for k, change in list(self.changes.items()):
@@ -600,14 +642,14 @@
 
     # The difference, and the only place that orders.
 
-    def _emit(self, now: float, wanted: Wanted) -> list[face.Order]:
+    def _emit(self, now: float, wanted: Wanted) -> list[Order]:
         self.last_mark = free(self.last_mark, self.account.sent)
         reply, wants, health = Reply(self.account, now, self.last_mark), wanted.shares, self.health
         for i in wanted.parts:
             if health.cap[i] != self.noted.get(i, 1.0):
                 self.noted[i] = health.cap[i]
                 reply.orders.append(
-                    face.Note(
+                    LogMessage(
                         f"{self.fleet.ids[i]} to {health.cap[i]}: {health.part(i):.2f} of {health.tries[i]:.0f} "
                         f"tries voided, pace {health.pace(i):.2f} s"
                     )
@@ -619,7 +661,7 @@
                 and i not in self.barred
             ):
                 health.due[i] = inf  # until the probe's result
-                reply.orders.append(face.Probe(self.fleet.ids[i]))
+                reply.orders.append(CheckHealth(self.fleet.ids[i]))
         if not self.current:
             laid = {n: self._lay(reply, wanted, w) for n, w in {id(w): w for w in wants}.items()}
             self.current = {k: laid[id(want)] for k, want in enumerate(wants)}
@@ -643,14 +685,14 @@
             self._tend(reply, wanted)
         self._switch(reply, largest, crowded)
         reply.orders.extend(
-            map(face.Clear, self.seating.cleared(now))
+            map(DeleteTable, self.seating.cleared(now))
         )  # no line: nobody is bound there
         if reply.lines:
-            reply.orders.append(face.Mark(reply.mark, everyone))
+            reply.orders.append(RequestAcknowledgement(reply.mark, everyone))
             self.account.book(reply.mark, now, reply.lines)
         if self.ask_at <= now:
             self.ask_at = inf
-            reply.orders.append(face.Follow())
+            reply.orders.append(WatchEndpoints())
         self._wake(reply, wanted)
         return reply.orders
 
@@ -671,7 +713,7 @@
         budget: float = inf,
     ) -> bool:
         if spent := reply.spend((p,), self._cost(table), rank, budget):
-            reply.orders.append(face.Bind(p, products, table.number))
+            reply.orders.append(AssignTable(p, products, table.number))
             self.seating.bind(p, products, table, reply.mark, reply.now)
         return spent
 
@@ -796,7 +838,7 @@
                 and reply.fits(sum(map(len, users[i])), rank)
                 and reply.spend([*chain.from_iterable(users[i])], 1.0, rank, budget)
             ):
-                reply.orders.append(face.Withdraw(self.fleet.ids[i], i in wanted.out))
+                reply.orders.append(SetEjected(self.fleet.ids[i], i in wanted.out))
                 self.out ^= {i}
 
     def _level(self, reply: Reply, wanted: Wanted) -> None:
@@ -808,7 +850,7 @@
             ):
                 table.were[k], table.levels[k] = table.levels[k], wanted.levels[k]
                 reply.orders.append(
-                    face.Admit(table.number, k, table.levels[k][1], table.levels[k][0])
+                    SetAdmission(table.number, k, table.levels[k][1], table.levels[k][0])
                 )
 
     def _begin(self, reply: Reply, wanted: Wanted, largest: list[int], crowded: bool) -> bool:
@@ -844,7 +886,7 @@
         """Lines of a table in place, as many as a turn's drain carries to all that are bound to it."""
         bound = self.seating.bound(table)
         lines = (2 * self.TURN * self.account.rate - self.account.waits) / max(len(bound), 1)
-        most = max(1, int((lines - self.account.channel.message_lines) / self.each))
+        most = max(1, int((lines - self.account.channel.message_overhead) / self.each))
         moved = self._moved(table, want, wanted.out)[:most]
         # Who is out gets nothing whatever its line says: it waits for a message that goes anyway.
         idly = not any(i in want and self.health.cap[i] for i in moved) and any(
@@ -853,7 +895,7 @@
         if not moved or idly or not reply.spend(bound, self.each * len(moved), 3, self.TURN):
             return False
         for i in moved:
-            reply.orders.append(face.Share(table.number, self.fleet.ids[i], want.get(i, 0.0)))
+            reply.orders.append(SetWeight(table.number, self.fleet.ids[i], want.get(i, 0.0)))
             table.shares[i], table.parts[i] = want.get(i, 0.0), wanted.parts.get(i, 0.0)
             if i not in want:
                 del table.shares[i], table.parts[i]
@@ -897,11 +939,11 @@
         table = Table(number, dict(shares), parts, list(wanted.levels))
         self.seating.tables[number] = table
         reply.orders.extend(
-            face.Share(number, self.fleet.ids[i], share) for i, share in table.shares.items()
+            SetWeight(number, self.fleet.ids[i], share) for i, share in table.shares.items()
         )
         for k, (share, retry) in enumerate(table.levels):
             if (share, retry) != (self.all_in, self.usual_retry):
-                reply.orders.append(face.Admit(number, k, retry, share))
+                reply.orders.append(SetAdmission(number, k, retry, share))
         return table
 
     def _moved(self, table: Table, want: dict[int, float], out: set[int]) -> list[int]:
@@ -933,4 +975,4 @@
         if min(due) < min(self.armed, default=inf):
             self.last_token += 1
             self.armed.add(min(due))
-            reply.orders.append(face.Wake(min(due) - now, self.last_token))
+            reply.orders.append(SetTimer(min(due) - now, self.last_token))
--- a/tests/former/listing.py
+++ b/tests/reference_model/listing.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from math import inf
 
-from dunlinlug import interface as face
+from dunlinlug.decision.events import EndpointsUpdated
 
 
 class Fleet:
@@ -17,20 +17,23 @@
         self.weight: list[float | None] = []
         self.since: list[float] = []
 
-    def fold(self, news: face.Listed, held: set[int]) -> list[tuple[int, bool]]:
+    def fold(self, news: EndpointsUpdated, held: set[int]) -> list[tuple[int, bool]]:
         """Take in news of the list; tells who has a new start, and whether it is new itself. The row of one
         that went passes on once over half of all are of such, `held` excepted: it may come back."""
-        if news.form in ("whole", "kept"):
+        if news.update_type in ("whole", "kept"):
             self.ready = [False] * len(self.ids)  # whoever a whole list does not name is gone
-        named, fresh = {entry.id for entry in news.workers}, []
+        named, fresh = {entry.id for entry in news.endpoints}, []
         spare = [
             i
             for i, ready in enumerate(self.ready)
             if not (ready or i in held or self.ids[i] in named)
         ]
         spare = spare if 2 * sum(self.ready) < len(self.ids) else []
-        for entry in news.workers:
-            since, new = -inf if entry.since is None else entry.since, entry.id not in self.index
+        for entry in news.endpoints:
+            since, new = (
+                -inf if entry.started_at is None else entry.started_at,
+                entry.id not in self.index,
+            )
             if new:
                 i = self.index[entry.id] = spare.pop(0) if spare else len(self.ids)
                 self.index.pop(self.ids[i] if i < len(self.ids) else "", None)
--- a/tests/former/seating.py
+++ b/tests/reference_model/seating.py
@@ -1,7 +1,7 @@
 """Who is joined and which tables each proxy may be using. Bookkeeping alone: nothing here is decided.
 
 Proxies with the same tables stand in one group, so that work for a reply goes with the tables in use and with the
-proxies that it concerns, not with all proxies x workers. A slow plain model of it stands in `tests/test_seating.py`.
+proxies that it concerns, not with all proxies x workers. A slow plain model of it stands in `tests/decision/state/test_state_models.py`.
 """
 
 from collections.abc import Iterable, Mapping
--- a/tests/former/state.py
+++ b/tests/reference_model/state.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from tests.former.seating import Table
+from tests.reference_model.seating import Table
 
 
 @dataclass(eq=False)
--- a/tests/test_rpc.py
+++ b/tests/rpc/test_connection.py
@@ -8,7 +8,7 @@
 
 
 def pair() -> tuple[rpc.Connection, rpc.Connection]:
-    return rpc.Connection(client=True), rpc.Connection(client=False)
+    return rpc.Connection(is_client=True), rpc.Connection(is_client=False)
 
 
 def pass_on(source: rpc.Connection, target: rpc.Connection, step: int = 10**9) -> list[rpc.Event]:
@@ -32,48 +32,53 @@
 @pytest.mark.parametrize("step", [1, 7, 10**9])
 def test_messages_arrive_whole_however_the_bytes_are_cut(step: int) -> None:
     client, server = pair()
-    stream = client.call("/some.Service/Method", "here")
+    stream = client.start_call("/some.Service/Method", "here")
     client.send(stream, b"abc")
     client.send(stream, b"")
     events = pass_on(client, server, step)
-    assert [e for e in events if not isinstance(e, rpc.Closed)] == [
-        rpc.Called(stream, "/some.Service/Method", events[0].metadata),
-        rpc.Message(stream, b"abc"),
-        rpc.Message(stream, b""),
+    assert [e for e in events if not isinstance(e, rpc.ConnectionClosed)] == [
+        rpc.CallStarted(stream, "/some.Service/Method", events[0].metadata),
+        rpc.MessageReceived(stream, b"abc"),
+        rpc.MessageReceived(stream, b""),
     ]
     server.accept(stream)
     server.send(stream, b"answer")
     server.finish(stream, rpc.Status.OK)
     assert pass_on(server, client, step) == [
-        rpc.Opened(stream),
-        rpc.Message(stream, b"answer"),
-        rpc.Trailers(stream, 0, ""),
+        rpc.HeadersReceived(stream),
+        rpc.MessageReceived(stream, b"answer"),
+        rpc.TrailersReceived(stream, 0, ""),
     ]
 
 
 def test_a_peer_with_no_window_left_holds_back_its_own_call_alone() -> None:
     client, server = pair()
-    full, free = client.call("/a/b", "h"), client.call("/a/b", "h")
+    full, free = client.start_call("/a/b", "h"), client.start_call("/a/b", "h")
     settle(client, server)
     for stream in (full, free):
         server.accept(stream)
     server.send(full, bytes(3 * 2**20))
-    assert server.unsent(full) > 0
+    assert server.unsent_bytes(full) > 0
     server.send(free, b"small")
-    assert server.unsent(free) == 0
+    assert server.unsent_bytes(free) == 0
     at_client, _ = settle(client, server)
-    assert rpc.Message(free, b"small") in at_client
-    assert rpc.Message(full, bytes(3 * 2**20)) in at_client and server.unsent(full) == 0
+    assert rpc.MessageReceived(free, b"small") in at_client
+    assert (
+        rpc.MessageReceived(full, bytes(3 * 2**20)) in at_client and server.unsent_bytes(full) == 0
+    )
 
 
 def test_an_oversized_message_ends_its_call_with_a_clear_status() -> None:
-    client, server = rpc.Connection(client=True), rpc.Connection(client=False, most=100)
-    big, other = client.call("/a/b", "h"), client.call("/a/b", "h")
+    client, server = (
+        rpc.Connection(is_client=True),
+        rpc.Connection(is_client=False, max_message_size=100),
+    )
+    big, other = client.start_call("/a/b", "h"), client.start_call("/a/b", "h")
     client.send(big, bytes(101))
     client.send(other, b"fine")
     at_client, at_server = settle(client, server)
-    assert rpc.Message(other, b"fine") in at_server
-    assert [e.status for e in at_client if isinstance(e, rpc.Trailers)] == [
+    assert rpc.MessageReceived(other, b"fine") in at_server
+    assert [e.status for e in at_client if isinstance(e, rpc.TrailersReceived)] == [
         rpc.Status.RESOURCE_EXHAUSTED
     ]
 
@@ -97,7 +102,7 @@
 def test_bytes_that_are_not_http2_close_the_connection_with_a_reason() -> None:
     _, server = pair()
     events = server.receive(b"GET / HTTP/1.1\r\nhost: here\r\n\r\n")
-    assert isinstance(events[0], rpc.Closed) and server.closed
+    assert isinstance(events[0], rpc.ConnectionClosed) and server.closed
     assert server.receive(b"more") == []
 
 
@@ -107,17 +112,17 @@
     events = server.receive(
         bytes([0x10, 0, 0]) + bytes([0, 0]) + bytes([0, 0, 0, 1]) + bytes(2**20)
     )
-    assert isinstance(events[0], rpc.Closed) and "FrameTooLarge" in events[0].why
+    assert isinstance(events[0], rpc.ConnectionClosed) and "FrameTooLarge" in events[0].reason
 
 
 def test_an_answer_after_the_goodbye_is_dropped_and_harms_nothing() -> None:
     client, server = pair()
-    streams = [client.call("/a/b", "h") for _ in range(3)]
+    streams = [client.start_call("/a/b", "h") for _ in range(3)]
     settle(client, server)
     server.accept(streams[0])
     client.close()
     _, at_server = settle(client, server)
-    assert isinstance(at_server[-1], rpc.Closed)
+    assert isinstance(at_server[-1], rpc.ConnectionClosed)
     server.accept(streams[1])
     server.send(streams[0], b"late")
     server.finish(streams[0], rpc.Status.CANCELLED)
@@ -126,11 +131,11 @@
 
 def test_a_cut_call_is_told_and_its_number_forgotten() -> None:
     client, server = pair()
-    stream = client.call("/a/b", "h")
+    stream = client.start_call("/a/b", "h")
     settle(client, server)
     client.cancel(stream)
     _, at_server = settle(client, server)
-    assert isinstance(at_server[0], rpc.Reset)
+    assert isinstance(at_server[0], rpc.CallReset)
     server.send(stream, b"too late")
     server.finish(stream, rpc.Status.OK)
     assert server.data_to_send() == b""
--- a/tests/test_days.py
+++ b/tests/scenarios/test_scenarios.py
@@ -10,21 +10,28 @@
 import pytest
 import trio
 
-from dunlinlug.audit import beliefs, figures, records, rules
+from dunlinlug.audit import failure_verdicts, figures, records, rules
 from dunlinlug.config import units
-from dunlinlug.day.play import MANAGER, DayFault, Places, Player
-from dunlinlug.fleet.owner import history
-from dunlinlug.kept import refusals
+from dunlinlug.fleet.ownership import history
 from dunlinlug.net import http
+from dunlinlug.scenarios.runner import (
+    MANAGER_COMMAND,
+    AddressAllocator,
+    ScenarioError,
+    ScenarioRunner,
+)
+from dunlinlug.storage.store import read_rejections
 
-DAYS = Path(__file__).parent.parent / "days"
+DAYS = Path(__file__).parents[2] / "days"
 TOKEN = "a-token-of-the-tests"
 SHIPPED = sorted(path.stem for path in DAYS.glob("*.ini"))
 
 
-async def play(day: Path, folder: Path, manager: Sequence[str] = MANAGER) -> records.Records:
-    await Player(day, folder, manager).play()
-    return records.read(folder)
+async def play(
+    day: Path, folder: Path, manager: Sequence[str] = MANAGER_COMMAND
+) -> records.Records:
+    await ScenarioRunner(day, folder, manager).run()
+    return records.read_records(folder)
 
 
 async def test_the_shipped_days_keep_the_rules(tmp_path: Path) -> None:
@@ -37,25 +44,29 @@
     async with trio.open_nursery() as nursery:
         for name in SHIPPED:
             nursery.start_soon(one, name)
-    assert {name: rules.judge(found[name]) for name in SHIPPED} == {name: [] for name in SHIPPED}
+    assert {name: rules.find_violations(found[name]) for name in SHIPPED} == {
+        name: [] for name in SHIPPED
+    }
     for name in SHIPPED:
-        sums = figures.figures(found[name])
-        assert sums.served > 0.3 and sum(sums.outcomes.values()) > 300, (name, sums)
-    believed, struck = beliefs.read(tmp_path / "members")
-    assert len(struck) == 4 and sum(fault.down for fault in struck) == 2
-    assert not beliefs.false(believed, struck), "words lost, doubled and late make no verdict"
-    seen = history.of_logs(tmp_path / "members")
-    assert history.judge(seen) == [] and sum(one.done for one in seen) > 500, (
+        sums = figures.summarize(found[name])
+        assert sums.served_fraction > 0.3 and sum(sums.outcomes.values()) > 300, (name, sums)
+    believed, struck = failure_verdicts.read_verdicts(tmp_path / "members")
+    assert len(struck) == 4 and sum(fault.process_down for fault in struck) == 2
+    assert not failure_verdicts.false_verdicts(believed, struck), (
+        "words lost, doubled and late make no verdict"
+    )
+    seen = history.read_logs(tmp_path / "members")
+    assert history.find_violations(seen) == [] and sum(one.done for one in seen) > 500, (
         "one owner at a time, by its carriers"
     )
     worked = [
-        one for one in seen if one.piece.startswith("exercise/")
+        one for one in seen if one.task.startswith("exercise/")
     ]  # of others refusals alone are logged
     assert {one.owner for one in worked if one.done} == set("abc") and len(
-        {one.piece for one in worked}
+        {one.task for one in worked}
     ) == 6
     # A member whose clocks run is seen to have failed in a second or so; here all days share the machine.
-    assert not beliefs.unseen(believed, struck, frozenset("abc"), 3.5)
+    assert not failure_verdicts.missed_failures(believed, struck, frozenset("abc"), 3.5)
 
 
 # A day on which each broken way shows: a short grace, cold workers far below their size, an unrepeatable product,
@@ -108,8 +119,10 @@
 
     async def one(way: str) -> None:
         script = (sys.executable, str(Path(__file__).parent / "broken_manager.py"), way)
-        found = await play(folder / "hard.ini", folder / f"way-{way}", script if way else MANAGER)
-        broken[way] = {item.rule for item in rules.judge(found)}
+        found = await play(
+            folder / "hard.ini", folder / f"way-{way}", script if way else MANAGER_COMMAND
+        )
+        broken[way] = {item.rule for item in rules.find_violations(found)}
 
     async with trio.open_nursery() as nursery:
         for way in ways:
@@ -129,7 +142,7 @@
     broken = await hard_days(tmp_path, "on", GUARDED)
     assert broken == dict.fromkeys(GUARDED, set())
     for way in GUARDED[1:]:
-        said = refusals(tmp_path / f"way-{way}" / "store")
+        said = read_rejections(tmp_path / f"way-{way}" / "store")
         assert CAUGHT[way] in {refusal["rule"] for refusal in said}, (way, said[:3])
         assert all(refusal["why"] and refusal["would_pass"] for refusal in said)
 
@@ -137,16 +150,16 @@
 async def operate(place: str, seen: list[tuple[int, str]]) -> None:
     """An operator's slips all day: each worker that has come back a moment ago is to carry everything alone;
     and between them pins that are good."""
-    client, known, chance = http.Client(*units.address(place)), set[str](), Random(place)
+    client, known, chance = http.Client(*units.parse_address(place)), set[str](), Random(place)
     away = set[str]()
 
     async def say(method: str, path: str, body: object = None) -> Any:
         with trio.move_on_after(2.0):
             try:
-                reply = await client.ask(
+                reply = await client.request(
                     method, path, {"authorization": f"Bearer {TOKEN}"}, json.dumps(body).encode()
                 )
-            except http.HttpFault:
+            except http.HttpError:
                 return None  # before its start, or after its end
             if method == "PUT":
                 seen.append((reply.status, reply.body.decode()))
@@ -174,7 +187,7 @@
 
 async def test_the_guard_stops_an_operators_slips_beside_a_careless_module(tmp_path: Path) -> None:
     """The hard day that `ramp` breaks with the guard off, above, and now pins of the cold as well."""
-    seen, place, token = list[tuple[int, str]](), Places().take(), tmp_path / "token"
+    seen, place, token = list[tuple[int, str]](), AddressAllocator().allocate(), tmp_path / "token"
     token.write_text(TOKEN)
     token.chmod(0o600)
     changes = [("[roster]", f"[operators]\ntoken_file = {token}\nlisten = {place}\n\n[roster]")]
@@ -184,12 +197,12 @@
         nursery.cancel_scope.cancel()
     assert {status for status, _ in seen} == {200, 409}
     assert all("would_pass" in body for status, body in seen if status == 409)
-    said = refusals(tmp_path / "way-ramp" / "store")
+    said = read_rejections(tmp_path / "way-ramp" / "store")
     assert "operator" in {refusal["source"] for refusal in said}
 
 
 async def test_a_day_whose_manager_cannot_start_fails_and_says_so(tmp_path: Path) -> None:
-    with pytest.raises(DayFault, match="manager ended during the day"):
+    with pytest.raises(ScenarioError, match="manager ended during the day"):
         await play(DAYS / "first.ini", tmp_path, (sys.executable, "-c", "raise SystemExit(3)"))
-    with pytest.raises(records.RecordFault, match="cannot be judged"):
-        records.read(tmp_path)
+    with pytest.raises(records.RecordError, match="cannot be judged"):
+        records.read_records(tmp_path)
--- a/tests/test_adapter.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -8,8 +8,8 @@
 import pytest
 
 from dunlinlug.balance import Balancer
-from dunlinlug.drill import codec
-from dunlinlug.drill.host import serve
+from dunlinlug.simulator import codec
+from dunlinlug.simulator.host import serve
 
 INFO = {
     "dcs": ["north"],
@@ -151,8 +151,11 @@
         },
         ("queue", "service_s"),
     )
-    assert (met.took, met.span, met.load) == (0.25, 0.5, {"queue": 3.0, "service_s": 0.0145})
-    assert codec.read_start(start("manager/0")[0]).products[1].repeats == "referenced"
+    assert (met.latency, met.window, met.load) == (0.25, 0.5, {"queue": 3.0, "service_s": 0.0145})
+    assert (
+        codec.read_settings_event(start("manager/0")[0]).traffic_classes[1].idempotency
+        == "referenced"
+    )
 
 
 @pytest.mark.parametrize(
