--- a/bench/loss.py
+++ b/bench/loss.py
@@ -25,7 +25,7 @@
 from dunlinlug.decision.events import Event
 from dunlinlug.decision.orders import Order, SetWeight
 from dunlinlug.decision.settings import ManagerSettings
-from dunlinlug.guard import OrderValidator, Rejection
+from dunlinlug.guard import VALIDATED_ORDERS, OrderValidator, Rejection
 from dunlinlug.scenarios.runner import ScenarioRunner
 
 DAY = Path(__file__).parent.parent / "days" / "first.ini"
@@ -82,9 +82,9 @@
         refused = [
             Rejection(order, "all", "refused", "nothing")
             for order in orders
-            if type(order) in self.validators
+            if isinstance(order, VALIDATED_ORDERS)
         ]
-        passed = [order for order in orders if type(order) not in self.validators]
+        passed = [order for order in orders if not isinstance(order, VALIDATED_ORDERS)]
         self.usage.apply(passed)
         return passed, refused
 
--- a/bench/tapped.py
+++ b/bench/tapped.py
@@ -16,7 +16,7 @@
 from dunlinlug.balance import Balancer
 from dunlinlug.decision.events import Event
 from dunlinlug.decision.settings import ManagerSettings
-from dunlinlug.guard import OrderValidator
+from dunlinlug.guard import VALIDATED_ORDERS, OrderValidator
 from dunlinlug.simulator import codec
 
 
@@ -59,7 +59,7 @@
         reply = it.module.decide(now, happened)
         it.judge.handle(now, happened)
         _, refusals = it.judge.validate(now, reply)
-        orders += sum(type(order) in it.judge.validators for order in reply)
+        orders += sum(isinstance(order, VALIDATED_ORDERS) for order in reply)
         for refusal in refusals:
             key = (refusal.rule, type(refusal.order).__name__, refusal.allowed_anyway)
             refused[key] += 1
--- a/dunlinlug/admin/api.py
+++ b/dunlinlug/admin/api.py
@@ -163,15 +163,16 @@
             case "GET", ["tables"]:
                 return self._handle_tables(unquote(request.query.get("product", "")))
             case "POST", ["pins", "propose"]:
-                rejections, warnings = self.overrides.propose(
+                evaluation = self.overrides.propose(
                     now, schemas.parse_override(request.body, self.traffic_classes, now)
                 )
                 return Response.json(
                     {
-                        "passes": not rejections,
-                        "cautions": warnings,
+                        "passes": not evaluation.rejections,
+                        "cautions": evaluation.warnings,
                         "refusals": [
-                            schemas.rejection_to_json(rejection) for rejection in rejections[:20]
+                            schemas.rejection_to_json(rejection)
+                            for rejection in evaluation.rejections[:20]
                         ],
                     }
                 )
--- a/dunlinlug/admin/override_registry.py
+++ b/dunlinlug/admin/override_registry.py
@@ -11,7 +11,14 @@
 from dunlinlug.decision.events import Event, OverrideChanged
 from dunlinlug.decision.orders import AssignTable
 from dunlinlug.errors import DunlinlugError
-from dunlinlug.guard import EndedOverride, Override, Overrides, Rejection
+from dunlinlug.guard import (
+    EndedOverride,
+    Override,
+    OverrideEvaluation,
+    Overrides,
+    Rejection,
+    RejectionRule,
+)
 
 
 class OverrideRejectedError(DunlinlugError):
@@ -47,18 +54,18 @@
         ]
         self.changed = trio.Event()
 
-    def propose(self, now: float, override: Override) -> tuple[list[Rejection], list[str]]:
+    def propose(self, now: float, override: Override) -> OverrideEvaluation:
         """What would be refused of it, and cautions; raises PinFault. Changes nothing."""
         self.overrides.validate(override, now)
         return self.overrides.evaluate(now, override)
 
     def activate(self, now: float, override: Override) -> list[str]:
         """Raises PinFault or Refused; gives the cautions. On disk before it is told."""
-        rejections, warnings = self.propose(now, override)
-        if rejections:
-            self.record_rejections(rejections[:20], "operator")
+        evaluation = self.propose(now, override)
+        if evaluation.rejections:
+            self.record_rejections(evaluation.rejections[:20], "operator")
             if self.enforced:
-                raise OverrideRejectedError(rejections)
+                raise OverrideRejectedError(evaluation.rejections)
         event = self.overrides.activate(override)
         self._persist(now)
         self.submit(event)
@@ -68,9 +75,9 @@
             lasts=round(override.expires_at - now, 1),
             others=override.keep_unlisted,
             weights=dict(override.weights),
-            cautions=warnings,
+            cautions=evaluation.warnings,
         )
-        return warnings
+        return evaluation.warnings
 
     def end(self, now: float, traffic_class: int) -> bool:
         """Ends a pin by an operator's word; false if none stands."""
@@ -110,7 +117,7 @@
     def _as_rejection(self, ended_override: EndedOverride) -> Rejection:
         return Rejection(
             AssignTable(0, (ended_override.override.traffic_class,), 0),
-            "bare",
+            RejectionRule.WITHOUT_ENDPOINT,
             f"the pin of {self.traffic_class_names[ended_override.override.traffic_class]} was lifted: {ended_override.reason}",
             "a pin that names workers which may be used",
         )
--- a/dunlinlug/admin/schemas.py
+++ b/dunlinlug/admin/schemas.py
@@ -145,7 +145,7 @@
 def rejection_to_json(rejection: Rejection) -> dict[str, Any]:
     worker = getattr(rejection.order, "worker", None)
     return {
-        "rule": rejection.rule,
+        "rule": str(rejection.rule),
         "why": rejection.reason,
         "would_pass": rejection.remedy,
         "proxies": list(rejection.proxies[:20]),
--- a/dunlinlug/ads/table_view.py
+++ b/dunlinlug/ads/table_view.py
@@ -73,7 +73,7 @@
 def _describe_entry(
     installer: XdsTableInstaller, validator: OrderValidator, worker: str, weight: float
 ) -> dict[str, Any]:
-    listed_worker = validator.workers.get(worker)
+    listed_worker = validator.endpoints.by_id.get(worker)
     return {
         "worker": worker,
         "weight": round(weight, 6),
--- a/dunlinlug/guard/__init__.py
+++ b/dunlinlug/guard/__init__.py
@@ -1,6 +1,25 @@
-"""Judges every order before it reaches a proxy; free of I/O, beside the module and apart from it."""
+"""Validates every order before it reaches a proxy; apart from the decision module, free of I/O."""
 
-from dunlinlug.guard.order_validator import OrderValidator, Rejection
-from dunlinlug.guard.overrides import EndedOverride, Override, OverrideError, Overrides
+from dunlinlug.guard.order_rules import VALIDATED_ORDERS
+from dunlinlug.guard.order_validator import OrderValidator, ValidatedBatch
+from dunlinlug.guard.overrides import (
+    EndedOverride,
+    Override,
+    OverrideError,
+    OverrideEvaluation,
+    Overrides,
+)
+from dunlinlug.guard.rejection import Rejection, RejectionRule
 
-__all__ = ["EndedOverride", "OrderValidator", "Override", "OverrideError", "Overrides", "Rejection"]
+__all__ = [
+    "VALIDATED_ORDERS",
+    "EndedOverride",
+    "OrderValidator",
+    "Override",
+    "OverrideError",
+    "OverrideEvaluation",
+    "Overrides",
+    "Rejection",
+    "RejectionRule",
+    "ValidatedBatch",
+]
--- a/dunlinlug/guard/demand_totals.py
+++ b/dunlinlug/guard/demand_totals.py
@@ -1,19 +1,30 @@
-"""Demand summed over proxies by what they may hold, kept from reply to reply: only who has moved is
-summed anew.
+"""Demand summed over all proxies that may use the same tables, kept up to date between batches.
+
+Only proxies whose demand or tables have changed are summed anew.
 """
 
 from math import inf
+from typing import NamedTuple
 
 from dunlinlug.guard.capacity_estimates import CapacityEstimates
 from dunlinlug.guard.table_usage import TableUsage
 
-# seconds after which all is summed afresh: as long as a proxy must be silent to be read as such
+# Seconds after which everything is summed anew: as long as a proxy must be silent to count as such.
 REBUILD_INTERVAL = 5.0
 
-DemandGroup = tuple[int, tuple[int, ...]]  # a product, and the tables that a proxy may be on for it
+DemandGroup = tuple[int, tuple[int, ...]]  # a traffic class, and the tables a proxy may use for it
+
+
+class Contribution(NamedTuple):
+    """What one proxy adds to which group, in requests a second."""
+
+    group: DemandGroup
+    demand: float
 
 
 class DemandTotals:
+    """Requests a second by group; owns the sums and what each proxy contributes to them."""
+
     def __init__(
         self, usage: TableUsage, estimates: CapacityEstimates, traffic_class_count: int
     ) -> None:
@@ -21,14 +32,14 @@
         self.estimates = estimates
         self.traffic_class_count = traffic_class_count
         self.totals: dict[DemandGroup, float] = {}
-        self.contributions: dict[
-            tuple[int, int], tuple[DemandGroup, float]
-        ] = {}  # by proxy and product: where it is summed
+        # By proxy id and index of the traffic class.
+        self.contributions: dict[tuple[int, int], Contribution] = {}
         self.rebuilt_at = -inf
 
     def by_group(self, now: float) -> dict[DemandGroup, float]:
-        """Txns a second by group; not to be changed by the caller."""
-        changed_proxies = {**self.usage.changed_proxies, **self.estimates.changed_proxies}
+        """Requests a second by group; the caller must not change the dict."""
+        changed_proxies = dict(self.usage.changed_proxies)
+        changed_proxies.update(self.estimates.changed_proxies)
         self.usage.changed_proxies = {}
         self.estimates.changed_proxies = {}
         if now >= self.rebuilt_at + REBUILD_INTERVAL:
@@ -42,12 +53,13 @@
         return self.totals
 
     def _update(self, now: float, proxy: int, traffic_class: int) -> None:
-        if (proxy, traffic_class) in self.contributions:
-            group, previous_demand = self.contributions.pop((proxy, traffic_class))
-            self.totals[group] -= previous_demand
+        key = (proxy, traffic_class)
+        previous = self.contributions.pop(key, None)
+        if previous is not None:
+            self.totals[previous.group] -= previous.demand
         tables = tuple(self.usage.possible_tables(proxy, traffic_class))
         if tables:
             group = (traffic_class, tables)
             demand = self.estimates.expected_demand(now, proxy, traffic_class)
-            self.contributions[proxy, traffic_class] = (group, demand)
+            self.contributions[key] = Contribution(group, demand)
             self.totals[group] = self.totals.get(group, 0.0) + demand
--- a/dunlinlug/guard/overrides.py
+++ b/dunlinlug/guard/overrides.py
@@ -1,32 +1,42 @@
-"""Operators' pins: what one may say, whether it may stand, and when it ends. Free of I/O; times are
-the caller's clock.
+"""Operator overrides: whether one may be activated, and when it ends. Free of I/O.
 
-A pin gives a product other weights, a subset or an exclusion for a while. The module keeps ramp,
-health and withdrawals under it, and the staged change that brings it in; the judge sees every order
-that comes of it. What is weighed here is the table as all proxies would hold it, before the module
-hears of the pin.
+An override gives a traffic class other weights, a subset of the endpoints, or an exclusion for a
+while. The decision module keeps slow start, outlier detection and ejections under it, and brings it
+in by the ordinary staged update; the validator sees every order that comes of it. What is evaluated
+here is the table as all proxies would have it, before the module is notified of the override. Times
+are seconds on the caller's clock.
 """
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from math import inf, isfinite
 
 from dunlinlug.decision.events import OverrideChanged
 from dunlinlug.decision.orders import AssignTable, Order, SetEjected, SetWeight
 from dunlinlug.errors import DunlinlugError
-from dunlinlug.guard.order_validator import MAX_WEIGHT, OrderValidator, Rejection
+from dunlinlug.guard.order_rules import MAX_WEIGHT
+from dunlinlug.guard.order_validator import OrderValidator
+from dunlinlug.guard.rejection import Rejection, RejectionRule
+from dunlinlug.guard.tentative_usage import TentativeUsage
 
-TRIAL_TABLE_ID = -1  # the number of the table that is weighed; the module's begin at 1
+TRIAL_TABLE_ID = -1  # id of the table that is evaluated; the decision module's ids begin at 1
 
 
 class OverrideError(DunlinlugError, ValueError):
-    """A pin that says nothing sensible; the text names the mistake and what would be right."""
+    """An override that cannot be right; the text names the mistake and what would be right."""
 
 
 @dataclass(frozen=True)
 class Override:
-    """`weights` by worker stand in place of the listed ones (0: not to be used; None: as listed);
-    workers not named keep theirs if `others`, else they are not used. `until` is the end.
+    """What an operator wants for a traffic class.
+
+    Attributes:
+        traffic_class: Index of the traffic class.
+        weights: By endpoint id the weight in place of the listed one; 0 for not to be used, None
+            for the listed one.
+        keep_unlisted: Whether endpoints that `weights` does not name keep their listed weights;
+            otherwise they are not used.
+        expires_at: When it ends, in seconds.
     """
 
     traffic_class: int
@@ -35,183 +45,214 @@
     expires_at: float
 
     def to_event(self) -> OverrideChanged:
+        """The event that notifies the decision module of it."""
         return OverrideChanged(self.traffic_class, tuple(self.weights.items()), self.keep_unlisted)
 
 
 @dataclass(frozen=True)
 class EndedOverride:
-    """`lifted` if the guard ended it, else its time was up."""
+    """An override that has ended; `revoked` if it was no longer valid, not because it expired."""
 
     override: Override
     reason: str
     revoked: bool
 
 
-def _worker_receiving_load(order: Order) -> str:
-    """The worker that the order would have brought something to, if any."""
-    match order:
-        case SetWeight(_, worker, weight) if weight:
-            return worker
-        case SetEjected(worker, False):
-            return worker
-    return ""
+@dataclass(frozen=True)
+class OverrideEvaluation:
+    """What speaks against an override: rejections forbid it, warnings (texts) do not."""
+
+    rejections: list[Rejection] = field(default_factory=list)
+    warnings: list[str] = field(default_factory=list)
 
 
 class Overrides:
+    """The active overrides by traffic class; at most one each."""
+
     def __init__(self, validator: OrderValidator, max_duration: float) -> None:
-        """No pin stands longer than `longest` seconds."""
+        """No override lasts longer than `max_duration` seconds."""
         self.validator = validator
         self.max_duration = max_duration
         self.active: dict[int, Override] = {}
 
     def validate(self, override: Override, now: float) -> None:
-        """Raises PinFault for what no state of the fleet could make right."""
-        traffic_class_names = [
-            class_settings.name for class_settings in self.validator.settings.traffic_classes
-        ]
-        if not 0 <= override.traffic_class < len(traffic_class_names):
-            raise OverrideError(f"unknown product; known are {', '.join(traffic_class_names)}")
+        """Check what no state of the fleet could make right.
+
+        Raises:
+            OverrideError: An unknown traffic class or endpoint, no endpoint, or a weight or time
+                out of range.
+        """
+        names = [class_settings.name for class_settings in self.validator.settings.traffic_classes]
+        if not 0 <= override.traffic_class < len(names):
+            raise OverrideError(f"unknown product; known are {', '.join(names)}")
         if not now < override.expires_at <= now + self.max_duration:
             raise OverrideError(
-                f"lasts {override.expires_at - now:g} s; more than 0 and at most {self.max_duration:g} s"
+                f"lasts {override.expires_at - now:g} s; "
+                f"more than 0 and at most {self.max_duration:g} s"
             )
         if not override.weights:
             raise OverrideError("names no worker; a pin gives weights, a subset or an exclusion")
         for worker, weight in override.weights.items():
             if weight is not None and not (isfinite(weight) and 0.0 <= weight <= MAX_WEIGHT):
                 raise OverrideError(f"weight {weight} for {worker}; 0 to a million")
-            if worker not in self.validator.workers:
+            if worker not in self.validator.endpoints.by_id:
                 raise OverrideError(f"{worker} was never listed")
 
-    def evaluate(self, now: float, override: Override) -> tuple[list[Rejection], list[str]]:
-        """What the judge would refuse of the pinned table if all proxies held it beside what they
-        hold now, and cautions: no rule keeps an operator from overloading a warm worker.
+    def evaluate(self, now: float, override: Override) -> OverrideEvaluation:
+        """What would be rejected if all proxies used the overridden table beside their own.
+
+        Warnings are of warm endpoints that would be sent much more than they served of late, as no
+        rule keeps an operator from that.
         """
-        set_weights = [
-            SetWeight(TRIAL_TABLE_ID, worker, weight)
-            for worker, weight in self._effective_weights(now, override).items()
+        if not self._has_usable_endpoint(override):
+            return OverrideEvaluation([self._without_endpoint(override)])
+        weights = self._effective_weights(now, override)
+        orders: list[Order] = [
+            SetWeight(TRIAL_TABLE_ID, worker, weight) for worker, weight in weights.items()
         ]
-        assignments = [
+        orders += [
             AssignTable(proxy, (override.traffic_class,), TRIAL_TABLE_ID)
             for proxy in self.validator.usage.assignments
         ]
-        if not any(self._is_usable(worker) for worker in self._selected_workers(override)):
-            return [
-                Rejection(
-                    AssignTable(0, (override.traffic_class,), TRIAL_TABLE_ID),
-                    "bare",
-                    "none of its workers may be used",
-                    "a ready worker that is not withdrawn",
-                    tuple(self.validator.usage.assignments),
-                )
-            ], []
-        # Danger: one kept out for now would meet its pinned weight on the day it is let in.
-        readmissions = [
+        orders += self._readmissions(override)
+        batch = self.validator.preview(now, orders)
+        rejections = [rejection for rejection in batch.rejections if not rejection.allowed_anyway]
+        if rejections:
+            return OverrideEvaluation(rejections)
+        return OverrideEvaluation(warnings=self._warnings(now, weights, batch.usage))
+
+    def _without_endpoint(self, override: Override) -> Rejection:
+        return Rejection(
+            AssignTable(0, (override.traffic_class,), TRIAL_TABLE_ID),
+            RejectionRule.WITHOUT_ENDPOINT,
+            "none of its workers may be used",
+            "a ready worker that is not withdrawn",
+            tuple(self.validator.usage.assignments),
+        )
+
+    def _readmissions(self, override: Override) -> list[Order]:
+        """Readmissions of the override's endpoints that are ejected for now.
+
+        Without these, an ejected endpoint would be sent its overridden weight unchecked on the day
+        on which it is readmitted.
+        """
+        return [
             SetEjected(worker, False)
             for worker, weight in override.weights.items()
-            if weight and worker in self.validator.usage.ejected and self.validator.is_ready(worker)
+            if weight
+            and worker in self.validator.usage.ejected
+            and self.validator.endpoints.is_ready(worker)
         ]
-        rejections = [
-            rejection
-            for rejection in self.validator.preview(
-                now, [*set_weights, *assignments, *readmissions]
-            )
-            if not rejection.allowed_anyway
-        ]
-        return rejections, [] if rejections else self._warnings(
-            now, [set_weight.worker for set_weight in set_weights]
-        )
 
-    def _warnings(self, now: float, workers: list[str]) -> list[str]:
-        """By the readings: who would be sent a multiple of what it settled of late, as would push a
-        cold one over.
+    def _warnings(self, now: float, workers: Iterable[str], usage: TentativeUsage) -> list[str]:
+        """Names endpoints that would be sent a multiple of what they served of late.
+
+        The multiple is the one beyond which a warming endpoint overloads.
         """
         warnings = []
         estimates = self.validator.estimates
         for worker in workers:
-            max_load = self.validator.tentative.max_load(worker)
+            max_load = usage.max_load(worker)
             success_rate = estimates.success_rate(worker, now)
             if success_rate and max_load > estimates.safety_limits.overload_multiple * success_rate:
                 warnings.append(
-                    f"{worker} would be sent {max_load:.1f} txns a second by all proxies; of late it settled "
-                    f"{success_rate:.1f}"
+                    f"{worker} would be sent {max_load:.1f} txns a second by all proxies; "
+                    f"of late it settled {success_rate:.1f}"
                 )
         return warnings
 
     def activate(self, override: Override) -> OverrideChanged:
+        """Let it take effect, in place of an earlier one of its traffic class."""
         self.active[override.traffic_class] = override
         return override.to_event()
 
     def end(self, traffic_class: int) -> OverrideChanged | None:
-        """Ends a pin by an operator's word; None if none stands."""
-        return OverrideChanged(traffic_class) if self.active.pop(traffic_class, None) else None
+        """End an override as an operator wishes; None if there is none."""
+        if self.active.pop(traffic_class, None) is None:
+            return None
+        return OverrideChanged(traffic_class)
 
     def next_expiry(self) -> float:
+        """When the next override ends, in seconds; infinite if there is none."""
         return min((override.expires_at for override in self.active.values()), default=inf)
 
     def end_invalid(self, now: float, rejections: Iterable[Rejection] = ()) -> list[EndedOverride]:
-        """Ends what is over or has become bad: no worker of it may be used, or a line that it
-        weighs was refused.
+        """End the overrides that have expired or are no longer valid.
+
+        An override is no longer valid if none of its endpoints may be used, or if an entry that it
+        gives a weight was among the rejections.
         """
-        rejections_by_worker = {
-            _worker_receiving_load(rejection.order): rejection
+        reason_by_worker = {
+            _worker_receiving_load(rejection.order): rejection.reason
             for rejection in rejections
             if not rejection.allowed_anyway
         }
-        ended = []
+        all_ended = []
         for override in list(self.active.values()):
-            invalidating_rejection = next(
-                (
-                    rejections_by_worker[worker]
-                    for worker, weight in override.weights.items()
-                    if weight and worker in rejections_by_worker
-                ),
-                None,
-            )
-            if now >= override.expires_at:
-                ended.append(EndedOverride(override, "its time is up", False))
-            elif not any(self._is_usable(worker) for worker in self._selected_workers(override)):
-                ended.append(
-                    EndedOverride(override, "none of its workers may be used any more", True)
-                )
-            elif invalidating_rejection is not None:
-                ended.append(
-                    EndedOverride(
-                        override,
-                        f"what it weighs was refused: {invalidating_rejection.reason}",
-                        True,
-                    )
-                )
-        for ended_override in ended:
-            del self.active[ended_override.override.traffic_class]
-        return ended
+            ended = self._ended(now, override, reason_by_worker)
+            if ended is not None:
+                all_ended.append(ended)
+                del self.active[override.traffic_class]
+        return all_ended
+
+    def _ended(
+        self, now: float, override: Override, reason_by_worker: Mapping[str, str]
+    ) -> EndedOverride | None:
+        if now >= override.expires_at:
+            return EndedOverride(override, "its time is up", revoked=False)
+        if not self._has_usable_endpoint(override):
+            return EndedOverride(override, "none of its workers may be used any more", revoked=True)
+        for worker, weight in override.weights.items():
+            if weight and worker in reason_by_worker:
+                reason = f"what it weighs was refused: {reason_by_worker[worker]}"
+                return EndedOverride(override, reason, revoked=True)
+        return None
 
     def _selected_workers(self, override: Override) -> Iterable[str]:
-        """Those that the pin would have used."""
+        """The endpoints that the override lets proxies use."""
         if not override.keep_unlisted:
             return (worker for worker, weight in override.weights.items() if weight != 0.0)
-        return (worker for worker in self.validator.workers if override.weights.get(worker) != 0.0)
+        known = self.validator.endpoints.by_id
+        return (worker for worker in known if override.weights.get(worker) != 0.0)
 
-    def _is_usable(self, worker: str) -> bool:
-        return self.validator.is_ready(worker) and worker not in self.validator.usage.ejected
+    def _has_usable_endpoint(self, override: Override) -> bool:
+        return any(
+            self.validator.endpoints.is_ready(worker) and worker not in self.validator.usage.ejected
+            for worker in self._selected_workers(override)
+        )
 
     def _effective_weights(self, now: float, override: Override) -> dict[str, float]:
-        """The pinned table: listed weights by what each worker can do at its age, and the pin's
-        over them.
-        """
-        workers = self.validator.workers
-        listed_weights = [
-            listed_worker.weight
-            for listed_worker in workers.values()
-            if listed_worker.state == "ready" and listed_worker.weight
-        ]
-        usual_weight = sum(listed_weights) / len(listed_weights) if listed_weights else 1.0
+        """The overridden table: weights by endpoint, reduced for those that are warming up."""
+        endpoints = self.validator.endpoints
+        usual_weight = self._usual_weight()
         weights = {}
         for worker in self._selected_workers(override):
-            if self.validator.is_ready(worker):
-                weight = override.weights.get(worker)
-                weight = (workers[worker].weight or usual_weight) if weight is None else weight
-                weights[worker] = weight * self.validator.estimates.capacity_fraction(
-                    now, self.validator.started_at[worker]
-                )
+            if not endpoints.is_ready(worker):
+                continue
+            weight = override.weights.get(worker)
+            if weight is None:
+                weight = endpoints.by_id[worker].weight or usual_weight
+            weights[worker] = weight * self.validator.estimates.capacity_fraction(
+                now, endpoints.started_at[worker]
+            )
         return weights
+
+    def _usual_weight(self) -> float:
+        """The mean listed weight of the ready endpoints; for those listed without one."""
+        listed_weights = [
+            endpoint.weight
+            for endpoint in self.validator.endpoints.by_id.values()
+            if endpoint.state == "ready" and endpoint.weight
+        ]
+        if not listed_weights:
+            return 1.0
+        return sum(listed_weights) / len(listed_weights)
+
+
+def _worker_receiving_load(order: Order) -> str:
+    """The endpoint that the order would have sent requests to; empty if there is none."""
+    if isinstance(order, SetWeight) and order.weight:
+        return order.worker
+    if isinstance(order, SetEjected) and not order.ejected:
+        return order.worker
+    return ""
--- /dev/null
+++ b/dunlinlug/guard/rejection.py
@@ -0,0 +1,37 @@
+"""The record of one rejected order, and the rules by which an order can be rejected."""
+
+import enum
+from dataclasses import dataclass
+
+from dunlinlug.decision.orders import Order
+
+
+class RejectionRule(enum.StrEnum):
+    """The rule that an order breaks; the values are shown to operators and kept in the store."""
+
+    MALFORMED = "form"  # a value out of range, or something unknown
+    WITHOUT_ENDPOINT = "bare"  # a proxy could be left without an available endpoint
+    OVERLOAD = "pushed"  # a warming endpoint would get more than it can serve
+    UNSAFE_RETRY = "twice"  # a retry could repeat an effect
+    DRAINING = "drain"  # an endpoint that is not ready could get requests again
+
+
+@dataclass(frozen=True)
+class Rejection:
+    """One rejected order.
+
+    Attributes:
+        order: The order as the decision module gave it.
+        rule: The rule that it breaks.
+        reason: What was measured against which limit, as text for operators.
+        remedy: What would be accepted in its place, as text for operators.
+        proxies: Ids of the proxies that the order concerns; empty if it concerns none by name.
+        allowed_anyway: Whether the order is carried out all the same, as the lesser harm.
+    """
+
+    order: Order
+    rule: RejectionRule
+    reason: str
+    remedy: str
+    proxies: tuple[int, ...] = ()
+    allowed_anyway: bool = False
--- a/dunlinlug/guard/table_usage.py
+++ b/dunlinlug/guard/table_usage.py
@@ -1,11 +1,13 @@
-"""Who may hold what, now and during a change: old tables, new ones, and both while answers are out.
+"""Which tables each proxy may be using: the old one, the new one, and both until it acknowledges.
 
-For the question whether a proxy may be left with nothing, a worker counts as out from the order on
-and as in again only once all have answered; for the question how much may come to a worker it is
-the other way round.
+Whether an endpoint is ejected has two answers while proxies have not acknowledged it. For the
+question whether a proxy could be left without an endpoint, it counts as ejected from the order on,
+and as readmitted only once all proxies have acknowledged. For the question how much it could be
+sent it is the other way round.
 """
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from dunlinlug.decision.events import Acknowledged, Event, ProxyConnected, ProxyDisconnected
 from dunlinlug.decision.orders import (
@@ -19,60 +21,102 @@
 )
 
 
+class Admission(NamedTuple):
+    """What a table admits of a traffic class: retry policy (0 to 3) and admitted fraction."""
+
+    retry_policy: int
+    admitted_fraction: float
+
+
 @dataclass
 class TableContents:
+    """A table's entries (weight by endpoint id) and its admission by traffic class."""
+
     weights: dict[str, float] = field(default_factory=dict)
-    admission: dict[int, tuple[int, float]] = field(
-        default_factory=dict
-    )  # by product: way of trying again, share
+    admission: dict[int, Admission] = field(default_factory=dict)
+
+    def copy(self) -> "TableContents":
+        """A table of its own with the same contents."""
+        return TableContents(dict(self.weights), dict(self.admission))
+
+    def set_weight(self, worker: str, weight: float) -> None:
+        """Set one entry; weight 0 takes it away."""
+        self.weights[worker] = weight
+        if not weight:
+            del self.weights[worker]
+
+
+class AssignedTable(NamedTuple):
+    """A table that a proxy was told to use, and the batch that told it so."""
+
+    table_id: int
+    batch: int
+
+
+@dataclass
+class PendingEjection:
+    """An ejection or readmission, its batch, and the proxies that have not acknowledged it."""
+
+    batch: int
+    awaited_proxies: set[int]
 
 
 class TableUsage:
-    """Fed with what was passed, marks answered, and who is joined."""
+    """Follows the orders carried out, the acknowledgements, and which proxies are connected.
+
+    Batches of orders are counted from 1; an acknowledgement of one covers all before it.
+
+    Attributes:
+        tables: All tables by their id, as ordered.
+        assignments: By connected proxy and traffic class, the tables that it may use, oldest first.
+        changed_proxies: Proxies whose tables changed since `DemandTotals` took this last; a dict
+            for its order.
+        ejected: Ids of the endpoints that are ejected as ordered last.
+        pending_ejections: By endpoint id, its last ejection or readmission if not yet acknowledged
+            by all.
+        batch_by_ack_number: The batch that each acknowledgement request ended.
+    """
 
     def __init__(self) -> None:
         self.tables: dict[int, TableContents] = {}
-        # By joined proxy and product: the tables it may be on, newest last, and the place of their
-        # order.
-        self.assignments: dict[int, dict[int, list[tuple[int, int]]]] = {}
+        self.assignments: dict[int, dict[int, list[AssignedTable]]] = {}
         self._proxies_by_table: dict[int, dict[int, None]] | None = {}
-        self.changed_proxies: dict[
-            int, None
-        ] = {}  # proxies that may hold other tables since the sums were last made
-        self.ejected: set[str] = set()  # as ordered last
-        self.pending_ejections: dict[
-            str, tuple[int, set[int]]
-        ] = {}  # by worker: place of the mark, proxies yet to answer
-        self.ack_positions: dict[
-            int, int
-        ] = {}  # marks not yet settled, by number, and their place in order
-        self.position = 0
+        self.changed_proxies: dict[int, None] = {}
+        self.ejected: set[str] = set()
+        self.pending_ejections: dict[str, PendingEjection] = {}
+        self.batch_by_ack_number: dict[int, int] = {}
+        self.batch = 0
 
     def handle(self, event: Event) -> None:
+        """Take in a connection, its end, or an acknowledgement; other events change nothing."""
         match event:
-            case ProxyConnected(proxy) | ProxyDisconnected(proxy):
-                if self.assignments.pop(proxy, None):
-                    self._record_change(proxy)
-                self._acknowledge(proxy, self.position)
-                if isinstance(event, ProxyConnected):
-                    self.assignments[proxy] = {}
-                    self._record_change(proxy)
-            case Acknowledged(proxy, ack_number) if ack_number in self.ack_positions:
-                self._acknowledge(proxy, self.ack_positions[ack_number])
+            case ProxyConnected(proxy):
+                self._disconnect(proxy)
+                self.assignments[proxy] = {}
+                self._record_change(proxy)
+            case ProxyDisconnected(proxy):
+                self._disconnect(proxy)
+            case Acknowledged(proxy, ack_number) if ack_number in self.batch_by_ack_number:
+                self._acknowledge(proxy, self.batch_by_ack_number[ack_number])
+
+    def _disconnect(self, proxy: int) -> None:
+        if self.assignments.pop(proxy, None):
+            self._record_change(proxy)
+        self._acknowledge(proxy, self.batch)
 
     def _record_change(self, proxy: int) -> None:
         self._proxies_by_table = None
         self.changed_proxies[proxy] = None
 
-    def _acknowledge(self, proxy: int, position: int) -> None:
-        for worker, (ejected_at, awaited_proxies) in list(self.pending_ejections.items()):
-            if ejected_at <= position:
-                awaited_proxies.discard(proxy)
-                if not awaited_proxies:
+    def _acknowledge(self, proxy: int, batch: int) -> None:
+        for worker, pending in list(self.pending_ejections.items()):
+            if pending.batch <= batch:
+                pending.awaited_proxies.discard(proxy)
+                if not pending.awaited_proxies:
                     del self.pending_ejections[worker]
         for assigned in self.assignments.get(proxy, {}).values():
             newest_acknowledged = max(
-                (index for index, (_, ejected_at) in enumerate(assigned) if ejected_at <= position),
+                (index for index, table in enumerate(assigned) if table.batch <= batch),
                 default=0,
             )
             if newest_acknowledged:
@@ -80,49 +124,62 @@
                 self._record_change(proxy)
 
     def apply(self, orders: list[Order]) -> None:
-        """Take in one reply as passed."""
-        self.position += 1
+        """Take in the orders of one batch that are carried out."""
+        self.batch += 1
         for order in orders:
-            match order:
-                case SetWeight(table_id, worker, weight):
-                    weights = self.tables.setdefault(table_id, TableContents()).weights
-                    weights[worker] = weight
-                    if not weight:
-                        del weights[worker]
-                case SetAdmission(table_id, traffic_class, retry_policy, admitted_fraction):
-                    self.tables.setdefault(table_id, TableContents()).admission[traffic_class] = (
-                        retry_policy,
-                        admitted_fraction,
-                    )
-                case DeleteTable(table_id):
-                    self.tables.pop(table_id, None)
-                case AssignTable(proxy, traffic_classes, table_id) if proxy in self.assignments:
-                    for traffic_class in traffic_classes:
-                        self.assignments[proxy].setdefault(traffic_class, []).append(
-                            (table_id, self.position)
-                        )
-                    self._record_change(proxy)
-                case SetEjected(worker, ejected):
-                    (self.ejected.add if ejected else self.ejected.discard)(worker)
-                    self.pending_ejections[worker] = (self.position, set(self.assignments))
-                case RequestAcknowledgement(ack_number):
-                    self.ack_positions[ack_number] = self.position
+            self._apply_order(order)
+
+    def _apply_order(self, order: Order) -> None:
+        match order:
+            case SetWeight(table_id, worker, weight):
+                self._table(table_id).set_weight(worker, weight)
+            case SetAdmission(table_id, traffic_class, retry_policy, admitted_fraction):
+                admission = Admission(retry_policy, admitted_fraction)
+                self._table(table_id).admission[traffic_class] = admission
+            case DeleteTable(table_id):
+                self.tables.pop(table_id, None)
+            case AssignTable(proxy, traffic_classes, table_id) if proxy in self.assignments:
+                self._assign(proxy, traffic_classes, table_id)
+            case SetEjected(worker, ejected):
+                self._set_ejected(worker, ejected)
+            case RequestAcknowledgement(ack_number):
+                self.batch_by_ack_number[ack_number] = self.batch
+
+    def _table(self, table_id: int) -> TableContents:
+        return self.tables.setdefault(table_id, TableContents())
+
+    def _assign(self, proxy: int, traffic_classes: tuple[int, ...], table_id: int) -> None:
+        for traffic_class in traffic_classes:
+            assigned = self.assignments[proxy].setdefault(traffic_class, [])
+            assigned.append(AssignedTable(table_id, self.batch))
+        self._record_change(proxy)
+
+    def _set_ejected(self, worker: str, ejected: bool) -> None:
+        if ejected:
+            self.ejected.add(worker)
+        else:
+            self.ejected.discard(worker)
+        self.pending_ejections[worker] = PendingEjection(self.batch, set(self.assignments))
 
     def may_be_ejected(self, worker: str) -> bool:
+        """Whether some proxy may hold the endpoint for ejected."""
         return worker in self.ejected or worker in self.pending_ejections
 
     def is_surely_ejected(self, worker: str) -> bool:
+        """Whether all proxies hold the endpoint for ejected."""
         return worker in self.ejected and worker not in self.pending_ejections
 
     def proxies_by_table(self) -> dict[int, dict[int, None]]:
-        """By table the proxies that may be on it; made anew only when that has changed."""
+        """The proxies that may be using each table; made anew only when that has changed."""
         if self._proxies_by_table is None:
             self._proxies_by_table = {}
-            for proxy, traffic_classes in self.assignments.items():
-                for assigned in traffic_classes.values():
-                    for table_id, _ in assigned:
-                        self._proxies_by_table.setdefault(table_id, {})[proxy] = None
+            for proxy, assigned_by_class in self.assignments.items():
+                for assigned in assigned_by_class.values():
+                    for table in assigned:
+                        self._proxies_by_table.setdefault(table.table_id, {})[proxy] = None
         return self._proxies_by_table
 
     def possible_tables(self, proxy: int, traffic_class: int) -> list[int]:
-        return [table_id for table_id, _ in self.assignments.get(proxy, {}).get(traffic_class, ())]
+        """Ids of the tables that a proxy may be using for a traffic class, oldest first."""
+        assigned = self.assignments.get(proxy, {}).get(traffic_class, ())
+        return [table.table_id for table in assigned]
--- a/dunlinlug/manager/order_validation.py
+++ b/dunlinlug/manager/order_validation.py
@@ -63,7 +63,7 @@
             self.rejection_count += 1
             fields = {
                 "source": source,
-                "rule": rejection.rule,
+                "rule": str(rejection.rule),
                 "order": rejected_order_text(rejection.order),  # type: ignore[arg-type]
                 "why": rejection.reason,
                 "would_pass": rejection.remedy,
