--- a/bench/scale/scenario.py
+++ b/bench/scale/scenario.py
@@ -9,7 +9,7 @@
 import attrs
 
 from dunlinlug.config.reader import ConfigError, ConfigFile, load_config
-from dunlinlug.config.units import Count, Fraction, Seconds, WordList
+from dunlinlug.config.units import Count, Fraction, NameList, Seconds
 
 ZONES = 10  # a zone is a tenth of all
 MOST = 940  # hollow members and real ones: the largest fleet that is asked for
@@ -23,8 +23,8 @@
     """[scale]. `clock` is the part of true time at which every process of the run lives, by size."""
 
     name: str
-    sizes: WordList
-    clock: WordList = WordList(("100%",))
+    sizes: NameList
+    clock: NameList = NameList(("100%",))
     seed: Count = Count(1)
     settle: Seconds = Seconds(10.0)
     length: Seconds = Seconds(30.0)
--- a/dunlinlug/config/reader.py
+++ b/dunlinlug/config/reader.py
@@ -1,20 +1,31 @@
-"""One INI file to attrs classes, a section each; every mistake names file, line, key and what would
-be right.
+"""Reads an INI file into attrs classes, one for each section.
+
+Every mistake is an error that names the file, the line, the key, and what would be right. A field's
+INI key is its name, or what `ini_key` gives it.
 """
 
 import configparser
 import difflib
 import re
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping, Sequence
 from pathlib import Path
-from typing import Any, Literal, TypeVar, get_args, get_origin
+from typing import Any, Literal, TypeVar, cast, get_args, get_origin
 
 import attrs
+import cattrs
 
 from dunlinlug.config.units import InvalidValueError, make_converter
 from dunlinlug.errors import DunlinlugError
 
-T = TypeVar("T")
+Section = TypeVar("Section")
+
+
+INI_KEY = "dunlinlug.ini_key"  # in an attrs field's metadata
+
+
+def ini_key(key: str) -> dict[str, str]:
+    """Metadata of an attrs field whose key in the file is not its name."""
+    return {INI_KEY: key}
 
 
 class ConfigError(DunlinlugError):
@@ -22,72 +33,93 @@
 
 
 class ConfigFile:
-    """What one file said: `one(cls)` gives a section's record, `many(cls)` the named ones by their
-    names.
-    """
+    """The records of one file, by their classes."""
 
-    def __init__(self, records: dict[type, dict[str, Any]]) -> None:
-        self._sections = records
+    def __init__(self, records: dict[type, dict[str, object]]) -> None:
+        """Have records by class, and by the name of a `[prefix NAME]` section or empty."""
+        self._records = records
 
-    def section(self, section_type: type[T]) -> T:
-        record: T = self._sections[section_type][""]
-        return record
+    def section(self, section_type: type[Section]) -> Section:
+        """The record of a section that stands once; with its defaults if the file has none."""
+        return cast("Section", self._records[section_type][""])
 
-    def sections(self, section_type: type[T]) -> dict[str, T]:
-        return dict(self._sections.get(section_type, {}))
+    def sections(self, section_type: type[Section]) -> dict[str, Section]:
+        """The records of the `[prefix NAME]` sections of a kind, by name, in the file's order."""
+        return cast("dict[str, Section]", dict(self._records.get(section_type, {})))
 
 
 class _IniFile:
     """The parsed text, with the line of each section and key for messages."""
 
     def __init__(self, path: Path) -> None:
+        """Read and parse a file. Raises ConfigError."""
         self.path = path
         try:
             text = path.read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
             raise ConfigError(f"{path}: cannot be read: {error}") from None
-        self.parser = configparser.ConfigParser(
+        self.parser = CaseKeepingParser(
             interpolation=None,
             strict=True,
             comment_prefixes=("#", ";"),
             inline_comment_prefixes=("#", ";"),
         )
-        self.parser.optionxform = str  # type: ignore[assignment,method-assign]  # keys keep their case
         try:
             self.parser.read_string(text, source=str(path))
         except configparser.Error as error:
-            line = getattr(error, "lineno", None) or next(
-                (n for n, _ in getattr(error, "errors", ())), 1
-            )
             reason = " ".join(str(error).split())
-            raise ConfigError(f"{path}:{line}: not an INI file: {reason}") from None
+            raise ConfigError(f"{path}:{_line_number(error)}: not an INI file: {reason}") from None
         self.line_numbers = self._find_line_numbers(text)
 
     @staticmethod
     def _find_line_numbers(text: str) -> dict[tuple[str, str], int]:
+        """By section and key; the section itself has an empty key."""
         line_numbers = {}
         section = ""
         for number, line in enumerate(text.splitlines(), 1):
-            if section_match := re.match(r"\s*\[([^\]]+)\]", line):
+            section_match = re.match(r"\s*\[([^\]]+)\]", line)
+            key_match = re.match(r"([^=:#;\s][^=:]*?)\s*[=:]", line)
+            if section_match is not None:
                 section = section_match[1]
                 line_numbers[section, ""] = number
-            elif key_match := re.match(r"([^=:#;\s][^=:]*?)\s*[=:]", line):
+            elif key_match is not None:
                 line_numbers.setdefault((section, key_match[1]), number)
         return line_numbers
 
+    def texts(self, section: str) -> dict[str, str]:
+        """The values of a section by key; empty if the file has no such section."""
+        return dict(self.parser[section]) if section in self.parser else {}
+
     def error(self, section: str, key: str, reason: str) -> ConfigError:
+        """An error that names the line of a key, or of its section where that has no such key."""
         line = self.line_numbers.get((section, key), self.line_numbers.get((section, ""), 1))
         location = f"[{section}] {key}".rstrip()
         return ConfigError(f"{self.path}:{line}: {location}: {reason}")
 
 
-def _suggest(word: str, known: Mapping[str, Any]) -> str:
-    close_matches = difflib.get_close_matches(word, list(known), 1)
-    return (
-        f"; did you mean {close_matches[0]!r}?"
-        if close_matches
-        else f"; known are {', '.join(known)}"
-    )
+class CaseKeepingParser(configparser.ConfigParser):
+    """An INI parser that leaves keys as they are written."""
+
+    def optionxform(self, optionstr: str) -> str:
+        """The key itself; `configparser` would write it in small letters."""
+        return optionstr
+
+
+def _line_number(error: configparser.Error) -> int:
+    """The line that an error names; 1 if it names none."""
+    line: int | None = getattr(error, "lineno", None)
+    if line:
+        return line
+    errors: Sequence[tuple[int, str]] = getattr(error, "errors", ())
+    return errors[0][0] if errors else 1
+
+
+def _suggest(name: str, known: Iterable[str]) -> str:
+    known_names = list(known)
+    close_matches = difflib.get_close_matches(name, known_names, 1)
+    if close_matches:
+        return f"; did you mean {close_matches[0]!r}?"
+    return f"; known are {', '.join(known_names)}"
 
 
 def load_config(
@@ -96,60 +128,74 @@
     named_types: Mapping[str, type] | None = None,
     optional_sections: frozenset[str] = frozenset(),
 ) -> ConfigFile:
-    """Read `path`; `single` has a class by section, `named` by the first word of `[word name]`
-    sections.
-
-    Raises ConfigFault at the first mistake: an unknown section or key, a missing one, a value of
-    the wrong form.
+    """Read a file.
+
+    Args:
+        path: The file.
+        single_types: The class of each section that stands once, by the section's name.
+        named_types: The class of each kind of `[prefix NAME]` sections, by their prefix.
+        optional_sections: Those of `single_types` that may be missing; all their fields have
+            defaults.
+
+    Raises:
+        ConfigError: At the first mistake: an unknown section or key, a missing one, a value that
+            cannot be read.
     """
     ini_file = _IniFile(path)
     named_types = named_types or {}
-    sections: dict[type, dict[str, Any]] = {
+    records: dict[type, dict[str, object]] = {
         section_type: {} for section_type in named_types.values()
     }
     for section in ini_file.parser.sections():
         prefix, _, name = section.partition(" ")
         if section in single_types:
-            sections[single_types[section]] = {
-                "": _read_section(ini_file, section, single_types[section])
-            }
+            section_type = single_types[section]
+            records[section_type] = {"": _read_section(ini_file, section, section_type)}
         elif prefix in named_types and name:
-            sections[named_types[prefix]][name] = _read_section(
-                ini_file, section, named_types[prefix]
-            )
+            section_type = named_types[prefix]
+            records[section_type][name] = _read_section(ini_file, section, section_type)
         else:
-            known = {
-                **single_types,
-                **{f"{prefix} NAME": section_type for prefix, section_type in named_types.items()},
-            }
+            known = [*single_types, *(f"{prefix} NAME" for prefix in named_types)]
             raise ini_file.error(section, "", f"unknown section{_suggest(section, known)}")
-    for section, section_type in single_types.items():
-        if section_type not in sections:
-            if section not in optional_sections:
-                raise ConfigError(f"{path}:1: section [{section}] is missing")
-            sections[section_type] = {"": _read_section(ini_file, section, section_type)}
-    return ConfigFile(sections)
-
-
-def _read_section(ini_file: _IniFile, section: str, section_type: type) -> Any:
-    fields = attrs.fields_dict(section_type)
-    texts = dict(ini_file.parser[section]) if section in ini_file.parser else {}
-    values: dict[str, Any] = {}
-    value_converter = make_converter()
-    for key, text in texts.items():
+    missing = [section for section in single_types if section not in ini_file.parser]
+    for section in missing:
+        if section not in optional_sections:
+            raise ConfigError(f"{path}:1: section [{section}] is missing")
+        section_type = single_types[section]
+        records[section_type] = {"": _read_section(ini_file, section, section_type)}
+    return ConfigFile(records)
+
+
+def _read_section(ini_file: _IniFile, section: str, section_type: type) -> object:
+    """The record of a section. Raises ConfigError."""
+    fields = {
+        field.metadata.get(INI_KEY, field.name): field for field in attrs.fields(section_type)
+    }
+    converter = make_converter()
+    values = dict[str, object]()
+    for key, text in ini_file.texts(section).items():
         if key not in fields:
             raise ini_file.error(section, key, f"unknown key{_suggest(key, fields)}")
-        value_type: Any = fields[key].type
         try:
-            if get_origin(value_type) is Literal and text not in get_args(value_type):
-                raise InvalidValueError(f"{text!r} is not one of {', '.join(get_args(value_type))}")
-            values[key] = value_converter.structure(text, value_type)
+            values[fields[key].name] = _read_value(converter, text, fields[key].type)
         except InvalidValueError as error:
             raise ini_file.error(section, key, str(error)) from None
     for key, field in fields.items():
-        if key not in values and field.default is attrs.NOTHING:
+        if field.name not in values and field.default is attrs.NOTHING:
             raise ini_file.error(section, "", f"key {key!r} is missing")
     try:
-        return section_type(**values)
+        record: object = section_type(**values)
     except ValueError as error:
         raise ini_file.error(section, "", str(error)) from None
+    return record
+
+
+def _read_value(converter: cattrs.Converter, text: str, value_type: Any) -> object:
+    """A value of a field's type; raises InvalidValueError.
+
+    The type is whatever stands in the annotation: a class, a NewType or a Literal.
+    """
+    if get_origin(value_type) is Literal and text not in get_args(value_type):
+        raise InvalidValueError(f"{text!r} is not one of {', '.join(get_args(value_type))}")
+    value: object = converter.structure(text, value_type)
+    return value
--- a/dunlinlug/config/settings_json.py
+++ b/dunlinlug/config/settings_json.py
@@ -1,8 +1,7 @@
-"""What a manager is told at its start, as the simulator's first message and the platform's
-configuration write it.
+"""The decision module's settings as JSON of the simulator and of the platform's configuration.
 
-One reader for both: the adapter and the platform's front give the same object. Standard library
-alone.
+Both have one reader, so that the module gets the same settings from either. Standard library alone.
+The keys, and the values in the tables below, are the other side's.
 """
 
 from collections.abc import Mapping
@@ -28,46 +27,45 @@
     "err_ps": "voided_per_s",
 }
 MILLISECOND_FIELDS = frozenset({"service_s"})
+MIN_POSITIVE = 1e-6  # the least value of what has to be above 0
 
 
 def seconds(microseconds: float) -> float:
+    """Microseconds as seconds."""
     return microseconds / MICROSECONDS_PER_SECOND
 
 
 def _read_number(
     settings: Mapping[str, Any], name: str, minimum: float = 0.0, maximum: float = inf
 ) -> float:
-    """A figure of the settings from `least` to `most`. Raises KeyError or ValueError, which names
-    it.
-    """
+    """A number from `minimum` to `maximum`. Raises KeyError, or ValueError that names it."""
     try:
         value = float(settings[name])
     except (TypeError, ValueError):
         raise ValueError(f"{name} is {settings[name]!r}, not a number") from None
     if not minimum <= value <= maximum or value == inf:
-        raise ValueError(
-            f"{name} is {settings[name]!r}, not from {minimum:g} on"
-            + (f" to {maximum:g}" if maximum < inf else "")
-        )
+        upper_limit = f" to {maximum:g}" if maximum < inf else ""
+        raise ValueError(f"{name} is {settings[name]!r}, not from {minimum:g} on{upper_limit}")
     return value
 
 
-MIN_POSITIVE = 1e-6  # the least of what has to be above 0
-
-
 def unsupported_settings(info: Mapping[str, Any]) -> list[str]:
-    """What these settings ask for and this manager has no answer for. Raises as `read_trade` does."""
+    """What these settings ask for and this manager does not support, as texts.
+
+    Raises:
+        KeyError, TypeError, AttributeError: As `read_settings` does.
+    """
     specifics = info["specifics"]
     reporting = info.get("reporting") or {}
-    accepted_values = (
+    settings = (
         ("specifics.admit", specifics.get("admit") or "none", (*ADMISSION_MODES, "none")),
         ("reporting.how", reporting.get("how") or "none", ("answers", "probe", "none")),
         ("membershipMode", info.get("membershipMode") or "automatic", ("automatic", "subscribe")),
     )
     unsupported = [
-        f"{name} is {value!r}, known are {', '.join(words)}"
-        for name, value, words in accepted_values
-        if value not in words
+        f"{name} is {value!r}, known are {', '.join(supported)}"
+        for name, value, supported in settings
+        if value not in supported
     ]
     return unsupported + [
         f"{name} is {specifics[name]!r}: slices are not served"
@@ -77,35 +75,17 @@
 
 
 def read_settings(seed: int, info: Mapping[str, Any]) -> ManagerSettings:
-    """`info` as parsed from JSON, times in microseconds. Raises KeyError, TypeError, ValueError or
-    AttributeError for what is missing or of another kind.
+    """The settings of parsed JSON, whose times are microseconds.
+
+    Raises:
+        KeyError, TypeError, ValueError, AttributeError: Something is missing, of another kind or
+            out of range.
     """
     specifics = info["specifics"]
     rules = info["rules"]
     caps = info.get("caps") or {}
     reporting = info.get("reporting") or {}
-    home_only = specifics.get("homeOnly") or []
-    for raw_class in info["lanes"]:
-        if raw_class["effect"] not in IDEMPOTENCY_BY_EFFECT:
-            raise ValueError(
-                f"the effect of {raw_class['name']} is {raw_class['effect']!r}, known are {', '.join(IDEMPOTENCY_BY_EFFECT)}"
-            )
-    if not info["lanes"]:
-        raise ValueError("there are no lanes")
-    traffic_classes = tuple(
-        TrafficClass(
-            name=raw_class["name"],
-            latency_objective=seconds(_read_number(raw_class, "aimUs", MIN_POSITIVE)),
-            deadline=seconds(_read_number(raw_class, "hardLimitUs", MIN_POSITIVE)),
-            priority_weight=_read_number(raw_class, "points"),
-            late_value_fraction=float(raw_class.get("lateShare") or 0.0),
-            idempotency=IDEMPOTENCY_BY_EFFECT[raw_class["effect"]],
-            group=raw_class.get("group") or "all",
-            deduplication_window=seconds(raw_class.get("windowUs") or 0),
-            same_zone_only=bool(k < len(home_only) and home_only[k]),
-        )
-        for k, raw_class in enumerate(info["lanes"])
-    )
+    traffic_classes = _read_traffic_classes(info["lanes"], specifics.get("homeOnly") or [])
     return ManagerSettings(
         seed=seed,
         zone=info["zone"],
@@ -126,6 +106,32 @@
     )
 
 
+def _read_traffic_classes(lanes: list[Any], home_only: list[Any]) -> tuple[TrafficClass, ...]:
+    """The traffic classes; `home_only` says by index whether one is served in its zone alone."""
+    for lane in lanes:
+        if lane["effect"] not in IDEMPOTENCY_BY_EFFECT:
+            raise ValueError(
+                f"the effect of {lane['name']} is {lane['effect']!r}, "
+                f"known are {', '.join(IDEMPOTENCY_BY_EFFECT)}"
+            )
+    if not lanes:
+        raise ValueError("there are no lanes")
+    return tuple(
+        TrafficClass(
+            name=lane["name"],
+            latency_objective=seconds(_read_number(lane, "aimUs", MIN_POSITIVE)),
+            deadline=seconds(_read_number(lane, "hardLimitUs", MIN_POSITIVE)),
+            priority_weight=_read_number(lane, "points"),
+            late_value_fraction=float(lane.get("lateShare") or 0.0),
+            idempotency=IDEMPOTENCY_BY_EFFECT[lane["effect"]],
+            group=lane.get("group") or "all",
+            deduplication_window=seconds(lane.get("windowUs") or 0),
+            same_zone_only=bool(index < len(home_only) and home_only[index]),
+        )
+        for index, lane in enumerate(lanes)
+    )
+
+
 def _read_channel(specifics: Mapping[str, Any]) -> ChannelSettings:
     return ChannelSettings(
         entries_per_second=_read_number(specifics, "egressPerS", MIN_POSITIVE),
--- a/dunlinlug/config/units.py
+++ b/dunlinlug/config/units.py
@@ -1,7 +1,11 @@
-"""Values as an operator writes them, `250ms` or `1200/s`, as the program's plain floats."""
+"""Values as an operator writes them, `250ms` or `1200/s`, and as the program has them.
+
+A field's type says how its text is read: each NewType here has a parser.
+"""
 
 import re
-from typing import Any, NewType
+from collections.abc import Callable
+from typing import NewType
 
 import cattrs
 
@@ -12,14 +16,16 @@
 Fraction = NewType("Fraction", float)
 Count = NewType("Count", int)
 Address = NewType("Address", tuple[str, int])
-WordList = NewType("WordList", tuple[str, ...])
+NameList = NewType("NameList", tuple[str, ...])
 
 SECONDS_PER_UNIT = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "min": 60.0, "h": 3600.0}
 NUMBER_PATTERN = r"(\d+(?:\.\d+)?)"
+MAX_PORT = 65535
+MAX_ADDRESS_BYTE = 255
 
 
 class InvalidValueError(DunlinlugError, ValueError):
-    """A value that cannot be read; says what would be right."""
+    """A value that cannot be read; the text says what would be right."""
 
 
 def _match_or_raise(pattern: str, text: str, expected: str) -> re.Match[str]:
@@ -30,7 +36,7 @@
 
 
 def parse_seconds(text: str) -> Seconds:
-    """A span in seconds; a bare number is refused, as its unit would be a guess."""
+    """Read a duration. Raises InvalidValueError without a unit, as that would be a guess."""
     found = _match_or_raise(
         NUMBER_PATTERN + r"\s*(us|ms|s|min|h)",
         text,
@@ -40,7 +46,7 @@
 
 
 def parse_rate(text: str) -> PerSecond:
-    """A rate by the second."""
+    """Read a rate by the second or minute. Raises InvalidValueError."""
     found = _match_or_raise(
         NUMBER_PATTERN + r"\s*/\s*(s|min)", text, "a rate, such as 1200/s or 30/min"
     )
@@ -48,7 +54,7 @@
 
 
 def parse_fraction(text: str) -> Fraction:
-    """A part of one, as `20%` or `0.2`."""
+    """Read a part of one, `20%` or `0.2`. Raises InvalidValueError, also if it is over one."""
     found = _match_or_raise(NUMBER_PATTERN + r"\s*(%?)", text, "a share, such as 20% or 0.2")
     value = float(found[1]) / (100 if found[2] else 1)
     if value > 1:
@@ -57,44 +63,57 @@
 
 
 def parse_count(text: str) -> Count:
+    """Read a whole number. Raises InvalidValueError."""
     return Count(int(_match_or_raise(r"(\d+)", text, "a whole number, such as 30")[1]))
 
 
 def parse_number(text: str) -> float:
+    """Read a number without a sign. Raises InvalidValueError."""
     return float(_match_or_raise(NUMBER_PATTERN, text, "a number, such as 3 or 1.5")[1])
 
 
 def parse_switch(text: str) -> bool:
+    """Read `yes` or `no`. Raises InvalidValueError."""
     return _match_or_raise("(yes|no)", text, "yes or no")[1] == "yes"
 
 
 def parse_address(text: str) -> Address:
-    """Host and port, on loopback alone: the program is reachable from this machine only."""
+    """Read host and port. Raises InvalidValueError.
+
+    Only loopback is taken, as the program is to be reached from its own machine alone.
+    """
     expected = "a loopback address and port, such as 127.0.0.1:18000"
     found = _match_or_raise(r"(127(?:\.\d{1,3}){3}):(\d{1,5})", text, expected)
-    if int(found[2]) > 65535 or any(int(part) > 255 for part in found[1].split(".")):
+    host_bytes = [int(part) for part in found[1].split(".")]
+    if int(found[2]) > MAX_PORT or max(host_bytes) > MAX_ADDRESS_BYTE:
         raise InvalidValueError(f"{text!r} is not {expected}")
     return Address((found[1], int(found[2])))
 
 
-def parse_words(text: str) -> WordList:
-    return WordList(tuple(part for part in re.split(r"[,\s]+", text.strip()) if part))
+def parse_names(text: str) -> NameList:
+    """Read names with commas or blanks between them."""
+    return NameList(tuple(name for name in re.split(r"[,\s]+", text.strip()) if name))
 
 
 def make_converter() -> cattrs.Converter:
-    """Structures one value's text by the type of its field; choices come as `Literal`."""
-    value_converter = cattrs.Converter()
-    for value_type, parse in (
+    """A converter that reads one value's text by the type of its field."""
+    parsers: list[tuple[object, Callable[[str], object]]] = [
         (Seconds, parse_seconds),
         (PerSecond, parse_rate),
         (Fraction, parse_fraction),
         (Count, parse_count),
         (Address, parse_address),
-        (WordList, parse_words),
+        (NameList, parse_names),
         (float, parse_number),
         (bool, parse_switch),
         (str, str.strip),
-    ):
-        hook: Any = parse
-        value_converter.register_structure_hook(value_type, lambda text, _, hook=hook: hook(text))
-    return value_converter
+    ]
+    converter = cattrs.Converter()
+    for value_type, parse in parsers:
+        converter.register_structure_hook(value_type, _as_hook(parse))
+    return converter
+
+
+def _as_hook(parse: Callable[[str], object]) -> Callable[[str, object], object]:
+    """A hook of cattrs, which gives the type as well."""
+    return lambda text, _type: parse(text)
--- a/dunlinlug/discovery/__init__.py
+++ b/dunlinlug/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The roster's protocol: Consul's health list with blocking queries, as plain text in and out."""
+"""The protocol of service discovery: Consul's health list by blocking queries; free of I/O."""
--- a/dunlinlug/discovery/entries.py
+++ b/dunlinlug/discovery/entries.py
@@ -1,6 +1,6 @@
-"""Entries of `GET /v1/health/service/NAME` to the module's workers and back.
+"""Entries of `GET /v1/health/service/NAME` to endpoints and back.
 
-Source: Consul's HTTP API, "List Service Instances for Service". An entry is ready while all its
+Source: Consul's HTTP API, "List Service Instances for Service". An endpoint is ready while all its
 checks pass, and draining while any is in maintenance or critical; one that is not in the list is
 gone.
 """
@@ -12,17 +12,26 @@
 from dunlinlug.decision.events import Endpoint
 from dunlinlug.errors import DunlinlugError
 
+WEIGHT_SCALE = 100  # Consul's weights are whole numbers; ours are parts of a usual endpoint
+
 
 class DiscoveryResponseError(DunlinlugError):
-    """An answer that is not a list as agreed."""
+    """An answer that is not a list of entries; the text says what is wrong with it."""
 
 
 def decode_workers(body: bytes, clock_offset: float) -> tuple[list[Endpoint], list[str]]:
-    """The workers of one answer, sorted by id, and the ids that stand there twice.
+    """The endpoints of one answer, sorted by id, and the ids that stand in it more than once.
+
+    Of several entries with the same address the one that started last is taken, as it is that of
+    the process that holds the address now.
 
-    Starts are wall-clock seconds on the wire; `clock_offset` (own clock less wall clock) makes them
-    the module's. Where an address stands twice the entry that started last is the process that
-    holds the address now.
+    Args:
+        body: The answer.
+        clock_offset: What to add to the wall-clock seconds of the wire to have the decision
+            module's.
+
+    Raises:
+        DiscoveryResponseError: The answer is not a list of entries.
     """
     try:
         entries = json.loads(body)
@@ -34,16 +43,16 @@
     duplicate_ids = []
     for entry in entries:
         worker = _decode_entry(entry, clock_offset)
-        if worker.id in workers:
+        other = workers.get(worker.id)
+        if other is not None:
             duplicate_ids.append(worker.id)
-        if worker.id not in workers or (worker.started_at or 0.0) >= (
-            workers[worker.id].started_at or 0.0
-        ):
+        if other is None or (worker.started_at or 0.0) >= (other.started_at or 0.0):
             workers[worker.id] = worker
     return sorted(workers.values(), key=lambda worker: worker.id), duplicate_ids
 
 
 def _decode_entry(entry: Any, clock_offset: float) -> Endpoint:
+    """An endpoint; the entry may be any JSON value. Raises DiscoveryResponseError."""
     try:
         service = entry["Service"]
         metadata = entry["Service"].get("Meta") or {}
@@ -65,31 +74,28 @@
         ) from None
 
 
-WEIGHT_SCALE = 100  # Consul's weights are whole numbers; ours are parts of a usual worker
-
-
 def encode_workers(workers: Iterable[Endpoint]) -> bytes:
-    """The answer's body, with wall-clock starts; workers that are gone are left out."""
-    entries = [
-        {
-            "Node": {"Node": f"node-{worker.id}", "Datacenter": worker.zone},
-            "Service": {
-                "ID": worker.id,
-                "Address": worker.id.rpartition(":")[0],
-                "Port": int(worker.id.rpartition(":")[2]),
-                "Weights": None
-                if worker.weight is None
-                else {"Passing": round(worker.weight * WEIGHT_SCALE)},
-                "Meta": {
-                    "zone": worker.zone,
-                    "kind": worker.host_class,
-                    "cell": str(worker.cell),
-                    **({} if worker.started_at is None else {"started": repr(worker.started_at)}),
-                },
-            },
-            "Checks": [{"Status": "passing" if worker.state == "ready" else "maintenance"}],
-        }
-        for worker in workers
-        if worker.state != "gone"
-    ]
+    """The body of an answer, with wall-clock starts; endpoints that are gone are left out."""
+    entries = [_encode_entry(worker) for worker in workers if worker.state != "gone"]
     return json.dumps(entries).encode()
+
+
+def _encode_entry(worker: Endpoint) -> dict[str, object]:
+    host, _, port = worker.id.rpartition(":")
+    weights = None
+    if worker.weight is not None:
+        weights = {"Passing": round(worker.weight * WEIGHT_SCALE)}
+    metadata = {"zone": worker.zone, "kind": worker.host_class, "cell": str(worker.cell)}
+    if worker.started_at is not None:
+        metadata["started"] = repr(worker.started_at)
+    return {
+        "Node": {"Node": f"node-{worker.id}", "Datacenter": worker.zone},
+        "Service": {
+            "ID": worker.id,
+            "Address": host,
+            "Port": int(port),
+            "Weights": weights,
+            "Meta": metadata,
+        },
+        "Checks": [{"Status": "passing" if worker.state == "ready" else "maintenance"}],
+    }
--- a/dunlinlug/scenarios/faults.py
+++ b/dunlinlug/scenarios/faults.py
@@ -43,7 +43,7 @@
     while config.kinds:
         begins_at += rng.expovariate(1.0 / config.every)
         kind = rng.choice(config.kinds)
-        duration = rng.uniform(config.least, config.most)
+        duration = rng.uniform(config.min_duration, config.max_duration)
         if begins_at + duration > length - config.quiet:
             break
         group = "manager" if kind.startswith("manager") else kind
--- a/dunlinlug/scenarios/runner.py
+++ b/dunlinlug/scenarios/runner.py
@@ -91,7 +91,7 @@
             "zone": fleet_config.zones[index % len(fleet_config.zones)],
             "address": addresses.allocate(),
             "group": str(index % proxies_config.processes),
-            "rate": f"{rate / sum(rates) * load_config.txns_per_s:.3f}",
+            "rate": f"{rate / sum(rates) * load_config.requests_per_second:.3f}",
         }
     has_membership = bool(config.section(manager_terms.MembershipConfig).me)
     for name in config.sections(manager_terms.MemberConfig):
--- a/dunlinlug/scenarios/schema.py
+++ b/dunlinlug/scenarios/schema.py
@@ -10,8 +10,8 @@
 import attrs
 
 from dunlinlug.config import manager_config as manager_terms
-from dunlinlug.config.reader import ConfigFile, load_config
-from dunlinlug.config.units import Address, Count, Fraction, PerSecond, Seconds, WordList
+from dunlinlug.config.reader import ConfigFile, ini_key, load_config
+from dunlinlug.config.units import Address, Count, Fraction, NameList, PerSecond, Seconds
 
 FaultKind = Literal[
     "drain",
@@ -62,9 +62,9 @@
 class FleetConfig:
     """[fleet]: workers, dealt over the zones; `kinds` are CORESxSPEED."""
 
-    zones: WordList
+    zones: NameList
     workers: Count
-    kinds: WordList = WordList(("2x1.0",))
+    kinds: NameList = NameList(("2x1.0",))
     queue_per_core: Count = Count(8)
     cold_from: Fraction = Fraction(0.3)
     cold: Seconds = Seconds(6.0)
@@ -87,7 +87,7 @@
     failure.
     """
 
-    txns_per_s: PerSecond
+    requests_per_second: PerSecond = attrs.field(metadata=ini_key("txns_per_s"))
     work: Seconds
     spread: float = 0.5
     retries: Count = Count(1)
@@ -122,10 +122,10 @@
     `part`.
     """
 
-    kinds: WordList = WordList(())
+    kinds: NameList = NameList(())
     every: Seconds = Seconds(6.0)
-    least: Seconds = Seconds(2.0)
-    most: Seconds = Seconds(6.0)
+    min_duration: Seconds = attrs.field(default=Seconds(2.0), metadata=ini_key("least"))
+    max_duration: Seconds = attrs.field(default=Seconds(6.0), metadata=ini_key("most"))
     part: Fraction = Fraction(0.2)
     quiet: Seconds = Seconds(10.0)
 
@@ -135,7 +135,7 @@
             raise ValueError(
                 f"unknown kind {unknown[0]}; known are {', '.join(get_args(FaultKind))}"
             )
-        if not 0 < self.least <= self.most:
+        if not 0 < self.min_duration <= self.max_duration:
             raise ValueError("least is to be above 0, and not above most")
 
 
--- a/dunlinlug/standins/load_generator.py
+++ b/dunlinlug/standins/load_generator.py
@@ -61,7 +61,9 @@
                     if self.load_config.ramp
                     else 1.0
                 )
-                arrival_time += self.rng.expovariate(self.load_config.txns_per_s * ramp_fraction)
+                arrival_time += self.rng.expovariate(
+                    self.load_config.requests_per_second * ramp_fraction
+                )
                 await trio.sleep_until(arrival_time)
                 traffic_class = self.rng.choices(
                     self.traffic_class_names, cum_weights=self.cumulative_mix
--- a/tests/recorded/sections.py
+++ b/tests/recorded/sections.py
@@ -175,8 +175,8 @@
     return {
         "kinds": list(one.kinds),
         "every": one.every,
-        "least": one.least,
-        "most": one.most,
+        "least": one.min_duration,
+        "most": one.max_duration,
         "part": one.part,
         "quiet": one.quiet,
     }
@@ -205,7 +205,7 @@
 
 def day_load_section(one: day.LoadConfig) -> Plain:
     return {
-        "txns_per_s": one.txns_per_s,
+        "txns_per_s": one.requests_per_second,
         "work": one.work,
         "spread": one.spread,
         "retries": one.retries,
