--- a/bench/scale/rules.py
+++ b/bench/scale/rules.py
@@ -63,7 +63,7 @@
     return [
         *rules.without_endpoint(records, managed, told),
         *rules.drained_workers(records, managed, told),
-        *rules.channel_queue(records, managed),
+        *rules.channel_queue(records),
     ]
 
 
--- a/dunlinlug/audit/__init__.py
+++ b/dunlinlug/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The verdict on a day, from the stand-ins' records alone."""
+"""Judges a scenario by the records of its processes alone."""
--- /dev/null
+++ b/dunlinlug/audit/channel_rules.py
@@ -0,0 +1,141 @@
+"""The rules of the channel: entries queued, entries a second, and messages to one proxy."""
+
+from collections import defaultdict, deque
+from collections.abc import Iterator
+from dataclasses import dataclass
+from math import inf
+
+from dunlinlug.audit.records import RecordLine, Records
+from dunlinlug.audit.violations import Violation, connected_intervals, interval_at
+from dunlinlug.config.manager_config import ChannelConfig
+
+# Seconds of the channel's rate that may arrive together: it catches up, and readers are slow.
+BURST_ALLOWANCE = 0.4
+# Seconds after a proxy reads again in which late messages are still those of before.
+UNREAD_GRACE = 1.0
+
+
+@dataclass(frozen=True)
+class ArrivedUpdate:
+    """A table update that reached a proxy, by what its tag says.
+
+    Attributes:
+        line: The record line of its arrival.
+        ordered_at: When the manager ordered it, in seconds.
+        entries: Table entries.
+        messages: Messages that it consisted of.
+    """
+
+    line: RecordLine
+    ordered_at: float
+    entries: float
+    messages: int
+
+    @property
+    def arrived_at(self) -> float:
+        """Seconds."""
+        at: float = self.line["at"]
+        return at
+
+    @property
+    def proxy(self) -> str:
+        """The proxy that it reached."""
+        name: str = self.line["proxy"]
+        return name
+
+
+def channel_queue(records: Records) -> Iterator[Violation]:
+    """More was queued, arrived at once or was sent to one proxy than the channel allows.
+
+    What was ordered and had not arrived counts as queued.
+    """
+    channel_config = records.config.section(ChannelConfig)
+    updates = _arrived_updates(records)
+    yield from _queue_violations(updates, channel_config.waiting_most)
+    yield from _rate_violations(updates, channel_config.lines_per_s)
+    if channel_config.messages_most:
+        yield from _message_violations(records, updates, channel_config)
+
+
+def _arrived_updates(records: Records) -> list[ArrivedUpdate]:
+    """The updates that reached proxies that were reading."""
+    unread_intervals = records.intervals(
+        "obeyed",
+        "proxy",
+        lambda line: bool(line["do"] == "deaf"),
+        lambda line: bool(line["do"] == "hear"),
+    )
+    updates = []
+    for line in records.lines_of("applied"):
+        if not line["tag"]:
+            continue
+        ordered_at, entries, messages = line["tag"].split()
+        update = ArrivedUpdate(line, float(ordered_at), float(entries), int(messages))
+        was_unread = any(
+            interval.begin <= update.arrived_at and update.ordered_at <= interval.end + UNREAD_GRACE
+            for interval in unread_intervals.get(update.proxy, ())
+        )
+        if not was_unread:
+            updates.append(update)
+    return updates
+
+
+def _queue_violations(updates: list[ArrivedUpdate], max_queued: int) -> Iterator[Violation]:
+    changes = [(update.ordered_at, update.entries) for update in updates]
+    changes += [(update.arrived_at, -update.entries) for update in updates]
+    queued = 0.0
+    for at, entries in sorted(changes):
+        queued += entries
+        if queued > max_queued and entries > 0:
+            yield Violation(
+                "queue", at, "", "", f"{queued:.0f} lines waited, {max_queued} allowed", ()
+            )
+
+
+def _rate_violations(
+    updates: list[ArrivedUpdate], entries_per_second: float
+) -> Iterator[Violation]:
+    """A bucket that empties at the channel's rate and holds a burst and the largest update."""
+    largest = max((update.entries for update in updates), default=0.0)
+    backlog = 0.0
+    last_at = -inf
+    for update in updates:
+        drained = entries_per_second * (update.arrived_at - last_at)
+        backlog = max(0.0, backlog - drained) + update.entries
+        last_at = update.arrived_at
+        if backlog > BURST_ALLOWANCE * entries_per_second + largest:
+            yield Violation(
+                "queue",
+                update.arrived_at,
+                update.proxy,
+                "",
+                f"{backlog:.0f} lines came at once "
+                f"beyond the pace of {entries_per_second:g} a second",
+                (update.line["where"],),
+            )
+
+
+def _message_violations(
+    records: Records, updates: list[ArrivedUpdate], channel_config: ChannelConfig
+) -> Iterator[Violation]:
+    streams = connected_intervals(records)
+    ordered_times = defaultdict[str, deque[float]](deque)
+    for update in updates:
+        stream = interval_at(streams[update.proxy], update.arrived_at)
+        window_start = update.ordered_at - channel_config.messages_span
+        recent = ordered_times[update.proxy]
+        recent.extend([update.ordered_at] * update.messages)
+        while recent and (
+            recent[0] <= window_start or (stream is not None and recent[0] < stream.begin)
+        ):
+            recent.popleft()
+        if len(recent) > channel_config.messages_most:
+            yield Violation(
+                "queue",
+                update.arrived_at,
+                update.proxy,
+                "",
+                f"{len(recent)} messages within {channel_config.messages_span:g} s, "
+                f"{channel_config.messages_most} allowed",
+                (update.line["where"],),
+            )
--- a/dunlinlug/audit/failure_verdicts.py
+++ b/dunlinlug/audit/failure_verdicts.py
@@ -1,21 +1,21 @@
-"""What managers believed of each other, from their own logs, beside what was done to them, from the
-day's record.
-"""
+"""What managers took each other for, by their logs, beside the faults that were injected."""
 
 import json
 from collections.abc import Iterator
 from dataclasses import dataclass
 from datetime import datetime
 from pathlib import Path
-from typing import Any
 
-# seconds in which a fault may still tell, after its end: a suspicion and the way of a verdict
+from dunlinlug.audit.records import RecordLine
+
+# Seconds after its end for which a fault still explains a verdict: a suspicion's timeout, and the
+# way of the verdict to the others.
 DETECTION_GRACE = 3.0
 
 
 @dataclass(frozen=True)
 class FailureVerdict:
-    """At `at` seconds of the day, `by` had `of` as `state`, and why."""
+    """At `at` seconds of the scenario, `reporter` had `subject` in a state, for a reason."""
 
     at: float
     reporter: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class InjectedFault:
-    """A fault from `begin` to `end`: of a process (`down`), or on the words between these."""
+    """A fault from `begin` to `end` seconds: a process that was down, or links between members."""
 
     begin: float
     end: float
@@ -34,12 +34,12 @@
     process_down: bool
 
     def explains(self, at: float, reporter: str, subject: str) -> bool:
-        return self.begin <= at <= self.end + DETECTION_GRACE and bool(
-            self.members & {reporter, subject}
-        )
+        """Whether the fault can be why `reporter` took `subject` for failed at that time."""
+        is_in_time = self.begin <= at <= self.end + DETECTION_GRACE
+        return is_in_time and bool(self.members & {reporter, subject})
 
 
-def _read_lines(path: Path) -> Iterator[dict[str, Any]]:
+def _read_lines(path: Path) -> Iterator[RecordLine]:
     for line in path.read_text(encoding="utf-8").splitlines():
         try:
             yield json.loads(line)
@@ -48,64 +48,76 @@
 
 
 def read_verdicts(folder: Path) -> tuple[list[FailureVerdict], list[InjectedFault]]:
-    """Of a day that was played into this folder."""
+    """The verdicts in time order, and the faults, of a scenario that was played into a folder."""
     record = list(_read_lines(folder / "day.jsonl"))
     begin_line = next(line for line in record if line["e"] == "begin")
-    verdicts = []
+    verdicts = list[FailureVerdict]()
     for path in sorted(folder.glob("manager-*.log")):
         reporter = path.stem.removeprefix("manager-")
-        for line in _read_lines(path):
-            if line.get("event") == "membership.member_changed":
-                logged_at = datetime.fromisoformat(line["timestamp"]).timestamp()
-                verdicts.append(
-                    FailureVerdict(
-                        logged_at - begin_line["wall"],
-                        reporter,
-                        line["member"],
-                        line["now"],
-                        line["why"],
-                    )
-                )
-    return sorted(verdicts, key=lambda verdict: verdict.at), list(
-        _injected_faults(record, begin_line["at"])
-    )
-
-
-def _injected_faults(record: list[dict[str, Any]], started_at: float) -> Iterator[InjectedFault]:
-    down_since = dict[str, float]()
-    blocked_since = dict[str, tuple[float, frozenset[str]]]()
-    for line in record:
-        at = line["at"] - started_at
-        if line["e"] == "member" and line["do"] in ("kill", "stall"):
-            down_since[line["member"]] = at
-        elif (
-            line["e"] == "member"
-            and line["do"] in ("start", "go on")
-            and line["member"] in down_since
-        ):
-            yield InjectedFault(
-                down_since.pop(line["member"]), at, frozenset({line["member"]}), True
+        verdicts += _read_log(path, reporter, begin_line["wall"])
+    verdicts.sort(key=lambda verdict: verdict.at)
+    return verdicts, list(_injected_faults(record, begin_line["at"]))
+
+
+def _read_log(path: Path, reporter: str, began_at: float) -> Iterator[FailureVerdict]:
+    """The verdicts in a manager's log; `began_at` in seconds on the wall clock."""
+    for line in _read_lines(path):
+        if line.get("event") == "membership.member_changed":
+            logged_at = datetime.fromisoformat(line["timestamp"]).timestamp()
+            yield FailureVerdict(
+                logged_at - began_at, reporter, line["member"], line["now"], line["why"]
             )
-        elif line["e"] == "step" and line["target"] == "members" and line["do"] in ("cut", "heal"):
-            pair_key = json.dumps(line["pairs"])
-            if line["do"] == "cut":
-                pair_members = [frozenset(pair) for pair in line["pairs"]]
-                common_members = frozenset.intersection(
-                    *pair_members
-                )  # who is cut off, where it is one; else all
-                blocked_since[pair_key] = (at, common_members or frozenset.union(*pair_members))
-            elif pair_key in blocked_since:
-                yield InjectedFault(
-                    blocked_since[pair_key][0], at, blocked_since.pop(pair_key)[1], False
-                )
-    for member, at in down_since.items():
-        yield InjectedFault(at, record[-1]["at"] - started_at, frozenset({member}), True)
+
+
+def _injected_faults(record: list[RecordLine], began_at: float) -> Iterator[InjectedFault]:
+    process_lines = [line for line in record if line["e"] == "member"]
+    link_lines = [line for line in record if line["e"] == "step" and line["target"] == "members"]
+    faults = [
+        *_process_faults(process_lines, began_at, record[-1]["at"] - began_at),
+        *_link_faults(link_lines, began_at),
+    ]
+    yield from faults
+
+
+def _process_faults(
+    lines: list[RecordLine], began_at: float, end: float
+) -> Iterator[InjectedFault]:
+    """Members that were killed or stopped, until they ran again or the scenario ended."""
+    down_since = dict[str, float]()
+    for line in lines:
+        at = line["at"] - began_at
+        member = line["member"]
+        if line["do"] in ("kill", "stall"):
+            down_since[member] = at
+        elif line["do"] in ("start", "go on") and member in down_since:
+            yield InjectedFault(down_since.pop(member), at, frozenset({member}), True)
+    for member, since in down_since.items():
+        yield InjectedFault(since, end, frozenset({member}), True)
+
+
+def _link_faults(lines: list[RecordLine], began_at: float) -> Iterator[InjectedFault]:
+    """Links that were cut and healed again; of those that were not, nothing is said."""
+    cut_at = dict[str, float]()
+    for line in lines:
+        at = line["at"] - began_at
+        pairs = json.dumps(line.get("pairs"))
+        if line["do"] == "cut":
+            cut_at[pairs] = at
+        elif line["do"] == "heal" and pairs in cut_at:
+            yield InjectedFault(cut_at.pop(pairs), at, _cut_members(line["pairs"]), False)
+
+
+def _cut_members(pairs: list[list[str]]) -> frozenset[str]:
+    """The member that is cut off, where it is one; otherwise all that the pairs name."""
+    pair_members = [frozenset(pair) for pair in pairs]
+    common_members = frozenset.intersection(*pair_members)
+    return common_members or frozenset.union(*pair_members)
 
 
 def false_verdicts(
     verdicts: list[FailureVerdict], faults: list[InjectedFault]
 ) -> list[FailureVerdict]:
-    """Verdicts on members whose process ran and whom nothing kept from the one who says so."""
+    """Verdicts of failure on members that ran and that the reporter could reach."""
     return [
         verdict
         for verdict in verdicts
@@ -123,11 +135,11 @@
     members: frozenset[str],
     timeout: float,
 ) -> list[str]:
-    """Members down for longer than `within`, and who of the others did not say so in that time."""
+    """Members that were down for longer than `timeout` seconds, unnoticed by which others."""
     missed = []
-    for fault in (
-        fault for fault in faults if fault.process_down and fault.end - fault.begin > timeout
-    ):
+    for fault in faults:
+        if not fault.process_down or fault.end - fault.begin <= timeout:
+            continue
         [member] = fault.members
         partitioned = {
             name
@@ -143,7 +155,8 @@
             and fault.begin <= verdict.at <= fault.begin + timeout
         }
         missed += [
-            f"{name} did not see within {timeout:g} s that {member} was down from {fault.begin:.1f} s"
+            f"{name} did not see within {timeout:g} s "
+            f"that {member} was down from {fault.begin:.1f} s"
             for name in sorted(members - reporters - partitioned - {member})
         ]
     return missed
--- a/dunlinlug/audit/figures.py
+++ b/dunlinlug/audit/figures.py
@@ -1,75 +1,97 @@
-"""What a day served, and how fast news travelled, from the stand-ins' records."""
+"""What a scenario served, and how fast list updates reached the proxies."""
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from dunlinlug.audit.records import EndpointHistory, ManagerLifetimes, RecordLine, Records
-from dunlinlug.config import manager_config as manager_terms
+from dunlinlug.config.manager_config import TrafficClassConfig
 
-WORST_WINDOW = 10.0  # seconds of the worst stretch
+WORST_WINDOW = 10.0  # seconds
+# Seconds from a list update within which an order is taken for an answer to it.
+REACTION_TIME = 1.0
+MIN_OFFERED = 1e-9  # priority weight; in place of zero as a divisor
+
+
+class LatencyPercentiles(NamedTuple):
+    """Latencies of a traffic class in seconds."""
+
+    p50: float
+    p99: float
+
+
+class PropagationTimes(NamedTuple):
+    """Seconds from a list update to the last acknowledgement of what was ordered on it."""
+
+    median: float
+    longest: float
 
 
 @dataclass(frozen=True)
 class Summary:
-    """Revenue within the SLA time over revenue asked: whole, in the worst stretch, and by product;
-    outcomes by count; seconds from news of the list to the last answer for it (median, longest);
-    most lines waiting.
+    """The figures of a scenario.
+
+    Attributes:
+        served_fraction: Priority weight of the requests answered within the latency objective (a
+            part of it for late ones) over that of all requests.
+        worst_window_fraction: The same in the worst `WORST_WINDOW` seconds.
+        by_traffic_class: The same by traffic class.
+        outcomes: Requests by outcome.
+        latencies: By traffic class.
+        propagation_times: Of list updates.
+        max_queued_entries: Most table entries that were ordered and had not arrived.
+        message_count: Messages that arrived at proxies.
     """
 
     served_fraction: float
     worst_window_fraction: float
     by_traffic_class: dict[str, float]
     outcomes: dict[str, int]
-    latencies: dict[str, tuple[float, float]]
-    propagation_times: tuple[float, float]
+    latencies: dict[str, LatencyPercentiles]
+    propagation_times: PropagationTimes
     max_queued_entries: float
     message_count: int
 
 
 def summarize(records: Records) -> Summary:
-    traffic_classes = records.config.sections(manager_terms.TrafficClassConfig)
+    """Compute the figures of a scenario."""
+    traffic_classes = records.config.sections(TrafficClassConfig)
     requests = records.lines_of("txn")
     offered: dict[str, float] = defaultdict(float)
     earned: dict[str, float] = defaultdict(float)
     for line in requests:
         offered[line["product"]] += traffic_classes[line["product"]].revenue
         earned[line["product"]] += _earned_weight(line, traffic_classes)
-    by_traffic_class = {
-        name: earned[name] / offered[name] for name in traffic_classes if offered[name]
-    }
-    propagation_times = _propagation_times(records)
-    queued_entries = _max_queued_entries(records)
     return Summary(
-        served_fraction=sum(earned.values()) / max(sum(offered.values()), 1e-9),
+        served_fraction=sum(earned.values()) / max(sum(offered.values()), MIN_OFFERED),
         worst_window_fraction=_worst_window(requests, traffic_classes),
-        by_traffic_class=by_traffic_class,
+        by_traffic_class={
+            name: earned[name] / offered[name] for name in traffic_classes if offered[name]
+        },
         outcomes=dict(Counter(line["outcome"] for line in requests)),
         latencies={
-            line["product"]: (line["p50"], line["p99"]) for line in records.lines_of("times")
+            line["product"]: LatencyPercentiles(line["p50"], line["p99"])
+            for line in records.lines_of("times")
         },
-        propagation_times=(
-            propagation_times[len(propagation_times) // 2] if propagation_times else 0.0,
-            propagation_times[-1] if propagation_times else 0.0,
-        ),
-        max_queued_entries=queued_entries,
+        propagation_times=_propagation_times(records),
+        max_queued_entries=_max_queued_entries(records),
         message_count=sum(bool(line["tag"]) for line in records.lines_of("applied")),
     )
 
 
-def _earned_weight(
-    line: RecordLine, traffic_classes: dict[str, manager_terms.TrafficClassConfig]
-) -> float:
+def _earned_weight(line: RecordLine, traffic_classes: dict[str, TrafficClassConfig]) -> float:
     traffic_class = traffic_classes[line["product"]]
-    return {
-        "settled": traffic_class.revenue,
-        "late": traffic_class.revenue * traffic_class.late_share,
-    }.get(line["outcome"], 0.0)
+    if line["outcome"] == "settled":
+        return traffic_class.revenue
+    if line["outcome"] == "late":
+        return traffic_class.revenue * traffic_class.late_share
+    return 0.0
 
 
 def _worst_window(
-    requests: list[RecordLine], traffic_classes: dict[str, manager_terms.TrafficClassConfig]
+    requests: list[RecordLine], traffic_classes: dict[str, TrafficClassConfig]
 ) -> float:
-    """The least part served within any WORST seconds, by when txns came, in steps of a second."""
+    """The least fraction served in any window, by when requests came, in steps of a second."""
     offered: dict[int, float] = defaultdict(float)
     earned: dict[int, float] = defaultdict(float)
     for line in requests:
@@ -83,42 +105,45 @@
     fractions = []
     for begin in range(first, max(first, last - int(WORST_WINDOW)) + 1):
         window = range(begin, begin + int(WORST_WINDOW))
-        total = sum(offered[window_second] for window_second in window)
-        fractions.append(
-            sum(earned[window_second] for window_second in window) / total if total else 1.0
-        )
+        total = sum(offered[second] for second in window)
+        fractions.append(sum(earned[second] for second in window) / total if total else 1.0)
     return min(fractions)
 
 
-def _propagation_times(records: Records) -> list[float]:
-    """For each list that told the manager of a change: seconds to the last set ordered on it within
-    a second.
-    """
+def _propagation_times(records: Records) -> PropagationTimes:
+    """Times of the list updates that the manager has answered with an order; zeros if none."""
     history = EndpointHistory(records, ManagerLifetimes(records))
-    durations = []
-    updates = [
+    ordered_and_applied_at = [
         (float(line["tag"].split()[0]), line["at"])
         for line in records.lines_of("applied")
         if line["tag"]
     ]
+    durations = []
     for previous, line in zip(history.lines, history.lines[1:], strict=False):
-        if previous["states"] != line["states"]:
-            applied_at = [
-                at for ordered, at in updates if line["at"] <= ordered <= line["at"] + 1.0
-            ]
-            if applied_at:
-                durations.append(max(applied_at) - line["at"])
-    return sorted(durations)
+        if previous["states"] == line["states"]:
+            continue
+        applied_at = [
+            at
+            for ordered_at, at in ordered_and_applied_at
+            if line["at"] <= ordered_at <= line["at"] + REACTION_TIME
+        ]
+        if applied_at:
+            durations.append(max(applied_at) - line["at"])
+    if not durations:
+        return PropagationTimes(0.0, 0.0)
+    durations.sort()
+    return PropagationTimes(durations[len(durations) // 2], durations[-1])
 
 
 def _max_queued_entries(records: Records) -> float:
     changes = []
     for line in records.lines_of("applied"):
         if line["tag"]:
-            ordered, lines, _ = (float(field) for field in line["tag"].split())
-            changes += [(ordered, lines), (line["at"], -lines)]
-    max_queued = queued = 0.0
-    for _, lines in sorted(changes):
-        queued += lines
+            ordered_at, entries, _ = (float(field) for field in line["tag"].split())
+            changes += [(ordered_at, entries), (line["at"], -entries)]
+    queued = 0.0
+    max_queued = 0.0
+    for _, entries in sorted(changes):
+        queued += entries
         max_queued = max(max_queued, queued)
     return max_queued
--- a/dunlinlug/audit/report.py
+++ b/dunlinlug/audit/report.py
@@ -1,82 +1,103 @@
-"""A verdict as text for people."""
+"""The verdict on a scenario as text for people."""
 
 from pathlib import Path
 
-from dunlinlug.audit import failure_verdicts as audit_failure_verdicts
-from dunlinlug.audit import figures, records, rules
+from dunlinlug.audit import failure_verdicts, figures, records, rules
 from dunlinlug.fleet.ownership import history
-from dunlinlug.scenarios import schema
+from dunlinlug.scenarios.schema import FleetConfig, ProxiesConfig, ScenarioConfig
 
 
 def report(folder: Path) -> tuple[str, bool]:
-    """The text, and whether every rule was kept. Raises RecordFault."""
+    """The text, and whether every rule was kept. Raises RecordError."""
     scenario_records = records.read_records(folder)
-    begin = (
-        scenario_records.lines_of("begin")[0]["at"] + scenario_records.lines_of("begin")[0]["lead"]
-    )
     violations = rules.find_violations(scenario_records)
-    summary = figures.summarize(scenario_records)
-    config = scenario_records.config
     lines = [
-        f"{config.section(schema.ScenarioConfig).name}: {config.section(schema.ScenarioConfig).length:g} s, {config.section(schema.FleetConfig).workers} workers, "
-        f"{config.section(schema.ProxiesConfig).count} proxies; stand-ins on loopback"
+        _headline(scenario_records),
+        *_violation_lines(scenario_records, violations),
+        *_summary_lines(figures.summarize(scenario_records)),
     ]
-    lines += [
-        f"BROKEN {violation.rule} at {violation.at - begin:.2f} s proxy {violation.proxy or '-'} worker {violation.worker or '-'}: {violation.description} "
-        f"[{', '.join(violation.evidence) or 'sums over all proxies'}]"
+    if any(folder.glob("manager-*.log")):
+        lines += _membership_lines(folder)
+        lines += _ownership_lines(folder)
+    return "\n".join(lines), not violations
+
+
+def _headline(scenario_records: records.Records) -> str:
+    config = scenario_records.config
+    scenario = config.section(ScenarioConfig)
+    return (
+        f"{scenario.name}: {scenario.length:g} s, {config.section(FleetConfig).workers} workers, "
+        f"{config.section(ProxiesConfig).count} proxies; stand-ins on loopback"
+    )
+
+
+def _violation_lines(
+    scenario_records: records.Records, violations: list[rules.Violation]
+) -> list[str]:
+    begin_line = scenario_records.lines_of("begin")[0]
+    load_began_at = begin_line["at"] + begin_line["lead"]
+    lines = [
+        f"BROKEN {violation.rule} at {violation.at - load_began_at:.2f} s "
+        f"proxy {violation.proxy or '-'} worker {violation.worker or '-'}: "
+        f"{violation.description} [{', '.join(violation.evidence) or 'sums over all proxies'}]"
         for violation in violations
     ]
     lines.append(
         "rules: broken, the day counts for nothing" if violations else "rules: all five kept"
     )
-    lines.append(
-        f"served within the SLA time: {summary.served_fraction:.3f} of revenue, worst 10 s {summary.worst_window_fraction:.3f}, "
-        + ", ".join(f"{name} {fraction:.3f}" for name, fraction in summary.by_traffic_class.items())
-    )
-    lines.append(
-        "txns: " + ", ".join(f"{count} {name}" for name, count in sorted(summary.outcomes.items()))
+    return lines
+
+
+def _summary_lines(summary: figures.Summary) -> list[str]:
+    served_by_class = ", ".join(
+        f"{name} {fraction:.3f}" for name, fraction in summary.by_traffic_class.items()
     )
-    lines += [
-        f"{name}: p50 {p50:.3f} s, p99 {p99:.3f} s"
-        for name, (p50, p99) in summary.latencies.items()
+    outcomes = ", ".join(f"{count} {name}" for name, count in sorted(summary.outcomes.items()))
+    return [
+        f"served within the SLA time: {summary.served_fraction:.3f} of revenue, "
+        f"worst 10 s {summary.worst_window_fraction:.3f}, {served_by_class}",
+        f"txns: {outcomes}",
+        *(
+            f"{name}: p50 {latency.p50:.3f} s, p99 {latency.p99:.3f} s"
+            for name, latency in summary.latencies.items()
+        ),
+        f"roster news to last answer: median {summary.propagation_times.median:.2f} s, "
+        f"longest {summary.propagation_times.longest:.2f} s; "
+        f"lines waiting at most {summary.max_queued_entries:.0f}; "
+        f"messages {summary.message_count}",
     ]
-    lines.append(
-        f"roster news to last answer: median {summary.propagation_times[0]:.2f} s, longest {summary.propagation_times[1]:.2f} s; "
-        f"lines waiting at most {summary.max_queued_entries:.0f}; messages {summary.message_count}"
-    )
-    if any(folder.glob("manager-*.log")):
-        lines += _manager_report(folder)
-    return "\n".join(lines), not violations
 
 
-def _manager_report(folder: Path) -> list[str]:
-    """What managers said of each other beside what was done to them."""
-    verdicts, faults = audit_failure_verdicts.read_verdicts(folder)
-    failure_verdicts = [verdict for verdict in verdicts if verdict.state == "failed"]
-    false_verdicts = audit_failure_verdicts.false_verdicts(verdicts, faults)
+def _membership_lines(folder: Path) -> list[str]:
+    """What managers took each other for, beside the faults that were injected."""
+    verdicts, faults = failure_verdicts.read_verdicts(folder)
+    failures = [verdict for verdict in verdicts if verdict.state == "failed"]
+    false_verdicts = failure_verdicts.false_verdicts(verdicts, faults)
     down = sum(fault.process_down for fault in faults)
     return [
         f"managers: {down} times down, {len(faults) - down} cuts; "
-        f"{len(failure_verdicts)} verdicts, {len(false_verdicts)} of them false",
+        f"{len(failures)} verdicts, {len(false_verdicts)} of them false",
         *(
-            f"FALSE at {verdict.at:.2f} s: {verdict.reporter} says that {verdict.subject} failed: {verdict.reason}"
+            f"FALSE at {verdict.at:.2f} s: {verdict.reporter} says that "
+            f"{verdict.subject} failed: {verdict.reason}"
             for verdict in false_verdicts
         ),
-        *_owner_report(folder),
     ]
 
 
-def _owner_report(folder: Path) -> list[str]:
-    """What owners of fleet-wide work did, by its carriers."""
+def _ownership_lines(folder: Path) -> list[str]:
+    """What owners of the fleet's tasks did; nothing if no task was carried out."""
     observations = history.read_logs(folder)
-    violations = history.find_violations(observations)
     if not observations:
         return []
+    violations = history.find_violations(observations)
+    done = sum(observation.done for observation in observations)
     return [
-        f"owners: {sum(observation.done for observation in observations)} effects done, {sum(not observation.done for observation in observations)} refused; "
+        f"owners: {done} effects done, {len(observations) - done} refused; "
         f"{len(violations)} out of order",
         *(
-            f"OUT OF ORDER at {violation.after.executor}: {violation.description}: {violation.before}, then {violation.after}"
+            f"OUT OF ORDER at {violation.after.executor}: {violation.description}: "
+            f"{violation.before}, then {violation.after}"
             for violation in violations
         ),
     ]
--- a/dunlinlug/audit/rules.py
+++ b/dunlinlug/audit/rules.py
@@ -1,35 +1,45 @@
-"""The five rules, each judged from what stand-ins saw."""
+"""The rules that a manager must keep, each judged by what the stand-ins saw.
 
-from collections import Counter, defaultdict, deque
+The names of the rules are those of the reports: bare (a proxy without an available endpoint), twice
+(a repeated effect), drain (requests to a draining endpoint), pushed (an overloaded warming
+endpoint), queue (the channel's limits), and master (two leaders at once).
+"""
+
+from collections import Counter, defaultdict
 from collections.abc import Iterator
-from dataclasses import dataclass
 from math import inf
+from typing import NamedTuple
 
+from dunlinlug.audit.channel_rules import channel_queue
 from dunlinlug.audit.records import EndpointHistory, Interval, ManagerLifetimes, RecordLine, Records
-from dunlinlug.config import manager_config as manager_terms
-
-# seconds that a record may lag what it tells of: a busy machine's scheduling
-RECORDING_DELAY = 0.15
-# seconds of pace that may arrive together: the channel's own catching up, and slow readers
-BURST_ALLOWANCE = 0.4
-
-
-@dataclass(frozen=True)
-class Violation:
-    """A broken rule: what was seen, and the record lines that show it."""
-
-    rule: str
-    at: float
-    proxy: str
-    worker: str
-    description: str
-    evidence: tuple[str, ...]
+from dunlinlug.audit.violations import (
+    RECORDING_DELAY,
+    Violation,
+    connected_intervals,
+    interval_at,
+)
+from dunlinlug.config.manager_config import SafetyConfig, TrafficClassConfig
+
+__all__ = [
+    "Violation",
+    "channel_queue",
+    "conflicting_leaders",
+    "drained_workers",
+    "find_violations",
+    "overloaded_workers",
+    "repeated_effects",
+    "without_endpoint",
+]
+
+MAX_REPORTED = 3  # violations of a rule for each proxy, so that one cause fits on a page
+# Fraction of the work of an overloaded endpoint that must come from proxies that knew of its start.
+INFORMED_FRACTION = 2 / 3
+# Seconds before an endpoint overloads within which its start must lie for that to count.
+RECENT_START = 60.0
 
 
 def find_violations(records: Records) -> list[Violation]:
-    """Every break, in time order, at most a few for each rule and proxy so that one cause is one
-    page.
-    """
+    """All violations in time order, at most a few for each rule and proxy."""
     lifetimes = ManagerLifetimes(records)
     history = EndpointHistory(records, lifetimes)
     violations = [
@@ -37,94 +47,81 @@
         *repeated_effects(records),
         *drained_workers(records, lifetimes, history),
         *overloaded_workers(records, lifetimes, history),
-        *channel_queue(records, lifetimes),
+        *channel_queue(records),
         *conflicting_leaders(records),
     ]
     counts: Counter[tuple[str, str]] = Counter()
     reported = []
     for violation in sorted(violations, key=lambda violation: violation.at):
         counts[violation.rule, violation.proxy] += 1
-        if counts[violation.rule, violation.proxy] <= 3:
+        if counts[violation.rule, violation.proxy] <= MAX_REPORTED:
             reported.append(violation)
     return reported
 
 
-def connected_intervals(records: Records) -> dict[str, list[Interval]]:
-    """By proxy, when a stream to the manager stood and the proxy read it: one told to read nothing
-    has no duty kept towards it.
-    """
-    intervals_by_proxy: dict[str, list[Interval]] = defaultdict(list)
-    lines = [(line, True) for line in records.lines_of("joined")] + [
-        (line, False) for line in records.lines_of("left")
-    ]
-    lines += [
-        (line, line["do"] == "hear")
-        for line in records.lines_of("obeyed")
-        if line["do"] in ("deaf", "hear")
-    ]
-    for line, connected in sorted(lines, key=lambda entry: float(entry[0]["at"])):
-        intervals = intervals_by_proxy[line["proxy"]]
-        running = bool(intervals) and intervals[-1].end == inf
-        if connected and not running:
-            intervals.append(Interval(line["at"]))
-        elif not connected and running:
-            intervals[-1].end = line["at"]
-    return intervals_by_proxy
-
-
-def _interval_at(intervals: list[Interval], at: float) -> Interval | None:
-    return next((interval for interval in intervals if interval.begin <= at < interval.end), None)
-
-
 def without_endpoint(
     records: Records, lifetimes: ManagerLifetimes, history: EndpointHistory
 ) -> Iterator[Violation]:
-    """A joined proxy had no line for a product for longer than allowed, while a warm ready worker
-    was listed.
+    """A connected proxy had no endpoint for a traffic class for longer than allowed.
+
+    It counts only while a warm, ready endpoint was listed.
     """
-    safety_config = records.config.section(manager_terms.SafetyConfig)
     streams = connected_intervals(records)
-    end = records.lines_of("end")[0]["at"] if records.lines_of("end") else inf
-    began_by_key: dict[tuple[str, str], RecordLine] = {}
-    for line in [
-        *records.lines_of("bare"),
-        *(
-            {"at": end, "on": False, **dict(zip(("proxy", "product"), open_key, strict=True))}
-            for open_key in _open_without_endpoint(records)
-        ),
-    ]:
+    for gap in _gaps(records):
+        for stream in streams[gap.first_line["proxy"]]:
+            begin = max(gap.first_line["at"], stream.begin)
+            end = min(gap.end, stream.end)
+            yield from _judge_gap(records, lifetimes, history, gap.first_line, Interval(begin, end))
+
+
+class _Gap(NamedTuple):
+    """A time without an endpoint: the line that it began with, and its end in seconds."""
+
+    first_line: RecordLine
+    end: float
+
+
+def _gaps(records: Records) -> Iterator[_Gap]:
+    """The times in which a proxy had no endpoint for a traffic class, also those still open."""
+    first_lines: dict[tuple[str, str], RecordLine] = {}
+    for line in records.lines_of("bare"):
         key = (line["proxy"], line["product"])
         if line["on"]:
-            began_by_key.setdefault(key, line)
-            continue
-        first = began_by_key.pop(key, None)
-        if first is None:
-            continue
-        for stream in streams[line["proxy"]]:
-            begin = max(first["at"], stream.begin)
-            stop = min(line["at"], stream.end)
-            due = lifetimes.due_time(begin, safety_config.bare)
-            if stop > due + RECORDING_DELAY and _had_warm_worker(
-                history, begin, due, safety_config.warm_after
-            ):
-                yield Violation(
-                    "bare",
-                    due,
-                    line["proxy"],
-                    "",
-                    f"no line for {line['product']} for "
-                    f"{stop - begin:.2f} s, {safety_config.bare:g} s allowed",
-                    (first["where"],),
-                )
-
-
-def _open_without_endpoint(records: Records) -> list[tuple[str, str]]:
-    last = {(line["proxy"], line["product"]): line["on"] for line in records.lines_of("bare")}
-    return [key for key, on in last.items() if on]
+            first_lines.setdefault(key, line)
+        elif key in first_lines:
+            yield _Gap(first_lines.pop(key), line["at"])
+    end_lines = records.lines_of("end")
+    end = end_lines[0]["at"] if end_lines else inf
+    for first_line in first_lines.values():
+        yield _Gap(first_line, end)
+
+
+def _judge_gap(
+    records: Records,
+    lifetimes: ManagerLifetimes,
+    history: EndpointHistory,
+    line: RecordLine,
+    gap: Interval,
+) -> Iterator[Violation]:
+    """Judge a gap that began with a line, as far as the proxy was connected."""
+    safety_config = records.config.section(SafetyConfig)
+    due = lifetimes.due_time(gap.begin, safety_config.bare)
+    if gap.end <= due + RECORDING_DELAY:
+        return
+    if _had_warm_worker(history, gap.begin, due, safety_config.warm_after):
+        yield Violation(
+            "bare",
+            due,
+            line["proxy"],
+            "",
+            f"no line for {line['product']} for {gap.end - gap.begin:.2f} s, "
+            f"{safety_config.bare:g} s allowed",
+            (line["where"],),
+        )
 
 
 def _had_warm_worker(history: EndpointHistory, begin: float, end: float, warm_after: float) -> bool:
-    """Whether the list showed a warm ready worker all that time, looked at at both ends."""
+    """Whether a warm, ready endpoint was listed both at the begin and at the end."""
     for at in (begin, end):
         line = history.list_at(at)
         if line is None or not any(
@@ -136,10 +133,11 @@
 
 
 def repeated_effects(records: Records) -> Iterator[Violation]:
-    """A txn that may not run again took effect twice within one call of its client: a proxy's
-    further try.
+    """A request that may not run again took effect twice within one call of its client.
+
+    A repeat by the client itself is not the proxy's doing.
     """
-    traffic_classes = records.config.sections(manager_terms.TrafficClassConfig)
+    traffic_classes = records.config.sections(TrafficClassConfig)
     effects: dict[tuple[str, int], list[RecordLine]] = defaultdict(list)
     for line in records.lines_of("effect"):
         if traffic_classes[line["product"]].repeats != "idempotent":
@@ -164,8 +162,9 @@
 
 
 def conflicting_leaders(records: Records) -> Iterator[Violation]:
-    """A proxy obeyed a manager of a lower term than before, or two managers of one term: no rule of
-    the five, but what keeps them with several managers.
+    """A proxy obeyed a leader of a lower term than before, or two leaders of one term.
+
+    This is not one of the five rules of a single manager, but what holds them among several.
     """
     last_leaders: dict[str, tuple[int, str]] = {}
     for line in records.lines_of("applied"):
@@ -173,7 +172,7 @@
         if line["refused"] or not term:
             continue
         previous = last_leaders.setdefault(line["proxy"], (term, member))
-        if term < previous[0] or term == previous[0] and member != previous[1]:
+        if term < previous[0] or (term == previous[0] and member != previous[1]):
             yield Violation(
                 "master",
                 line["at"],
@@ -188,15 +187,16 @@
 def drained_workers(
     records: Records, lifetimes: ManagerLifetimes, history: EndpointHistory
 ) -> Iterator[Violation]:
-    """A joined proxy sent to a worker past the grace after the manager was told that it drains or
-    is gone.
+    """A connected proxy sent to an endpoint too long after the manager knew that it drains.
+
+    An endpoint that is gone counts as draining.
     """
-    safety_config = records.config.section(manager_terms.SafetyConfig)
+    safety_config = records.config.section(SafetyConfig)
     streams = connected_intervals(records)
     unavailable = history.unavailable_intervals()
     for line in records.lines_of("try"):
-        stream = _interval_at(streams[line["proxy"]], line["at"])
-        interval = _interval_at(unavailable.get(line["worker"], []), line["at"])
+        stream = interval_at(streams[line["proxy"]], line["at"])
+        interval = interval_at(unavailable.get(line["worker"], []), line["at"])
         if stream is None or interval is None or lifetimes.lifetime_at(line["at"]) is None:
             continue
         due = lifetimes.due_time(max(stream.begin, interval.begin), safety_config.drain_grace)
@@ -206,8 +206,8 @@
                 line["at"],
                 line["proxy"],
                 line["worker"],
-                f"sent {line['at'] - interval.begin:.2f} s after the manager was told, {safety_config.drain_grace:g} s "
-                "of grace",
+                f"sent {line['at'] - interval.begin:.2f} s after the manager was told, "
+                f"{safety_config.drain_grace:g} s of grace",
                 (line["where"],),
             )
 
@@ -215,38 +215,49 @@
 def overloaded_workers(
     records: Records, lifetimes: ManagerLifetimes, history: EndpointHistory
 ) -> Iterator[Violation]:
-    """A cold worker fell over, and two thirds of its work came from proxies that knew of its start,
-    or whose manager had known of it for the grace.
+    """A warming endpoint overloaded by work of proxies that knew of its start.
+
+    Two thirds of the work must come from proxies that had an update ordered after the start, or
+    whose manager had known of it for the grace period.
     """
-    safety_config = records.config.section(manager_terms.SafetyConfig)
-    streams = connected_intervals(records)
     for line in records.lines_of("fell"):
         announced_at = _start_announced_at(history, line)
         informed_work = 0.0
-        for age, work, proxy in line["brought"] if announced_at is not None else ():
-            at = line["at"] - age
-            stream = _interval_at(streams[proxy], at)
-            if stream is not None and announced_at is not None:
-                late = at > lifetimes.due_time(
-                    max(announced_at, stream.begin), safety_config.drain_grace
-                )
-                informed_work += (
-                    work if late or _received_since(records, proxy, announced_at, at) else 0.0
-                )
+        if announced_at is not None:
+            informed_work = _informed_work(records, lifetimes, line, announced_at)
         total_work = sum(work for _, work, _ in line["brought"])
-        if informed_work >= 2 / 3 * total_work:
+        if informed_work >= INFORMED_FRACTION * total_work:
             yield Violation(
                 "pushed",
                 line["at"],
                 ",".join(sorted({proxy for _, _, proxy in line["brought"]})),
                 line["worker"],
-                f"fell over cold; {informed_work / total_work:.0%} of its work from proxies that knew",
+                f"fell over cold; {informed_work / total_work:.0%} of its work "
+                "from proxies that knew",
                 (line["where"],),
             )
 
 
+def _informed_work(
+    records: Records, lifetimes: ManagerLifetimes, failure: RecordLine, announced_at: float
+) -> float:
+    """The work (seconds of a core) that proxies brought although they knew of the start."""
+    drain_grace = records.config.section(SafetyConfig).drain_grace
+    streams = connected_intervals(records)
+    informed_work = 0.0
+    for age, work, proxy in failure["brought"]:
+        at = failure["at"] - age
+        stream = interval_at(streams[proxy], at)
+        if stream is None:
+            continue
+        due = lifetimes.due_time(max(announced_at, stream.begin), drain_grace)
+        if at > due or _received_since(records, proxy, announced_at, at):
+            informed_work += work
+    return informed_work
+
+
 def _received_since(records: Records, proxy: str, announced_at: float, at: float) -> bool:
-    """Whether a message that was ordered after `known` had reached the proxy by `at`."""
+    """Whether an update that was ordered after `announced_at` had reached the proxy by `at`."""
     return any(
         announced_at < float(line["tag"].split()[0])
         for line in records.lines_of("applied")
@@ -255,118 +266,12 @@
 
 
 def _start_announced_at(history: EndpointHistory, failure: RecordLine) -> float | None:
-    """When the manager was first told of the start that this worker fell in."""
+    """When the manager first got a list with the start after which this endpoint overloaded."""
     for line in history.lines:
-        state = line["states"].get(failure["worker"])
-        if (
-            line["at"] <= failure["at"]
-            and state
-            and state[0] == "ready"
-            and state[1]
-            and state[1] > failure["at"] - 60.0
-        ):
+        if line["at"] > failure["at"]:
+            continue
+        state, started_at = line["states"].get(failure["worker"], ("gone", None))
+        if state == "ready" and started_at and started_at > failure["at"] - RECENT_START:
             at: float = line["at"]
             return at
     return None
-
-
-def channel_queue(records: Records, lifetimes: ManagerLifetimes) -> Iterator[Violation]:
-    """More lines waited, more messages came to one proxy, or lines came faster than the channel's
-    settings allow.
-
-    Each set tells when it was ordered and how many lines it is; what was ordered and had not
-    arrived was waiting.
-    """
-    channel_config = records.config.section(manager_terms.ChannelConfig)
-    updates = _arrived_updates(records)
-    changes = sorted(
-        [(ordered, lines) for _, ordered, lines, _, _ in updates]
-        + [(line["at"], -lines) for line, _, lines, _, _ in updates]
-    )
-    queued = 0.0
-    for at, lines in changes:
-        queued += lines
-        if queued > channel_config.waiting_most and lines > 0:
-            yield Violation(
-                "queue",
-                at,
-                "",
-                "",
-                f"{queued:.0f} lines waited, {channel_config.waiting_most} allowed",
-                (),
-            )
-    yield from _rate_violations(updates, channel_config.lines_per_s)
-    yield from _message_violations(records, channel_config)
-
-
-def _arrived_updates(records: Records) -> list[tuple[RecordLine, float, float, int, str]]:
-    """Sets that arrived at proxies that were reading: record line, when ordered, lines, replies,
-    proxy.
-    """
-    unread_intervals = records.intervals(
-        "obeyed",
-        "proxy",
-        lambda obeyed_line: obeyed_line["do"] == "deaf",
-        lambda obeyed_line: obeyed_line["do"] == "hear",
-    )
-    updates = []
-    for line in records.lines_of("applied"):
-        if not line["tag"]:
-            continue
-        ordered, lines, replies = line["tag"].split()
-        was_unread = any(
-            interval.begin <= line["at"] and float(ordered) <= interval.end + 1.0
-            for interval in unread_intervals.get(line["proxy"], ())
-        )
-        if not was_unread:
-            updates.append((line, float(ordered), float(lines), int(replies), line["proxy"]))
-    return updates
-
-
-def _rate_violations(
-    updates: list[tuple[RecordLine, float, float, int, str]], entries_per_second: float
-) -> Iterator[Violation]:
-    backlog = 0.0
-    last_at = -inf
-    largest = max((lines for _, _, lines, _, _ in updates), default=0.0)
-    for line, _, lines, _, proxy in updates:
-        backlog = max(0.0, backlog - entries_per_second * (line["at"] - last_at)) + lines
-        last_at = line["at"]
-        if backlog > BURST_ALLOWANCE * entries_per_second + largest:
-            yield Violation(
-                "queue",
-                line["at"],
-                proxy,
-                "",
-                f"{backlog:.0f} lines came at once beyond the pace of {entries_per_second:g} a second",
-                (line["where"],),
-            )
-
-
-def _message_violations(
-    records: Records, channel_config: manager_terms.ChannelConfig
-) -> Iterator[Violation]:
-    if not channel_config.messages_most:
-        return
-    streams = connected_intervals(records)
-    ordered_times = defaultdict[str, deque[float]](deque)
-    for line, ordered, _, replies, proxy in _arrived_updates(records):
-        stream = _interval_at(streams[proxy], line["at"])
-        recent = ordered_times[proxy]
-        recent.extend([ordered] * replies)
-        while recent and (
-            recent[0] <= ordered - channel_config.messages_span
-            or stream
-            and recent[0] < stream.begin
-        ):
-            recent.popleft()
-        if len(recent) > channel_config.messages_most:
-            yield Violation(
-                "queue",
-                line["at"],
-                proxy,
-                "",
-                f"{len(recent)} messages within {channel_config.messages_span:g} s, "
-                f"{channel_config.messages_most} allowed",
-                (line["where"],),
-            )
