--- a/dunlinlug/scenarios/__init__.py
+++ b/dunlinlug/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""A day: parts as processes, troubles on a timeline, records and a verdict."""
+"""Scenarios: a fleet of stand-ins and managers on loopback, with faults injected by a timeline."""
--- /dev/null
+++ b/dunlinlug/scenarios/commands.py
@@ -0,0 +1,15 @@
+"""Commands to the processes of a scenario, one JSON object on a line of standard input.
+
+`do` says what is to be done; the other keys are its arguments. They are written to the record of
+the scenario as they are.
+
+    workers    slow, silent, voiding, answers_lost: worker, size; well, down, back: worker
+    proxies    break, restart, deaf, hear: proxies; cut: proxies, zone
+    roster     state: workers, state, started; fault: fault; double: on; index
+    members    cut, heal: pairs; loss, late, double: size
+    manager    kill, stall, slow: size; halt: size, lasts; start, go on, pace
+"""
+
+from typing import Any
+
+Command = dict[str, Any]
--- a/dunlinlug/scenarios/faults.py
+++ b/dunlinlug/scenarios/faults.py
@@ -1,29 +1,35 @@
-"""Troubles to steps on a timeline: who is told what, when. Plain data in and out, drawn from one
-seed.
+"""Faults to steps of a timeline: which process gets which command, and when.
+
+Plain data in and out; all that is random comes from one seed.
 """
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
 from random import Random
-from typing import Any
 
 from dunlinlug.config.units import Fraction, Seconds
+from dunlinlug.scenarios.commands import Command
 from dunlinlug.scenarios.schema import FaultSpec, RandomFaultsConfig
 
 
 @dataclass(frozen=True, order=True)
 class TimelineStep:
-    """At `at` seconds of the day, `target` (workers, proxies, roster, manager) is told `command`."""
+    """A command to a target (as in `commands`) at `at` seconds of the scenario."""
 
     at: float
     target: str
-    command: dict[str, Any] = field(compare=False)
+    command: Command = field(compare=False)
 
 
 @dataclass(frozen=True)
 class FaultTargets:
-    """Whom troubles can strike: zones by worker and by proxy; `notice` is how late the roster sees
-    a death.
+    """What faults can be injected into.
+
+    Attributes:
+        workers: The zone of each endpoint, by its id.
+        proxies: The zone of each proxy, by its name.
+        detection_delay: Seconds until service discovery sees that an endpoint has died.
+        members: The names of the managers among others.
     """
 
     workers: Mapping[str, str]
@@ -33,9 +39,11 @@
 
 
 def draw_faults(config: RandomFaultsConfig, length: float, rng: Random) -> list[FaultSpec]:
-    """Troubles in overlap, but for those of processes: one is struck at a time, so that it is known
-    which. Weather (words lost, late, doubled) is one value for all, so the same kind does not
-    overlap itself either.
+    """Random faults over the length of a scenario (seconds).
+
+    They overlap, but for those of managers, of which one is faulted at a time, so that it is known
+    which; and the same kind does not overlap itself, as the conditions of links are one value for
+    all.
     """
     begins_at = 0.0
     free_from = dict[str, float]()
@@ -62,7 +70,7 @@
 
 
 class FaultTimeline:
-    """Makes the steps of each trouble; the same seed and cast give the same steps."""
+    """Makes the steps of each fault; the same seed and targets give the same steps."""
 
     def __init__(self, targets: FaultTargets, rng: Random) -> None:
         self.targets = targets
@@ -85,6 +93,7 @@
         }
 
     def steps(self, faults: Sequence[FaultSpec]) -> list[TimelineStep]:
+        """The steps of all faults in time order."""
         steps = [step for fault in faults for step in self._steps_for(fault)]
         return sorted(steps, key=lambda step: step.at)
 
@@ -106,18 +115,20 @@
         )
 
     def _worker_fault(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """slow, silent, voiding, answers_lost: on, and off again."""
+        """Slow, silent, failing (voiding) or losing answers, and well again after `lasts`."""
         action = fault.kind
-        severity = min(fault.size, 1.0) if fault.kind != "slow" else fault.size
+        severity = fault.size if action == "slow" else min(fault.size, 1.0)
         for worker in self._draw_targets(self.targets.workers, fault):
             yield TimelineStep(
                 fault.at, "workers", {"do": action, "worker": worker, "size": severity}
             )
-            recovery = {"do": "slow", "size": 1.0} if action == "slow" else {"do": "well"}
-            yield TimelineStep(fault.at + fault.lasts, "workers", {**recovery, "worker": worker})
+            recovery: Command = {"do": "well", "worker": worker}
+            if action == "slow":
+                recovery = {"do": "slow", "size": 1.0, "worker": worker}
+            yield TimelineStep(fault.at + fault.lasts, "workers", recovery)
 
     def flapping(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """Voiding on and off, `every` seconds each."""
+        """Failing and well by turns, `every` seconds each."""
         for worker in self._draw_targets(self.targets.workers, fault):
             failing = True
             for index in range(max(2, round(fault.lasts / fault.every))):
@@ -138,7 +149,7 @@
         )
 
     def drain(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """Drained for `lasts` seconds, then gone for good."""
+        """Endpoints drain for `lasts` seconds, then are gone for good."""
         workers = self._draw_targets(self.targets.workers, fault)
         yield self._discovery_state(fault.at, "draining", workers)
         yield self._discovery_state(fault.at + fault.lasts, "gone", workers)
@@ -146,8 +157,9 @@
             yield TimelineStep(fault.at + fault.lasts, "workers", {"do": "down", "worker": worker})
 
     def deploy(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """Batch by batch: drained `size` seconds, down for one, back cold; a batch each `every`
-        seconds.
+        """A rolling restart, a batch each `every` seconds.
+
+        Endpoints drain for `size` seconds, are down for one, and come back warming up.
         """
         workers = self._draw_targets(self.targets.workers, fault)
         batches = max(1, round(fault.lasts / fault.every))
@@ -169,14 +181,14 @@
         yield self._discovery_state(back_at + 0.05, "ready", workers, started=True)
 
     def readdress(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """Restarted at the same address within a moment, without a drain."""
+        """Endpoints restart at the same address within a moment, without a drain."""
         workers = self._draw_targets(self.targets.workers, fault)
         yield from self._restart_workers(
             fault.at, fault.at + 0.3, workers, self.targets.detection_delay
         )
 
     def zone_loss(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """Every worker of a zone dies unseen, and comes back cold."""
+        """Every endpoint of a zone dies unnoticed, and comes back warming up."""
         zone = fault.zone or self.rng.choice(sorted(set(self.targets.workers.values())))
         workers = [
             worker for worker, worker_zone in self.targets.workers.items() if worker_zone == zone
@@ -195,6 +207,7 @@
         )
 
     def reconnect(self, fault: FaultSpec) -> Iterator[TimelineStep]:
+        """Proxies lose their stream and connect again."""
         yield TimelineStep(
             fault.at,
             "proxies",
@@ -202,6 +215,7 @@
         )
 
     def proxy_restart(self, fault: FaultSpec) -> Iterator[TimelineStep]:
+        """Proxies lose their stream and all that they have been sent."""
         yield TimelineStep(
             fault.at,
             "proxies",
@@ -209,13 +223,16 @@
         )
 
     def deaf(self, fault: FaultSpec) -> Iterator[TimelineStep]:
+        """Proxies keep their stream but do not read from it."""
         proxies = self._draw_targets(self.targets.proxies, fault)
         yield TimelineStep(fault.at, "proxies", {"do": "deaf", "proxies": proxies})
         yield TimelineStep(fault.at + fault.lasts, "proxies", {"do": "hear", "proxies": proxies})
 
     def _manager_fault(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """manager_kill and manager_stall: there again after `lasts`; manager_slow: stopped for
-        `part` of the time, in many short stops; channel_slow: `size` times slower.
+        """A manager is killed or stopped for `lasts`, or slow, or its channel is.
+
+        A slow manager is stopped for `part` of the time, in many short stops; a slow channel is
+        `size` times slower.
         """
         if fault.kind == "manager_slow":
             yield TimelineStep(
@@ -231,13 +248,13 @@
         yield TimelineStep(fault.at + fault.lasts, "manager", {"do": recovery})
 
     def _discovery_fault(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """roster_stale, roster_gone and roster_cut_short, for `lasts`."""
+        """Service discovery is out of date, gone, or breaks off its answers, for `lasts`."""
         yield TimelineStep(
             fault.at, "roster", {"do": "fault", "fault": fault.kind.removeprefix("roster_")}
         )
         yield TimelineStep(fault.at + fault.lasts, "roster", {"do": "fault", "fault": ""})
 
-    # Between managers, by directed pair.
+    # Links between managers, by directed pair.
 
     def _block_pairs(
         self, fault: FaultSpec, pairs: list[tuple[str, str]]
@@ -246,7 +263,7 @@
         yield TimelineStep(fault.at + fault.lasts, "members", {"do": "heal", "pairs": pairs})
 
     def members_cut(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """A side of `part` of the managers and the others reach each other no more."""
+        """A partition: `part` of the managers and the others do not reach each other."""
         members = self.targets.members
         isolated_side = self.rng.sample(
             members, min(max(1, round(fault.part * len(members))), len(members) - 1)
@@ -263,22 +280,23 @@
         )
 
     def members_mute(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """One manager hears all and is heard by none."""
+        """One manager receives from all and reaches none."""
         muted = self.rng.choice(self.targets.members)
         return self._block_pairs(
             fault, [(muted, other) for other in self.targets.members if other != muted]
         )
 
     def members_deaf(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """One is heard by all and hears none."""
+        """One manager reaches all and receives from none."""
         isolated = self.rng.choice(self.targets.members)
         return self._block_pairs(
             fault, [(other, isolated) for other in self.targets.members if other != isolated]
         )
 
     def _link_fault(self, fault: FaultSpec) -> Iterator[TimelineStep]:
-        """members_loss, members_late, members_double: `part` of what managers send, or `size`
-        seconds, for `lasts`.
+        """Links between managers lose, delay or duplicate, for `lasts`.
+
+        `part` of what is sent is lost or sent twice; delays are of up to `size` seconds.
         """
         action = fault.kind.removeprefix("members_")
         yield TimelineStep(
@@ -289,8 +307,10 @@
         yield TimelineStep(fault.at + fault.lasts, "members", {"do": action, "size": 0.0})
 
     def roster_back(self, fault: FaultSpec) -> Iterator[TimelineStep]:
+        """The index of service discovery goes back, as after it was restored from a copy."""
         yield TimelineStep(fault.at, "roster", {"do": "index"})
 
     def roster_double(self, fault: FaultSpec) -> Iterator[TimelineStep]:
+        """One endpoint has a second, older entry for `lasts`."""
         yield TimelineStep(fault.at, "roster", {"do": "double", "on": True})
         yield TimelineStep(fault.at + fault.lasts, "roster", {"do": "double", "on": False})
--- a/dunlinlug/scenarios/relay.py
+++ b/dunlinlug/scenarios/relay.py
@@ -1,14 +1,12 @@
-"""Between managers: each word goes through a door of the day's, which loses, delays, doubles and
-cuts by directed pair.
+"""Relays between managers, which lose, delay, duplicate and cut by directed pair.
 
-`Weather` says what becomes of a word and is free of I/O; `Relays` moves bytes. A cut connection is
-a black hole: it stays open and nothing comes, as with a router that drops.
+`LinkConditions` says what becomes of a message and is free of I/O; `LinkRelays` moves bytes. A cut
+connection stays open and nothing arrives, as with a router that drops.
 """
 
 import socket
 from collections.abc import Mapping
 from random import Random
-from typing import Any
 
 import msgspec
 import trio
@@ -16,14 +14,19 @@
 from dunlinlug.fleet.election.transport import ELECTION_PREFACE, OWNERSHIP_PREFACE
 from dunlinlug.fleet.membership import codec
 from dunlinlug.fleet.membership.messages import Message
+from dunlinlug.scenarios.commands import Command
 
-BUFFER_SIZE = 2**16
+BUFFER_SIZE = 2**16  # bytes
+FIRST_BYTES_TIMEOUT = 5.0  # seconds
+CUT_POLL_INTERVAL = 0.02  # seconds between looks at whether a cut has healed
+PREFACES = (ELECTION_PREFACE, OWNERSHIP_PREFACE)
 Address = tuple[str, int]
 
 
 class LinkConditions:
-    """By directed pair of names. Chances and delays are the same for all pairs, cuts are each
-    pair's own.
+    """What becomes of a message from one manager to another.
+
+    Rates and delays are the same for all pairs of names, cuts are each pair's own.
     """
 
     def __init__(self, rng: Random) -> None:
@@ -32,12 +35,11 @@
         self.loss_rate = 0.0
         self.max_delay = 0.0
         self.duplication_rate = 0.0
-        self.lost_count = self.forwarded_count = 0
+        self.lost_count = 0
+        self.forwarded_count = 0
 
-    def execute(self, command: Mapping[str, Any]) -> None:
-        """{do: cut | heal, pairs: [[from, to], ...]} or {do: loss | late | double, size: part or
-        seconds}.
-        """
+    def execute(self, command: Command) -> None:
+        """Cut or heal pairs, or set the rate of losses or duplicates or the longest delay."""
         match command["do"]:
             case "cut":
                 self.blocked_pairs |= {(sender, receiver) for sender, receiver in command["pairs"]}
@@ -51,34 +53,40 @@
                 self.duplication_rate = command["size"]
 
     def datagram_delays(self, sender: str, receiver: str) -> list[float]:
-        """Seconds after which each copy goes on; none if it is lost. Unequal delays change the
-        order.
+        """Seconds after which each copy of a datagram is sent on; none if it is lost.
+
+        Unequal delays change the order of datagrams.
         """
-        delays = []
-        for _ in range(1 + (self.rng.random() < self.duplication_rate)):
-            if (sender, receiver) not in self.blocked_pairs and self.rng.random() >= self.loss_rate:
-                delays.append(self.rng.uniform(0.0, self.max_delay))
+        copy_count = 2 if self.rng.random() < self.duplication_rate else 1
+        delays = [
+            self.rng.uniform(0.0, self.max_delay)
+            for _ in range(copy_count)
+            if not self._is_lost(sender, receiver)
+        ]
         self.forwarded_count += len(delays)
-        self.lost_count += not delays
+        if not delays:
+            self.lost_count += 1
         return delays
 
+    def _is_lost(self, sender: str, receiver: str) -> bool:
+        if (sender, receiver) in self.blocked_pairs:
+            return True
+        return self.rng.random() < self.loss_rate
+
     def stream_delay(self, sender: str, receiver: str) -> float | None:
-        """The same for what a connection carries, which is late and never lost; None while it is
-        cut.
-        """
-        return (
-            None
-            if (sender, receiver) in self.blocked_pairs
-            else self.rng.uniform(0.0, self.max_delay)
-        )
+        """Seconds after which bytes of a connection are sent on; None while it is cut."""
+        if (sender, receiver) in self.blocked_pairs:
+            return None
+        return self.rng.uniform(0.0, self.max_delay)
 
 
 class LinkRelays:
-    """`real` is where each member's sockets are bound, by name."""
+    """Passes on what is sent to the address by which other members know a member."""
 
     def __init__(
         self, link_conditions: LinkConditions, member_addresses: Mapping[str, Address]
     ) -> None:
+        """Relay to `member_addresses`: where each member's sockets are really bound, by name."""
         self.link_conditions = link_conditions
         self.member_addresses = dict(member_addresses)
         self.member_names = {address: name for name, address in self.member_addresses.items()}
@@ -89,8 +97,10 @@
         proxy_port: Address,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """What is sent to this door goes to the member; who sent it is known by the place that a
-        datagram came from, and on a stream by what a frame says of itself or a call begins with.
+        """Pass on to a member what comes to an address, for ever.
+
+        The sender of a datagram is known by the address that it came from, that of a stream by its
+        first bytes.
         """
         listeners = await trio.open_tcp_listeners(proxy_port[1], host=proxy_port[0])
         with trio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagram_socket:
@@ -106,10 +116,9 @@
                     try:
                         data, source = await datagram_socket.recvfrom(BUFFER_SIZE)
                     except ConnectionRefusedError:
-                        continue  # a datagram before met a closed socket
-                    for delay in self.link_conditions.datagram_delays(
-                        self.member_names.get(source[:2], ""), member
-                    ):
+                        continue  # an earlier datagram was sent to a closed socket
+                    sender = self.member_names.get(source[:2], "")
+                    for delay in self.link_conditions.datagram_delays(sender, member):
                         nursery.start_soon(
                             self._forward_datagram,
                             delay,
@@ -129,36 +138,29 @@
             return
 
     async def _forward_stream(self, member: str, stream: trio.SocketStream) -> None:
-        data = b""
         try:
-            with trio.move_on_after(5.0):
-                while len(data) <= codec.MAX_FRAME_BYTES and (
-                    chunk := await stream.receive_some(BUFFER_SIZE)
-                ):
-                    data += chunk
-                    if (
-                        data[:1] in (ELECTION_PREFACE, OWNERSHIP_PREFACE)
-                        and len(data) > 1
-                        and len(data) >= 2 + data[1]
-                    ):
-                        break
-            if data[:1] in (ELECTION_PREFACE, OWNERSHIP_PREFACE):
-                await self._forward_connection(data[2 : 2 + data[1]].decode(), member, stream, data)
-                return
-            sender = msgspec.msgpack.decode(
-                data[codec.LENGTH.size + codec.MIN_DATAGRAM_BYTES :], type=Message
-            ).sender.name
-            delay = self.link_conditions.stream_delay(sender, member)
-            if delay is None:
-                return
-            await trio.sleep(delay)
-            async with await trio.open_tcp_stream(*self.member_addresses[member]) as target:
-                await target.send_all(data)
+            first_bytes = await _receive_first_bytes(stream)
+            if first_bytes[:1] in PREFACES:
+                sender = first_bytes[2 : 2 + first_bytes[1]].decode()
+                await self._forward_connection(sender, member, stream, first_bytes)
+            else:
+                await self._forward_frame(member, first_bytes)
         except (OSError, trio.BrokenResourceError, msgspec.DecodeError):
             return
         finally:
             await trio.aclose_forcefully(stream)
 
+    async def _forward_frame(self, member: str, frame: bytes) -> None:
+        """Pass on a frame of the membership protocol, which names its sender."""
+        message = frame[codec.LENGTH.size + codec.MIN_DATAGRAM_BYTES :]
+        sender = msgspec.msgpack.decode(message, type=Message).sender.name
+        delay = self.link_conditions.stream_delay(sender, member)
+        if delay is None:
+            return
+        await trio.sleep(delay)
+        async with await trio.open_tcp_stream(*self.member_addresses[member]) as target:
+            await target.send_all(frame)
+
     async def _forward_connection(
         self, sender: str, receiver: str, stream: trio.SocketStream, first_bytes: bytes
     ) -> None:
@@ -183,11 +185,30 @@
         scope: trio.CancelScope,
     ) -> None:
         try:
-            while data := await source.receive_some(BUFFER_SIZE):
-                while (delay := self.link_conditions.stream_delay(sender, receiver)) is None:
-                    await trio.sleep(0.02)
+            async for data in source:
+                delay = self.link_conditions.stream_delay(sender, receiver)
+                while delay is None:
+                    await trio.sleep(CUT_POLL_INTERVAL)
+                    delay = self.link_conditions.stream_delay(sender, receiver)
                 await trio.sleep(delay)
                 await target.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         scope.cancel()
+
+
+async def _receive_first_bytes(stream: trio.SocketStream) -> bytes:
+    """What tells of the sender: a whole frame, or a preface with the sender's name."""
+    data = b""
+    with trio.move_on_after(FIRST_BYTES_TIMEOUT):
+        while len(data) <= codec.MAX_FRAME_BYTES and not _has_complete_preface(data):
+            chunk = await stream.receive_some(BUFFER_SIZE)
+            if not chunk:
+                break
+            data += chunk
+    return data
+
+
+def _has_complete_preface(data: bytes) -> bool:
+    """Whether the bytes begin with a preface, the length of a name, and that name."""
+    return data[:1] in PREFACES and len(data) > 1 and len(data) >= 2 + data[1]
--- a/dunlinlug/scenarios/runner.py
+++ b/dunlinlug/scenarios/runner.py
@@ -1,12 +1,7 @@
-"""Plays a day: starts every part as its own process, walks the timeline, ends all of it within its
-time.
-"""
+"""Plays a scenario: starts every process, walks the timeline of faults, and ends all in time."""
 
 import json
-import os
-import secrets
 import signal
-import socket
 import sys
 import time
 from collections.abc import AsyncIterator, Sequence
@@ -18,146 +13,60 @@
 
 import trio
 
-from dunlinlug.config import manager_config as manager_terms
-from dunlinlug.config import units
-from dunlinlug.config.reader import ConfigFile
-from dunlinlug.errors import DunlinlugError
+from dunlinlug.config import manager_config, units
 from dunlinlug.scenarios import schema
+from dunlinlug.scenarios.addresses import AddressAllocator
+from dunlinlug.scenarios.commands import Command
+from dunlinlug.scenarios.errors import ScenarioError
 from dunlinlug.scenarios.faults import FaultTargets, FaultTimeline, TimelineStep, draw_faults
+from dunlinlug.scenarios.process import STARTUP_TIMEOUT, ScenarioProcess
 from dunlinlug.scenarios.records import RecordWriter
 from dunlinlug.scenarios.relay import LinkConditions, LinkRelays
+from dunlinlug.scenarios.run_file import write_run_file
 
-PORT_RANGE = range(
-    12000, 30000
-)  # on a loopback address of the day's own, so that a port that is down stays ours
-# seconds to start up, and to end before being killed
-STARTUP_TIMEOUT = 20.0
-SHUTDOWN_TIMEOUT = 4.0
-# seconds from one stop of a slow process to the next: as a scheduler shares a full machine out
+__all__ = [
+    "MANAGER_COMMAND",
+    "AddressAllocator",
+    "ScenarioError",
+    "ScenarioProcess",
+    "ScenarioRunner",
+]
+
+# Seconds from one stop of a slow process to the next, as a scheduler shares out a full machine.
 SLOW_CYCLE = 0.1
 MANAGER_COMMAND = (sys.executable, "-m", "dunlinlug", "manager")
 
 
-class ScenarioError(DunlinlugError):
-    """The day could not be played; says which part and why."""
-
-
-class AddressAllocator:
-    """Free addresses, none twice. Danger: on 127.0.0.1 another day's, or an outgoing port, could
-    take a place that is down for a moment; so a day has a loopback address of its own.
-    """
-
-    def __init__(self) -> None:
-        self.rng = Random(f"{os.getpid()} {time.time_ns()}")
-        self.host = ".".join(["127", *(str(self.rng.randint(1, 254)) for _ in range(3))])
-        self.free_ports = iter(self.rng.sample(PORT_RANGE, len(PORT_RANGE)))
-
-    def allocate(self) -> str:
-        for port in self.free_ports:
-            with socket.socket() as probe:
-                try:
-                    probe.bind((self.host, port))
-                except OSError:
-                    continue
-            return f"{self.host}:{port}"
-        raise ScenarioError("no free port")
-
-
-def write_run_file(
-    day_file: Path, run_file: Path, folder: Path, addresses: AddressAllocator
-) -> ConfigFile:
-    """Give every part its address and write the run file that all stand-ins read."""
-    config = schema.read_scenario(day_file)
-    fleet_config = config.section(schema.FleetConfig)
-    proxies_config = config.section(schema.ProxiesConfig)
-    load_config = config.section(schema.LoadConfig)
-    rng = Random(config.section(schema.ScenarioConfig).seed)
-    sections: dict[str, dict[str, str]] = {
-        "manager": {"listen": addresses.allocate(), "store": str(folder / "store"), "log": "json"},
-        "roster": {"address": addresses.allocate()},
-    }
-    for index in range(fleet_config.workers):
-        cores, _, speed = fleet_config.kinds[index % len(fleet_config.kinds)].partition("x")
-        weight = float(cores) * float(speed) * rng.uniform(0.9, 1.1) / 2.0
-        sections[f"worker {addresses.allocate()}"] = {
-            "zone": fleet_config.zones[index % len(fleet_config.zones)],
-            "cores": cores,
-            "speed": speed,
-            "weight": f"{weight:.2f}",
-        }
-    rates = [rng.lognormvariate(0.0, 0.5) for _ in range(proxies_config.count)]
-    for index, rate in enumerate(rates):
-        sections[f"proxy p{index}"] = {
-            "zone": fleet_config.zones[index % len(fleet_config.zones)],
-            "address": addresses.allocate(),
-            "group": str(index % proxies_config.processes),
-            "rate": f"{rate / sum(rates) * load_config.requests_per_second:.3f}",
-        }
-    has_membership = bool(config.section(manager_terms.MembershipConfig).me)
-    for name in config.sections(manager_terms.MemberConfig):
-        sections[f"member {name}"] = {
-            "serves": addresses.allocate(),
-            "knows" if has_membership else "peers": addresses.allocate(),
-        }
-    if config.sections(manager_terms.MemberConfig):
-        key_file = folder / "key"
-        key_file.write_text(secrets.token_hex(32))
-        key_file.chmod(0o600)
-        sections["succession"] = {"key_file": str(key_file)}
-        if has_membership:
-            sections["members"] = {"key_file": str(key_file)}
-    schema.copy_sections(day_file, sections, None, run_file)
-    return schema.read_scenario(run_file)
-
-
-class ScenarioProcess:
-    """One process of the day."""
-
-    def __init__(self, name: str, process: trio.Process) -> None:
-        self.name = name
-        self.process = process
-
-    async def send_command(self, command: dict[str, Any]) -> None:
-        assert self.process.stdin is not None
-        await self.process.stdin.send_all(json.dumps(command).encode() + b"\n")
-
-    async def wait_ready(self) -> None:
-        assert self.process.stdout is not None
-        with trio.move_on_after(STARTUP_TIMEOUT):
-            if b"ready" in await self.process.stdout.receive_some():
-                return
-        raise ScenarioError(f"{self.name} did not start")
-
-    async def stop(self) -> None:
-        """Ask, then insist; leaves no process."""
-        with trio.CancelScope(shield=True):
-            if self.process.stdin is not None:
-                await self.process.stdin.aclose()
-            if self.process.returncode is None:
-                self.process.send_signal(signal.SIGCONT)
-            with trio.move_on_after(SHUTDOWN_TIMEOUT):
-                if self.name == "manager" and self.process.returncode is None:
-                    self.process.terminate()
-                await self.process.wait()
-            if self.process.returncode is None:
-                self.process.kill()
-                await self.process.wait()
-
-
 class ScenarioRunner:
-    """One day in one folder."""
+    """Plays one scenario in one folder, once.
+
+    Attributes:
+        folder: Where run file, stores, logs and records go.
+        config: The run file.
+        members: Names of the managers; one empty name for a manager that runs alone.
+        managers: Processes of the managers, by name.
+        processes: Processes of the stand-ins, by name.
+    """
 
     def __init__(
         self, day_file: Path, folder: Path, manager: Sequence[str] = MANAGER_COMMAND
     ) -> None:
+        """Prepare the scenario of a file; `manager` is the command that starts a manager.
+
+        Raises:
+            ConfigError: The file cannot be used.
+            ScenarioError: There are not enough free addresses.
+        """
         self.folder = folder
         self.manager_command = manager
         folder.mkdir(parents=True, exist_ok=True)
         self.run_file = folder / "run.ini"
         self.addresses = AddressAllocator()
         self.config = write_run_file(day_file, self.run_file, folder, self.addresses)
-        self.manager_sections = frozenset({*manager_terms.SECTIONS, *manager_terms.NAMED_SECTIONS})
-        self.members = list(self.config.sections(manager_terms.MemberConfig)) or [""]
+        self.manager_sections = frozenset(
+            {*manager_config.SECTIONS, *manager_config.NAMED_SECTIONS}
+        )
+        self.members = list(self.config.sections(manager_config.MemberConfig)) or [""]
         self.link_conditions = LinkConditions(
             Random(f"{self.config.section(schema.ScenarioConfig).seed} weather")
         )
@@ -169,31 +78,30 @@
             for name, worker_config in self.config.sections(schema.WorkerConfig).items()
         }
         self.processes: dict[str, ScenarioProcess] = {}
-        self.managers: dict[
-            str, ScenarioProcess
-        ] = {}  # by member; one without a name where it stands alone
-        self.faulted_member = ""  # the member that was master when a trouble struck it
+        self.managers: dict[str, ScenarioProcess] = {}
+        self.faulted_member = ""  # the member that led when a fault of managers began
 
     @property
     def manager(self) -> ScenarioProcess | None:
+        """The first manager; None before it was started."""
         return next(iter(self.managers.values()), None)
 
     def _allocate_proxy_ports(self) -> dict[str, str]:
-        """By member where it listens, behind the relays."""
-        return (
-            {member: self.addresses.allocate() for member in self.members}
-            if self.config.section(manager_terms.MembershipConfig).me
-            else {}
-        )
+        """Where each member listens behind the relays; empty without membership."""
+        if not self.config.section(manager_config.MembershipConfig).me:
+            return {}
+        return {member: self.addresses.allocate() for member in self.members}
 
     def manager_file(self, member: str, suffix: str) -> Path:
-        return self.folder / f"manager{'-' * bool(member)}{member}.{suffix}"
+        """The INI file or log of a manager."""
+        name = f"manager-{member}" if member else "manager"
+        return self.folder / f"{name}.{suffix}"
 
     def _write_manager(self, overrides: dict[str, dict[str, str]]) -> None:
         for member in self.members:
             sections = dict(overrides)
             if member:
-                host, port = self.config.sections(manager_terms.MemberConfig)[member].serves
+                host, port = self.config.sections(manager_config.MemberConfig)[member].serves
                 sections["manager"] = {
                     "listen": f"{host}:{port}",
                     "store": str(self.folder / f"store-{member}"),
@@ -206,7 +114,7 @@
             )
 
     def leader(self) -> str:
-        """The member whose log tells of the highest term; without members the one manager."""
+        """The member whose log tells of the highest term; the manager itself if it runs alone."""
         led_terms = [
             (int(line["term"]), member)
             for member in self.members
@@ -216,7 +124,7 @@
         return max(led_terms, default=(0, self.members[0]))[1]
 
     def log_lines(self, member: str, event: str) -> list[dict[str, Any]]:
-        """Log lines of a manager about an event, so far."""
+        """The log lines of a manager with an event, so far."""
         path = self.manager_file(member, "log")
         lines = path.read_text().splitlines() if path.exists() else []
         return [
@@ -226,6 +134,7 @@
         ]
 
     def timeline(self) -> list[TimelineStep]:
+        """The steps of all faults, those of the file and the random ones, in time order."""
         proxies = {
             name: proxy_config.zone
             for name, proxy_config in self.config.sections(schema.ProxyConfig).items()
@@ -248,11 +157,15 @@
         )
 
     async def run(self) -> None:
-        """The whole day; raises DayFault, and leaves no process either way."""
+        """Play the whole scenario; no process is left, also after an error.
+
+        Raises:
+            ScenarioError: A process did not start or ended early.
+        """
         scenario = self.config.section(schema.ScenarioConfig)
         deadline = max(
             traffic_class.deadline
-            for traffic_class in self.config.sections(manager_terms.TrafficClassConfig).values()
+            for traffic_class in self.config.sections(manager_config.TrafficClassConfig).values()
         )
         total_duration = scenario.lead + scenario.length + deadline + 1.0
         try:
@@ -276,25 +189,22 @@
                     self.nursery.cancel_scope.cancel()
         except trio.TooSlowError:
             raise ScenarioError("the day did not end within its time") from None
-        except ExceptionGroup as group:  # a fault of the day's, out of the nurseries around it
-            scenario_errors: BaseException | None = group.subgroup(ScenarioError)
-            if scenario_errors is None:
+        except ExceptionGroup as group:  # out of the nurseries around the error
+            scenario_error = _find_scenario_error(group)
+            if scenario_error is None:
                 raise
-            while isinstance(scenario_errors, ExceptionGroup):
-                scenario_errors = scenario_errors.exceptions[0]
-            assert scenario_errors is not None
-            raise scenario_errors from None
+            raise scenario_error from None
         finally:
             self.record.close()
 
     @asynccontextmanager
     async def _running_relays(self) -> AsyncIterator[None]:
-        """Every word between managers that know each other goes through a door of ours."""
+        """All that members send each other goes through relays."""
         member_addresses = {
             member: units.parse_address(proxy_port)
             for member, proxy_port in self.proxy_ports.items()
         }
-        members = self.config.sections(manager_terms.MemberConfig)
+        members = self.config.sections(manager_config.MemberConfig)
         relays = LinkRelays(self.link_conditions, member_addresses)
         async with trio.open_nursery() as nursery:
             for relayed_member in self.proxy_ports:
@@ -358,15 +268,20 @@
             str(self.manager_file(member, "ini")),
             "--until-input-closes",
         ]
-        if drift := self.config.section(schema.ScenarioConfig).drift:
-            ahead = self.members.index(member) % 2 == 0
-            command += ["--clock-rate", f"{1 + drift if ahead else 1 - drift:g}"]
+        drift = self.config.section(schema.ScenarioConfig).drift
+        if drift:
+            is_ahead = self.members.index(member) % 2 == 0
+            clock_rate = 1 + drift if is_ahead else 1 - drift
+            command += ["--clock-rate", f"{clock_rate:g}"]
         with self.manager_file(member, "log").open("ab") as log:
             process = await trio.lowlevel.open_process(command, stdin=PIPE, stderr=log)
         self.managers[member] = ScenarioProcess("manager", process)
 
     def _check_processes(self) -> None:
-        """Danger: a part that died unseen would leave records in which nothing is broken."""
+        """Raise ScenarioError if a process has ended.
+
+        Without this, a process that died early would leave records in which no rule is broken.
+        """
         ended = [
             process.name
             for process in [*self.processes.values(), *self.managers.values()]
@@ -396,12 +311,12 @@
         else:
             await self._execute_on_manager(step.command)
 
-    async def _execute_on_manager(self, command: dict[str, Any]) -> None:
+    async def _execute_on_manager(self, command: Command) -> None:
         if command["do"] in ("kill", "stall", "halt"):
             self.faulted_member = self.leader()
         process = self.managers[self.faulted_member or self.members[0]].process
-        # With others to take over a manager's trouble excuses nothing: only one that stands alone
-        # is on record.
+        # Where others take over, the fault of a manager excuses nothing: only that of a manager
+        # that runs alone is recorded as one that the rules take into account.
         is_standalone = len(self.members) == 1 or command["do"] in ("slow", "pace")
         self.record.write(
             "manager" if is_standalone else "member",
@@ -426,7 +341,7 @@
                 )
             case "slow":
                 pace = (
-                    self.config.section(manager_terms.ChannelConfig).lines_per_s / command["size"]
+                    self.config.section(manager_config.ChannelConfig).lines_per_s / command["size"]
                 )
                 self._write_manager({"channel": {"pace": f"{pace:g}/s"}})
                 self._reload_managers()
@@ -438,9 +353,7 @@
     async def _pause_periodically(
         process: trio.Process, paused_fraction: float, duration: float
     ) -> None:
-        """As on a machine that others crowd: it runs in slices, and is stopped for this part of the
-        time.
-        """
+        """Stop a process for a fraction of the time, as on a machine with too many others."""
         try:
             with trio.move_on_after(duration):
                 while process.returncode is None:
@@ -455,3 +368,11 @@
     def _reload_managers(self) -> None:
         for manager_process in self.managers.values():
             manager_process.process.send_signal(signal.SIGHUP)
+
+
+def _find_scenario_error(group: ExceptionGroup[Exception]) -> BaseException | None:
+    """The first ScenarioError of nested groups; None if there is none."""
+    error: BaseException | None = group.subgroup(ScenarioError)
+    while isinstance(error, ExceptionGroup):
+        error = error.exceptions[0]
+    return error
--- a/dunlinlug/scenarios/schema.py
+++ b/dunlinlug/scenarios/schema.py
@@ -1,16 +1,17 @@
-"""What a day's INI holds beside the manager's own sections, and the run file made from it for all
-parts.
+"""The sections of a scenario's INI file beside those of managers, and of the run file made from it.
+
+Field names are the keys of the file unless `ini_key` gives another; `[worker]` and `[proxy]`
+sections stand in run files alone.
 """
 
-import configparser
 from collections.abc import Mapping
 from pathlib import Path
 from typing import Literal, get_args
 
 import attrs
 
-from dunlinlug.config import manager_config as manager_terms
-from dunlinlug.config.reader import ConfigFile, ini_key, load_config
+from dunlinlug.config import manager_config
+from dunlinlug.config.reader import CaseKeepingParser, ConfigFile, ini_key, load_config
 from dunlinlug.config.units import Address, Count, Fraction, NameList, PerSecond, Seconds
 
 FaultKind = Literal[
@@ -47,8 +48,14 @@
 
 @attrs.frozen
 class ScenarioConfig:
-    """[day]: its name and length; `lead` seconds pass before the load begins. Managers' clocks
-    drift by `drift`, one ahead, the next behind.
+    """[day]: the scenario.
+
+    Attributes:
+        name: As it is reported.
+        length: Seconds of load.
+        seed: Of all that is random.
+        lead: Seconds that pass before the load begins.
+        drift: By how much managers' clocks go faster, and every other one slower.
     """
 
     name: str
@@ -60,7 +67,17 @@
 
 @attrs.frozen
 class FleetConfig:
-    """[fleet]: workers, dealt over the zones; `kinds` are CORESxSPEED."""
+    """[fleet]: the endpoints (workers).
+
+    Attributes:
+        zones: They are spread over these in turn.
+        workers: How many there are.
+        kinds: Their machines in turn, each as CORESxSPEED.
+        queue_per_core: Requests that may wait for each core.
+        cold_from: Fraction of its capacity that an endpoint has at its start.
+        cold: Seconds until it has warmed up.
+        notice: Seconds until service discovery sees that one has died.
+    """
 
     zones: NameList
     workers: Count
@@ -73,7 +90,14 @@
 
 @attrs.frozen
 class ProxiesConfig:
-    """[proxies]: how many, in how many processes, and how soon a lost stream is dialled again."""
+    """[proxies]: the proxies.
+
+    Attributes:
+        count: How many there are.
+        processes: Processes that they are spread over.
+        redial: Seconds after which a lost stream is opened again.
+        dial_within: Seconds that a connection may take.
+    """
 
     count: Count
     processes: Count = Count(2)
@@ -83,8 +107,15 @@
 
 @attrs.frozen
 class LoadConfig:
-    """[load]: txns a second over all proxies, seconds of a core each, and what clients do after a
-    failure.
+    """[load]: the requests of clients.
+
+    Attributes:
+        requests_per_second: Over all proxies.
+        work: Mean seconds of a core at speed 1 that a request takes.
+        spread: Standard deviation of the logarithm of that.
+        retries: Further calls of a client after a failure.
+        backoff: Seconds before each.
+        ramp: Seconds in which the load rises from a tenth to the whole.
     """
 
     requests_per_second: PerSecond = attrs.field(metadata=ini_key("txns_per_s"))
@@ -97,14 +128,24 @@
 
 @attrs.frozen
 class MixConfig:
-    """[mix NAME]: a product's part of the txns."""
+    """[mix NAME]: the share of requests that are of a traffic class."""
 
     share: Fraction
 
 
 @attrs.frozen
 class FaultSpec:
-    """[trouble NAME]: what, when, how long, to how much of what it strikes, how badly."""
+    """[trouble NAME]: a fault.
+
+    Attributes:
+        kind: What happens; `faults.FaultTimeline` says how.
+        at: Seconds from the begin of the load.
+        lasts: Seconds.
+        part: Fraction of the endpoints, proxies or managers that are faulted.
+        size: How badly, by the kind.
+        every: Seconds from one batch or change to the next.
+        zone: Only there; anywhere if empty.
+    """
 
     kind: FaultKind
     at: Seconds
@@ -117,9 +158,14 @@
 
 @attrs.frozen
 class RandomFaultsConfig:
-    """[faults]: troubles drawn from the day's seed, in overlap, until `quiet` before its end: of
-    these kinds, one each `every` seconds in the mean, each for `least` to `most`, striking
-    `part`.
+    """[faults]: random faults.
+
+    Attributes:
+        kinds: The kinds to choose from; none without any.
+        every: Mean seconds from one to the next.
+        min_duration, max_duration: Seconds that each lasts.
+        part: Fraction of the endpoints, proxies or managers that are faulted.
+        quiet: Seconds without any at the end.
     """
 
     kinds: NameList = NameList(())
@@ -141,7 +187,7 @@
 
 @attrs.frozen
 class WorkerConfig:
-    """[worker ADDRESS] of a run file."""
+    """[worker ADDRESS]: an endpoint, with its machine and its listed weight."""
 
     zone: str
     cores: Count
@@ -151,7 +197,7 @@
 
 @attrs.frozen
 class ProxyConfig:
-    """[proxy NAME] of a run file."""
+    """[proxy NAME]: a proxy, its process (`group`) and its requests a second (`rate`)."""
 
     zone: str
     address: Address
@@ -165,20 +211,20 @@
     "fleet": FleetConfig,
     "proxies": ProxiesConfig,
     "load": LoadConfig,
-    **manager_terms.SECTIONS,
+    **manager_config.SECTIONS,
 }
 NAMED_SECTION_TYPES = {
     "mix": MixConfig,
     "trouble": FaultSpec,
     "worker": WorkerConfig,
     "proxy": ProxyConfig,
-    **manager_terms.NAMED_SECTIONS,
+    **manager_config.NAMED_SECTIONS,
 }
-OPTIONAL_SECTIONS = manager_terms.OPTIONAL_SECTIONS | {"faults"}
+OPTIONAL_SECTIONS = manager_config.OPTIONAL_SECTIONS | {"faults"}
 
 
 def read_scenario(path: Path) -> ConfigFile:
-    """A day's or a run's file; raises ConfigFault."""
+    """Read a scenario's or a run's file. Raises ConfigError."""
     return load_config(path, SECTION_TYPES, NAMED_SECTION_TYPES, OPTIONAL_SECTIONS)
 
 
@@ -188,11 +234,15 @@
     section_types: frozenset[str] | None,
     target: Path,
 ) -> None:
-    """Write `target` from `source`'s sections (all, or those whose first word is in `only`) with
-    `extra` laid over.
+    """Write an INI file from another.
+
+    Args:
+        source: The file to copy from.
+        overrides: Values by section and key, which are added or replace those of `source`.
+        section_types: First words of the sections to copy; all if None.
+        target: The file to write; a reader sees the whole file or the one before.
     """
-    parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
-    parser.optionxform = str  # type: ignore[assignment,method-assign]
+    parser = CaseKeepingParser(interpolation=None, inline_comment_prefixes=("#", ";"))
     parser.read(source, encoding="utf-8")
     for section in parser.sections():
         if section_types is not None and section.partition(" ")[0] not in section_types:
@@ -205,4 +255,4 @@
     partial_file = target.with_suffix(".part")
     with partial_file.open("w", encoding="utf-8") as file:
         parser.write(file)
-    partial_file.replace(target)  # a reader on a signal sees the whole file or the former one
+    partial_file.replace(target)
