--- a/dunlinlug/standins/__init__.py
+++ b/dunlinlug/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Plain stand-ins for a day on loopback: they obey, serve and record, and judge nothing."""
+"""Stand-ins for the processes around a manager: they serve, follow commands and record."""
--- a/dunlinlug/standins/control.py
+++ b/dunlinlug/standins/control.py
@@ -1,19 +1,24 @@
-"""What every stand-in shares: commands as JSON lines on standard input, and an end at its close."""
+"""What all stand-ins share: commands on standard input, and an end when it closes."""
 
 import json
 import sys
 from collections.abc import Callable, Coroutine
-from typing import Any
 
 import trio
 
+from dunlinlug.scenarios.commands import Command
 from dunlinlug.scenarios.records import RecordWriter
 
-Command = dict[str, Any]
+FLUSH_INTERVAL = 0.5  # seconds; a process that is killed loses no more of its record
 
+Task = Callable[[], Coroutine[object, object, None]]
+CommandHandler = Callable[[Command], Coroutine[object, object, None]]
 
-async def execute_commands(execute: Callable[[Command], Coroutine[Any, Any, None]]) -> None:
-    """Obey each line of standard input, until it closes."""
+__all__ = ["Command", "execute_commands", "run_until_input_closes"]
+
+
+async def execute_commands(execute: CommandHandler) -> None:
+    """Carry out each line of standard input, until it closes."""
     buffer = b""
     async with trio.lowlevel.FdStream(sys.stdin.fileno()) as stream:
         async for data in stream:
@@ -24,14 +29,17 @@
 
 async def run_until_input_closes(
     record: RecordWriter,
-    tasks: list[Callable[[], Coroutine[Any, Any, None]]],
-    execute: Callable[[Command], Coroutine[Any, Any, None]],
+    tasks: list[Task],
+    execute: CommandHandler,
 ) -> None:
-    """Run the tasks, say that we are ready, obey until standard input closes, then end all."""
+    """Run the tasks and carry out commands until standard input closes; then end them.
+
+    That the stand-in is ready is printed once the tasks have been started.
+    """
 
     async def flush_periodically() -> None:
         while True:
-            await trio.sleep(0.5)
+            await trio.sleep(FLUSH_INTERVAL)
             record.file.flush()
 
     try:
--- a/dunlinlug/standins/discovery.py
+++ b/dunlinlug/standins/discovery.py
@@ -1,6 +1,4 @@
-"""Stand-in roster: Consul's health list with blocking queries, and the ways in which a roster
-fails.
-"""
+"""Stand-in for service discovery: Consul's health list with blocking queries, and its faults."""
 
 import time
 from dataclasses import replace
@@ -8,7 +6,7 @@
 
 import trio
 
-from dunlinlug.config import manager_config as manager_terms
+from dunlinlug.config import manager_config
 from dunlinlug.config.reader import ConfigFile
 from dunlinlug.decision.events import Endpoint
 from dunlinlug.discovery import entries
@@ -21,14 +19,21 @@
 
 
 class DiscoveryServer:
-    """`fault` is '', stale, gone or cut_short."""
+    """Serves the list of endpoints.
+
+    Attributes:
+        fault_mode: Empty, `stale` (the list is no longer updated), `gone` (connections are broken)
+            or `cut_short` (answers break off in the middle).
+        index: The version of the list; grows with each change.
+        duplicate_entry: Whether one endpoint has a second, older entry.
+    """
 
     def __init__(self, config: ConfigFile, record: RecordWriter) -> None:
         self.record = record
         self.fault_mode = ""
         self.index = FIRST_INDEX
         self.duplicate_entry = False
-        self.address = config.section(manager_terms.DiscoveryConfig).address
+        self.address = config.section(manager_config.DiscoveryConfig).address
         self.workers = {
             name: Endpoint(name, worker_config.zone, "", 0, "ready", worker_config.weight, None)
             for name, worker_config in config.sections(schema.WorkerConfig).items()
@@ -37,11 +42,13 @@
         self.changed = trio.Event()
 
     async def run(self) -> None:
+        """Serve for ever."""
         await http.serve(
             self.handle, await trio.open_tcp_listeners(self.address[1], host=self.address[0])
         )
 
     async def handle(self, request: http.Request) -> http.Response:
+        """Answer a query; one that names the present index waits for a change."""
         if self.fault_mode == "gone":
             raise http.AbortConnectionError
         requested_index = int(request.query.get("index", "0"))
@@ -54,7 +61,7 @@
         if self.fault_mode == "gone":
             raise http.AbortConnectionError
         body = entries.encode_workers([*self._duplicate_entries(), *self.visible_workers.values()])
-        if self.fault_mode == "cut_short":  # told as long as it was, but broken off: no list at all
+        if self.fault_mode == "cut_short":
             return http.Response(200, {"x-consul-index": str(self.index)}, body[: len(body) // 2])
         if request.headers.get("x-reader", "manager") == "manager":
             self.record.write(
@@ -74,31 +81,26 @@
 
     def _duplicate_entries(self) -> list[Endpoint]:
         """The same address under a second, older entry."""
-        return (
-            [
-                replace(worker, state="draining", started_at=None)
-                for worker in list(self.visible_workers.values())[:1]
-            ]
-            if self.duplicate_entry
-            else []
-        )
+        if not self.duplicate_entry:
+            return []
+        first_workers = list(self.visible_workers.values())[:1]
+        return [replace(worker, state="draining", started_at=None) for worker in first_workers]
 
     async def execute(self, command: Command) -> None:
+        """Change the list, or begin or end a fault."""
         match command["do"]:
             case "state":
                 for name in command["workers"]:
                     worker = replace(self.workers[name], state=command["state"])
-                    self.workers[name] = (
-                        replace(worker, started_at=time.time())
-                        if command.get("started")
-                        else worker
-                    )
+                    if command.get("started"):
+                        worker = replace(worker, started_at=time.time())
+                    self.workers[name] = worker
             case "fault":
                 self.fault_mode = command["fault"]
             case "double":
                 self.duplicate_entry = command["on"]
             case "index":
-                self.index = 1  # a roster restored from an old copy counts from low again
+                self.index = 1  # as after it was restored from an old copy
         if self.fault_mode != "stale":
             self.visible_workers = {
                 name: listed_worker
@@ -111,6 +113,7 @@
 
 
 def main(run_file: Path, record_file: Path) -> None:
+    """Run the stand-in until standard input closes."""
     record = RecordWriter(record_file)
     server = DiscoveryServer(schema.read_scenario(run_file), record)
     trio.run(run_until_input_closes, record, [server.run], server.execute)
--- a/dunlinlug/standins/load_generator.py
+++ b/dunlinlug/standins/load_generator.py
@@ -1,16 +1,19 @@
-"""Stand-in clients: an open-loop load, so that a slow fleet does not slow the load, with retries
-and deadlines.
+"""Stand-in clients: an open-loop load with retries and deadlines.
+
+Requests come at their rate however slow the fleet is; a closed loop would slow down with it.
 """
 
 import base64
+from dataclasses import dataclass
 from itertools import accumulate
 from pathlib import Path
 from random import Random
+from typing import NamedTuple
 
 import trio
 from hdrh.histogram import HdrHistogram
 
-from dunlinlug.config import manager_config as manager_terms
+from dunlinlug.config import manager_config
 from dunlinlug.config.reader import ConfigFile
 from dunlinlug.net import http
 from dunlinlug.scenarios import schema
@@ -18,18 +21,39 @@
 from dunlinlug.standins.control import Command, run_until_input_closes
 from dunlinlug.xds import names
 
-# txns at once: beyond it the machine is the limit, and the txn is recorded as not sent
+# Requests at once; beyond it the machine is the limit, and a request is recorded as not sent.
 MAX_IN_FLIGHT = 4000
+MAX_LATENCY_US = 60_000_000  # microseconds that a histogram can hold
+INITIAL_LOAD_FRACTION = 0.1  # of the rate, at the begin of the ramp
+
+
+class CallResult(NamedTuple):
+    """The outcome of a client's call, and whether it is certain that the request ran nowhere."""
+
+    outcome: str
+    not_executed: bool
+
+
+@dataclass(frozen=True)
+class ClientRequest:
+    """A request of a client: its id, traffic class, work (seconds of a core), and proxy."""
+
+    request_id: str
+    traffic_class: str
+    work: float
+    proxy_client: http.Client
 
 
 class LoadGenerator:
+    """Sends requests to the proxies and records how each ended."""
+
     def __init__(self, config: ConfigFile, record: RecordWriter) -> None:
         self.record = record
         self.load_config = config.section(schema.LoadConfig)
         self.lead_time = config.section(schema.ScenarioConfig).lead
         self.duration = config.section(schema.ScenarioConfig).length
         self.rng = Random(f"{config.section(schema.ScenarioConfig).seed} callers")
-        self.traffic_classes = config.sections(manager_terms.TrafficClassConfig)
+        self.traffic_classes = config.sections(manager_config.TrafficClassConfig)
         mix_configs = config.sections(schema.MixConfig)
         self.traffic_class_names = list(self.traffic_classes)
         self.cumulative_mix = list(
@@ -45,25 +69,21 @@
         self.proxy_clients = [
             http.Client(*proxy_config.address) for proxy_config in proxy_configs.values()
         ]
-        self.latencies = {
-            name: HdrHistogram(1, 60_000_000, 3) for name in self.traffic_class_names
-        }  # microseconds
-        self.in_flight = self.sent = 0
+        self.latencies = {  # microseconds
+            name: HdrHistogram(1, MAX_LATENCY_US, 3) for name in self.traffic_class_names
+        }
+        self.in_flight = 0
+        self.sent = 0
 
     async def run(self) -> None:
-        """Poisson arrivals at the day's rate, from the lead's end to the day's."""
+        """Send requests at the scenario's rate, with the gaps of a Poisson process."""
         await trio.sleep(self.lead_time)
-        start = arrival_time = trio.current_time()
+        start = trio.current_time()
+        arrival_time = start
         async with trio.open_nursery() as nursery:
             while arrival_time < start + self.duration:
-                ramp_fraction = (
-                    min(1.0, 0.1 + (arrival_time - start) / self.load_config.ramp)
-                    if self.load_config.ramp
-                    else 1.0
-                )
-                arrival_time += self.rng.expovariate(
-                    self.load_config.requests_per_second * ramp_fraction
-                )
+                rate = self.load_config.requests_per_second * self._ramp(arrival_time - start)
+                arrival_time += self.rng.expovariate(rate)
                 await trio.sleep_until(arrival_time)
                 traffic_class = self.rng.choices(
                     self.traffic_class_names, cum_weights=self.cumulative_mix
@@ -72,16 +92,22 @@
                     self.proxy_clients, cum_weights=self.cumulative_proxy_rates
                 )[0]
                 self.sent += 1
+                request_id = str(self.sent)
                 if self.in_flight >= MAX_IN_FLIGHT:
                     self.record.write(
-                        "txn", product=traffic_class, outcome="unsent", took=0.0, txn=str(self.sent)
+                        "txn", product=traffic_class, outcome="unsent", took=0.0, txn=request_id
                     )
                     continue
-                nursery.start_soon(
-                    self._send_request, str(self.sent), traffic_class, client, self._draw_work()
-                )
+                request = ClientRequest(request_id, traffic_class, self._draw_work(), client)
+                nursery.start_soon(self._send_request, request)
         self._write_summary()
 
+    def _ramp(self, elapsed: float) -> float:
+        """The fraction of the rate at so many seconds from the begin of the load."""
+        if not self.load_config.ramp:
+            return 1.0
+        return min(1.0, INITIAL_LOAD_FRACTION + elapsed / self.load_config.ramp)
+
     def _draw_work(self) -> float:
         spread = self.load_config.spread
         return self.load_config.work * self.rng.lognormvariate(-spread * spread / 2, spread)
@@ -99,69 +125,58 @@
         self.record.write("done", sent=self.sent)
         self.record.file.flush()
 
-    async def _send_request(
-        self, request_id: str, traffic_class: str, client: http.Client, work: float
-    ) -> None:
-        class_config = self.traffic_classes[traffic_class]
+    async def _send_request(self, request: ClientRequest) -> None:
+        """Call a proxy, again after a failure where that is safe, and record the outcome."""
+        class_config = self.traffic_classes[request.traffic_class]
         started = trio.current_time()
+        deadline = started + class_config.deadline
         outcome = "voided"
         self.in_flight += 1
         with trio.move_on_after(class_config.deadline):
-            for attempt_number in range(1 + self.load_config.retries):
-                outcome, not_executed = await self._attempt(
-                    request_id,
-                    traffic_class,
-                    client,
-                    work,
-                    attempt_number,
-                    started + class_config.deadline,
-                )
-                if outcome == "settled" or not (
-                    not_executed or class_config.repeats == "idempotent"
-                ):
+            for call_number in range(1 + self.load_config.retries):
+                outcome, not_executed = await self._call(request, call_number, deadline)
+                may_repeat = not_executed or class_config.repeats == "idempotent"
+                if outcome == "settled" or not may_repeat:
                     break
                 await trio.sleep(self.load_config.backoff)
         self.in_flight -= 1
         latency = trio.current_time() - started
         if outcome == "settled":
-            self.latencies[traffic_class].record_value(max(1, int(latency * 1e6)))
+            self.latencies[request.traffic_class].record_value(max(1, int(latency * 1e6)))
             outcome = "settled" if latency <= class_config.sla else "late"
         self.record.write(
-            "txn", txn=request_id, product=traffic_class, outcome=outcome, took=round(latency, 4)
+            "txn",
+            txn=request.request_id,
+            product=request.traffic_class,
+            outcome=outcome,
+            took=round(latency, 4),
         )
 
-    async def _attempt(
-        self,
-        request_id: str,
-        traffic_class: str,
-        proxy_client: http.Client,
-        work: float,
-        attempt_number: int,
-        deadline: float,
-    ) -> tuple[str, bool]:
-        """The outcome, and whether it is proven that nothing ran."""
+    async def _call(self, request: ClientRequest, call_number: int, deadline: float) -> CallResult:
+        """One call of a proxy."""
         headers = {
-            "x-txn": request_id,
-            "x-product": traffic_class,
-            "x-work": f"{work:.5f}",
-            "x-client": str(attempt_number),
+            "x-txn": request.request_id,
+            "x-product": request.traffic_class,
+            "x-work": f"{request.work:.5f}",
+            "x-client": str(call_number),
             "x-left": f"{max(deadline - trio.current_time(), 0.001):.4f}",
         }
         try:
-            response = await proxy_client.request("POST", "/txn", headers)
+            response = await request.proxy_client.request("POST", "/txn", headers)
         except http.HttpError as error:
-            return "voided", not error.request_sent
+            return CallResult("voided", not error.request_sent)
         if response.status == 200:
-            return "settled", False
+            return CallResult("settled", False)
         not_executed = names.NOT_EXECUTED_HEADER in response.headers
-        return ("declined" if not_executed else "voided"), not_executed
+        return CallResult("declined" if not_executed else "voided", not_executed)
 
 
-async def _ignore(command: Command) -> None:
-    return
+async def _ignore(_command: Command) -> None:
+    """Clients are sent no commands."""
 
 
 def main(run_file: Path, record_file: Path) -> None:
+    """Run the stand-in until standard input closes."""
     record = RecordWriter(record_file)
     load_generator = LoadGenerator(schema.read_scenario(run_file), record)
     trio.run(run_until_input_closes, record, [load_generator.run], _ignore)
--- a/dunlinlug/standins/platform.py
+++ b/dunlinlug/standins/platform.py
@@ -1,6 +1,4 @@
-"""The other side of the platform's protocol: a discovery that is steered, and a client that may
-join as a proxy.
-"""
+"""The platform's side of its protocol: service discovery, and a client that may be a proxy."""
 
 import json
 from typing import Any
@@ -9,28 +7,36 @@
 
 from dunlinlug.net import http
 
+JsonObject = dict[str, Any]  # as it goes over the connection
+
 
 class DiscoveryServer:
-    """Watches as the protocol has them; hung, it takes calls and is silent. Give `answer` to
-    `net.http.serve`.
+    """Service discovery with watches; `handle` is to be served by `net.http.serve`.
+
+    Attributes:
+        generation: The version of the list.
+        instances: The entries of a whole list.
+        latest_changes: The entries of the last update.
+        unresponsive: Whether queries are taken and never answered.
     """
 
-    def __init__(self, instances: list[dict[str, Any]]) -> None:
+    def __init__(self, instances: list[JsonObject]) -> None:
         self.generation = 1
         self.instances = instances
-        self.latest_changes = list[dict[str, Any]]()
+        self.latest_changes = list[JsonObject]()
         self.unresponsive = False
         self.received_queries = list[dict[str, str]]()
         self.changed = trio.Event()
 
-    def update(self, *changed: dict[str, Any]) -> None:
-        """A new version, with these entries."""
+    def update(self, *changed: JsonObject) -> None:
+        """Begin a new version, in which these entries have changed."""
         self.generation = self.generation + 1
         self.latest_changes = list(changed)
         self.changed.set()
         self.changed = trio.Event()
 
     async def handle(self, request: http.Request) -> http.Response:
+        """Answer a query: the whole list, or the changes after an index once there are any."""
         if request.path != "/v1/servers":
             return http.Response(404)
         self.received_queries.append(dict(request.query))
@@ -43,19 +49,21 @@
         with trio.move_on_after(int(request.query["wait"]) / 1000):
             while requested_generation >= self.generation:
                 await changed.wait()
-        return self._respond(
-            False, self.latest_changes if requested_generation < self.generation else []
-        )
+        changes = self.latest_changes if requested_generation < self.generation else []
+        return self._respond(False, changes)
 
-    def _respond(self, reset: bool, instances: list[dict[str, Any]]) -> http.Response:
+    def _respond(self, reset: bool, instances: list[JsonObject]) -> http.Response:
         return http.Response.json(
             {"generation": self.generation, "reset": reset, "instances": instances}
         )
 
 
 class PlatformClient:
-    """A connection that speaks lines; as a proxy it keeps one table for all products, and answers
-    marks.
+    """A connection of JSON lines; as a proxy it has one table and acknowledges updates.
+
+    Attributes:
+        weights: Its table, for all traffic classes.
+        ejected: Ids of ejected endpoints.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
@@ -65,11 +73,12 @@
         self.weights = dict[str, float]()
         self.ejected = set[str]()
 
-    async def send(self, message_type: str, **message: Any) -> None:
+    async def send(self, message_type: str, **message: object) -> None:
+        """Send a message of a type with these fields."""
         await self.stream.send_all(json.dumps({"@type": message_type, **message}).encode() + b"\n")
 
-    async def receive(self) -> dict[str, Any] | None:
-        """The next message; None at the end."""
+    async def receive(self) -> JsonObject | None:
+        """The next message; None when the connection has ended."""
         while b"\n" not in self.buffer:
             try:
                 data = await self.stream.receive_some()
@@ -79,16 +88,20 @@
                 return None
             self.buffer += data
         line, _, self.buffer = self.buffer.partition(b"\n")
-        message: dict[str, Any] = json.loads(line)
+        message: JsonObject = json.loads(line)
         return message
 
     async def join(self, proxy_id: int, zone: str, new: bool = True) -> None:
-        """Join as this proxy."""
+        """Introduce itself as a proxy."""
         self.proxy_id = proxy_id
         await self.send(message_type="hello", id=proxy_id, site=zone, rps=2.0, new=new)
 
     async def wait_for_table(self, *excluded: str, **weights: float) -> dict[str, float]:
-        """Read orders until the proxy may use these workers (or any) and not those."""
+        """Receive updates until the table has endpoints, these among them and not the excluded.
+
+        Raises:
+            ConnectionError: The connection has ended, or something else than an update came.
+        """
         while True:
             usable = {
                 name: weight for name, weight in self.weights.items() if name not in self.ejected
--- a/dunlinlug/standins/proxy.py
+++ b/dunlinlug/standins/proxy.py
@@ -1,4 +1,4 @@
-"""Stand-in proxies: true xDS clients that obey their tables and judge no worker."""
+"""Stand-in proxies: real xDS clients, which route by their tables alone."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -12,9 +12,10 @@
     ProxyState,
     ReportAccumulator,
     RequestDispatcher,
+    RequestResult,
     TableSubscriber,
 )
-from dunlinlug.config import manager_config as manager_terms
+from dunlinlug.config import manager_config
 from dunlinlug.config.reader import ConfigFile
 from dunlinlug.discovery import entries
 from dunlinlug.net import http
@@ -27,7 +28,15 @@
 
 
 class Proxy:
-    """One proxy: a client of our own library, a door for callers, connections to workers."""
+    """One proxy: takes clients' requests and sends them to endpoints by its tables.
+
+    Attributes:
+        proxy_state: The tables that it was sent.
+        subscriber: Its stream to the leading manager.
+        dispatcher: Chooses endpoints and retries.
+        partitioned_zones: Zones that it cannot reach for now.
+        without_endpoint: By traffic class, whether it was last recorded as without an endpoint.
+    """
 
     def __init__(
         self, name: str, proxy_config: schema.ProxyConfig, config: ConfigFile, record: RecordWriter
@@ -36,16 +45,16 @@
         self.proxy_config = proxy_config
         self.record = record
         self.rng = Random(f"{config.section(schema.ScenarioConfig).seed} {name}")
-        self.traffic_classes = config.sections(manager_terms.TrafficClassConfig)
+        self.traffic_classes = config.sections(manager_config.TrafficClassConfig)
         proxies_config = config.section(schema.ProxiesConfig)
-        self.manager_config = config.section(manager_terms.ServerConfig)
-        self.discovery_config = config.section(manager_terms.DiscoveryConfig)
+        self.manager_config = config.section(manager_config.ServerConfig)
+        self.discovery_config = config.section(manager_config.DiscoveryConfig)
         self.worker_zones = {
             worker: worker_config.zone
             for worker, worker_config in config.sections(schema.WorkerConfig).items()
         }
         manager_addresses = [
-            member.serves for member in config.sections(manager_terms.MemberConfig).values()
+            member.serves for member in config.sections(manager_config.MemberConfig).values()
         ] or [self.manager_config.listen]
         self.proxy_state = ProxyState()
         self.accumulator = ReportAccumulator(name, proxy_config.zone, trio.current_time())
@@ -72,6 +81,7 @@
     # Tables.
 
     async def run_subscriber(self) -> None:
+        """Begin with a small table, then follow the leading manager for ever."""
         await self._install_initial_table()
         await self.subscriber.run()
 
@@ -88,7 +98,7 @@
         self._record_without_endpoint()
 
     async def _install_initial_table(self) -> None:
-        """A small table drawn from the list, until the first stream brings one."""
+        """Use a small random table of listed endpoints until the first stream brings one."""
         workers = list(self.worker_zones)
         try:
             with trio.move_on_after(1.0):
@@ -128,9 +138,10 @@
             or not self.partitioned_zones & {zone, self.proxy_config.zone}
         )
 
-    # Txns.
+    # Requests.
 
     async def serve(self) -> None:
+        """Take clients' requests for ever."""
         await http.serve(
             self.handle,
             await trio.open_tcp_listeners(
@@ -139,6 +150,7 @@
         )
 
     async def handle(self, request: http.Request) -> http.Response:
+        """Send a client's request to an endpoint, and answer as its last attempt ended."""
         request_headers = request.headers
         result = await self.dispatcher.dispatch(
             request_headers["x-product"],
@@ -147,18 +159,12 @@
                 worker, request_headers, remaining, attempt_number
             ),
         )
-        error_status = (
-            503 if result.last_attempt is None else result.last_attempt.response or 504
-        )  # no answer in time
-        status = 200 if result.succeeded else error_status
-        assert isinstance(status, int)
-        return http.Response(
-            status,
-            {
-                **({names.NOT_EXECUTED_HEADER: "1"} if result.not_executed else {}),
-                **({"x-why": result.reason} if result.reason in ("level", "starting") else {}),
-            },
-        )
+        headers = dict[str, str]()
+        if result.not_executed:
+            headers[names.NOT_EXECUTED_HEADER] = "1"
+        if result.reason in ("level", "starting"):
+            headers["x-why"] = result.reason
+        return http.Response(_status_of(result), headers)
 
     async def _attempt(
         self, worker: str, request_headers: Mapping[str, str], remaining: float, attempt_number: int
@@ -200,9 +206,10 @@
             response.status,
         )
 
-    # Troubles.
+    # Faults.
 
     async def execute(self, command: Command) -> None:
+        """Begin or end a fault of this proxy."""
         match command["do"]:
             case "break":
                 self.subscriber.disconnect(self.subscriber.current_manager)
@@ -226,7 +233,19 @@
         )
 
 
+def _status_of(result: RequestResult) -> int:
+    """200, 503 if there was no attempt, 504 if there was no answer in time, or the answer's own."""
+    if result.succeeded:
+        return 200
+    if result.last_attempt is None:
+        return 503
+    status = result.last_attempt.response or 504
+    assert isinstance(status, int)
+    return status
+
+
 def main(run_file: Path, group: int, record_file: Path) -> None:
+    """Run the proxies of a group until standard input closes."""
     record = RecordWriter(record_file)
     config = schema.read_scenario(run_file)
 
--- a/dunlinlug/standins/worker.py
+++ b/dunlinlug/standins/worker.py
@@ -1,6 +1,4 @@
-"""Stand-in workers of one zone: HTTP/1.1, a floor each, marks against repeats, and troubles on
-command.
-"""
+"""Stand-in endpoints of one zone: HTTP/1.1 servers with a capacity, and faults on command."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -8,7 +6,7 @@
 
 import trio
 
-from dunlinlug.config import manager_config as manager_terms
+from dunlinlug.config import manager_config
 from dunlinlug.config.reader import ConfigFile
 from dunlinlug.net import http
 from dunlinlug.scenarios import schema
@@ -19,13 +17,19 @@
 
 
 class WorkerServer:
-    """One worker at its address. `mode` is well, silent, voiding or answers_lost."""
+    """One endpoint at its address.
 
-    def __init__(
+    Attributes:
+        fault_mode: `well`, `silent` (nothing is answered), `voiding` (requests fail) or
+            `answers_lost` (requests are served, and the connection is broken).
+        failure_rate: The fraction of requests that the mode is for.
+    """
+
+    def __init__(  # noqa: PLR0913, PLR0917  # all that it works with, given once
         self,
         name: str,
         capacity: WorkerCapacity,
-        traffic_classes: dict[str, manager_terms.TrafficClassConfig],
+        traffic_classes: dict[str, manager_config.TrafficClassConfig],
         deduplication: DeduplicationWindow,
         record: RecordWriter,
         rng: Random,
@@ -42,7 +46,7 @@
         self.restarted = trio.Event()
 
     async def run(self) -> None:
-        """Listen until taken down; take up again with `back`."""
+        """Serve for ever, but for the times between `stop` and `restart`."""
         while True:
             host, _, port = self.name.rpartition(":")
             with trio.CancelScope() as self.serving_scope:
@@ -51,16 +55,19 @@
             await self.restarted.wait()
 
     def stop(self) -> None:
+        """Stop listening and break all connections."""
         self.record.write("down", worker=self.name)
         self.serving_scope.cancel()
 
     def restart(self) -> None:
+        """Listen again as a new process, which warms up and is well."""
         self.capacity.start(trio.current_time())
         self.record.write("start", worker=self.name)
         self.fault_mode = "well"
         self.restarted.set()
 
     async def handle(self, request: http.Request) -> http.Response:
+        """Answer a request or a health check, as the capacity and the fault mode have it."""
         if self.fault_mode == "silent" or self.capacity.failed:
             await trio.sleep_forever()
         if self.fault_mode == "voiding" and self.rng.random() < self.failure_rate:
@@ -86,15 +93,15 @@
             and self.capacity.queue_depth(now)
             and finish_time - now > float(headers["x-left"])
         ):
+            # It waits in the queue until its deadline passes, and is never begun.
             await trio.sleep_until(deadline)
-            return http.Response(
-                504, {names.NOT_EXECUTED_HEADER: "1"}
-            )  # its time-out passed before its turn: not begun
+            return http.Response(504, {names.NOT_EXECUTED_HEADER: "1"})
         await trio.sleep_until(finish_time)
         self._record_effect(headers)
         if self.fault_mode == "answers_lost" and self.rng.random() < self.failure_rate:
             raise http.AbortConnectionError
-        load = f"queue={self.capacity.queue_depth(trio.current_time())}, service_s={finish_time - now:.4f}"
+        queue_depth = self.capacity.queue_depth(trio.current_time())
+        load = f"queue={queue_depth}, service_s={finish_time - now:.4f}"
         return http.Response(200, {"x-load": load})
 
     def _record_effect(self, headers: Mapping[str, str]) -> None:
@@ -114,12 +121,12 @@
 
 
 class ZoneWorkers:
-    """The workers of one zone in one process."""
+    """The endpoints of one zone, which are one process."""
 
     def __init__(self, config: ConfigFile, zone: str, record: RecordWriter) -> None:
         fleet_config = config.section(schema.FleetConfig)
-        safety_config = config.section(manager_terms.SafetyConfig)
-        traffic_classes = config.sections(manager_terms.TrafficClassConfig)
+        safety_config = config.section(manager_config.SafetyConfig)
+        traffic_classes = config.sections(manager_config.TrafficClassConfig)
         deduplication = DeduplicationWindow()
         rng = Random(f"{config.section(schema.ScenarioConfig).seed} {zone}")
         self.workers = {
@@ -146,6 +153,7 @@
         }
 
     async def execute(self, command: Command) -> None:
+        """Stop or restart an endpoint, slow it down, or set its fault mode."""
         worker = self.workers[command["worker"]]
         match command["do"]:
             case "down":
@@ -160,6 +168,7 @@
 
 
 def main(run_file: Path, zone: str, record_file: Path) -> None:
+    """Run the stand-in until standard input closes."""
     record = RecordWriter(record_file)
     zone_workers = ZoneWorkers(schema.read_scenario(run_file), zone, record)
     trio.run(
