--- a/tests/audit/test_rules.py
+++ b/tests/audit/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule on records made by hand: kept just inside its limit, broken just beyond it."""
+"""Each rule on hand-made records: kept just inside its limit, broken just beyond it."""
 
 import json
 from pathlib import Path
@@ -9,17 +9,18 @@
 from dunlinlug.audit import figures, records, rules
 from dunlinlug.audit.report import report
 
-DAY = (Path(__file__).parents[2] / "days" / "first.ini").read_text()
-W1, W2 = "127.0.0.1:7001", "127.0.0.1:7002"
-PLACES = "".join(
-    f"\n[worker {w}]\nzone = north\ncores = 2\nspeed = 1\nweight = 1\n" for w in (W1, W2)
+SCENARIO = (Path(__file__).parents[2] / "days" / "first.ini").read_text()
+W1 = "127.0.0.1:7001"
+W2 = "127.0.0.1:7002"
+WORKER_SECTIONS = "".join(
+    f"\n[worker {worker}]\nzone = north\ncores = 2\nspeed = 1\nweight = 1\n" for worker in (W1, W2)
 )
 READY = {W1: ["ready", None], W2: ["ready", None]}
 
 
-def judged(tmp_path: Path, *lines: dict[str, Any]) -> list[str]:
-    """The rules broken by a day of 60 s that begins at 100 s, with one proxy joined at 101 s."""
-    (tmp_path / "run.ini").write_text(DAY + PLACES)
+def broken_rules(tmp_path: Path, *lines: dict[str, Any]) -> list[str]:
+    """The rules broken in 60 s that begin at 100 s, with one proxy connected at 101 s."""
+    (tmp_path / "run.ini").write_text(SCENARIO + WORKER_SECTIONS)
     base = [
         {"at": 100.0, "e": "begin", "lead": 1.0, "length": 60},
         {"at": 100.0, "e": "manager", "do": "start"},
@@ -39,10 +40,11 @@
     (tmp_path / "all.jsonl").write_text(
         "".join(json.dumps(line) + "\n" for line in [*base, *lines])
     )
-    return [item.rule for item in rules.find_violations(records.read_records(tmp_path))]
+    violations = rules.find_violations(records.read_records(tmp_path))
+    return [violation.rule for violation in violations]
 
 
-def sent(at: float, worker: str = W1, proxy: str = "p0", **more: Any) -> dict[str, Any]:
+def attempt(at: float, worker: str = W1, proxy: str = "p0", **more: Any) -> dict[str, Any]:
     return {
         "at": at,
         "e": "try",
@@ -56,22 +58,22 @@
     }
 
 
-DRAINED = {"at": 110.0, "e": "served", "index": 2, "states": {**READY, W1: ["draining", None]}}
+DRAINING = {"at": 110.0, "e": "served", "index": 2, "states": {**READY, W1: ["draining", None]}}
 
 
 @pytest.mark.parametrize(
     ("lines", "broken"),
     [
-        ([sent(113.0)], []),
-        ([sent(113.5)], ["drain"]),
-        ([sent(113.5, W2)], []),
-        ([sent(113.5, proxy="never-joined")], []),
-        ([{"at": 112.0, "e": "left", "proxy": "p0"}, sent(113.5)], []),
+        ([attempt(113.0)], []),
+        ([attempt(113.5)], ["drain"]),
+        ([attempt(113.5, W2)], []),
+        ([attempt(113.5, proxy="never-joined")], []),
+        ([{"at": 112.0, "e": "left", "proxy": "p0"}, attempt(113.5)], []),
         (
             [
                 {"at": 112.0, "e": "left", "proxy": "p0"},
                 {"at": 112.5, "e": "joined", "proxy": "p0"},
-                sent(113.5),
+                attempt(113.5),
             ],
             [],
         ),
@@ -79,16 +81,16 @@
             [
                 {"at": 112.0, "e": "left", "proxy": "p0"},
                 {"at": 112.5, "e": "joined", "proxy": "p0"},
-                sent(116.0),
+                attempt(116.0),
             ],
             ["drain"],
         ),
-        ([{"at": 111.0, "e": "manager", "do": "kill"}, sent(113.5)], []),
+        ([{"at": 111.0, "e": "manager", "do": "kill"}, attempt(113.5)], []),
         (
             [
                 {"at": 111.0, "e": "manager", "do": "stall"},
                 {"at": 113.0, "e": "manager", "do": "go on"},
-                sent(114.5),
+                attempt(114.5),
             ],
             [],
         ),
@@ -96,7 +98,7 @@
             [
                 {"at": 111.0, "e": "manager", "do": "stall"},
                 {"at": 113.0, "e": "manager", "do": "go on"},
-                sent(115.5),
+                attempt(115.5),
             ],
             ["drain"],
         ),
@@ -104,46 +106,48 @@
             [
                 {"at": 109.0, "e": "manager", "do": "slow", "size": 2},
                 {"at": 130.0, "e": "manager", "do": "pace"},
-                sent(115.5),
+                attempt(115.5),
             ],
             [],
         ),
-        ([{"at": 112.0, "e": "served", "index": 3, "states": READY}, sent(114.0)], []),
+        ([{"at": 112.0, "e": "served", "index": 3, "states": READY}, attempt(114.0)], []),
         (
             [
                 {"at": 112.0, "e": "served", "index": 3, "states": {W2: ["ready", None]}},
-                sent(114.0),
+                attempt(114.0),
             ],
             ["drain"],
         ),
     ],
 )
-def test_drains(tmp_path: Path, lines: list[dict[str, Any]], broken: list[str]) -> None:
-    assert judged(tmp_path, DRAINED, *lines) == broken
+def test_nothing_is_sent_to_a_draining_endpoint_after_the_grace_period(
+    tmp_path: Path, lines: list[dict[str, Any]], broken: list[str]
+) -> None:
+    assert broken_rules(tmp_path, DRAINING, *lines) == broken
 
 
-def bare(at: float, on: bool) -> dict[str, Any]:
+def without_endpoint(at: float, on: bool) -> dict[str, Any]:
     return {"at": at, "e": "bare", "proxy": "p0", "product": "press-book", "on": on}
 
 
-COLD = {"at": 109.0, "e": "served", "index": 2, "states": {W1: ["ready", 108.0]}}
+WARMING = {"at": 109.0, "e": "served", "index": 2, "states": {W1: ["ready", 108.0]}}
 
 
 @pytest.mark.parametrize(
     ("lines", "broken"),
     [
-        ([bare(110.0, True), bare(114.0, False)], []),
-        ([bare(110.0, True), bare(114.5, False)], ["bare"]),
-        ([bare(110.0, True)], ["bare"]),
-        ([bare(95.0, True), bare(105.0, False)], []),
-        ([bare(95.0, True), bare(105.5, False)], ["bare"]),
-        ([COLD, bare(110.0, True), bare(120.0, False)], []),
+        ([without_endpoint(110.0, True), without_endpoint(114.0, False)], []),
+        ([without_endpoint(110.0, True), without_endpoint(114.5, False)], ["bare"]),
+        ([without_endpoint(110.0, True)], ["bare"]),
+        ([without_endpoint(95.0, True), without_endpoint(105.0, False)], []),
+        ([without_endpoint(95.0, True), without_endpoint(105.5, False)], ["bare"]),
+        ([WARMING, without_endpoint(110.0, True), without_endpoint(120.0, False)], []),
     ],
 )
-def test_nobody_is_left_without_a_line(
+def test_no_proxy_is_without_an_endpoint_for_longer_than_allowed(
     tmp_path: Path, lines: list[dict[str, Any]], broken: list[str]
 ) -> None:
-    assert judged(tmp_path, *lines) == broken
+    assert broken_rules(tmp_path, *lines) == broken
 
 
 def effect(at: float, worker: str, client: int = 0, product: str = "press-book") -> dict[str, Any]:
@@ -166,11 +170,13 @@
         ([effect(110.0, W1, product="ticket-read"), effect(111.0, W2, product="ticket-read")], []),
     ],
 )
-def test_no_effect_twice(tmp_path: Path, lines: list[dict[str, Any]], broken: list[str]) -> None:
-    assert judged(tmp_path, sent(109.9), *lines) == broken
+def test_no_effect_happens_twice_within_a_clients_call(
+    tmp_path: Path, lines: list[dict[str, Any]], broken: list[str]
+) -> None:
+    assert broken_rules(tmp_path, attempt(109.9), *lines) == broken
 
 
-STARTED = {"at": 110.0, "e": "served", "index": 2, "states": {**READY, W1: ["ready", 109.9]}}
+RESTARTED = {"at": 110.0, "e": "served", "index": 2, "states": {**READY, W1: ["ready", 109.9]}}
 
 
 @pytest.mark.parametrize(
@@ -215,13 +221,13 @@
         ),
     ],
 )
-def test_no_cold_worker_is_pushed_over(
+def test_no_warming_endpoint_is_overloaded_by_proxies_that_knew(
     tmp_path: Path, lines: list[dict[str, Any]], broken: list[str]
 ) -> None:
-    assert judged(tmp_path, STARTED, *lines) == broken
+    assert broken_rules(tmp_path, RESTARTED, *lines) == broken
 
 
-def message(
+def arrived(
     ordered: float, at: float, lines: float, proxy: str = "p0", replies: int = 1
 ) -> dict[str, Any]:
     return {
@@ -237,41 +243,42 @@
 @pytest.mark.parametrize(
     ("lines", "broken"),
     [
-        ([message(110.0, 112.0, 1900)], []),
-        ([message(110.0, 112.0, 1900), message(111.0, 114.0, 150)], ["queue"]),
-        ([message(110.0, 110.1, 100), message(110.0, 110.2, 100)], []),
-        ([message(110.0, 110.01 + n / 1000, 100) for n in range(10)], ["queue"] * 3),
-        ([message(110.0 + n / 4, 110.1 + n / 4, 6) for n in range(30)], []),
-        ([message(110.0 + n / 4, 110.1 + n / 4, 6, replies=2) for n in range(16)], ["queue"]),
+        ([arrived(110.0, 112.0, 1900)], []),
+        ([arrived(110.0, 112.0, 1900), arrived(111.0, 114.0, 150)], ["queue"]),
+        ([arrived(110.0, 110.1, 100), arrived(110.0, 110.2, 100)], []),
+        ([arrived(110.0, 110.01 + number / 1000, 100) for number in range(10)], ["queue"] * 3),
+        ([arrived(110.0 + number / 4, 110.1 + number / 4, 6) for number in range(30)], []),
+        (
+            [arrived(110.0 + number / 4, 110.1 + number / 4, 6, replies=2) for number in range(16)],
+            ["queue"],
+        ),
     ],
 )
-def test_the_queue_stays_short(
+def test_queue_rate_and_messages_keep_to_the_channels_limits(
     tmp_path: Path, lines: list[dict[str, Any]], broken: list[str]
 ) -> None:
-    assert judged(tmp_path, *lines) == broken
+    assert broken_rules(tmp_path, *lines) == broken
 
 
-def test_a_break_names_its_evidence_and_the_day_then_fails(tmp_path: Path) -> None:
-    judged(tmp_path, DRAINED, sent(120.0))
-    text, kept = report(tmp_path)
-    assert (
-        not kept
-        and "BROKEN drain at 19.00 s proxy p0 worker 127.0.0.1:7001" in text
-        and "all.jsonl:9" in text
-    )
+def test_a_violation_is_reported_with_its_evidence(tmp_path: Path) -> None:
+    broken_rules(tmp_path, DRAINING, attempt(120.0))
+    text, is_clean = report(tmp_path)
+    assert not is_clean
+    assert "BROKEN drain at 19.00 s proxy p0 worker 127.0.0.1:7001" in text
+    assert "all.jsonl:9" in text
 
 
-def test_figures_are_revenue_in_time_over_revenue_asked(tmp_path: Path) -> None:
-    txns = [
+def test_served_is_priority_weight_in_time_over_that_of_all_requests(tmp_path: Path) -> None:
+    requests = [
         {
             "at": 110.0,
             "e": "txn",
-            "txn": str(n),
+            "txn": str(number),
             "product": product,
             "outcome": outcome,
             "took": 0.5,
         }
-        for n, (product, outcome) in enumerate(
+        for number, (product, outcome) in enumerate(
             [
                 ("press-book", "settled"),
                 ("press-book", "late"),
@@ -280,15 +287,17 @@
             ]
         )
     ]
-    judged(tmp_path, *txns)
-    sums = figures.summarize(records.read_records(tmp_path))
-    assert sums.served_fraction == pytest.approx((5 + 1 + 0 + 1) / 12)
-    assert sums.by_traffic_class == pytest.approx({"press-book": 0.6, "ticket-read": 0.5})
-    assert sums.outcomes == {"settled": 2, "late": 1, "voided": 1}
+    broken_rules(tmp_path, *requests)
+    summary = figures.summarize(records.read_records(tmp_path))
+    assert summary.served_fraction == pytest.approx((5 + 1 + 0 + 1) / 12)
+    assert summary.by_traffic_class == pytest.approx({"press-book": 0.6, "ticket-read": 0.5})
+    assert summary.outcomes == {"settled": 2, "late": 1, "voided": 1}
 
 
-def test_a_cut_last_line_is_passed_over_and_a_broken_one_is_named(tmp_path: Path) -> None:
-    judged(tmp_path)
+def test_a_last_line_that_is_cut_off_is_ignored_and_a_broken_one_is_an_error(
+    tmp_path: Path,
+) -> None:
+    broken_rules(tmp_path)
     path = tmp_path / "all.jsonl"
     path.write_text(path.read_text() + '{"at": 1')
     records.read_records(tmp_path)
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Whole days through real sockets, judged from the stand-ins' records."""
+"""Whole scenarios through real sockets, judged by the records of the stand-ins."""
 
 import json
 import sys
@@ -22,57 +22,59 @@
 )
 from dunlinlug.storage.store import read_rejections
 
-DAYS = Path(__file__).parents[2] / "days"
+SCENARIOS = Path(__file__).parents[2] / "days"
 TOKEN = "a-token-of-the-tests"
-SHIPPED = sorted(path.stem for path in DAYS.glob("*.ini"))
+SHIPPED = sorted(path.stem for path in SCENARIOS.glob("*.ini"))
 
 
 async def play(
-    day: Path, folder: Path, manager: Sequence[str] = MANAGER_COMMAND
+    scenario_file: Path, folder: Path, manager: Sequence[str] = MANAGER_COMMAND
 ) -> records.Records:
-    await ScenarioRunner(day, folder, manager).run()
+    await ScenarioRunner(scenario_file, folder, manager).run()
     return records.read_records(folder)
 
 
-async def test_the_shipped_days_keep_the_rules(tmp_path: Path) -> None:
-    """All at once: a busy machine is one more trouble."""
-    found: dict[str, records.Records] = {}
+async def test_the_shipped_scenarios_keep_the_rules(tmp_path: Path) -> None:
+    """All at once: a busy machine is one more fault."""
+    records_by_name: dict[str, records.Records] = {}
 
-    async def one(name: str) -> None:
-        found[name] = await play(DAYS / f"{name}.ini", tmp_path / name)
+    async def play_one(name: str) -> None:
+        records_by_name[name] = await play(SCENARIOS / f"{name}.ini", tmp_path / name)
 
     async with trio.open_nursery() as nursery:
         for name in SHIPPED:
-            nursery.start_soon(one, name)
-    assert {name: rules.find_violations(found[name]) for name in SHIPPED} == {
-        name: [] for name in SHIPPED
-    }
+            nursery.start_soon(play_one, name)
+    violations = {name: rules.find_violations(records_by_name[name]) for name in SHIPPED}
+    assert violations == {name: [] for name in SHIPPED}
     for name in SHIPPED:
-        sums = figures.summarize(found[name])
-        assert sums.served_fraction > 0.3 and sum(sums.outcomes.values()) > 300, (name, sums)
-    believed, struck = failure_verdicts.read_verdicts(tmp_path / "members")
-    assert len(struck) == 4 and sum(fault.process_down for fault in struck) == 2
-    assert not failure_verdicts.false_verdicts(believed, struck), (
-        "words lost, doubled and late make no verdict"
+        summary = figures.summarize(records_by_name[name])
+        assert summary.served_fraction > 0.3, (name, summary)
+        assert sum(summary.outcomes.values()) > 300, (name, summary)
+
+    verdicts, faults = failure_verdicts.read_verdicts(tmp_path / "members")
+    assert len(faults) == 4
+    assert sum(fault.process_down for fault in faults) == 2
+    assert not failure_verdicts.false_verdicts(verdicts, faults), (
+        "lost, duplicated and late messages cause no verdict"
     )
-    seen = history.read_logs(tmp_path / "members")
-    assert history.find_violations(seen) == [] and sum(one.done for one in seen) > 500, (
-        "one owner at a time, by its carriers"
-    )
-    worked = [
-        one for one in seen if one.task.startswith("exercise/")
-    ]  # of others refusals alone are logged
-    assert {one.owner for one in worked if one.done} == set("abc") and len(
-        {one.task for one in worked}
-    ) == 6
-    # A member whose clocks run is seen to have failed in a second or so; here all days share the machine.
-    assert not failure_verdicts.missed_failures(believed, struck, frozenset("abc"), 3.5)
-
-
-# A day on which each broken way shows: a short grace, cold workers far below their size, an unrepeatable product,
-# lost answers, a slow channel. The unbroken manager keeps the rules on it, with room: what a cold worker is brought
-# within fall_after is a sum of many small txns, so that chance alone does not push it over.
-CHANGES = (
+    # A member whose clocks run is found to have failed in about a second; here all scenarios share
+    # the machine.
+    assert not failure_verdicts.missed_failures(verdicts, faults, frozenset("abc"), 3.5)
+
+    observations = history.read_logs(tmp_path / "members")
+    assert history.find_violations(observations) == [], "one owner at a time"
+    assert sum(observation.done for observation in observations) > 500
+    # Of other tasks rejections alone are logged.
+    exercises = [one for one in observations if one.task.startswith("exercise/")]
+    assert {one.owner for one in exercises if one.done} == set("abc")
+    assert len({one.task for one in exercises}) == 6
+
+
+# Changes that make a scenario in which each broken manager shows: a short grace period, warming
+# endpoints far below their capacity, requests that may not run again, lost answers, a slow channel.
+# The sound manager keeps the rules in it with room: what a warming endpoint is sent within
+# fall_after is a sum of many small requests, so that chance alone does not overload it.
+HARD_CHANGES = (
     ("length = 12s", "length = 10s"),
     ("lines_per_s = 1200/s", "lines_per_s = 150/s"),
     ("bare = 4s", "bare = 1.5s"),
@@ -90,13 +92,8 @@
         "part = 30%",
     ),
 )
-GUARDED = (
-    "",
-    "ramp",
-    "retries",
-    "tables",
-)  # what the guard must stop; it hears the list itself, not the module's lie
-CAUGHT = {
+# The rule that each fault of `broken_manager.py` breaks; the sound manager has an empty name.
+RULE_BY_FAULT = {
     "": "",
     "withdrawals": "drain",
     "ramp": "pushed",
@@ -104,105 +101,136 @@
     "tables": "bare",
     "pace": "queue",
 }
+# The faults that the guard must stop: it gets the endpoint list itself, not the module's false one.
+GUARDED_FAULTS = ("", "ramp", "retries", "tables")
 
 
-async def hard_days(
-    folder: Path, guard: str, ways: Sequence[str], changes: Sequence[tuple[str, str]] = ()
+async def play_hard_scenario(
+    folder: Path, guard: str, faults: Sequence[str], changes: Sequence[tuple[str, str]] = ()
 ) -> dict[str, set[str]]:
-    """The rules broken on the hard day, by the way in which its manager is broken."""
-    text = (DAYS / "first.ini").read_text() + f"\n[guard]\nmode = {guard}\n"
-    for old, new in [*CHANGES, *changes]:
+    """The rules broken in the hard scenario, by the fault of its manager."""
+    text = (SCENARIOS / "first.ini").read_text() + f"\n[guard]\nmode = {guard}\n"
+    for old, new in [*HARD_CHANGES, *changes]:
         assert old in text, old
         text = text.replace(old, new)
-    (folder / "hard.ini").write_text(text)
-    broken: dict[str, set[str]] = {}
+    scenario_file = folder / "hard.ini"
+    scenario_file.write_text(text)
+    broken_rules: dict[str, set[str]] = {}
 
-    async def one(way: str) -> None:
-        script = (sys.executable, str(Path(__file__).parent / "broken_manager.py"), way)
-        found = await play(
-            folder / "hard.ini", folder / f"way-{way}", script if way else MANAGER_COMMAND
-        )
-        broken[way] = {item.rule for item in rules.find_violations(found)}
+    async def play_one(fault: str) -> None:
+        script = str(Path(__file__).parent / "broken_manager.py")
+        command = (sys.executable, script, fault) if fault else MANAGER_COMMAND
+        scenario_records = await play(scenario_file, folder / f"way-{fault}", command)
+        violations = rules.find_violations(scenario_records)
+        broken_rules[fault] = {violation.rule for violation in violations}
 
     async with trio.open_nursery() as nursery:
-        for way in ways:
-            nursery.start_soon(one, way)
-    return broken
+        for fault in faults:
+            nursery.start_soon(play_one, fault)
+    return broken_rules
 
 
-async def test_a_manager_broken_on_purpose_is_caught(tmp_path: Path) -> None:
-    broken = await hard_days(tmp_path, "off", list(CAUGHT))
-    assert broken[""] == set()
-    for way, rule in CAUGHT.items():
-        assert not rule or rule in broken[way], (way, broken)
+async def test_each_fault_of_a_broken_manager_is_found(tmp_path: Path) -> None:
+    broken_rules = await play_hard_scenario(tmp_path, "off", list(RULE_BY_FAULT))
+    assert broken_rules[""] == set()
+    for fault, rule in RULE_BY_FAULT.items():
+        assert not rule or rule in broken_rules[fault], (fault, broken_rules)
 
 
 async def test_the_guard_stops_what_a_careless_module_orders(tmp_path: Path) -> None:
-    """The same ways and the same day as above, but for the guard."""
-    broken = await hard_days(tmp_path, "on", GUARDED)
-    assert broken == dict.fromkeys(GUARDED, set())
-    for way in GUARDED[1:]:
-        said = read_rejections(tmp_path / f"way-{way}" / "store")
-        assert CAUGHT[way] in {refusal.rule for refusal in said}, (way, said[:3])
-        assert all(refusal.reason and refusal.remedy for refusal in said)
-
-
-async def operate(place: str, seen: list[tuple[int, str]]) -> None:
-    """An operator's slips all day: each worker that has come back a moment ago is to carry everything alone;
-    and between them pins that are good."""
-    client, known, chance = http.Client(*units.parse_address(place)), set[str](), Random(place)
-    away = set[str]()
-
-    async def say(method: str, path: str, body: object = None) -> Any:
+    """The same faults and the same scenario as above, but for the guard."""
+    broken_rules = await play_hard_scenario(tmp_path, "on", GUARDED_FAULTS)
+    assert broken_rules == dict.fromkeys(GUARDED_FAULTS, set())
+    for fault in GUARDED_FAULTS[1:]:
+        rejections = read_rejections(tmp_path / f"way-{fault}" / "store")
+        rejected_rules = {rejection.rule for rejection in rejections}
+        assert RULE_BY_FAULT[fault] in rejected_rules, (fault, rejections[:3])
+        assert all(rejection.reason and rejection.remedy for rejection in rejections)
+
+
+class CarelessOperator:
+    """Overrides traffic classes to each endpoint that has just come back, and now and then well.
+
+    `answers` has the status and body of each answer to an override.
+    """
+
+    def __init__(self, address: str) -> None:
+        self.client = http.Client(*units.parse_address(address))
+        self.rng = Random(address)
+        self.answers = list[tuple[int, str]]()
+
+    async def send(self, method: str, path: str, payload: object = None) -> Any:
+        """The answer's JSON; None without one, as before the manager's start or after its end."""
+        headers = {"authorization": f"Bearer {TOKEN}"}
         with trio.move_on_after(2.0):
             try:
-                reply = await client.request(
-                    method, path, {"authorization": f"Bearer {TOKEN}"}, json.dumps(body).encode()
+                response = await self.client.request(
+                    method, path, headers, json.dumps(payload).encode()
                 )
             except http.HttpError:
-                return None  # before its start, or after its end
+                return None
             if method == "PUT":
-                seen.append((reply.status, reply.body.decode()))
-            return json.loads(reply.body) if reply.status == 200 else None
-
-    while True:
-        await trio.sleep(0.1)
-        shown = await say("GET", "/tables")
-        ready = {
+                self.answers.append((response.status, response.body.decode()))
+            return json.loads(response.body) if response.status == 200 else None
+
+    async def ready_workers(self) -> set[str] | None:
+        """The ready endpoints of the tables in use; None if the manager does not answer."""
+        traffic_classes = await self.send("GET", "/tables")
+        if traffic_classes is None:
+            return None
+        return {
             line["worker"]
-            for said in shown or ()
-            for held in said["tables"]
-            for line in held["lines"]
+            for traffic_class in traffic_classes
+            for table in traffic_class["tables"]
+            for line in table["lines"]
             if line["state"] == "ready"
         }
-        known, fresh = known | ready, sorted(away & ready) if shown else []
-        away = known - ready if shown else away
-        for worker in fresh:
-            for product in ("press-book", "ticket-read"):
-                await say("PUT", "/pins", {"product": product, "lasts": 6, "only": [worker]})
-        if ready and not fresh and chance.random() < 0.1:
-            one = chance.choice(sorted(ready))
-            await say("PUT", "/pins", {"product": "ticket-read", "lasts": 0.5, "without": [one]})
-
-
-async def test_the_guard_stops_an_operators_slips_beside_a_careless_module(tmp_path: Path) -> None:
-    """The hard day that `ramp` breaks with the guard off, above, and now pins of the cold as well."""
-    seen, place, token = list[tuple[int, str]](), AddressAllocator().allocate(), tmp_path / "token"
+
+    async def run(self) -> None:
+        known = set[str]()
+        away = set[str]()
+        while True:
+            await trio.sleep(0.1)
+            ready = await self.ready_workers()
+            if ready is None:
+                continue
+            returned = sorted(away & ready)
+            known |= ready
+            away = known - ready
+            for worker in returned:
+                for product in ("press-book", "ticket-read"):
+                    payload = {"product": product, "lasts": 6, "only": [worker]}
+                    await self.send("PUT", "/pins", payload)
+            if ready and not returned and self.rng.random() < 0.1:
+                excluded = self.rng.choice(sorted(ready))
+                payload = {"product": "ticket-read", "lasts": 0.5, "without": [excluded]}
+                await self.send("PUT", "/pins", payload)
+
+
+async def test_the_guard_stops_a_careless_operator_beside_a_careless_module(
+    tmp_path: Path,
+) -> None:
+    """The scenario that `ramp` breaks with the guard off, and overrides to warming endpoints."""
+    address = AddressAllocator().allocate()
+    operator = CarelessOperator(address)
+    token = tmp_path / "token"
     token.write_text(TOKEN)
     token.chmod(0o600)
-    changes = [("[roster]", f"[operators]\ntoken_file = {token}\nlisten = {place}\n\n[roster]")]
+    changes = [("[roster]", f"[operators]\ntoken_file = {token}\nlisten = {address}\n\n[roster]")]
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(operate, place, seen)
-        assert await hard_days(tmp_path, "on", ["ramp"], changes) == {"ramp": set()}
+        nursery.start_soon(operator.run)
+        broken_rules = await play_hard_scenario(tmp_path, "on", ["ramp"], changes)
         nursery.cancel_scope.cancel()
-    assert {status for status, _ in seen} == {200, 409}
-    assert all("would_pass" in body for status, body in seen if status == 409)
-    said = read_rejections(tmp_path / "way-ramp" / "store")
-    assert "operator" in {refusal.source for refusal in said}
+    assert broken_rules == {"ramp": set()}
+    assert {status for status, _ in operator.answers} == {200, 409}
+    assert all("would_pass" in body for status, body in operator.answers if status == 409)
+    rejections = read_rejections(tmp_path / "way-ramp" / "store")
+    assert "operator" in {rejection.source for rejection in rejections}
 
 
-async def test_a_day_whose_manager_cannot_start_fails_and_says_so(tmp_path: Path) -> None:
+async def test_a_scenario_whose_manager_does_not_start_fails_and_says_so(tmp_path: Path) -> None:
+    command = (sys.executable, "-c", "raise SystemExit(3)")
     with pytest.raises(ScenarioError, match="manager ended during the day"):
-        await play(DAYS / "first.ini", tmp_path, (sys.executable, "-c", "raise SystemExit(3)"))
+        await play(SCENARIOS / "first.ini", tmp_path, command)
     with pytest.raises(records.RecordError, match="cannot be judged"):
         records.read_records(tmp_path)
