--- a/dunlinlug/fleet/membership/model.py
+++ b/dunlinlug/fleet/membership/model.py
@@ -1,66 +1,102 @@
-"""Walks through what can happen to three members: deliveries in any order, losses, doubles, kills,
-restarts, one cut.
+"""Model checking of the membership: three members, deliveries in any order, and faults.
 
 python -m dunlinlug.fleet.membership.model [--depth 5] [--walks 2000] [--seed 1]
 
-All courses of so many steps from a settled set (states met before are not gone on from), then drawn
-walks of forty. After each course messages flow again for a while, and then: who runs is alive to
-all, by its newest start; who does not has failed; all views agree. On the way no start is told that
-never was. The machines are those in service, with a chance that always takes the same side.
+Takes all courses of so many steps from a set that has settled (states met before are not gone on
+from), then random walks of forty steps. Faults are lost and doubled messages, a kill, a restart and
+a partition. After each course messages flow again for a while, and then: who runs is alive to all,
+by its newest start; who does not run has failed; all views agree. On the way no member knows of a
+start that never was. The protocol is the class that runs in service, with a random number generator
+that always takes the same side.
 """
 
-import argparse
 import pickle
-import sys
-from collections import Counter
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from copy import copy
 from dataclasses import dataclass, field, replace
+from enum import StrEnum
+from functools import partial
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
-from dunlinlug.fleet.membership.messages import ALIVE, FAILED, Message, Send, StateSync
+import xxhash
+
+from dunlinlug.fleet.membership.messages import ALIVE, FAILED, MemberState, Message, Send, StateSync
 from dunlinlug.fleet.membership.protocol import MembershipProtocol
+from dunlinlug.fleet.model_checking.command_line import run_course_command
+from dunlinlug.fleet.model_checking.model import Step
 
 NAMES = ("a", "b", "c")
-# seconds of a beat, and in which messages flow again: knocks, a suspicion, an exchange
-PROBE_INTERVAL = 0.2
+PROBE_INTERVAL = 0.2  # seconds
+# seconds in which messages flow again: enough for a reconnect, a suspicion and a full sync
 RECOVERY_SECONDS = 14.0
-# of the messages on their way, the first so many may be dealt with: the others come later
-DELIVERABLE_MESSAGES = 4
-FAULT_BUDGET = {"lose": 3, "double": 2, "kill": 1, "restart": 1, "cut": 1}
-Move = tuple[str, int]
+DELIVERABLE_MESSAGES = 4  # the first so many on their way may be dealt with: the others come later
+NEVER = 1e9  # seconds beyond which a time is as good as never
+
+
+class Fault(StrEnum):
+    """What may go wrong, as often as `FAULT_BUDGET` allows; also the kind of the step."""
+
+    LOSE = "lose"
+    DUPLICATE = "double"
+    KILL = "kill"
+    RESTART = "restart"
+    PARTITION = "cut"
+
+
+FAULT_BUDGET = {
+    Fault.LOSE: 3,
+    Fault.DUPLICATE: 2,
+    Fault.KILL: 1,
+    Fault.RESTART: 1,
+    Fault.PARTITION: 1,
+}
 
 
 class FixedRandom(Random):
-    """A chance that always takes the same side, so that a course is its moves alone."""
+    """A random number generator that always takes the same side: a course is its steps alone."""
 
     def random(self) -> float:
+        """The middle."""
         return 0.5
 
     def uniform(self, a: float, b: float) -> float:
+        """The middle."""
         return (a + b) / 2
 
     def shuffle(self, x: Any) -> None:
-        return None
+        """Leave the order as it is."""
 
     def sample(self, population: Any, k: int, *, counts: Any = None) -> Any:
+        """The first `k`."""
         return list(population)[:k]
 
     def choice(self, seq: Any) -> Any:
+        """The first."""
         return seq[0]
 
 
+class Delivery(NamedTuple):
+    """A message on its way between members."""
+
+    sender: str
+    recipient: str
+    message: Message
+
+
 @dataclass
-class SystemState:
+class MembershipState:
+    """All members that run, and the network between them."""
+
     now: float = 0.0
     protocols: dict[str, MembershipProtocol] = field(default_factory=dict)
     start_epochs: dict[str, int] = field(default_factory=dict)
-    in_flight: list[tuple[str, str, Message]] = field(default_factory=list)  # from, to, what
-    partitioned: str = ""  # who is cut off
-    remaining_faults: dict[str, int] = field(default_factory=lambda: dict(FAULT_BUDGET))
+    in_flight: list[Delivery] = field(default_factory=list)
+    partitioned: str = ""  # the member that is cut off
+    remaining_faults: dict[Fault, int] = field(default_factory=lambda: dict(FAULT_BUDGET))
 
-    def clone(self) -> "SystemState":
+    def clone(self) -> "MembershipState":
+        """An independent copy."""
         return replace(
             self,
             protocols={name: clone_protocol(protocol) for name, protocol in self.protocols.items()},
@@ -70,6 +106,7 @@
         )
 
     def start(self, name: str) -> None:
+        """A member's process begins, without memory of an earlier one."""
         self.start_epochs[name] = self.start_epochs.get(name, 0) + 1
         seeds = [(other, 1) for other in NAMES]
         self.protocols[name] = MembershipProtocol(
@@ -77,234 +114,220 @@
         )
 
     def execute(self, name: str, orders: list[Any]) -> None:
+        """Put what a member sends on its way; its other orders change nothing here."""
         for order in orders:
             if isinstance(order, Send) and order.address[0] in NAMES:
-                self.in_flight.append((name, order.address[0], order.message))
+                self.in_flight.append(Delivery(name, order.address[0], order.message))
 
     def tick(self) -> None:
-        """On to the next time at which somebody has something to do."""
-        self.now = max(
-            self.now, min(protocol.next_deadline() for protocol in self.protocols.values())
-        )
+        """On to the next time at which a member has something to do."""
+        next_deadline = min(protocol.next_deadline() for protocol in self.protocols.values())
+        self.now = max(self.now, next_deadline)
         for name, protocol in self.protocols.items():
             if protocol.next_deadline() <= self.now:
                 self.execute(name, protocol.tick(self.now))
 
-    def deliver(self, index: int, duplicate: bool = False) -> None:
-        sender, receiver, message = (
-            self.in_flight[index] if duplicate else self.in_flight.pop(index)
-        )
-        if receiver in self.protocols and self.partitioned not in (sender, receiver):
-            self.execute(receiver, self.protocols[receiver].receive(self.now, message))
-
-    def moves(self) -> Iterator[Move]:
-        yield "tick", 0
-        for at, (_, _, message) in enumerate(self.in_flight[:DELIVERABLE_MESSAGES]):
-            yield "deliver", at
-            if self.remaining_faults["lose"] and not isinstance(message, StateSync):
-                yield "lose", at
-            if self.remaining_faults["double"]:
-                yield "double", at
-        for index, name in enumerate(NAMES):
-            if (
-                name in self.protocols
-                and self.remaining_faults["kill"]
-                and len(self.protocols) == 3
-            ):
-                yield "kill", index
-            if self.remaining_faults["restart"]:
-                yield "restart", index
-            if self.remaining_faults["cut"] and not self.partitioned:
-                yield "cut", index
-        if self.partitioned:
-            yield "heal", 0
-
-    def apply(self, move: Move) -> None:
-        kind, index = move
-        if kind in self.remaining_faults:
-            self.remaining_faults[kind] -= 1
-        match kind:
-            case "tick":
-                self.tick()
-            case "deliver":
-                self.deliver(index)
-            case "lose":
-                self.in_flight.pop(index)
-            case "double":
-                self.deliver(index, duplicate=True)
-            case "kill":
-                del self.protocols[NAMES[index]]
-            case "restart":
-                self.start(NAMES[index])
-            case "cut":
-                self.partitioned = NAMES[index]
-            case "heal":
-                self.partitioned = ""
+    def deliver(self, index: int) -> None:
+        """A message arrives, unless its recipient does not run or is cut off."""
+        self.arrive(self.in_flight.pop(index))
+
+    def arrive(self, delivery: Delivery) -> None:
+        """The same for a message that the caller has taken off the network, or left there."""
+        sender, recipient, message = delivery
+        if recipient in self.protocols and self.partitioned not in (sender, recipient):
+            self.execute(recipient, self.protocols[recipient].receive(self.now, message))
 
     def recover(self) -> None:
-        """All goes well from here on."""
+        """Let all messages flow for a while, without faults."""
         self.partitioned = ""
         until = self.now + RECOVERY_SECONDS
         while self.now < until:
-            while self.in_flight:
-                self.deliver(0)
+            self._deliver_all()
             self.tick()
+        self._deliver_all()
+
+    def _deliver_all(self) -> None:
         while self.in_flight:
             self.deliver(0)
 
-    def check_safety(self) -> str:
-        """What holds at any time."""
-        for name, protocol in self.protocols.items():
+
+class MembershipModel:
+    """The membership as a model for a search."""
+
+    def initial_state(self) -> MembershipState:
+        """Three members that have found each other."""
+        state = MembershipState()
+        for name in NAMES:
+            state.start(name)
+        for protocol in state.protocols.values():
+            protocol.next_deadline()
+        state.recover()
+        return state
+
+    def steps(self, state: MembershipState) -> Iterator[Step[MembershipState]]:
+        """All that may happen next."""
+        remaining = state.remaining_faults
+        yield _step("tick", 0, state, MembershipState.tick)
+        for index, delivery in enumerate(state.in_flight[:DELIVERABLE_MESSAGES]):
+            yield _step("deliver", index, state, partial(_deliver, index=index))
+            if remaining[Fault.LOSE] and not isinstance(delivery.message, StateSync):
+                yield _step(Fault.LOSE, index, state, partial(_lose, index=index))
+            if remaining[Fault.DUPLICATE]:
+                yield _step(Fault.DUPLICATE, index, state, partial(_duplicate, index=index))
+        for index, name in enumerate(NAMES):
+            all_run = len(state.protocols) == len(NAMES)
+            if name in state.protocols and remaining[Fault.KILL] and all_run:
+                yield _step(Fault.KILL, index, state, partial(_kill, name=name))
+            if remaining[Fault.RESTART]:
+                yield _step(Fault.RESTART, index, state, partial(_restart, name=name))
+            if remaining[Fault.PARTITION] and not state.partitioned:
+                yield _step(Fault.PARTITION, index, state, partial(_cut_off, name=name))
+        if state.partitioned:
+            yield _step("heal", 0, state, partial(_cut_off, name=""))
+
+    def check_invariants(self, state: MembershipState) -> str:
+        """What is wrong at any time: a start known to a member that never was; empty if nothing."""
+        for name, protocol in state.protocols.items():
             for subject, member_state in protocol.table.members.items():
-                if member_state.incarnation[0] > self.start_epochs[subject]:
+                if member_state.incarnation[0] > state.start_epochs[subject]:
                     return f"{name} tells of a start of {subject} that never was"
         return ""
 
-    def check_convergence(self) -> str:
-        """What holds after messages have flowed."""
-        for name, protocol in self.protocols.items():
-            if protocol.state != "alive":
-                return f"{name} is {protocol.state}"
-            for subject in NAMES:
-                member_state = protocol.table.members.get(subject)
-                if subject in self.protocols and (
-                    member_state is None
-                    or (member_state.state, member_state.incarnation[0])
-                    != (ALIVE, self.start_epochs[subject])
-                ):
-                    return f"{name} has {subject} as {member_state}, which is well in its start {self.start_epochs[subject]}"
-                if (
-                    subject not in self.protocols
-                    and member_state is not None
-                    and member_state.state != FAILED
-                ):
-                    return f"{name} has {subject} as {member_state}, which is dead"
-        if len({protocol.table.digest() for protocol in self.protocols.values()}) > 1:
-            return "views differ"
-        return self.check_safety()
-
-    def canonical_form(self) -> bytes:
-        """The same for what can go on in the same way."""
-        canonical = [
-            (
-                name,
-                m.local_state,
-                m.local_health,
-                m.state,
-                sorted(m.table.members.items()),
-                sorted(m.table.pending_broadcasts.items()),
-                round(m.next_probe_at - self.now, 3),
-                round(min(m.next_reconnect_at, 1e9) - self.now, 3),
-                m.probe_order,
-                sorted(
-                    (p.name, round(p.deadline - self.now, 3), p.nacks) for p in m.probes.values()
-                ),
-                sorted(
-                    (of, round(s.started_at - self.now, 3), sorted(s.confirmed_by))
-                    for of, s in m.suspicions.items()
-                ),
-            )
-            for name, m in sorted(self.protocols.items())
+    def check_recovery(self, state: MembershipState) -> str:
+        """What is wrong once messages have flowed for a while; empty if nothing."""
+        recovered = state.clone()
+        recovered.recover()
+        return _check_convergence(recovered) or self.check_invariants(recovered)
+
+    def within_limits(self, state: MembershipState) -> bool:
+        """Always: courses are limited by their length, and faults by their budget."""
+        return True
+
+    def canonical_form(self, state: MembershipState) -> int:
+        """A state's number: equal for states from which all goes on in the same way."""
+        forms = [
+            _protocol_form(name, protocol, state.now)
+            for name, protocol in sorted(state.protocols.items())
         ]
-        return pickle.dumps(
-            (canonical, self.in_flight, self.partitioned, sorted(self.remaining_faults.items()))
-        )
+        faults = sorted((str(fault), count) for fault, count in state.remaining_faults.items())
+        body = pickle.dumps((forms, state.in_flight, state.partitioned, faults))
+        number: int = xxhash.xxh3_128_intdigest(body)
+        return number
+
+
+def _step(
+    kind: str, index: int, state: MembershipState, change: Callable[[MembershipState], object]
+) -> Step[MembershipState]:
+    return Step(f"{kind} {index}", partial(_successor, state, kind, change))
+
+
+def _successor(
+    state: MembershipState, kind: str, change: Callable[[MembershipState], object]
+) -> MembershipState:
+    """A copy of the state after a change, which a fault's budget pays for."""
+    successor = state.clone()
+    if kind in set(Fault):
+        successor.remaining_faults[Fault(kind)] -= 1
+    change(successor)
+    return successor
+
+
+def _deliver(state: MembershipState, index: int) -> None:
+    state.deliver(index)
+
+
+def _lose(state: MembershipState, index: int) -> None:
+    state.in_flight.pop(index)
+
+
+def _duplicate(state: MembershipState, index: int) -> None:
+    state.arrive(state.in_flight[index])
+
+
+def _kill(state: MembershipState, name: str) -> None:
+    del state.protocols[name]
+
+
+def _restart(state: MembershipState, name: str) -> None:
+    state.start(name)
+
+
+def _cut_off(state: MembershipState, name: str) -> None:
+    state.partitioned = name
+
+
+def _check_convergence(state: MembershipState) -> str:
+    """What is wrong with the members' views; empty if they agree and are right."""
+    for name, protocol in state.protocols.items():
+        if protocol.state != "alive":
+            return f"{name} is {protocol.state}"
+        for subject in NAMES:
+            fault = _check_view(state, subject, protocol.table.members.get(subject))
+            if fault:
+                return f"{name} has {subject} as {fault}"
+    if len({protocol.table.digest() for protocol in state.protocols.values()}) > 1:
+        return "views differ"
+    return ""
+
+
+def _check_view(state: MembershipState, subject: str, member_state: MemberState | None) -> str:
+    """How a member sees another, and why that is wrong; empty if it is right."""
+    if subject not in state.protocols:
+        right = member_state is None or member_state.state == FAILED
+        return "" if right else f"{member_state}, which is dead"
+    start_epoch = state.start_epochs[subject]
+    if member_state is not None:
+        known = (member_state.state, member_state.incarnation[0])
+        if known == (ALIVE, start_epoch):
+            return ""
+    return f"{member_state}, which is well in its start {start_epoch}"
+
+
+def _protocol_form(name: str, protocol: MembershipProtocol, now: float) -> tuple[Any, ...]:
+    def relative(at: float) -> float:
+        return round(at - now, 3)
+
+    return (
+        name,
+        protocol.local_state,
+        protocol.local_health,
+        protocol.state,
+        sorted(protocol.table.members.items()),
+        sorted(protocol.table.pending_broadcasts.items()),
+        relative(protocol.next_probe_at),
+        relative(min(protocol.next_reconnect_at, NEVER)),
+        protocol.probe_order,
+        sorted(
+            (probe.name, relative(probe.deadline), probe.nacks)
+            for probe in protocol.probes.values()
+        ),
+        sorted(
+            (subject, relative(suspicion.started_at), sorted(suspicion.confirmed_by))
+            for subject, suspicion in protocol.suspicions.items()
+        ),
+    )
 
 
 def clone_protocol(protocol: MembershipProtocol) -> MembershipProtocol:
-    result = copy(protocol)
-    result.table = copy(protocol.table)
+    """An independent copy of a member's protocol state."""
+    duplicate = copy(protocol)
+    duplicate.table = copy(protocol.table)
     for name in ("members", "bans", "reachability_reports", "pending_broadcasts", "tombstones"):
-        setattr(result.table, name, dict(getattr(protocol.table, name)))
+        setattr(duplicate.table, name, dict(getattr(protocol.table, name)))
     for name in ("peers", "probes", "indirect_probes"):
-        setattr(result, name, {key: copy(value) for key, value in getattr(protocol, name).items()})
-    result.suspicions = {
-        name: replace(previous, confirmed_by=set(previous.confirmed_by))
-        for name, previous in protocol.suspicions.items()
+        copies = {key: copy(value) for key, value in getattr(protocol, name).items()}
+        setattr(duplicate, name, copies)
+    duplicate.suspicions = {
+        name: replace(suspicion, confirmed_by=set(suspicion.confirmed_by))
+        for name, suspicion in protocol.suspicions.items()
     }
-    result.probe_order = list(protocol.probe_order)
-    return result
-
-
-def stable_state() -> SystemState:
-    state = SystemState()
-    for name in NAMES:
-        state.start(name)
-    for protocol in state.protocols.values():
-        protocol.next_deadline()
-    state.recover()
-    return state
-
-
-def check_recovery(state: SystemState, moves: list[Move]) -> str:
-    state.recover()
-    violation = state.check_convergence()
-    return f"{violation}, after {moves}" if violation else ""
-
-
-def explore(depth: int, max_courses: int = sys.maxsize) -> tuple[str, Counter[str]]:
-    """All courses of `depth` moves; the first fault found, or none, and what was visited."""
-    counts = Counter[str]()
-    visited = set[bytes]()
-    stack: list[tuple[SystemState, list[Move]]] = [(stable_state(), [])]
-    while stack and counts["courses"] < max_courses:
-        state, course = stack.pop()
-        if len(course) == depth:
-            counts["courses"] += 1
-            if violation := check_recovery(state, course):
-                return violation, counts
-            continue
-        for move in state.moves():
-            successor = state.clone()
-            successor.apply(move)
-            if violation := successor.check_safety():
-                return f"{violation}, after {[*course, move]}", counts
-            key = successor.canonical_form()
-            if key in visited:
-                counts["met before"] += 1
-                continue
-            visited.add(key)
-            counts["states"] += 1
-            stack.append((successor, [*course, move]))
-    return "", counts
-
-
-def explore_randomly(walk_count: int, seed: int, length: int = 40) -> tuple[str, Counter[str]]:
-    """Drawn courses; of the moves each kind is as likely, so that time goes on and faults come."""
-    counts = Counter[str]()
-    start = stable_state()
-    for walk_number in range(walk_count):
-        state = start.clone()
-        course = list[Move]()
-        rng = Random(f"{seed} {walk_number}")
-        for _ in range(length):
-            moves = list(state.moves())
-            kind = rng.choice(sorted({what for what, _ in moves}))
-            move = rng.choice([move for move in moves if move[0] == kind])
-            state.apply(move)
-            course.append(move)
-            counts[kind] += 1
-            if violation := state.check_safety():
-                return f"{violation}, after {course}", counts
-        counts["walks"] += 1
-        if violation := check_recovery(state, course):
-            return violation, counts
-    return "", counts
+    duplicate.probe_order = list(protocol.probe_order)
+    return duplicate
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser()
-    parser.add_argument("--depth", type=int, default=5)
-    parser.add_argument("--walks", type=int, default=2000)
-    parser.add_argument("--seed", type=int, default=1)
-    arguments = parser.parse_args()
-    for violation, counts in (
-        explore(arguments.depth),
-        explore_randomly(arguments.walks, arguments.seed),
-    ):
-        print(dict(counts), violation or "no fault", flush=True)
-        if violation:
-            sys.exit(1)
+    """Search from the command line."""
+    run_course_command(MembershipModel())
 
 
 if __name__ == "__main__":
--- a/dunlinlug/fleet/model_checking/engine.py
+++ b/dunlinlug/fleet/model_checking/engine.py
@@ -1,178 +1,298 @@
-"""Explicit-state search over models of the fleet's machines: breadth first, drawn walks, shortest
-traces.
+"""Searches over the states of a model: breadth first, depth first, random walks, minimal traces.
 
-A model is any world with steps to further worlds. States are known by a 128-bit number of their
-form, so that millions fit in memory; nothing of it runs in service.
+States are known by their canonical forms, 128-bit numbers, so that millions fit in memory.
 """
 
 import re
 import time
-from collections import deque
-from collections.abc import Callable, Iterable, Iterator
-from dataclasses import dataclass
+from collections import Counter, deque
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, replace
+from math import inf
 from random import Random
-from typing import Any, Protocol
+from typing import Generic, NamedTuple, Protocol
 
-STEP_KIND_WEIGHTS = (0.02, 0.2, 1.0, 5.0)  # how much a walk may like a kind of step
-Step = tuple[str, Callable[[], Any]]
+from dunlinlug.fleet.model_checking.model import (
+    ExplorationResult,
+    Model,
+    RecoveryCounts,
+    StateT,
+    Step,
+)
 
+UNLIMITED = 10**9
+COURSE_WALK_LENGTH = 40  # steps of a walk after which recovery is checked
+STEP_KIND_WEIGHTS = (0.02, 0.2, 1.0, 5.0)  # how likely one walk may make a kind of step
 
-class Model(Protocol):
-    """What may happen in a world, and what must hold in it."""
 
-    def steps(self, state: Any) -> Iterator[Step]:
-        """All that may happen next, by name."""
+def follow_patterns(model: Model[StateT], state: StateT, patterns: Iterable[str]) -> StateT:
+    """Take, for each regular expression, the first step whose name it matches at its beginning.
 
-    def check_invariants(self, state: Any) -> str:
-        """The property that this state breaks, in words; empty if none."""
+    Raises:
+        LookupError: No step of the state reached so far matches a pattern.
+    """
+    for pattern in patterns:
+        steps = list(model.steps(state))
+        matching = next((step for step in steps if re.match(pattern, step.name)), None)
+        if matching is None:
+            raise LookupError(f"no step {pattern!r}; there are {[step.name for step in steps]}")
+        state = matching.take()
+    return state
 
-    def canonical_form(self, state: Any) -> int:
-        """A state's number: equal for states between which nothing that comes can tell."""
 
-    def within_limits(self, state: Any) -> bool:
-        """Whether the state is within the bounds."""
+# Breadth first.
 
-    def recovers(self, state: Any) -> bool:
-        """Whether, with no more trouble, all is well again after a while."""
 
+class _Origin(NamedTuple):
+    """How a state was reached first: from which canonical form, and by which step."""
 
-@dataclass
-class ExplorationResult:
-    """`states` visited; `trace` of steps to the first state that breaks a property, and which;
-    `whole` if all states within the bounds were visited; `revived` of those tried for it.
-    """
-
-    states: int
-    trace: list[str]
-    violation: str
-    exhaustive: bool
-    recoveries: tuple[int, int]
-
-    def describe(self, method: str, recovery_label: str) -> str:
-        """For people; `again` is what a revived state has."""
-        recovery_text = (
-            f"; {recovery_label} in {self.recoveries[0]} of {self.recoveries[1]} tried"
-            if self.recoveries[1]
-            else ""
-        )
-        summary = (
-            f"{method}: {self.states} states{' (all within the bounds)' if self.exhaustive else ''}; "
-            f"broken: {self.violation or 'nothing'}{recovery_text}"
-        )
-        return "\n".join([summary, *(f"{n:3d}  {step}" for n, step in enumerate(self.trace, 1))])
-
-
-def follow_patterns(model: Model, state: Any, patterns: Iterable[str]) -> Any:
-    """Take, for each pattern, the first step whose name it matches; raises LookupError if there is
-    none.
-    """
-    for pattern in patterns:
-        names = list(model.steps(state))
-        step = next((step for name, step in names if re.match(pattern, name)), None)
-        if step is None:
-            raise LookupError(f"no step {pattern!r}; there are {[name for name, _ in names]}")
-        state = step()
-    return state
+    parent_form: int
+    step_name: str  # empty for the initial state
 
 
 def explore_breadth_first(
-    model: Model,
-    initial_state: Any,
+    model: Model[StateT],
     max_states: int,
-    max_seconds: float = 1e9,
+    max_seconds: float = UNLIMITED,
     recovery_check_interval: int = 0,
+    prefix: Iterable[str] = (),
 ) -> ExplorationResult:
-    """Breadth first, so that the trace is a shortest one."""
-    queue = deque([(initial_state, model.canonical_form(initial_state))])
-    seen = {model.canonical_form(initial_state): (0, "")}
+    """Visit all states by their distance from the initial one, so that a trace is a shortest one.
+
+    Args:
+        model: What may happen, and what must hold.
+        max_states: End once so many states were visited; checked between states.
+        max_seconds: End after so many seconds.
+        recovery_check_interval: Check recovery from each state of this number; 0 for none.
+        prefix: Patterns of steps to take before the search begins; not part of the trace.
+    """
+    first_state = follow_patterns(model, model.initial_state(), prefix)
+    first_form = model.canonical_form(first_state)
+    queue = deque([(first_state, first_form)])
+    origins = {first_form: _Origin(0, "")}
     deadline = time.monotonic() + max_seconds
-    recovery_checks = 0
-    recoveries = 0
+    recoveries = RecoveryCounts()
     while queue:
-        state, parent_form = queue.popleft()
-        if len(seen) >= max_states or time.monotonic() > deadline:
-            return ExplorationResult(len(seen), [], "", False, (recoveries, recovery_checks))
-        for name, step in model.steps(state):
-            successor = step()
+        state, form = queue.popleft()
+        if len(origins) >= max_states or time.monotonic() > deadline:
+            return ExplorationResult(len(origins), recoveries=recoveries)
+        for step in model.steps(state):
+            successor = step.take()
             if not model.within_limits(successor):
                 continue
             successor_form = model.canonical_form(successor)
-            if successor_form in seen:
+            if successor_form in origins:
                 continue
-            seen[successor_form] = (parent_form, name)
-            if violation := model.check_invariants(successor):
-                return ExplorationResult(
-                    len(seen),
-                    _trace_to(seen, successor_form),
-                    violation,
-                    False,
-                    (recoveries, recovery_checks),
-                )
+            origins[successor_form] = _Origin(form, step.name)
+            violation = model.check_invariants(successor)
+            if violation:
+                trace = _trace_to(origins, successor_form)
+                return ExplorationResult(len(origins), trace, violation, recoveries=recoveries)
             queue.append((successor, successor_form))
-            if recovery_check_interval and len(seen) % recovery_check_interval == 0:
-                recovery_checks = recovery_checks + 1
-                recoveries = recoveries + model.recovers(successor)
-    return ExplorationResult(len(seen), [], "", True, (recoveries, recovery_checks))
+            if recovery_check_interval and len(origins) % recovery_check_interval == 0:
+                recoveries = _count_recovery(recoveries, model.check_recovery(successor))
+    return ExplorationResult(len(origins), exhaustive=True, recoveries=recoveries)
+
+
+def _count_recovery(counts: RecoveryCounts, fault: str) -> RecoveryCounts:
+    recovered = counts.recovered if fault else counts.recovered + 1
+    return RecoveryCounts(recovered, counts.checked + 1)
 
 
-def _trace_to(seen: dict[int, tuple[int, str]], form: int) -> list[str]:
-    steps_back = []
-    while seen[form][1]:
-        form, name = seen[form][0], seen[form][1]
-        steps_back.append(name)
-    return steps_back[::-1]
+def _trace_to(origins: dict[int, _Origin], form: int) -> list[str]:
+    names = []
+    origin = origins[form]
+    while origin.step_name:
+        names.append(origin.step_name)
+        origin = origins[origin.parent_form]
+    return names[::-1]
 
 
-# Walks: deeper than the breadth can reach.
+# Depth first.
 
 
-def random_walk(
-    model: Model, seed: str, length: int, initial_state: Any, seen: set[int] | None = None
-) -> tuple[list[str], str]:
-    """One run of drawn steps, to its length or to a state that breaks a property: the steps and
-    what is broken. Each walk draws what it likes to do (swarm verification): evenly drawn steps
-    come back to the same few states.
+def explore_depth_first(
+    model: Model[StateT], depth: int, max_courses: int = UNLIMITED
+) -> ExplorationResult:
+    """Take all courses of `depth` steps, and check after each that the system recovers.
+
+    A course ends early at a state that was visited before. The search ends with the first
+    violation, or after `max_courses` courses of the whole length.
     """
-    rng = Random(seed)
-    state = initial_state
+    visited = set[int]()
+    courses = 0
+    revisits = 0
     trace = list[str]()
-    weights = dict[str, float]()
-    for _ in range(length):
-        choices = list(model.steps(state))
-        for kind in (_step_kind(name) for name, _ in choices):
-            weights[kind] = weights.get(kind) or rng.choice(STEP_KIND_WEIGHTS)
-        name, step = rng.choices(choices, [weights[_step_kind(name)] for name, _ in choices])[0]
-        successor = step()
-        if not model.within_limits(successor):
+    violation = ""
+    stack = [(model.initial_state(), trace)]
+    while stack and courses < max_courses and not violation:
+        state, trace = stack.pop()
+        if len(trace) == depth:
+            courses += 1
+            violation = model.check_recovery(state)
             continue
-        state = successor
-        trace.append(name)
-        if seen is not None:
-            seen.add(model.canonical_form(state))
-        if violation := model.check_invariants(state):
-            return trace, violation
-    return trace, ""
+        for step in model.steps(state):
+            successor = step.take()
+            violation = model.check_invariants(successor)
+            if violation:
+                trace = [*trace, step.name]
+                break
+            form = model.canonical_form(successor)
+            if form in visited:
+                revisits += 1
+                continue
+            visited.add(form)
+            stack.append((successor, [*trace, step.name]))
+    return ExplorationResult(
+        len(visited),
+        trace if violation else [],
+        violation,
+        exhaustive=not stack and not violation,
+        courses=courses,
+        revisits=revisits,
+    )
+
+
+# Random walks, which go deeper than a search of all states can.
+
+
+class StepChooser(Protocol[StateT]):
+    """Draws the next step of one random walk."""
+
+    def choose(self, rng: Random, steps: list[Step[StateT]]) -> Step[StateT]:
+        """One of these steps."""
+
+
+class SwarmChooser(Generic[StateT]):
+    """Prefers other kinds of steps in each walk (swarm verification, Holzmann et al., 2011).
 
+    Walks whose steps are drawn evenly come back to the same few states.
+    """
+
+    def __init__(self) -> None:
+        self.weights: dict[str, float] = {}  # by kind of step, drawn when it first may happen
+
+    def choose(self, rng: Random, steps: list[Step[StateT]]) -> Step[StateT]:
+        """One of these steps, by the weights of their kinds."""
+        kinds = [step_kind(step.name) for step in steps]
+        for kind in kinds:
+            if kind not in self.weights:
+                self.weights[kind] = rng.choice(STEP_KIND_WEIGHTS)
+        return rng.choices(steps, [self.weights[kind] for kind in kinds])[0]
+
+
+class EvenKindChooser(Generic[StateT]):
+    """Gives each kind of step the same chance, however many steps there are of it."""
+
+    def choose(self, rng: Random, steps: list[Step[StateT]]) -> Step[StateT]:
+        """One of these steps: its kind is drawn first."""
+        kind = rng.choice(sorted({step_kind(step.name) for step in steps}))
+        return rng.choice([step for step in steps if step_kind(step.name) == kind])
+
+
+def step_kind(name: str) -> str:
+    """The name of a step without its numbers."""
+    return re.sub(r"\d+", "", name).strip()
+
+
+@dataclass(frozen=True)
+class WalkOptions(Generic[StateT]):
+    """How many random walks to take, and which."""
+
+    seed: int
+    length: int = 60  # steps drawn for one walk
+    max_walks: int = UNLIMITED
+    max_seconds: float = inf
+    make_chooser: Callable[[], StepChooser[StateT]] = SwarmChooser
+    check_recovery: bool = False  # after each walk
 
-def _step_kind(name: str) -> str:
-    return re.sub(r"\d+", "", name)
 
+class _Walker(Generic[StateT]):
+    """Takes random walks over a model; owns what they have visited together."""
 
-def replay(model: Model, trace: list[str], initial_state: Any) -> str:
-    """What these steps break; empty if nothing, or if one of them cannot be taken."""
+    def __init__(self, model: Model[StateT], options: WalkOptions[StateT]) -> None:
+        self.model = model
+        self.options = options
+        self.initial_state = model.initial_state()
+        self.visited = set[int]()
+        self.step_counts = Counter[str]()
+
+    def walk(self, number: int) -> ExplorationResult:
+        """One walk to its length, or to a state that violates an invariant."""
+        rng = Random(f"{self.options.seed} {number}")
+        chooser = self.options.make_chooser()
+        state = self.initial_state
+        trace = list[str]()
+        for _ in range(self.options.length):
+            step = chooser.choose(rng, list(self.model.steps(state)))
+            successor = step.take()
+            if not self.model.within_limits(successor):
+                continue
+            state = successor
+            trace.append(step.name)
+            self.step_counts[step_kind(step.name)] += 1
+            self.visited.add(self.model.canonical_form(state))
+            violation = self.model.check_invariants(state)
+            if violation:
+                return self._minimal_result(trace)
+        fault = self.model.check_recovery(state) if self.options.check_recovery else ""
+        return ExplorationResult(len(self.visited), trace if fault else [], fault, walks=1)
+
+    def _minimal_result(self, trace: list[str]) -> ExplorationResult:
+        minimal_trace = minimize_trace(self.model, trace, self.initial_state)
+        violation = replay(self.model, minimal_trace, self.initial_state)
+        return ExplorationResult(len(self.visited), minimal_trace, violation)
+
+
+def swarm_search(model: Model[StateT], options: WalkOptions[StateT]) -> ExplorationResult:
+    """Take random walks until one ends with a violation, or the options end the search.
+
+    The trace to a violated invariant is minimised; one after which the system does not recover is
+    given as it was walked.
+    """
+    walker = _Walker(model, options)
+    deadline = time.monotonic() + options.max_seconds
+    walks = 0
+    result = ExplorationResult(0)
+    while walks < options.max_walks and time.monotonic() <= deadline and not result.violation:
+        result = walker.walk(walks)
+        walks += 1
+    return replace(
+        result,
+        states=len(walker.visited),
+        walks=walks if result.walks or not walks else walks - 1,
+        step_counts=walker.step_counts,
+    )
+
+
+def explore_recovery_randomly(
+    model: Model[StateT], walks: int, seed: int, length: int = COURSE_WALK_LENGTH
+) -> ExplorationResult:
+    """Take random walks, each kind of step as likely, and check after each that all recovers."""
+    return swarm_search(
+        model,
+        WalkOptions(
+            seed, length, max_walks=walks, make_chooser=EvenKindChooser, check_recovery=True
+        ),
+    )
+
+
+def replay(model: Model[StateT], trace: list[str], initial_state: StateT) -> str:
+    """The invariant that these steps violate; empty if none, or if a step cannot be taken."""
     state = initial_state
-    for step_name in trace:
-        step = next((step for name, step in model.steps(state) if name == step_name), None)
-        if step is None:
+    for name in trace:
+        matching = next((step for step in model.steps(state) if step.name == name), None)
+        if matching is None:
             return ""
-        state = step()
-        if violation := model.check_invariants(state):
+        state = matching.take()
+        violation = model.check_invariants(state)
+        if violation:
             return violation
     return ""
 
 
-def minimize_trace(model: Model, trace: list[str], initial_state: Any) -> list[str]:
-    """The trace less all steps that it does not need; none of those left can be left out."""
+def minimize_trace(model: Model[StateT], trace: list[str], initial_state: StateT) -> list[str]:
+    """The trace without the steps that it does not need; none of those left can be left out."""
     index = 0
     while index < len(trace):
         shorter = trace[:index] + trace[index + 1 :]
@@ -182,26 +302,3 @@
         else:
             index += 1
     return trace
-
-
-def swarm_search(
-    model: Model,
-    initial_state: Any,
-    seconds: float,
-    seed: int,
-    length: int = 60,
-    max_walks: int = 10**9,
-) -> ExplorationResult:
-    """Walks until one breaks a property; its trace is shortened."""
-    seen = set[int]()
-    deadline = time.monotonic() + seconds
-    for walk_number in range(max_walks):
-        if time.monotonic() > deadline:
-            break
-        trace, violation = random_walk(model, f"{seed} {walk_number}", length, initial_state, seen)
-        if violation:
-            minimal_trace = minimize_trace(model, trace, initial_state)
-            return ExplorationResult(
-                len(seen), minimal_trace, replay(model, minimal_trace, initial_state), False, (0, 0)
-            )
-    return ExplorationResult(len(seen), [], "", False, (0, 0))
--- a/dunlinlug/fleet/ownership/assignment.py
+++ b/dunlinlug/fleet/ownership/assignment.py
@@ -25,7 +25,7 @@
     """Slots whose owner is gone (nobody, where that is named among them), to whoever has least
     then.
     """
-    load = Counter({member: 0 for member in sorted(eligible)})
+    load = Counter(dict.fromkeys(sorted(eligible), 0))
     load.update(owner for owner in owners if owner in load)
     assignments = []
     for shard, owner in enumerate(owners):
@@ -45,7 +45,7 @@
     """Slots to be given up to others, until nobody has over one more than another; `targets` are
     those on their way.
     """
-    load = Counter({member: 0 for member in sorted(eligible)})
+    load = Counter(dict.fromkeys(sorted(eligible), 0))
     load.update(
         targets.get(shard, owner)
         for shard, owner in enumerate(owners)
--- a/dunlinlug/fleet/ownership/fencing.py
+++ b/dunlinlug/fleet/ownership/fencing.py
@@ -15,6 +15,7 @@
     sequence: int
 
 
+DUPLICATE_REASON = "it came before"
 NO_TOKEN = FencingToken(0, "", 0)
 
 
@@ -34,7 +35,7 @@
         if token == highest.number and owner != highest.owner:
             return f"number {token} is {highest.owner}'s"
         if token == highest.number and sequence <= highest.sequence:
-            return "it came before"
+            return DUPLICATE_REASON
         self.highest_tokens[shard] = FencingToken(token, owner, sequence)
         return ""
 
--- a/dunlinlug/fleet/ownership/messages.py
+++ b/dunlinlug/fleet/ownership/messages.py
@@ -11,6 +11,7 @@
 import xxhash
 
 from dunlinlug.fleet.election.messages import LogPosition
+from dunlinlug.fleet.ownership.fencing import FencingToken
 from dunlinlug.fleet.wire_names import by_wire_name, wire
 
 # shares that fifty members can be dealt within a fifth of evenly; one entry deals all of them anew
@@ -107,6 +108,22 @@
     highest_token: int = field(metadata=wire("seen"))
     owner: str = field(metadata=wire("owner"))
 
+    @classmethod
+    def rejection(
+        cls, executor: str, effect: Effect, highest: FencingToken, term: int = 0
+    ) -> "EffectResult":
+        """The answer to an effect that an executor has rejected, with the token that it goes by."""
+        return cls(
+            term,
+            executor,
+            effect.task,
+            effect.token,
+            effect.sequence,
+            False,
+            highest.number,
+            highest.owner,
+        )
+
 
 @dataclass(frozen=True)
 class WorkRequest:
--- /dev/null
+++ b/dunlinlug/fleet/ownership/model_state.py
@@ -0,0 +1,159 @@
+"""States of the ownership model, and the canonical forms by which a search knows them."""
+
+from dataclasses import dataclass
+from math import inf
+from typing import Any, NamedTuple
+
+from dunlinlug.fleet.election import messages
+from dunlinlug.fleet.election.model_state import message_form, protocol_form
+from dunlinlug.fleet.model_checking.cluster import (
+    MEMBERS,
+    Delivery,
+    ExplorationLimits,
+    SystemState,
+    digest,
+    relative_time,
+)
+from dunlinlug.fleet.ownership.fencing import FencingToken
+from dunlinlug.fleet.ownership.messages import LeaseGranted
+from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
+
+# Of each tick of the true clock a member's clock counts so many units, in the order of the members:
+# as far apart as the drift allows.
+CLOCK_UNITS_PER_TICK = (6, 4, 5)
+# Units from which on a time is past for every purpose: more than a lease on any clock.
+EARLIEST_UNIT = -20
+LATEST_UNIT = 100  # units from which on a time is as good as never
+
+
+@dataclass(frozen=True, kw_only=True)
+class OwnershipLimits(ExplorationLimits):
+    """How much may happen in one run, with effects and disks lost."""
+
+    terms: int = 2
+    effects: int = 2
+    disk_losses: int = 0
+
+
+class PendingEffect(NamedTuple):
+    """An effect that its owner has decided under a token, and not sent yet."""
+
+    shard: int
+    token: int
+
+
+class Fence(NamedTuple):
+    """The highest fencing token that an executor has seen of a shard."""
+
+    shard: int
+    token: FencingToken
+
+
+@dataclass(frozen=True, kw_only=True)
+class OwnershipState(SystemState[OwnershipProtocol, OwnershipLimits]):
+    """Members, executors, and what is on its way. Tuples are by member, `fences` by executor."""
+
+    disks: tuple[messages.Persist, ...]
+    incarnations: tuple[int, ...]
+    pending_effects: tuple[PendingEffect | None, ...]
+    effect_sequences: tuple[int, ...]
+    fences: tuple[tuple[Fence, ...], ...]
+
+
+def local_time(state: OwnershipState, index: int) -> int:
+    """The time on a member's clock, in units."""
+    return state.now * CLOCK_UNITS_PER_TICK[index]
+
+
+def canonical_form(state: OwnershipState) -> int:
+    """A state's number: equal for states between which no later event can tell."""
+    forms = [
+        _protocol_form(protocol, local_time(state, index))
+        for index, protocol in enumerate(state.protocols)
+    ]
+    fences = [
+        [(fence.shard, *vars(fence.token).values()) for fence in fences] for fences in state.fences
+    ]
+    limits = state.remaining
+    return digest(
+        (
+            forms,
+            state.incarnations,
+            state.pending_effects,
+            state.effect_sequences,
+            sorted(repr(_delivery_form(state, delivery)) for delivery in state.in_flight),
+            fences,
+            [(disk.term, disk.voted_for) for disk in state.disks],
+            list(vars(limits).values()),
+        )
+    )
+
+
+def _delivery_form(state: OwnershipState, delivery: Delivery) -> tuple[Any, ...]:
+    message = delivery.message
+    if not hasattr(message, "sent_at"):
+        return message_form(delivery, 0, EARLIEST_UNIT)
+    # An answer returns the time at which its recipient asked.
+    answer = isinstance(message, messages.AppendResponse | LeaseGranted)
+    clock = delivery.recipient if answer else message.sender
+    return message_form(delivery, local_time(state, MEMBERS.index(clock)), EARLIEST_UNIT)
+
+
+def _relative(value: float, now: int) -> int:
+    if value == -inf:
+        return EARLIEST_UNIT
+    return relative_time(min(value, now + LATEST_UNIT), now, EARLIEST_UNIT)
+
+
+def _protocol_form(protocol: OwnershipProtocol, now: int) -> tuple[Any, ...]:
+    assignments = protocol.assignments
+    return (
+        protocol_form(protocol.log, now, EARLIEST_UNIT),
+        assignments.owners,
+        assignments.tokens,
+        sorted(assignments.revoking.items()),
+        sorted(assignments.incarnations.items()),
+        _relative(protocol.lease_until, now),
+        protocol.lease_term,
+        protocol.committed_position,
+        _relative(protocol.next_renewal_at, now),
+        protocol.coordinator,
+        sorted(protocol.released.items()),
+        sorted(protocol.outdated_tokens.items()),
+        _pending_lease_form(protocol.pending_lease, now),
+        _coordinator_form(protocol, now) if protocol.log.is_leader else (),
+    )
+
+
+def _pending_lease_form(lease: LeaseGranted | None, now: int) -> tuple[Any, ...]:
+    if lease is None:
+        return ()
+    return (
+        lease.term,
+        _relative(lease.sent_at, now),
+        lease.duration,
+        lease.log_position,
+        lease.committed,
+        lease.incarnation,
+    )
+
+
+def _coordinator_form(protocol: OwnershipProtocol, now: int) -> tuple[Any, ...]:
+    renewals = protocol.last_renewals.items()
+    stability = protocol.stability
+    presence = [
+        (
+            member,
+            min(now - since, int(stability.required_leases[member] * stability.lease)),
+            stability.required_leases[member],
+        )
+        for member, since in stability.present_since.items()
+    ]
+    return (
+        sorted((member, _relative(until, now)) for member, until in protocol.granted_until.items()),
+        sorted((m, _relative(sent, now), _relative(got, now)) for m, (sent, got) in renewals),
+        sorted(protocol.incarnations.items()),
+        _relative(protocol.term_started_at, now),
+        _relative(protocol.next_review_at, now),
+        sorted(presence),
+    )
--- a/dunlinlug/fleet/ownership/protocol.py
+++ b/dunlinlug/fleet/ownership/protocol.py
@@ -111,7 +111,6 @@
         duplicate.log = self.log.clone()
         duplicate.assignments = self.assignments.clone()
         duplicate.stability = self.stability.clone()
-        duplicate.log.__dict__.pop("form", None)  # which the search keeps there
         for name in (
             "released",
             "outdated_tokens",
@@ -288,7 +287,7 @@
             return self.granted_until[owner] <= now
         # Danger: dealt before the others' renewals are here, which they send at our first beat, it
         # would go to few.
-        known = owner in self.failed_members or owner and owner not in self.log.voter_set.members
+        known = owner in self.failed_members or (owner and owner not in self.log.voter_set.members)
         return now >= self.term_started_at + (
             self.heartbeat_interval / 2 if known else RENEWAL_GRACE_LEASES * self.lease
         )
@@ -390,10 +389,8 @@
             raise ValueError(
                 f"only the steward moves work: {self.log.leader or 'nobody at the moment'}"
             )
-        if (
-            target not in self.log.voter_set.members
-            or target != self.self_id
-            and self.granted_until.get(target, -inf) <= now
+        if target not in self.log.voter_set.members or (
+            target != self.self_id and self.granted_until.get(target, -inf) <= now
         ):
             raise ValueError(f"{target!r} is no member that is here")
         if not self.assignments.owners[shard]:
@@ -450,10 +447,8 @@
     def _checkpoint_resolved(self, task: str, token: int, body: bytes) -> bool:
         shard = self.assignments.shard_of(task)
         stored = self.assignments.checkpoints.get(task, (token, b""))
-        return (
-            self.assignments.tokens[shard] != token
-            or stored == (token, body)
-            and self.log.position <= self._committed_position()
+        return self.assignments.tokens[shard] != token or (
+            stored == (token, body) and self.log.position <= self._committed_position()
         )
 
     def _handle_checkpoint_report(self, now: float, report: CheckpointReport) -> Orders:
@@ -479,6 +474,15 @@
         self.next_renewal_at = now
         return self.tick(now)
 
+    def revoked_shards(self) -> list[int]:
+        """Shards of ours that we are asked to give up, and have not given up yet."""
+        return [
+            shard
+            for shard in self.assignments.revoking
+            if self.assignments.owners[shard] == self.self_id
+            and self.released.get(shard) != self.assignments.tokens[shard]
+        ]
+
     def token_rejected(self, now: float, shard: int, token: int) -> Orders:
         """A carrier goes by this number, which ours does not exceed, or is another's: we stop at
         once.
--- a/tests/fleet/election/mutants.py
+++ b/tests/fleet/election/mutants.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from dunlinlug.fleet.election import messages
-from dunlinlug.fleet.election.model import ATTEMPT_ENTRY, DRAIN_ENTRY, ExplorationLimits
+from dunlinlug.fleet.election.model_state import ATTEMPT_ENTRY, DRAIN_ENTRY, ElectionLimits
 from dunlinlug.fleet.election.protocol import ElectionProtocol
 
-MINIMAL_LIMITS = ExplorationLimits(
+MINIMAL_LIMITS = ElectionLimits(
     terms=2,
     in_flight=8,
     losses=5,
@@ -90,7 +90,7 @@
     """`prefix` leads the search to where it matters; from there the trace is a shortest one."""
 
     expected_violation: str  # what the search must find
-    limits: ExplorationLimits
+    limits: ElectionLimits
     prefix: list[str]
     protocol_factory: Callable[..., ElectionProtocol] = ElectionProtocol
     host_options: dict[str, bool] = field(
@@ -98,8 +98,8 @@
     )  # of the search: what the machine's host leaves out
 
 
-def limits(**changes: Any) -> ExplorationLimits:
-    return ExplorationLimits(**{**vars(MINIMAL_LIMITS), **changes})
+def limits(**changes: Any) -> ElectionLimits:
+    return ElectionLimits(**{**vars(MINIMAL_LIMITS), **changes})
 
 
 TIME_PASSES = "time passes$"
--- a/tests/fleet/election/test_election.py
+++ b/tests/fleet/election/test_election.py
@@ -14,8 +14,14 @@
 from dunlinlug.fleet import shared_keys
 from dunlinlug.fleet.election import codec
 from dunlinlug.fleet.election import messages as election_messages
-from dunlinlug.fleet.election.model import ExplorationLimits, explore, explore_randomly
+from dunlinlug.fleet.election.model import ElectionModel
+from dunlinlug.fleet.election.model_state import ElectionLimits
 from dunlinlug.fleet.election.protocol import ElectionProtocol
+from dunlinlug.fleet.model_checking.engine import (
+    WalkOptions,
+    explore_breadth_first,
+    swarm_search,
+)
 from dunlinlug.xds import encoding, fencing_term, names
 from dunlinlug.xds.stream import DeltaStream
 from dunlinlug.xds.subscriber import DeltaSubscriber, ProxyState
@@ -534,27 +540,26 @@
 @pytest.mark.parametrize("name", MUTANTS)
 def test_each_safety_line_taken_out_is_caught_with_a_shortest_trace(name: str) -> None:
     mutant = MUTANTS[name]
-    found = explore(
-        20_000,
-        30.0,
-        mutant.protocol_factory,
-        mutant.limits,
-        prefix=mutant.prefix,
-        **mutant.host_options,
-    )
+    mutated = ElectionModel(mutant.protocol_factory, mutant.limits, **mutant.host_options)
+    found = explore_breadth_first(mutated, 20_000, 30.0, prefix=mutant.prefix)
     assert mutant.expected_violation in found.violation and found.trace, found
     try:
-        whole = explore(300, 30.0, limits=mutant.limits, prefix=mutant.prefix)
+        whole = explore_breadth_first(
+            ElectionModel(limits=mutant.limits), 300, 30.0, prefix=mutant.prefix
+        )
     except LookupError:
         return  # the whole machine does not even go where the mutant was led
     assert whole.violation == ""
 
 
 def test_a_short_search_finds_nothing_broken() -> None:
-    found = explore(12_000, recovery_check_interval=499)
+    found = explore_breadth_first(ElectionModel(), 12_000, recovery_check_interval=499)
     assert (found.violation, found.trace) == ("", [])
     assert found.states >= 12_000 and found.recoveries[0] == found.recoveries[1] > 20
-    walked = explore_randomly(6.0, 3, limits=ExplorationLimits(in_flight=6, losses=3))
+    walked = swarm_search(
+        ElectionModel(limits=ElectionLimits(in_flight=6, losses=3)),
+        WalkOptions(seed=3, max_seconds=6.0),
+    )
     assert walked.violation == "" and walked.states > 2_000
 
 
--- a/tests/fleet/membership/test_protocol.py
+++ b/tests/fleet/membership/test_protocol.py
@@ -8,7 +8,6 @@
 import msgspec
 import pytest
 
-from dunlinlug.fleet.membership import model
 from dunlinlug.fleet.membership.member_table import MAX_GOSSIP_BYTES, MembershipTable
 from dunlinlug.fleet.membership.messages import (
     ALIVE,
@@ -22,8 +21,10 @@
     ReachabilityReport,
     Send,
 )
+from dunlinlug.fleet.membership.model import MembershipModel
 from dunlinlug.fleet.membership.protocol import MembershipProtocol
 from dunlinlug.fleet.membership.simulated_network import SimulatedNetwork
+from dunlinlug.fleet.model_checking.engine import explore_depth_first, explore_recovery_randomly
 
 
 def fleet(seed: int, size: int, **more: float) -> SimulatedNetwork:
@@ -482,13 +483,11 @@
 
 def test_three_members_agree_after_losses_doubles_a_kill_a_restart_and_a_cut() -> None:
     """Each course of two moves, and some longer ones; docs/members.md tells of the long run."""
-    fault, counts = model.explore(2)
-    assert not fault and counts["courses"] > 50
-    fault, counts = model.explore_randomly(30, seed=5)
-    assert (
-        not fault
-        and min(counts[kind] for kind in ("lose", "double", "kill", "restart", "cut", "heal")) > 20
-    )
+    found = explore_depth_first(MembershipModel(), 2)
+    assert not found.violation and found.courses > 50
+    walked = explore_recovery_randomly(MembershipModel(), 30, seed=5)
+    kinds = ("lose", "double", "kill", "restart", "cut", "heal")
+    assert not walked.violation and min(walked.step_counts[kind] for kind in kinds) > 20
 
 
 @pytest.mark.parametrize(
@@ -504,5 +503,5 @@
     guard: str, instead: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(MembershipProtocol, guard, instead)
-    fault, counts = model.explore_randomly(30, seed=5)
-    assert fault, counts
+    walked = explore_recovery_randomly(MembershipModel(), 30, seed=5)
+    assert walked.violation, walked.step_counts
