--- a/bench/owner.py
+++ b/bench/owner.py
@@ -14,7 +14,7 @@
 
 from dunlinlug.fleet.ownership import history
 from dunlinlug.fleet.ownership import log as books
-from dunlinlug.fleet.ownership.simulated_network import SimulatedNetwork
+from dunlinlug.fleet.ownership.simulated_network import SimulatedNetwork, SimulationOptions
 
 LEASE = 1.0
 
@@ -25,8 +25,9 @@
 
 def death(members: int, steward: bool, detected: bool, seed: int) -> tuple[float, int, int]:
     """Seconds to the next owner's first effect for a piece of the dead; slots moved, and the least possible."""
+    tasks = tuple(f"work/{n}" for n in range(12))
     net = SimulatedNetwork(
-        seed, members, tuple(f"work/{n}" for n in range(12)), shards=256, effect_interval=0.02
+        seed, SimulationOptions(members, tasks, shards=256, effect_interval=0.02)
     )
     net.run(5.0 + net.rng.random())
     leads = next(node for node in net.nodes.values() if node.protocol.log.is_leader)
@@ -65,7 +66,7 @@
 
 def calm(members: int) -> tuple[float, float]:
     """Messages a second of the steward, and of another, while nothing happens."""
-    net = SimulatedNetwork(1, members, shards=256, effect_interval=0.1)
+    net = SimulatedNetwork(1, SimulationOptions(members, shards=256, effect_interval=0.1))
     net.run(8.0)
     net.messages_sent.clear()
     net.run(28.0)
@@ -76,7 +77,7 @@
 
 def cpu(pieces: int) -> str:
     """Of one member: what a look at every piece costs, and a book with so many records."""
-    net = SimulatedNetwork(1, 3, shards=256)
+    net = SimulatedNetwork(1, SimulationOptions(shards=256))
     net.run(5.0)
     node = next(iter(net.nodes.values()))
     names = [f"worker/o-{n}/ramp" for n in range(pieces)]
--- a/bench/scale/slopes.py
+++ b/bench/scale/slopes.py
@@ -69,6 +69,7 @@
 from dunlinlug.fleet.membership.service import Membership
 from dunlinlug.fleet.membership.simulated_network import Node, SimulatedNetwork
 from dunlinlug.fleet.ownership.simulated_network import SimulatedNetwork as Owners
+from dunlinlug.fleet.ownership.simulated_network import SimulationOptions as OwnersOptions
 from dunlinlug.manager.channel import PacedChannel
 from dunlinlug.manager.endpoint_watcher import EndpointWatcher
 from dunlinlug.platform import discovery_state
@@ -484,7 +485,7 @@
 
     def __init__(self, size: int) -> None:
         self.bytes, self.spent = Counter[str](), Counter[str]()
-        super().__init__(1, size, shards=256, effect_interval=0.1)
+        super().__init__(1, OwnersOptions(size, shards=256, effect_interval=0.1))
 
     def _send(self, sender: str, to: str, message: Any) -> None:
         began = time.thread_time()
--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -33,7 +33,8 @@
 from dunlinlug.fleet.membership.messages import MemberStateChanged
 from dunlinlug.fleet.membership.service import Membership
 from dunlinlug.fleet.ownership.lease_exercise import run_exercise
-from dunlinlug.fleet.ownership.service import Ownership
+from dunlinlug.fleet.ownership.options import LeaseTiming
+from dunlinlug.fleet.ownership.service import Ownership, OwnershipConfig
 from dunlinlug.fleet.ownership.shared_health_checks import HealthCheckCoordinator
 from dunlinlug.fleet.ownership.shared_overrides import SharedOverrides
 from dunlinlug.fleet.shared_keys import KeyFileError, read_keys
@@ -250,17 +251,9 @@
         config = self.config.section(manager_config.LeaseConfig)
         if not config.on:
             return None
-        timing = {
-            "lease": config.lease,
-            "heartbeat_interval": config.beat,
-            "drift": config.drift,
-            "recovery_timeout": config.forgets,
-        }
+        timing = LeaseTiming(config.lease, config.beat, config.drift, config.forgets)
         ownership = Ownership(
-            self_id,
-            addresses,
-            self.member_keys,
-            timing,
+            OwnershipConfig(self_id, addresses, self.member_keys, timing),
             self.store,
             Random(
                 f"{self.config.section(manager_config.ServerConfig).seed} owners {self_id} {self.epoch}"
--- a/dunlinlug/fleet/ownership/health_check_assignment.py
+++ b/dunlinlug/fleet/ownership/health_check_assignment.py
@@ -1,96 +1,114 @@
-"""Who probes a worker where several managers ask for it: its group's owner, once for all.
-Decisions, free of I/O.
-
-Each manager's module orders probes of its own. Here an order becomes a wish told to the owner of
-the worker's group, who probes once for all wishes that come meanwhile and tells everybody; a result
-that is young enough answers a wish at once. Where no answer comes, as there is no owner or it is
-cut off, we probe ourselves, so seldom that all members together probe as often as one owner would.
-Where an owner says that a worker does not answer, that may lie between those two: before our module
-hears it we look ourselves, just as seldom.
+"""Who checks a worker that several managers ask for: its group's owner, once for all.
+
+Decisions, free of I/O. Each manager's decision module orders health checks of its own. Here an order
+becomes a request to the owner of the worker's group, which checks once for all requests that come
+meanwhile and tells everybody; a result that is fresh enough answers a request at once.
+
+Where no answer comes, as there is no owner or it is cut off, we check ourselves, so seldom that all
+members together check as often as one owner would. Where an owner says that a worker does not
+answer, the fault may lie between those two: before our decision module learns of it we check
+ourselves, just as seldom.
 """
 
 from dataclasses import dataclass
+from enum import Enum, auto
 
 import xxhash
 
-WORKER_GROUPS = 64  # of workers: a few for each member of the largest set, and few enough to list
-# seconds in which a result answers further wishes: a trial is decided by it in the next turn anyway
+WORKER_GROUPS = 64  # a few for each member of the largest set, and few enough to list
+# Seconds in which a result answers further requests: a decision waits for its next tick anyway.
 FRESH_RESULT_SECONDS = 1.0
-OWNER_TIMEOUT_MULTIPLE = 2.0  # probes' time limits that a wish waits for the owner's result
-# seconds beyond which a result that comes is not used: ten probes' time limits
-MAX_RESULT_AGE = 5.0
-MAX_WORKERS = 4096  # workers of whom results and probes of ours are kept, the oldest out first
-# seconds between our own probes of one worker for each member of the set, where nobody owns it
+OWNER_TIMEOUT_MULTIPLE = 2.0  # timeouts of a check that a request waits for the owner's result
+MAX_RESULT_AGE = 5.0  # seconds beyond which a result that comes is not used
+MAX_WORKERS = 4096  # of whom results and checks of ours are kept, the oldest out first
+# Seconds between our own checks of one worker for each member of the set, where nobody owns it.
 FALLBACK_INTERVAL_PER_MEMBER = 1.0
 
 
 def task_of(worker: str) -> str:
+    """The task of checking a worker, which is its group's."""
     return f"probe/{xxhash.xxh32_intdigest(worker.encode()) % WORKER_GROUPS} of {WORKER_GROUPS}"
 
 
 @dataclass(frozen=True)
 class HealthCheckResult:
-    """`at` is our clock's time."""
+    """What a health check found."""
 
     worker: str
     healthy: bool
     result: str
-    duration: float
-    completed_at: float
+    duration: float  # seconds
+    completed_at: float  # seconds on our clock
+
+
+class OwnerAction(Enum):
+    """What an owner does about a request that no result answers."""
+
+    START_CHECK = auto()
+    AWAIT_CHECK = auto()  # one is in progress
+
+
+class RemoteResultUse(Enum):
+    """What becomes of another member's result."""
+
+    SUBMIT = auto()  # our decision module waits for it
+    STORE = auto()
+    CHECK_FIRST = auto()  # we check ourselves before we believe it
 
 
 class SharedHealthChecks:
-    """`within` is the time limit of a probe. Times are seconds on our clock."""
+    """Requests, checks and results of one member; times are seconds on our clock."""
 
     def __init__(self, timeout: float) -> None:
-        self.timeout = timeout
-        self.pending_requests: dict[
-            str, float
-        ] = {}  # workers that our module waits for, and when we look again
-        self.in_progress: set[str] = set()
+        self.timeout = timeout  # of one check
+        self.pending_requests: dict[str, float] = {}  # workers with the times to look after them
+        self.in_progress: set[str] = set()  # workers that we are checking
         self.results: dict[str, HealthCheckResult] = {}
-        self.own_checks: dict[str, float] = {}  # when we probed for ourselves last
+        self.own_checks: dict[str, float] = {}  # workers with the times of our last own checks
 
     def request(self, now: float, worker: str) -> HealthCheckResult | None:
-        """Our module orders a probe: a result that is young enough, or it waits for one."""
-        result = self.results.get(worker)
-        if result is not None and now - result.completed_at < FRESH_RESULT_SECONDS:
+        """Our decision module orders a check: a fresh result, or None if it has to wait."""
+        result = self._fresh_result(now, worker)
+        if result is None:
+            self.pending_requests[worker] = now + OWNER_TIMEOUT_MULTIPLE * self.timeout
+        return result
+
+    def request_as_owner(self, now: float, worker: str) -> HealthCheckResult | OwnerAction:
+        """A member asks us as the owner: a fresh result to tell at once, or what to do."""
+        result = self._fresh_result(now, worker)
+        if result is not None:
             return result
-        self.pending_requests[worker] = now + OWNER_TIMEOUT_MULTIPLE * self.timeout
-        return None
+        if worker in self.in_progress:
+            return OwnerAction.AWAIT_CHECK
+        self.in_progress.add(worker)
+        return OwnerAction.START_CHECK
 
-    def request_as_owner(self, now: float, worker: str) -> HealthCheckResult | None | bool:
-        """As owner: what to tell at once; else whether to probe, which is no while a probe is under
-        way.
-        """
+    def _fresh_result(self, now: float, worker: str) -> HealthCheckResult | None:
         result = self.results.get(worker)
         if result is not None and now - result.completed_at < FRESH_RESULT_SECONDS:
             return result
-        if worker in self.in_progress:
-            return False
-        self.in_progress.add(worker)
-        return True
+        return None
 
     def record_own_result(self, result: HealthCheckResult) -> bool:
-        """A result of ours; whether our module waits for it."""
+        """A check of ours has ended; whether our decision module waits for it."""
         self.in_progress.discard(result.worker)
         return self._store_result(result)
 
     def record_remote_result(
         self, result: HealthCheckResult, now: float, members: int
-    ) -> bool | None:
-        """Another's result: whether our module waits for it; None if we are to look ourselves
-        first.
-        """
+    ) -> RemoteResultUse:
+        """Another member's result; `members` is the size of the set."""
         if result.worker in self.pending_requests and not result.healthy:
             if result.worker in self.in_progress:
-                return False  # ours tells in a moment
+                return RemoteResultUse.STORE  # ours tells in a moment
             if self._next_allowed_at(result.worker, members) <= now:
                 self._start_check(now, result.worker)
-                return None
-        return self._store_result(result)
+                return RemoteResultUse.CHECK_FIRST
+        awaited = self._store_result(result)
+        return RemoteResultUse.SUBMIT if awaited else RemoteResultUse.STORE
 
     def _store_result(self, result: HealthCheckResult) -> bool:
+        """Whether our decision module waited for it, which it does no longer."""
         self.results.pop(result.worker, None)
         self.results[result.worker] = result
         if len(self.results) > MAX_WORKERS:
@@ -98,11 +116,9 @@
         return self.pending_requests.pop(result.worker, None) is not None
 
     def _next_allowed_at(self, worker: str, members: int) -> float:
-        """From when on we may probe it again without being asked to."""
-        return (
-            self.own_checks.get(worker, -FALLBACK_INTERVAL_PER_MEMBER * members)
-            + FALLBACK_INTERVAL_PER_MEMBER * members
-        )
+        """When we may check a worker ourselves, without being asked to as the owner."""
+        interval = FALLBACK_INTERVAL_PER_MEMBER * members
+        return self.own_checks.get(worker, -interval) + interval
 
     def _start_check(self, now: float, worker: str) -> None:
         self.own_checks.pop(worker, None)
@@ -112,8 +128,9 @@
         self.in_progress.add(worker)
 
     def overdue(self, now: float, members: int) -> list[str]:
-        """Wishes that nobody answers and that are ours to probe now; the others are looked at again
-        later.
+        """Workers whose requests nobody answered and that are ours to check now.
+
+        Those that we checked too recently are looked after later.
         """
         due = []
         for worker, fallback_at in list(self.pending_requests.items()):
--- a/dunlinlug/fleet/ownership/lease_exercise.py
+++ b/dunlinlug/fleet/ownership/lease_exercise.py
@@ -1,41 +1,48 @@
-"""Work of no consequence, for drills and days: pieces whose owner sends an effect to each member,
-each beat.
+"""Work of no consequence, for drills and scenarios: its owner sends effects to all members.
 
-Carriers log what they did and refused, and `history.py` judges those logs; whoever owns a piece
-goes on from its record.
+Executors log what they did and rejected, and `history.py` judges those logs; whoever owns a task
+goes on from its checkpoint.
 """
 
 from contextlib import suppress
 
 import trio
 
+from dunlinlug.fleet.ownership.errors import CheckpointError
 from dunlinlug.fleet.ownership.messages import Effect
 from dunlinlug.fleet.ownership.service import Ownership
 
-CHECKPOINT_EVERY = 10  # effects between two records: about two seconds of beats
+TASK_KIND = "exercise"
+CHECKPOINT_STEPS = 10  # effects from one checkpoint to the next: about two seconds of heartbeats
 
 
 def step_of(body: bytes) -> int:
+    """The step that an effect or a checkpoint speaks of; 0 if there is none."""
     return int(body) if body.isdigit() else 0
 
 
 async def run_exercise(ownership: Ownership, task_count: int) -> None:
-    names = [f"exercise/{n}" for n in range(task_count)]
-    steps = dict.fromkeys(names, 0)
-    ownership.executors["exercise"] = lambda effect: _record_step(steps, effect)
-    while names:
+    """Act for so many tasks, each heartbeat, as long as they are ours."""
+    tasks = [f"{TASK_KIND}/{number}" for number in range(task_count)]
+    steps = dict.fromkeys(tasks, 0)
+    ownership.executors[TASK_KIND] = lambda effect: _record_step(steps, effect)
+    while tasks:
         await trio.sleep(ownership.protocol.heartbeat_interval)
-        for name in names:
-            if ownership.held_token(name) is None:
-                continue
-            step = max(steps[name], step_of(ownership.checkpoint(name))) + 1
-            for member in (ownership.self_id, *ownership.other_members()):
-                ownership.send_effect(member, name, str(step).encode())
-            if step % CHECKPOINT_EVERY == 0:
-                with suppress(
-                    ValueError
-                ):  # our lease has ended since we looked: the next owner counts from before
-                    ownership.store_checkpoint(name, str(step).encode())
+        for task in tasks:
+            if ownership.held_token(task) is not None:
+                _take_step(ownership, task, steps[task])
+
+
+def _take_step(ownership: Ownership, task: str, executed: int) -> None:
+    """Send the step after the last one that was executed here or checkpointed."""
+    step = max(executed, step_of(ownership.checkpoint(task))) + 1
+    body = str(step).encode()
+    for member in (ownership.self_id, *ownership.other_members()):
+        ownership.send_effect(member, task, body)
+    if step % CHECKPOINT_STEPS == 0:
+        # Our lease may have ended since we looked: the next owner counts from the one before.
+        with suppress(CheckpointError):
+            ownership.store_checkpoint(task, body)
 
 
 def _record_step(steps: dict[str, int], effect: Effect) -> None:
--- a/dunlinlug/fleet/ownership/model.py
+++ b/dunlinlug/fleet/ownership/model.py
@@ -34,7 +34,7 @@
 from dunlinlug.fleet.model_checking.model import Step
 from dunlinlug.fleet.ownership import model_state
 from dunlinlug.fleet.ownership.fencing import DUPLICATE_REASON, FencingGuard
-from dunlinlug.fleet.ownership.messages import Effect, EffectResult
+from dunlinlug.fleet.ownership.messages import Effect, EffectResult, SendMessage
 from dunlinlug.fleet.ownership.model_state import (
     Fence,
     OwnershipLimits,
@@ -42,12 +42,14 @@
     PendingEffect,
     local_time,
 )
+from dunlinlug.fleet.ownership.options import LeaseTiming, OwnershipOptions
 from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
 
 # In units of the true clock.
 LEASE_UNITS = 15
 HEARTBEAT_UNITS = 5
 DRIFT = 0.2
+TIMING = LeaseTiming(LEASE_UNITS, HEARTBEAT_UNITS, DRIFT, RECOVERY_TIMEOUT)
 FIRST_TERM_LEASES = 4  # within which all shards are held at the beginning
 RECOVERY_LEASES = 8  # within which all shards have to be held again once faults end
 TASKS = ("p", "q")  # one of each shard
@@ -103,18 +105,8 @@
     def _start_protocol(
         self, index: int, persisted: messages.Persist, now: int, incarnation: int
     ) -> OwnershipProtocol:
-        return self.protocol_factory(
-            MEMBERS[index],
-            persisted,
-            now,
-            LEASE_UNITS,
-            HEARTBEAT_UNITS,
-            DRIFT,
-            RECOVERY_TIMEOUT,
-            fixed_uniform,
-            incarnation,
-            len(TASKS),
-        )
+        options = OwnershipOptions(TIMING, incarnation, len(TASKS))
+        return self.protocol_factory(MEMBERS[index], persisted, now, options, fixed_uniform)
 
     def local_time(self, state: OwnershipState, index: int) -> int:
         """The time on a member's clock, in units."""
@@ -203,7 +195,7 @@
         queue = deque(orders)
         while queue:
             order = queue.popleft()
-            if isinstance(order, messages.Send):
+            if isinstance(order, messages.Send | SendMessage):
                 delivery = Delivery(order.recipient, order.message)
                 if delivery not in in_flight:
                     in_flight.append(delivery)
--- a/dunlinlug/fleet/ownership/model_state.py
+++ b/dunlinlug/fleet/ownership/model_state.py
@@ -14,6 +14,7 @@
     digest,
     relative_time,
 )
+from dunlinlug.fleet.ownership.coordinator import LeaseCoordinator
 from dunlinlug.fleet.ownership.fencing import FencingToken
 from dunlinlug.fleet.ownership.messages import LeaseGranted
 from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
@@ -113,15 +114,15 @@
         assignments.tokens,
         sorted(assignments.revoking.items()),
         sorted(assignments.incarnations.items()),
-        _relative(protocol.lease_until, now),
-        protocol.lease_term,
-        protocol.committed_position,
-        _relative(protocol.next_renewal_at, now),
-        protocol.coordinator,
-        sorted(protocol.released.items()),
-        sorted(protocol.outdated_tokens.items()),
-        _pending_lease_form(protocol.pending_lease, now),
-        _coordinator_form(protocol, now) if protocol.log.is_leader else (),
+        _relative(protocol.lease.until, now),
+        protocol.lease.term,
+        protocol.lease.committed_position,
+        _relative(protocol.renewals.next_at, now),
+        protocol.renewals.coordinator,
+        protocol.releases.released_tokens(),
+        protocol.releases.outdated(),
+        _pending_lease_form(protocol.lease.pending, now),
+        _coordinator_form(protocol.coordinator, now) if protocol.log.is_leader else (),
     )
 
 
@@ -138,9 +139,13 @@
     )
 
 
-def _coordinator_form(protocol: OwnershipProtocol, now: int) -> tuple[Any, ...]:
-    renewals = protocol.last_renewals.items()
-    stability = protocol.stability
+def _coordinator_form(coordinator: LeaseCoordinator, now: int) -> tuple[Any, ...]:
+    grants = coordinator.grants
+    stability = coordinator.stability
+    renewals = [
+        (member, _relative(renewal.sent_at, now), _relative(renewal.received_at, now))
+        for member, renewal in grants.last_renewals.items()
+    ]
     presence = [
         (
             member,
@@ -150,10 +155,10 @@
         for member, since in stability.present_since.items()
     ]
     return (
-        sorted((member, _relative(until, now)) for member, until in protocol.granted_until.items()),
-        sorted((m, _relative(sent, now), _relative(got, now)) for m, (sent, got) in renewals),
-        sorted(protocol.incarnations.items()),
-        _relative(protocol.term_started_at, now),
-        _relative(protocol.next_review_at, now),
+        sorted((member, _relative(until, now)) for member, until in grants.granted_until.items()),
+        sorted(renewals),
+        sorted(grants.incarnations.items()),
+        _relative(coordinator.term_started_at, now),
+        _relative(coordinator.next_review_at, now),
         sorted(presence),
     )
--- a/dunlinlug/fleet/ownership/service.py
+++ b/dunlinlug/fleet/ownership/service.py
@@ -1,22 +1,23 @@
-"""A manager's part in owning fleet-wide work: the machine, its sockets and timers; carrying
-effects, and refusing them.
+"""A manager's part in ownership: the protocol over sockets, timers and the store, and its executors.
 
-Users of it name their pieces, ask `may` right before each effect leaves, and send it by `order`;
-carriers get what passes the fence. What nobody owns for the moment each user answers for itself.
+Users name their tasks, ask `held_token` right before each effect leaves, and send it by
+`send_effect`; executors get what passes the fence. What a task's users do while nobody owns it, each
+decides for itself.
 """
 
 import secrets
 from collections import Counter, deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 import trio
 
 from dunlinlug.fleet.election import codec
-from dunlinlug.fleet.election import messages as log_words
+from dunlinlug.fleet.election import messages as log_messages
 from dunlinlug.fleet.election.transport import OWNERSHIP_PREFACE, PeerTransport
-from dunlinlug.fleet.ownership.fencing import FencingGuard
+from dunlinlug.fleet.ownership.fencing import DUPLICATE_REASON, FencingGuard, FencingToken
 from dunlinlug.fleet.ownership.messages import (
     MESSAGE_TYPES,
     SHARDS,
@@ -24,86 +25,86 @@
     EffectResult,
     LeaseHeld,
     OwnershipChanged,
+    SendMessage,
     WorkRequest,
 )
+from dunlinlug.fleet.ownership.options import LeaseTiming, OwnershipOptions
 from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
 from dunlinlug.storage.store import Store
 
-MAX_RECENT_CHANGES = 50  # last changes kept for people
-LOGGED_TASK_PREFIX = "exercise/"  # pieces whose effects are logged one by one
-VOTE_STORE_NAME = "owners"  # the vote's name in the store
+MAX_RECENT_CHANGES = 50  # of assignments, for people
+LOGGED_TASK_PREFIX = "exercise/"  # tasks whose effects are logged one by one
+VOTE_STORE_NAME = "owners"  # the name of the log's vote in the store
+INCARNATION_BITS = 62
+
+
+@dataclass(frozen=True)
+class OwnershipConfig:
+    """Who takes part in ownership; all but `self_id` is the same for all members."""
+
+    self_id: str
+    addresses: dict[str, tuple[str, int]]  # host and port of each member by its name
+    keys: list[bytes]  # shared keys, the first of which signs
+    timing: LeaseTiming
+    shards: int = SHARDS
+
+
+class RecentChange(NamedTuple):
+    """A change of an assignment, and when it was heard of on our clock."""
+
+    at: float
+    change: OwnershipChanged
 
 
 class Ownership:
-    """`places` are where the members are by name, `timing` the lease, beat, drift and forgets of
-    the log.
+    """One member of the set that owns work on behalf of the fleet.
+
+    It owns the protocol's state, the connections to other members and the fence. Callbacks are by
+    the first word of a task, up to its "/".
     """
 
     def __init__(
         self,
-        self_id: str,
-        addresses: dict[str, tuple[str, int]],
-        keys: list[bytes],
-        timing: dict[str, Any],
+        config: OwnershipConfig,
         store: Store,
         rng: Random,
         log_event: Callable[..., None],
-        shards: int = SHARDS,
         clock: Callable[[], float] = trio.current_time,
     ) -> None:
-        self.self_id = self_id
+        self.self_id = config.self_id
         self.store = store
         self.log_event = log_event
         self.clock = clock
-        stored_vote = store.vote(VOTE_STORE_NAME)
-        persisted = (
-            log_words.Persist(
-                stored_vote[0],
-                stored_vote[1],
-                log_words.VoterSet(stored_vote[2], tuple(stored_vote[3])),
-            )
-            if stored_vote
-            else (log_words.Persist(0, "", log_words.VoterSet(1, tuple(sorted(addresses)))))
-        )
-        # Danger: drawn from the seed, a life whose store was lost would be taken for the one before
-        # it.
+        # Drawn from the seed, the incarnation of a process whose store was lost would be taken for
+        # the one before it.
+        incarnation = secrets.randbits(INCARNATION_BITS)
         self.protocol = OwnershipProtocol(
-            self_id,
-            persisted,
+            config.self_id,
+            _stored_vote(store, config),
             clock(),
-            random_uniform=rng.uniform,
-            incarnation=secrets.randbits(62),
-            shards=shards,
-            **timing,
+            OwnershipOptions(config.timing, incarnation, config.shards),
+            rng.uniform,
         )
         self.transport = PeerTransport(
-            self_id,
-            addresses,
-            keys,
+            config.self_id,
+            config.addresses,
+            config.keys,
             self._receive,
             log_event,
             {**codec.MESSAGE_TYPES, **MESSAGE_TYPES},
             OWNERSHIP_PREFACE,
         )
         self.fencing = FencingGuard()
-        self.effect_sequences = Counter[int]()
+        self.effect_sequences = Counter[int]()  # by shard
         self.wake = trio.Event()
-        self.executors: dict[
-            str, Callable[[Effect], None]
-        ] = {}  # by a piece's first word, who does its effects here
-        self.request_handlers: dict[
-            str, Callable[[WorkRequest], None]
-        ] = {}  # and who is told that one is asked for
-        self.on_held_shards_changed: list[
-            Callable[[], None]
-        ] = []  # told when what we hold has changed
-        self.recent_changes: deque[tuple[float, OwnershipChanged]] = deque(
-            maxlen=MAX_RECENT_CHANGES
-        )
+        self.executors: dict[str, Callable[[Effect], None]] = {}
+        self.request_handlers: dict[str, Callable[[WorkRequest], None]] = {}
+        self.on_held_shards_changed: list[Callable[[], None]] = []
+        self.recent_changes: deque[RecentChange] = deque(maxlen=MAX_RECENT_CHANGES)
         self.counters = Counter[str]()
 
     async def run(self) -> None:
-        """Calls come by the membership's door, as `peers.call`."""
+        """Send what is queued and act on timers; other members' messages come by the transport."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.transport.run, [])
             while True:
@@ -116,35 +117,38 @@
     # What users ask.
 
     def held_token(self, task: str) -> int | None:
-        """The number under which we may act for a piece at this very moment; asked again after each
-        wait.
+        """The token under which we may act for a task at this moment; None if we may not.
+
+        To be asked again after each wait.
         """
-        return self.protocol.held_token(self.clock(), self.protocol.assignments.shard_of(task))
+        return self.protocol.held_token(self.clock(), self._shard_of(task))
 
     def owner_of(self, task: str) -> str:
+        """The owner of a task, as far as we know; empty if nobody owns it."""
         return self.protocol.owner_of(task)[0]
 
     def checkpoint(self, task: str) -> bytes:
-        """How far a piece has come, as its owners told; empty if nothing is known."""
-        return self.protocol.assignments.checkpoints.get(task, (0, b""))[1]
+        """How far a task has come, as its owners reported; empty if nothing is known."""
+        return self.protocol.assignments.checkpoint_of(task).body
 
     def store_checkpoint(self, task: str, body: bytes) -> None:
-        """Raises ValueError if the piece is not ours."""
+        """Report how far a task of ours has come, for its next owner.
+
+        Raises:
+            CheckpointError: The task is not ours, or the body is too large.
+        """
         self._execute(self.protocol.store_checkpoint(self.clock(), task, body))
 
     def send_effect(self, recipient: str, task: str, body: bytes) -> bool:
-        """An effect at a carrier, ourselves or another member; false if we may not act for the
-        piece.
-        """
+        """Send an effect to an executor, a member or ourselves; False if the task is not ours."""
         token = self.held_token(task)  # right before it leaves: nothing is awaited from here on
         if token is None:
             self.counters["not_ours"] += 1
             return False
-        shard = self.protocol.assignments.shard_of(task)
+        shard = self._shard_of(task)
         self.effect_sequences[shard] += 1
-        effect = Effect(
-            self.protocol.log.term, self.self_id, task, token, self.effect_sequences[shard], body
-        )
+        sequence = self.effect_sequences[shard]
+        effect = Effect(self.protocol.log.term, self.self_id, task, token, sequence, body)
         self.counters["effects"] += 1
         if recipient == self.self_id:
             self._execute_effect(effect)
@@ -153,7 +157,7 @@
         return True
 
     def request_work(self, task: str, body: bytes) -> bool:
-        """Let the owner of a piece know that it is asked for; false if nobody is known to own it."""
+        """Tell a task's owner that it is asked for; False if nobody is known to own it."""
         owner = self.owner_of(task)
         request = WorkRequest(self.protocol.log.term, self.self_id, task, body)
         if owner == self.self_id:
@@ -162,14 +166,21 @@
             self.transport.send(owner, request)
         return bool(owner)
 
+    def member_count(self) -> int:
+        """How many members vote, ourselves among them."""
+        return len(self.protocol.log.voter_set.members)
+
     def other_members(self) -> list[str]:
+        """All members that vote but ourselves."""
         return [member for member in self.protocol.log.voter_set.members if member != self.self_id]
 
     def move_task(self, task: str, target: str) -> None:
-        """An operator's word, at the steward. Raises ValueError."""
-        self._execute(
-            self.protocol.move_shard(self.clock(), self.protocol.assignments.shard_of(task), target)
-        )
+        """Move a task with its shard to another member, as an operator wishes.
+
+        Raises:
+            ShardMoveError: We are not the coordinator, or the move is not possible.
+        """
+        self._execute(self.protocol.move_shard(self.clock(), self._shard_of(task), target))
         self.wake.set()
 
     def member_status_changed(self, member: str, failed: bool, live_members: set[str]) -> None:
@@ -179,123 +190,126 @@
         )
         self.wake.set()
 
+    def _shard_of(self, task: str) -> int:
+        return self.protocol.assignments.shard_of(task)
+
     # What comes.
 
     def _receive(self, message: Any) -> None:
         match message:
             case Effect():
                 self._execute_effect(message)
-            case EffectResult(task=task, done=False, highest_token=highest_token):
-                self.counters["refused_by_others"] += 1
-                shard = self.protocol.assignments.shard_of(task)
-                self._execute(self.protocol.token_rejected(self.clock(), shard, highest_token))
             case EffectResult():
-                pass
+                self._handle_result(message)
             case WorkRequest():
                 self._handle_request(message)
             case _:
                 self._execute(self.protocol.receive(self.clock(), message))
         self.wake.set()
 
+    def _handle_result(self, result: EffectResult) -> None:
+        if result.done:
+            return
+        self.counters["refused_by_others"] += 1
+        shard = self._shard_of(result.task)
+        self._execute(self.protocol.token_rejected(self.clock(), shard, result.highest_token))
+
     def _handle_request(self, request: WorkRequest) -> None:
-        handler = self.request_handlers.get(request.task.partition("/")[0])
+        handler = self.request_handlers.get(_task_kind(request.task))
         if handler is not None:
             handler(request)
 
     def _execute_effect(self, effect: Effect) -> None:
-        """Danger: a carrier that has just started remembers no number, so it goes by the log, and
-        by nothing before it has one.
+        """Let the task's executor have an effect, unless the fence rejects it."""
+        reason = self._rejection_reason(effect)
+        if reason or effect.task.startswith(LOGGED_TASK_PREFIX):
+            self._log_effect(effect, reason)
+        if not reason:
+            executor = self.executors.get(_task_kind(effect.task))
+            if executor is not None:
+                executor(effect)
+        elif reason != DUPLICATE_REASON and effect.sender != self.self_id:
+            self.counters["refused_here"] += 1
+            highest = self._highest_token(self._shard_of(effect.task))
+            term = self.protocol.log.term
+            rejection = EffectResult.rejection(self.self_id, effect, highest, term)
+            self.transport.send(effect.sender, rejection)
+
+    def _rejection_reason(self, effect: Effect) -> str:
+        """Why the fence rejects an effect; empty if it does not.
+
+        An executor that has just started remembers no token, so it goes by the log, and by nothing
+        before it has one.
         """
+        if not self.protocol.follows_log():
+            return "this carrier follows no log yet"
+        shard = self._shard_of(effect.task)
+        minimum = self.protocol.assignments.tokens[shard]
+        return self.fencing.check(shard, effect.token, effect.sender, effect.sequence, minimum)
+
+    def _highest_token(self, shard: int) -> FencingToken:
+        """What an owner is told to exceed: what was executed here or stands in the log."""
         assignments = self.protocol.assignments
-        shard = self.protocol.assignments.shard_of(effect.task)
-        reason = (
-            "this carrier follows no log yet"
-            if not self.protocol.follows_log()
-            else self.fencing.check(
-                shard, effect.token, effect.sender, effect.sequence, assignments.tokens[shard]
-            )
+        logged = FencingToken(assignments.tokens[shard], assignments.owners[shard], 0)
+        executed = self.fencing.highest_token(shard)
+        return max(executed, logged, key=lambda token: (token.number, token.owner))
+
+    def _log_effect(self, effect: Effect, reason: str) -> None:
+        self.log_event(
+            "ownership.effect_rejected" if reason else "ownership.effect_executed",
+            piece=effect.task,
+            number=effect.token,
+            count=effect.sequence,
+            owner=effect.sender,
+            why=reason,
+            body=effect.body.decode(errors="replace"),
         )
-        executor = self.executors.get(effect.task.partition("/")[0])
-        if reason or effect.task.startswith(LOGGED_TASK_PREFIX):
-            self.log_event(
-                "ownership.effect_rejected" if reason else "ownership.effect_executed",
-                piece=effect.task,
-                number=effect.token,
-                count=effect.sequence,
-                owner=effect.sender,
-                why=reason,
-                body=effect.body.decode(errors="replace"),
-            )
-        if not reason and executor is not None:
-            executor(effect)
-        if reason and "came before" not in reason and effect.sender != self.self_id:
-            self.counters["refused_here"] += 1
-            highest = self.fencing.highest_token(shard)
-            seen_token, owner = max(
-                (highest.number, highest.owner),
-                (assignments.tokens[shard], assignments.owners[shard]),
-            )
-            self.transport.send(
-                effect.sender,
-                EffectResult(
-                    self.protocol.log.term,
-                    self.self_id,
-                    effect.task,
-                    effect.token,
-                    effect.sequence,
-                    False,
-                    seen_token,
-                    owner,
-                ),
-            )
 
-    def _execute(self, orders: list[Any]) -> None:
-        for order in orders:
-            match order:
-                case log_words.Send(recipient, message):
-                    self.transport.send(recipient, message)
-                case log_words.Persist(term, voted, voter_set):
-                    self.store.put_vote(
-                        term, voted, voter_set.version, list(voter_set.members), VOTE_STORE_NAME
-                    )
-                case log_words.BecomeLeader(term):
-                    self.log_event("ownership.became_coordinator", term=term)
-                case log_words.StepDown(reason):
-                    self.log_event("ownership.stepped_down", why=reason)
-                case OwnershipChanged():
-                    self.recent_changes.append((self.clock(), order))
-                    if self.protocol.log.is_leader:
-                        self.log_event(
-                            "ownership.shard_assigned",
-                            slot=order.shard,
-                            owner=order.owner,
-                            number=order.token,
-                            why=order.reason,
-                        )
-                case LeaseHeld(shards):
-                    self.log_event("ownership.held_shards_changed", slots=len(shards))
-                    for callback in self.on_held_shards_changed:
-                        callback()
-        self._release_revoked()
-
-    def _release_revoked(self) -> None:
-        """What we are asked to give up: our users act within one call and keep nothing half done
-        over a wait, so it is given up at once.
+    def _execute(self, orders: Sequence[object]) -> None:
+        """Carry out the protocol's orders, and release at once what is revoked.
+
+        Our users act within one call and keep nothing half done over a wait.
         """
-        protocol = self.protocol
-        revoked = [
-            shard
-            for shard in protocol.assignments.revoking
-            if protocol.assignments.owners[shard] == self.self_id
-            and protocol.released.get(shard) != protocol.assignments.tokens[shard]
-        ]
+        for order in orders:
+            self._execute_order(order)
+        revoked = self.protocol.revoked_shards()
         if revoked:
-            self._execute(protocol.release(self.clock(), revoked))
+            self._execute(self.protocol.release(self.clock(), revoked))
+
+    def _execute_order(self, order: object) -> None:
+        match order:
+            case log_messages.Send(recipient, message) | SendMessage(recipient, message):
+                self.transport.send(recipient, message)
+            case log_messages.Persist(term, voted_for, voter_set):
+                members = list(voter_set.members)
+                self.store.put_vote(term, voted_for, voter_set.version, members, VOTE_STORE_NAME)
+            case log_messages.BecomeLeader(term):
+                self.log_event("ownership.became_coordinator", term=term)
+            case log_messages.StepDown(reason):
+                self.log_event("ownership.stepped_down", why=reason)
+            case OwnershipChanged():
+                self._record_change(order)
+            case LeaseHeld(shards):
+                self.log_event("ownership.held_shards_changed", slots=len(shards))
+                for callback in self.on_held_shards_changed:
+                    callback()
+
+    def _record_change(self, change: OwnershipChanged) -> None:
+        self.recent_changes.append(RecentChange(self.clock(), change))
+        if self.protocol.log.is_leader:
+            self.log_event(
+                "ownership.shard_assigned",
+                slot=change.shard,
+                owner=change.owner,
+                number=change.token,
+                why=change.reason,
+            )
+
+    # For people and programs.
 
     def describe(self) -> dict[str, Any]:
-        """For people and programs."""
+        """The state as the JSON of `fleet work`; the keys are its outside names."""
         protocol = self.protocol
-        now = self.clock()
         owners = Counter(protocol.assignments.owners)
         return {
             "member": self.self_id,
@@ -304,33 +318,56 @@
             "leads": protocol.log.is_leader,
             "holds": len(protocol.held_shards),
             "slots": protocol.shards,
-            "owners": {owner or "nobody": sequence for owner, sequence in sorted(owners.items())},
+            "owners": {owner or "nobody": shards for owner, shards in sorted(owners.items())},
             "moving": {
                 str(shard): recipient
                 for shard, recipient in sorted(protocol.assignments.revoking.items())
             },
-            "records": [
+            "records": self._describe_checkpoints(),
+            "changes": self._describe_changes(),
+            "counts": dict(self.counters),
+        }
+
+    def _describe_checkpoints(self) -> list[dict[str, Any]]:
+        rows = []
+        for task, checkpoint in sorted(self.protocol.assignments.checkpoints.items()):
+            owner, token = self.protocol.owner_of(task)
+            rows.append(
                 {
                     "piece": task,
-                    "slot": protocol.assignments.shard_of(task),
-                    "owner": protocol.owner_of(task)[0],
-                    "number": protocol.owner_of(task)[1],
-                    "under": checkpoint_token,
-                    "body": body.decode(errors="replace"),
-                }
-                for task, (checkpoint_token, body) in sorted(
-                    protocol.assignments.checkpoints.items()
-                )
-            ],
-            "changes": [
-                {
-                    "ago": round(now - at, 3),
-                    "slot": said.shard,
-                    "owner": said.owner,
-                    "number": said.token,
-                    "why": said.reason,
+                    "slot": self._shard_of(task),
+                    "owner": owner,
+                    "number": token,
+                    "under": checkpoint.token,
+                    "body": checkpoint.body.decode(errors="replace"),
                 }
-                for at, said in self.recent_changes
-            ],
-            "counts": dict(self.counters),
-        }
+            )
+        return rows
+
+    def _describe_changes(self) -> list[dict[str, Any]]:
+        now = self.clock()
+        return [
+            {
+                "ago": round(now - at, 3),
+                "slot": change.shard,
+                "owner": change.owner,
+                "number": change.token,
+                "why": change.reason,
+            }
+            for at, change in self.recent_changes
+        ]
+
+
+def _task_kind(task: str) -> str:
+    """The first word of a task's name, which says who executes its effects."""
+    return task.partition("/")[0]
+
+
+def _stored_vote(store: Store, config: OwnershipConfig) -> log_messages.Persist:
+    """What the log's protocol had on disk; the configured members vote where it had nothing."""
+    stored = store.vote(VOTE_STORE_NAME)
+    if not stored:
+        voter_set = log_messages.VoterSet(1, tuple(sorted(config.addresses)))
+        return log_messages.Persist(0, "", voter_set)
+    term, voted_for, version, members = stored
+    return log_messages.Persist(term, voted_for, log_messages.VoterSet(version, tuple(members)))
--- a/dunlinlug/fleet/ownership/shared_health_checks.py
+++ b/dunlinlug/fleet/ownership/shared_health_checks.py
@@ -1,6 +1,4 @@
-"""Probes for the fleet over what owns them: wishes to owners, one probe for all, the result to
-everybody.
-"""
+"""Health checks shared by all managers: requests to owners, one check for all, results to everybody."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -9,27 +7,40 @@
 import trio
 
 from dunlinlug.decision.events import Event, HealthCheckCompleted
-from dunlinlug.fleet.ownership import health_check_assignment
-from dunlinlug.fleet.ownership.health_check_assignment import HealthCheckResult, SharedHealthChecks
+from dunlinlug.fleet.ownership.health_check_assignment import (
+    MAX_RESULT_AGE,
+    HealthCheckResult,
+    OwnerAction,
+    RemoteResultUse,
+    SharedHealthChecks,
+    task_of,
+)
 from dunlinlug.fleet.ownership.messages import Effect, WorkRequest
 from dunlinlug.fleet.ownership.service import Ownership
 
-# seconds between looks at wishes that nobody answers: a part of a probe's time limit
-POLL_INTERVAL = 0.1
+TASK_KIND = "probe"
+POLL_INTERVAL = 0.1  # seconds between looks at requests that nobody answered
 
 
 class HealthCheckBroadcast(msgspec.Struct, frozen=True, array_like=True):
-    """A result on its way: `age` seconds old as it left."""
+    """A result on its way to another member."""
 
     worker: str
     healthy: bool
     result: str
-    duration: float
-    age: float
+    duration: float  # seconds
+    age: float  # seconds since the check ended, as it left
 
 
 class HealthCheckCoordinator:
-    """`probe` makes one probe and ends in a `Probed` given to `done`; `tell` is the module's ear."""
+    """Stands between a decision module's orders and the health checker.
+
+    Attributes:
+        check: makes one health check, whose result goes to `check_completed`.
+        submit: gives an event to the decision module.
+        start_task: starts a task in the manager's nursery.
+        checks_started: checks that this member made.
+    """
 
     def __init__(
         self,
@@ -45,40 +56,35 @@
         self.start_task = start_task
         self.shared_checks = SharedHealthChecks(timeout)
         self.checks_started = 0
-        ownership.request_handlers["probe"], ownership.executors["probe"] = (
-            self._handle_request,
-            self._handle_result,
-        )
+        ownership.request_handlers[TASK_KIND] = self._handle_request
+        ownership.executors[TASK_KIND] = self._handle_result
 
     async def run(self) -> None:
+        """Check ourselves what no owner answers for."""
         while True:
             await trio.sleep(POLL_INTERVAL)
-            members = len(self.ownership.protocol.log.voter_set.members)
+            members = self.ownership.member_count()
             for worker in self.shared_checks.overdue(self.ownership.clock(), members):
                 self._start_check(worker)
 
     def request(self, worker: str) -> None:
-        """Our module orders a probe."""
-        fresh_result = self.shared_checks.request(self.ownership.clock(), worker)
-        if fresh_result is not None:
-            self.submit(
-                HealthCheckCompleted(
-                    worker, fresh_result.healthy, fresh_result.result, fresh_result.duration
-                )
-            )
+        """Our decision module orders a check."""
+        result = self.shared_checks.request(self.ownership.clock(), worker)
+        if result is None:
+            self.ownership.request_work(task_of(worker), worker.encode())
         else:
-            self.ownership.request_work(health_check_assignment.task_of(worker), worker.encode())
+            self.submit(_completed(result))
 
     def _handle_request(self, request: WorkRequest) -> None:
+        """A member asks us as the owner; if we are not, it looks after its request itself."""
         worker = request.body.decode(errors="replace")
-        if self.ownership.held_token(
-            health_check_assignment.task_of(worker)
-        ) is None or request.task != health_check_assignment.task_of(worker):
-            return  # not ours any more, or for the moment: who wishes it looks after itself
-        decision = self.shared_checks.request_as_owner(self.ownership.clock(), worker)
-        if isinstance(decision, HealthCheckResult):
-            self._broadcast(decision)
-        elif decision:
+        task = task_of(worker)
+        if self.ownership.held_token(task) is None or request.task != task:
+            return
+        answer = self.shared_checks.request_as_owner(self.ownership.clock(), worker)
+        if isinstance(answer, HealthCheckResult):
+            self._broadcast(answer)
+        elif answer is OwnerAction.START_CHECK:
             self._start_check(worker)
 
     def _start_check(self, worker: str) -> None:
@@ -86,37 +92,30 @@
         self.start_task(self.check, worker)
 
     def check_completed(self, event: Event) -> None:
-        """A probe of ours has ended."""
+        """A check of ours has ended."""
         assert isinstance(event, HealthCheckCompleted)
-        result = HealthCheckResult(
-            event.worker, event.healthy, event.result, event.latency, self.ownership.clock()
-        )
+        now = self.ownership.clock()
+        result = HealthCheckResult(event.worker, event.healthy, event.result, event.latency, now)
         if self.shared_checks.record_own_result(result):
             self.submit(event)
         self._broadcast(result)
 
     def _broadcast(self, result: HealthCheckResult) -> None:
-        body = msgspec.msgpack.encode(
-            HealthCheckBroadcast(
-                result.worker,
-                result.healthy,
-                result.result,
-                result.duration,
-                self.ownership.clock() - result.completed_at,
-            )
+        age = self.ownership.clock() - result.completed_at
+        broadcast = HealthCheckBroadcast(
+            result.worker, result.healthy, result.result, result.duration, age
         )
+        body = msgspec.msgpack.encode(broadcast)
         for member in self.ownership.other_members():
-            self.ownership.send_effect(member, health_check_assignment.task_of(result.worker), body)
+            self.ownership.send_effect(member, task_of(result.worker), body)
 
     def _handle_result(self, effect: Effect) -> None:
-        """Another's result. What it says is a fact with an age, which may come twice and do no
-        harm.
-        """
+        """Another's result: a fact with an age, which may come twice and do no harm."""
         try:
             broadcast = msgspec.msgpack.decode(effect.body, type=HealthCheckBroadcast)
         except msgspec.DecodeError:
             return
-        if broadcast.age > health_check_assignment.MAX_RESULT_AGE:
+        if broadcast.age > MAX_RESULT_AGE:
             return
         now = self.ownership.clock()
         result = HealthCheckResult(
@@ -126,14 +125,13 @@
             broadcast.duration,
             now - broadcast.age,
         )
-        awaited = self.shared_checks.record_remote_result(
-            result, now, len(self.ownership.protocol.log.voter_set.members)
-        )
-        if awaited is None:
-            self._start_check(broadcast.worker)
-        elif awaited:
-            self.submit(
-                HealthCheckCompleted(
-                    broadcast.worker, broadcast.healthy, broadcast.result, broadcast.duration
-                )
-            )
+        members = self.ownership.member_count()
+        use = self.shared_checks.record_remote_result(result, now, members)
+        if use is RemoteResultUse.CHECK_FIRST:
+            self._start_check(result.worker)
+        elif use is RemoteResultUse.SUBMIT:
+            self.submit(_completed(result))
+
+
+def _completed(result: HealthCheckResult) -> HealthCheckCompleted:
+    return HealthCheckCompleted(result.worker, result.healthy, result.result, result.duration)
--- a/dunlinlug/fleet/ownership/simulated_network.py
+++ b/dunlinlug/fleet/ownership/simulated_network.py
@@ -1,248 +1,258 @@
-"""Owners and carriers in simulated time: loss, doubles, delay, cuts, freezes, restarts, clocks that
-are off.
+"""Owners and executors in simulated time, with a faulty network and clocks that are off.
 
-Nothing of it runs in service; tests and the measurement stand on it. One seed, one course of
-events. Each member acts for all that it holds, every `act` seconds: an effect is decided, waits a
-while in its queue, is looked at again, and leaves for a carrier, where it may arrive late or twice.
-Carriers record what they saw.
+Nothing of it runs in service; tests and measurements use it. One seed gives one course of events.
+Each member acts for all that it holds, every `effect_interval` seconds: an effect is decided, waits
+a while in its queue, the lease is checked again, and it leaves for an executor, where it may arrive
+late or twice. Executors record what they saw.
 """
 
 import heapq
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 from itertools import count
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
-from dunlinlug.fleet.election import messages as log_words
-from dunlinlug.fleet.ownership.fencing import FencingGuard
+from dunlinlug.fleet.election import messages as log_messages
+from dunlinlug.fleet.ownership.fencing import DUPLICATE_REASON, FencingGuard
 from dunlinlug.fleet.ownership.history import Observation
-from dunlinlug.fleet.ownership.messages import Effect, EffectResult, LeaseHeld, OwnershipChanged
+from dunlinlug.fleet.ownership.messages import Effect, EffectResult, OwnershipChanged, SendMessage
+from dunlinlug.fleet.ownership.options import LeaseTiming, OwnershipOptions
 from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
 
-INITIAL_VOTER_SET_VERSION = 1  # version of the roll
+INITIAL_VOTER_SET_VERSION = 1
+MAX_QUEUED_MESSAGES = 500  # for a frozen member; the oldest are lost
+RECOVERY_TIMEOUT_LEASES = 10
+MAX_INCARNATION = 2**62
+# A timer fires a little later than now: rounded to another clock and back, a time may lie just
+# before what it was.
+TIMER_SLACK = 1e-6
 ProtocolFactory = Callable[..., OwnershipProtocol]
 
 
+@dataclass(frozen=True)
+class SimulationOptions:
+    """What is simulated; times are seconds, faults are probabilities.
+
+    Without `fenced` executors do not check tokens; without `recheck` owners do not check their
+    lease again right before an effect leaves. Both show what these rules are for.
+    """
+
+    members: int = 3
+    tasks: tuple[str, ...] = ("x", "y")
+    executors: int = 2
+    shards: int = 8
+    lease: float = 1.0
+    heartbeat_interval: float = 0.2
+    drift: float = 0.02
+    loss: float = 0.0
+    duplication: float = 0.0
+    delay: tuple[float, float] = (0.0005, 0.002)  # least and most of a message
+    max_effect_delay: float = 0.0  # of an effect, beyond a message's
+    effect_interval: float = 0.1
+    protocol_factory: ProtocolFactory = OwnershipProtocol
+    fenced: bool = True
+    recheck: bool = True
+
+
+class PendingEffect(NamedTuple):
+    """A task to act for, and the token under which that was decided."""
+
+    task: str
+    token: int
+
+
 @dataclass
-class Node:
+class SimulatedMember:
+    """One process of a member, and what its host would keep."""
+
     name: str
     protocol: OwnershipProtocol
-    persisted: log_words.Persist
+    persisted: log_messages.Persist
     clock_rate: float = 1.0  # seconds of its clock for one true second
+    clock_origin: float = 0.0  # when its clock was right
     frozen: bool = False
     dead: bool = False
-    queue: list[Any] = field(default_factory=list)
-    effect_sequences: Counter[int] = field(default_factory=Counter)
-    pending_effects: list[tuple[str, int]] = field(
-        default_factory=list
-    )  # pieces to act for, with the numbers as decided
-    clock_origin: float = 0.0
-    timer_deadline: float = -1.0
+    queue: list[Any] = field(default_factory=list)  # messages that came while it was frozen
+    effect_sequences: Counter[int] = field(default_factory=Counter)  # by shard
+    pending_effects: list[PendingEffect] = field(default_factory=list)
+    timer_deadline: float = -1.0  # true time of its next timer
 
     def local_time(self, now: float) -> float:
+        """The time on its clock."""
         return (now - self.clock_origin) * self.clock_rate + self.clock_origin
 
+    def true_time(self, local: float) -> float:
+        """The true time at which its clock shows this."""
+        return (local - self.clock_origin) / self.clock_rate + self.clock_origin
+
+    def holds(self, now: float, shard: int) -> bool:
+        """Whether it may act for a shard, and is in a state to act at all."""
+        if self.dead or self.frozen:
+            return False
+        return self.protocol.held_token(self.local_time(now), shard) is not None
+
 
 class SimulatedNetwork:
-    """`pieces` are acted for, `carriers` see the effects; without `fenced` or `second_look` to see
-    what comes of it.
-    """
+    """Members, executors, and the events between them, in order of time."""
 
-    def __init__(
-        self,
-        seed: int,
-        members: int = 3,
-        tasks: tuple[str, ...] = ("x", "y"),
-        executors: int = 2,
-        lease: float = 1.0,
-        heartbeat_interval: float = 0.2,
-        drift: float = 0.02,
-        loss: float = 0.0,
-        duplication: float = 0.0,
-        delay: tuple[float, float] = (0.0005, 0.002),
-        effect_interval: float = 0.1,
-        shards: int = 8,
-        protocol_factory: ProtocolFactory = OwnershipProtocol,
-        fenced: bool = True,
-        recheck: bool = True,
-        max_effect_delay: float = 0.0,
-    ) -> None:
+    def __init__(self, seed: int, options: SimulationOptions | None = None) -> None:
+        options = options or SimulationOptions()
+        self.options = options
         self.rng = Random(seed)
-        self.lease = lease
-        self.heartbeat_interval = heartbeat_interval
-        self.drift = drift
-        self.loss = loss
-        self.duplication = duplication
-        self.delay = delay
-        self.effect_interval = effect_interval
-        self.shards = shards
-        self.protocol_factory = protocol_factory
-        self.fenced = fenced
-        self.recheck = recheck
-        self.max_effect_delay = max_effect_delay
-        self.member_names = tuple(f"m{index}" for index in range(members))
-        self.tasks = tasks
+        self.shards = options.shards
+        self.tasks = options.tasks
+        self.member_names = tuple(f"m{index}" for index in range(options.members))
         self.now = 0.0
-        self.event_numbers = count()
-        self.event_queue: list[tuple[float, int, str, Any]] = []
-        self.nodes: dict[str, Node] = {}
-        self.fencing_guards = {f"c{index}": FencingGuard() for index in range(executors)}
+        self.event_numbers = count()  # tells events of one moment apart
+        self.event_queue: list[tuple[float, int, Callable[[], None]]] = []
+        self.nodes: dict[str, SimulatedMember] = {}
+        self.fencing_guards = {f"c{index}": FencingGuard() for index in range(options.executors)}
         self.observations: list[Observation] = []
         self.blocked_links: set[tuple[str, str]] = set()
-        self.messages_sent = Counter[str]()
+        self.messages_sent = Counter[str]()  # by member
         self.assignments = list[tuple[float, OwnershipChanged]]()
-        self.ownership_conflicts: list[
-            str
-        ] = []  # moments at which two members could act for one slot
+        self.ownership_conflicts: list[str] = []  # moments at which two members held one shard
         for index, name in enumerate(self.member_names):
-            self.start(name, clock_rate=1.0 + drift * (0, 1, -1)[index % 3])
+            self.start(name, clock_rate=1.0 + options.drift * (0, 1, -1)[index % 3])
+
+    # Faults.
 
-    def start(self, name: str, clock_rate: float = 1.0, disk: bool = True) -> Node:
-        """A process begins, with what its disk holds or without."""
+    def start(self, name: str, clock_rate: float = 1.0, disk: bool = True) -> SimulatedMember:
+        """A process begins, with what its disk holds or without; its clock keeps its rate."""
         previous = self.nodes.get(name)
-        persisted = (
-            previous.persisted
-            if previous and disk
-            else log_words.Persist(
-                0, "", log_words.VoterSet(INITIAL_VOTER_SET_VERSION, self.member_names)
-            )
-        )
-        node = Node(
+        voter_set = log_messages.VoterSet(INITIAL_VOTER_SET_VERSION, self.member_names)
+        persisted = log_messages.Persist(0, "", voter_set)
+        if previous and disk:
+            persisted = previous.persisted
+        node = SimulatedMember(
             name,
-            self.protocol_factory(
-                name,
-                persisted,
-                self.now,
-                self.lease,
-                self.heartbeat_interval,
-                self.drift,
-                10 * self.lease,
-                self.rng.uniform,
-                self.rng.randrange(1, 2**62),
-                self.shards,
-            ),
+            self._start_protocol(name, persisted),
             persisted,
             previous.clock_rate if previous else clock_rate,
             clock_origin=self.now,
         )
         self.nodes[name] = node
         self._arm_timer(node)
-        self._schedule_after(self.effect_interval * self.rng.random(), "act", node)
+        first_effects = self.options.effect_interval * self.rng.random()
+        self._schedule_after(first_effects, partial(self._act, node))
         return node
 
+    def _start_protocol(self, name: str, persisted: log_messages.Persist) -> OwnershipProtocol:
+        options = self.options
+        timing = LeaseTiming(
+            options.lease,
+            options.heartbeat_interval,
+            options.drift,
+            RECOVERY_TIMEOUT_LEASES * options.lease,
+        )
+        incarnation = self.rng.randrange(1, MAX_INCARNATION)
+        return options.protocol_factory(
+            name,
+            persisted,
+            self.now,
+            OwnershipOptions(timing, incarnation, options.shards),
+            self.rng.uniform,
+        )
+
     def kill(self, name: str) -> None:
+        """A process ends without a word."""
         self.nodes[name].dead = True
 
     def freeze(self, name: str, frozen: bool = True) -> None:
+        """A process is stopped, or goes on where it was stopped."""
         node = self.nodes[name]
         node.frozen = frozen
-        if not frozen and not node.dead:
-            queue = node.queue
-            node.queue = []
-            self._send_effects(
-                node
-            )  # what it had decided before it stopped goes first, as its next line of code would
-            for message in queue:
-                self._receive(node, message)
-            self._tick(node)
+        if frozen or node.dead:
+            return
+        queue = node.queue
+        node.queue = []
+        # What it had decided before it stopped goes first, as its next line of code would.
+        self._send_effects(node)
+        for message in queue:
+            self._receive(node, message)
+        self._tick(node)
 
     def partition(self, *sides: tuple[str, ...]) -> None:
+        """Members of different sides no longer reach each other."""
         for side in sides:
             for other in sides:
                 if side is not other:
                     self.blocked_links |= {(a, b) for a in side for b in other}
 
     def heal(self) -> None:
+        """All members reach each other."""
         self.blocked_links.clear()
 
     # Time.
 
-    def _schedule_after(self, after: float, kind: str, argument: Any) -> None:
-        heapq.heappush(
-            self.event_queue, (self.now + after, next(self.event_numbers), kind, argument)
-        )
-
     def run(self, until: float) -> None:
+        """Let all happen that happens until this time."""
         while self.event_queue and self.event_queue[0][0] <= until:
-            self.now, _, kind, argument = heapq.heappop(self.event_queue)
-            match kind:
-                case "wake" if not argument[0].dead and argument[0].timer_deadline == argument[1]:
-                    argument[0].timer_deadline = -1.0
-                    self._tick(argument[0])
-                case "act" if not argument.dead and self.nodes[argument.name] is argument:
-                    self._decide_effects(argument)
-                    self._schedule_after(self.effect_interval, "act", argument)
-                case "out" if not argument.frozen and not argument.dead:
-                    self._send_effects(argument)
-                case "come":
-                    self._deliver(*argument)
-                case "do":
-                    argument()
+            self.now, _, action = heapq.heappop(self.event_queue)
+            action()
         self.now = until
 
     def schedule(self, when: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self.event_queue, (when, next(self.event_numbers), "do", action))
-
-    def _arm_timer(self, node: Node) -> None:
-        # A little later than now: rounded to another clock and back, a time may lie just before
-        # what it was.
-        due = max(
-            (node.protocol.next_deadline() - node.clock_origin) / node.clock_rate
-            + node.clock_origin,
-            self.now + 1e-6,
-        )
+        """Call this at a time."""
+        heapq.heappush(self.event_queue, (when, next(self.event_numbers), action))
+
+    def _schedule_after(self, after: float, action: Callable[[], None]) -> None:
+        self.schedule(self.now + after, action)
+
+    def _arm_timer(self, node: SimulatedMember) -> None:
+        due = max(node.true_time(node.protocol.next_deadline()), self.now + TIMER_SLACK)
         if due != node.timer_deadline:
             node.timer_deadline = due
-            heapq.heappush(self.event_queue, (due, next(self.event_numbers), "wake", (node, due)))
+            self.schedule(due, partial(self._fire_timer, node, due))
+
+    def _fire_timer(self, node: SimulatedMember, due: float) -> None:
+        if not node.dead and node.timer_deadline == due:
+            node.timer_deadline = -1.0
+            self._tick(node)
 
-    def _tick(self, node: Node) -> None:
+    def _tick(self, node: SimulatedMember) -> None:
         if not node.frozen:
             self.execute(node, node.protocol.tick(node.local_time(self.now)))
 
-    def _receive(self, node: Node, message: Any) -> None:
-        if isinstance(message, EffectResult):
-            if not message.done:
-                shard = node.protocol.assignments.shard_of(message.task)
-                self.execute(
-                    node,
-                    node.protocol.token_rejected(
-                        node.local_time(self.now), shard, message.highest_token
-                    ),
-                )
-            return
-        self.execute(node, node.protocol.receive(node.local_time(self.now), message))
+    # Messages.
 
-    def execute(self, node: Node, orders: list[Any]) -> None:
+    def _receive(self, node: SimulatedMember, message: Any) -> None:
+        now = node.local_time(self.now)
+        if not isinstance(message, EffectResult):
+            self.execute(node, node.protocol.receive(now, message))
+        elif not message.done:
+            shard = node.protocol.assignments.shard_of(message.task)
+            self.execute(node, node.protocol.token_rejected(now, shard, message.highest_token))
+
+    def execute(self, node: SimulatedMember, orders: list[Any]) -> None:
+        """Carry out a member's orders, as its service would; what is revoked is released at once."""
         for order in orders:
             match order:
-                case log_words.Send(recipient, message):
+                case log_messages.Send(recipient, message) | SendMessage(recipient, message):
                     self.messages_sent[node.name] += 1
                     self._send(node.name, recipient, message)
-                case log_words.Persist():
+                case log_messages.Persist():
                     node.persisted = order
-                case LeaseHeld():
-                    pass
                 case OwnershipChanged():
                     if node.protocol.log.is_leader:
                         self.assignments.append((self.now, order))
-        revoked = [
-            shard
-            for shard in node.protocol.assignments.revoking
-            if node.protocol.assignments.owners[shard] == node.name
-            and shard not in node.protocol.released
-        ]
+        revoked = node.protocol.revoked_shards()
         if revoked:
             self.execute(node, node.protocol.release(node.local_time(self.now), revoked))
         self._arm_timer(node)
 
+    def _copies(self) -> int:
+        """How often the network delivers a message, unless it loses one of them."""
+        return 1 + (self.rng.random() < self.options.duplication)
+
     def _send(self, sender: str, recipient: str, message: Any) -> None:
-        for _ in range(1 + (self.rng.random() < self.duplication)):
-            if self.rng.random() >= self.loss:
-                self._schedule_after(
-                    self.rng.uniform(*self.delay), "come", (sender, recipient, message)
-                )
+        for _ in range(self._copies()):
+            if self.rng.random() >= self.options.loss:
+                delay = self.rng.uniform(*self.options.delay)
+                self._schedule_after(delay, partial(self._deliver, sender, recipient, message))
 
     def _deliver(self, sender: str, recipient: str, message: Any) -> None:
         if (sender, recipient) in self.blocked_links:
@@ -252,100 +262,88 @@
             return
         node = self.nodes[recipient]
         if node.frozen:
-            node.queue = [*node.queue, message][-500:]
+            node.queue = [*node.queue, message][-MAX_QUEUED_MESSAGES:]
         elif not node.dead:
             self._receive(node, message)
 
     # Effects.
 
-    def _decide_effects(self, node: Node) -> None:
-        """For all that it holds, when it is not frozen; the effect leaves a moment later."""
+    def _act(self, node: SimulatedMember) -> None:
+        """Decide effects, again and again, until the process ends."""
+        if node.dead or self.nodes[node.name] is not node:
+            return
+        self._decide_effects(node)
+        self._schedule_after(self.options.effect_interval, partial(self._act, node))
+
+    def _decide_effects(self, node: SimulatedMember) -> None:
+        """For all that it holds, when it is not frozen; the effects leave a moment later."""
         if node.frozen:
             return
+        self._record_conflicts(node)
         now = node.local_time(self.now)
+        for task in self.tasks:
+            token = node.protocol.held_token(now, node.protocol.assignments.shard_of(task))
+            if token is not None:
+                node.pending_effects.append(PendingEffect(task, token))
+        delay = self.rng.uniform(0.0, self.options.effect_interval / 2)
+        self._schedule_after(delay, partial(self._send_unless_stopped, node))
+
+    def _record_conflicts(self, node: SimulatedMember) -> None:
         for shard in sorted({node.protocol.assignments.shard_of(task) for task in self.tasks}):
-            holders = [
-                n.name
-                for n in self.nodes.values()
-                if not n.dead
-                and not n.frozen
-                and n.protocol.held_token(n.local_time(self.now), shard) is not None
-            ]
+            holders = [other.name for other in self.nodes.values() if other.holds(self.now, shard)]
             if len(holders) > 1:
                 self.ownership_conflicts.append(
                     f"{self.now:.3f}: {', '.join(holders)} may act for slot {shard}"
                 )
-        for task in self.tasks:
-            token = node.protocol.held_token(now, node.protocol.assignments.shard_of(task))
-            if token is not None:
-                node.pending_effects.append((task, token))
-        self._schedule_after(self.rng.uniform(0.0, self.effect_interval / 2), "out", node)
 
-    def _send_effects(self, node: Node) -> None:
+    def _send_unless_stopped(self, node: SimulatedMember) -> None:
+        if not node.frozen and not node.dead:
+            self._send_effects(node)
+
+    def _send_effects(self, node: SimulatedMember) -> None:
         pending = node.pending_effects
         node.pending_effects = []
         for task, token in pending:
             shard = node.protocol.assignments.shard_of(task)
-            if self.recheck and node.protocol.held_token(node.local_time(self.now), shard) != token:
+            held = node.protocol.held_token(node.local_time(self.now), shard)
+            if self.options.recheck and held != token:
                 continue
             node.effect_sequences[shard] += 1
-            effect = Effect(
-                node.protocol.log.term, node.name, task, token, node.effect_sequences[shard], b""
-            )
+            sequence = node.effect_sequences[shard]
+            effect = Effect(node.protocol.log.term, node.name, task, token, sequence, b"")
             for executor in self.fencing_guards:
-                extra_delay = self.rng.uniform(0.0, self.max_effect_delay)
-                for _ in range(1 + (self.rng.random() < self.duplication)):
-                    self._schedule_after(
-                        self.rng.uniform(*self.delay) + extra_delay,
-                        "come",
-                        (node.name, executor, effect),
-                    )
+                self._send_effect(node.name, executor, effect)
+
+    def _send_effect(self, sender: str, executor: str, effect: Effect) -> None:
+        extra_delay = self.rng.uniform(0.0, self.options.max_effect_delay)
+        for _ in range(self._copies()):
+            delay = self.rng.uniform(*self.options.delay) + extra_delay
+            self._schedule_after(delay, partial(self._deliver, sender, executor, effect))
 
     def _deliver_to_executor(self, executor: str, effect: Effect) -> None:
         fence = self.fencing_guards[executor]
         shard = self.nodes[self.member_names[0]].protocol.assignments.shard_of(effect.task)
         reason = fence.check(shard, effect.token, effect.sender, effect.sequence)
-        done = not reason or not self.fenced
+        done = not reason or not self.options.fenced
         self.observations.append(
             Observation(
                 self.now, executor, effect.task, effect.token, effect.sequence, effect.sender, done
             )
         )
-        if reason and reason != "it came before":
-            highest = fence.highest_token(shard)
-            self._schedule_after(
-                self.rng.uniform(*self.delay),
-                "come",
-                (
-                    executor,
-                    effect.sender,
-                    EffectResult(
-                        0,
-                        executor,
-                        effect.task,
-                        effect.token,
-                        effect.sequence,
-                        False,
-                        highest.number,
-                        highest.owner,
-                    ),
-                ),
-            )
+        if reason and reason != DUPLICATE_REASON:
+            rejection = EffectResult.rejection(executor, effect, fence.highest_token(shard))
+            delay = self.rng.uniform(*self.options.delay)
+            self._schedule_after(delay, partial(self._deliver, executor, effect.sender, rejection))
 
     # What was seen.
 
     def lease_holders(self) -> dict[str, list[str]]:
-        """By piece, who may act for it now."""
+        """By task, the members that may act for it now."""
         return {
             task: [
                 node.name
                 for node in self.nodes.values()
-                if not node.dead
-                and not node.frozen
-                and node.protocol.held_token(
-                    node.local_time(self.now), node.protocol.assignments.shard_of(task)
-                )
-                is not None
+                if node.holds(self.now, node.protocol.assignments.shard_of(task))
             ]
             for task in self.tasks
         }
--- a/tests/fleet/ownership/test_ownership.py
+++ b/tests/fleet/ownership/test_ownership.py
@@ -1,6 +1,7 @@
 """One owner at a time: the machine in simulated time, dealing, the fence, the book, the history checker."""
 
 from collections import Counter
+from dataclasses import replace
 from random import Random
 from typing import Any
 
@@ -8,18 +9,24 @@
 
 from dunlinlug.fleet.ownership import assignment, history
 from dunlinlug.fleet.ownership import log as books
+from dunlinlug.fleet.ownership.coordinator import LeaseCoordinator
 from dunlinlug.fleet.ownership.fencing import FencingGuard
 from dunlinlug.fleet.ownership.history import Observation
+from dunlinlug.fleet.ownership.lease import HeldLease
 from dunlinlug.fleet.ownership.messages import LeaseGranted, shard_of, term_of, token_at
 from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
-from dunlinlug.fleet.ownership.simulated_network import SimulatedNetwork
+from dunlinlug.fleet.ownership.simulated_network import SimulatedNetwork, SimulationOptions
 
+LEASE = SimulationOptions().lease
 PIECES = ("site/north", "worker/o-17/ramp", "probe/3 of 64", "pin/press-book")
 
 
 def storm(seed: int, members: int, seconds: float = 60.0, **more: Any) -> SimulatedNetwork:
     """Freezes, kills, restarts with and without a disk, cuts of all kinds, drawn from one seed; calm at the end."""
-    net, chance = SimulatedNetwork(seed, members, PIECES, **more), Random(f"storm {seed}")
+    net, chance = (
+        SimulatedNetwork(seed, SimulationOptions(members, PIECES, **more)),
+        Random(f"storm {seed}"),
+    )
     net.run(4.0)
     while net.now < seconds:
         name = chance.choice(net.member_names)
@@ -68,7 +75,7 @@
 def test_an_effect_in_a_frozen_owner_s_queue_is_looked_at_again_or_refused() -> None:
     """Without the second look it leaves, and the fence refuses it; with neither the checker finds it."""
     for look, fenced in ((True, True), (False, True), (True, False), (False, False)):
-        net = SimulatedNetwork(2, recheck=look, fenced=fenced)
+        net = SimulatedNetwork(2, SimulationOptions(recheck=look, fenced=fenced))
         net.run(5.0)
         while True:
             frozen = next(
@@ -99,53 +106,46 @@
 
 
 class ReassignsTooEarly(OwnershipProtocol):
-    """Deals work anew as soon as a member is late, not when all that it was given has ended."""
+    """Assigns shards anew as soon as a member is late, not when all that it was granted has ended."""
+
+    class Coordinator(LeaseCoordinator):
+        def _grant_lease(self, now: float, member: str) -> list[object]:
+            orders = super()._grant_lease(now, member)
+            received_at = self.grants.last_renewals[member].received_at
+            self.grants.granted_until[member] = received_at + self.heartbeat_interval
+            return orders
 
-    def _grant_lease(self, now: float, member: str) -> list[object]:
-        orders = super()._grant_lease(now, member)
-        self.granted_until[member] = self.last_renewals[member][1] + self.heartbeat_interval
-        return orders
+    coordinator_class = Coordinator
 
 
 class GrantsBeyondOwnLease(OwnershipProtocol):
-    """Gives beyond its own lease."""
-
-    def _handle_lease(self, lease: LeaseGranted) -> list[object]:
-        return super()._handle_lease(
-            LeaseGranted(
-                lease.term,
-                lease.sender,
-                lease.sent_at,
-                lease.duration + self.lease,
-                lease.log_position,
-                lease.committed,
-                lease.incarnation,
-            )
-        )
+    """Grants beyond the coordinator's own lease."""
+
+    class Lease(HeldLease):
+        def receive(self, lease: LeaseGranted) -> None:
+            super().receive(replace(lease, duration=lease.duration + LEASE))
+
+    lease_class = Lease
 
 
 class CountsLeaseFromResponse(OwnershipProtocol):
-    """Counts what it was given from when the answer came."""
+    """Counts a lease from when the answer came."""
 
     def receive(self, now: float, message: object) -> list[object]:
         if isinstance(message, LeaseGranted):
-            message = LeaseGranted(
-                message.term,
-                message.sender,
-                now,
-                message.duration / self.drift_factor,
-                message.log_position,
-                message.committed,
-                message.incarnation,
-            )
+            duration = message.duration / self.lease.drift_factor
+            message = replace(message, sent_at=now, duration=duration)
         return super().receive(now, message)
 
 
 class UsesOutdatedLog(OwnershipProtocol):
-    """Back from a cut, counts what it is given by a book that it has not brought up to date."""
+    """Back from a partition, counts a lease by a log that it has not brought up to date."""
+
+    class Lease(HeldLease):
+        def log_covers(self, lease: LeaseGranted) -> bool:
+            return True
 
-    def _log_covers(self, lease: LeaseGranted) -> bool:
-        return True
+    lease_class = Lease
 
 
 @pytest.mark.parametrize(
@@ -168,7 +168,7 @@
 def test_a_death_moves_what_was_owned_and_nothing_else_and_a_return_levels_by_the_fewest_moves() -> (
     None
 ):
-    net = SimulatedNetwork(3, 5, shards=256)
+    net = SimulatedNetwork(3, SimulationOptions(5, shards=256))
     net.run(5.0)
     before, at = list(net.nodes["m1"].protocol.assignments.owners), net.now
     assert max(Counter(before).values()) - min(Counter(before).values()) <= 1 and "" not in before
@@ -189,7 +189,7 @@
 
 
 def test_one_that_comes_and_goes_is_dealt_less_and_less() -> None:
-    net = SimulatedNetwork(4, 3, shards=64)
+    net = SimulatedNetwork(4, SimulationOptions(3, shards=64))
     net.run(6.0)
     held = list[int]()
     for _ in range(6):
@@ -203,7 +203,7 @@
 
 
 def test_a_suspicion_that_is_refuted_moves_nothing() -> None:
-    net = SimulatedNetwork(5, 5, shards=64)
+    net = SimulatedNetwork(5, SimulationOptions(5, shards=64))
     net.run(6.0)
     before = list(net.nodes["m1"].protocol.assignments.tokens)
     for name in net.member_names:
@@ -225,7 +225,7 @@
 
 
 def test_the_next_owner_learns_how_far_the_work_had_come() -> None:
-    net = SimulatedNetwork(6, 3)
+    net = SimulatedNetwork(6)
     net.run(5.0)
     [owner] = net.lease_holders()["x"]
     node = net.nodes[owner]
@@ -246,7 +246,7 @@
 
 def test_a_disk_a_minute_old_gives_no_number_that_passes_a_fence_twice() -> None:
     """All restart with empty disks: terms begin anew, and carriers know of higher ones."""
-    net = SimulatedNetwork(7, 3)
+    net = SimulatedNetwork(7)
     net.run(6.0)
     for name in net.member_names:
         net.kill(name)
@@ -264,7 +264,7 @@
 
 
 def test_an_operator_moves_a_piece_and_it_stays_for_a_while() -> None:
-    net = SimulatedNetwork(8, 3, shards=9)
+    net = SimulatedNetwork(8, SimulationOptions(3, shards=9))
     net.run(6.0)
     steward = next(node for node in net.nodes.values() if node.protocol.log.is_leader)
     [owner] = net.lease_holders()["x"]
@@ -310,7 +310,7 @@
     assert sum(a != b for a, b in zip(before, owners, strict=True)) == lost
     least = sum(max(0, n - -(-len(owners) // len(able))) for n in Counter(owners).values())
     moved = 0
-    while moves := assignment.rebalance(owners, (), able, {}):
+    while moves := assignment.rebalance(owners, {}, able):
         assert len(moves) <= assignment.MAX_CONCURRENT_MOVES
         for slot, to in moves:
             owners[slot], moved = to, moved + 1
@@ -377,7 +377,7 @@
 
 def test_of_a_cut_the_majority_owns_all_and_where_there_is_none_nobody_does() -> None:
     for sides, owning in (((3, 2), 3), ((2, 2, 1), 0), ((4, 1), 4)):
-        net = SimulatedNetwork(9, 5, shards=64)
+        net = SimulatedNetwork(9, SimulationOptions(5, shards=64))
         net.run(6.0)
         cuts, rest = list[tuple[str, ...]](), list(net.member_names)
         for size in sides:
@@ -398,7 +398,7 @@
 
 def test_thousands_of_pieces_orphaned_in_one_moment_are_dealt_by_one_entry() -> None:
     pieces = tuple(f"worker/o-{n}/ramp" for n in range(10_000))
-    net = SimulatedNetwork(10, 3, shards=256)
+    net = SimulatedNetwork(10, SimulationOptions(3, shards=256))
     net.run(6.0)
     steward = next(node for node in net.nodes.values() if node.protocol.log.is_leader)
     victim = next(name for name in net.member_names if name != steward.name)
@@ -415,17 +415,21 @@
 
 
 def test_what_was_granted_to_a_former_life_or_by_another_steward_gives_nothing() -> None:
-    net = SimulatedNetwork(11, 3)
+    net = SimulatedNetwork(11)
     net.run(5.0)
     node = next(node for node in net.nodes.values() if not node.protocol.log.is_leader)
     machine, now = node.protocol, node.local_time(net.now)
-    steward, until = machine.log.leader, machine.lease_until
+    steward, until = machine.log.leader, machine.lease.until
     other = next(name for name in net.member_names if name not in (steward, node.name))
     place = machine.log.position
     for granted in (
-        LeaseGranted(machine.log.term, steward, now, 50.0, place, place, machine.incarnation + 1),
-        LeaseGranted(machine.log.term, other, now, 50.0, place, place, machine.incarnation),
-        LeaseGranted(machine.log.term - 1, steward, now, 50.0, place, place, machine.incarnation),
+        LeaseGranted(
+            machine.log.term, steward, now, 50.0, place, place, machine.lease.incarnation + 1
+        ),
+        LeaseGranted(machine.log.term, other, now, 50.0, place, place, machine.lease.incarnation),
+        LeaseGranted(
+            machine.log.term - 1, steward, now, 50.0, place, place, machine.lease.incarnation
+        ),
         LeaseGranted(
             machine.log.term,
             steward,
@@ -433,12 +437,13 @@
             50.0,
             (place[0], place[1] + 1),
             place,
-            machine.incarnation,
+            machine.lease.incarnation,
         ),
     ):
         machine.receive(now, granted)
-        assert machine.lease_until == until, granted
+        assert machine.lease.until == until, granted
     machine.receive(
-        now, LeaseGranted(machine.log.term, steward, now, 50.0, place, place, machine.incarnation)
+        now,
+        LeaseGranted(machine.log.term, steward, now, 50.0, place, place, machine.lease.incarnation),
     )
-    assert machine.lease_until > now + 40.0
+    assert machine.lease.until > now + 40.0
--- a/tests/fleet/ownership/test_service.py
+++ b/tests/fleet/ownership/test_service.py
@@ -13,10 +13,11 @@
 
 from dunlinlug.decision.events import Event, HealthCheckCompleted
 from dunlinlug.fleet.membership.service import Membership
-from dunlinlug.fleet.ownership import health_check_assignment, shared_overrides
-from dunlinlug.fleet.ownership import log as books
+from dunlinlug.fleet.ownership import health_check_assignment, messages, shared_overrides
+from dunlinlug.fleet.ownership.health_check_assignment import OwnerAction, RemoteResultUse
 from dunlinlug.fleet.ownership.messages import Effect
-from dunlinlug.fleet.ownership.service import Ownership
+from dunlinlug.fleet.ownership.options import LeaseTiming
+from dunlinlug.fleet.ownership.service import Ownership, OwnershipConfig
 from dunlinlug.fleet.ownership.shared_health_checks import HealthCheckCoordinator
 from dunlinlug.net.http import Request, Response
 from dunlinlug.storage.store import Store
@@ -25,7 +26,7 @@
 from tests.fixtures.manager_set import Fleet, fleet, free_ports
 
 KEY = bytes(range(32))
-TIMING = {"lease": 0.5, "heartbeat_interval": 0.05, "drift": 0.02, "recovery_timeout": 1.0}
+TIMING = LeaseTiming(lease=0.5, heartbeat_interval=0.05, drift=0.02, recovery_timeout=1.0)
 WORKERS = [f"w{n}" for n in range(24)]
 
 
@@ -61,7 +62,7 @@
             lambda: tuple(self.places),
         )
         owners = self.owners[name] = Ownership(
-            name, self.places, [KEY], TIMING, kept, Random(f"{name} own"), note
+            OwnershipConfig(name, self.places, [KEY], TIMING), kept, Random(f"{name} own"), note
         )
         (
             owners.transport.membership_address,
@@ -261,7 +262,7 @@
             and f"{owner} decides on pins of ticket-read; say it" in refused.body.decode()
         )
         with monkeypatch.context() as patch:
-            patch.setattr(books, "MAX_CHECKPOINT_BYTES", 10)
+            patch.setattr(messages, "MAX_CHECKPOINT_BYTES", 10)
             large = await say(owner, "PUT", "/pins", word)
         assert large.status == 409 and "over 10 bytes" in large.body.decode()
         assert pinned(run) == dict.fromkeys("abc", []), "what can't be told to all stands nowhere"
@@ -296,7 +297,8 @@
     times = [n / 10 for n in range(25, 200) if shared.overdue(n / 10, 5)]
     assert times == [5.9], "five members: each five seconds"
     assert (
-        shared.request_as_owner(20.0, "x") is True and shared.request_as_owner(20.1, "x") is False
+        shared.request_as_owner(20.0, "x") is OwnerAction.START_CHECK
+        and shared.request_as_owner(20.1, "x") is OwnerAction.AWAIT_CHECK
     )
     assert shared.request_as_owner(1.9, "w") == result
 
@@ -307,26 +309,28 @@
         health_check_assignment.SharedHealthChecks(0.4),
         health_check_assignment.HealthCheckResult("w", False, "timeout", 0.4, 10.0),
     )
-    assert shared.record_remote_result(bad, 10.0, 3) is False, "nobody waits for it here"
+    assert shared.record_remote_result(bad, 10.0, 3) is RemoteResultUse.STORE, (
+        "nobody waits for it here"
+    )
     shared.request(20.0, "w")
     assert (
-        shared.record_remote_result(bad, 20.1, 3) is None
-        and shared.record_remote_result(bad, 20.2, 3) is False
+        shared.record_remote_result(bad, 20.1, 3) is RemoteResultUse.CHECK_FIRST
+        and shared.record_remote_result(bad, 20.2, 3) is RemoteResultUse.STORE
     )
     good = health_check_assignment.HealthCheckResult("w", True, "ok", 0.1, 20.3)
     assert shared.record_own_result(good) and shared.request(20.5, "w") == good
     shared.request(22.0, "w")
-    assert shared.record_remote_result(bad, 22.1, 3) is True, (
+    assert shared.record_remote_result(bad, 22.1, 3) is RemoteResultUse.SUBMIT, (
         "we have looked within three seconds; its word stands"
     )
     shared.request(24.0, "w")
-    assert shared.record_remote_result(bad, 24.1, 3) is None
+    assert shared.record_remote_result(bad, 24.1, 3) is RemoteResultUse.CHECK_FIRST
     shared.request(30.0, "x")
     assert (
         shared.record_remote_result(
             health_check_assignment.HealthCheckResult("x", True, "ok", 0.1, 30.1), 30.1, 3
         )
-        is True
+        is RemoteResultUse.SUBMIT
     ), "who answers it is there for all"
 
 
