--- a/dunlinlug/fleet/election/model.py
+++ b/dunlinlug/fleet/election/model.py
@@ -211,10 +211,8 @@
         message = delivery.message
         if isinstance(message, ProxyOrder):
             entry = message.entry.decode()
-            return (
-                f"{message.sender}'s order of term {message.term} ({entry}) "
-                f"for proxy {message.proxy}"
-            )
+            order = f"order of term {message.term} ({entry})"
+            return f"{message.sender}'s {order} for proxy {message.proxy}"
         sent = f", sent at {message.sent_at:g}," if hasattr(message, "sent_at") else ""
         pre_vote = " (probe)" if getattr(message, "pre_vote", False) else ""
         return (
--- a/dunlinlug/fleet/model_checking/cluster.py
+++ b/dunlinlug/fleet/model_checking/cluster.py
@@ -165,10 +165,10 @@
         yield Step(f"{name} arrives", partial(self.deliver, taken, delivery, self.fenced))
         if limits.duplications and self.may_duplicate(delivery):
             fewer = replace(limits, duplications=limits.duplications - 1)
-            kept = replace(state, remaining=fewer)
+            still_there = replace(state, remaining=fewer)
             yield Step(
                 f"{name} arrives, and will again",
-                partial(self.deliver, kept, delivery, self.fenced),
+                partial(self.deliver, still_there, delivery, self.fenced),
             )
         if limits.losses:
             fewer = replace(limits, losses=limits.losses - 1)
--- a/dunlinlug/fleet/model_checking/engine.py
+++ b/dunlinlug/fleet/model_checking/engine.py
@@ -59,12 +59,9 @@
 ) -> ExplorationResult:
     """Visit all states by their distance from the initial one, so that a trace is a shortest one.
 
-    Args:
-        model: What may happen, and what must hold.
-        max_states: End once so many states were visited; checked between states.
-        max_seconds: End after so many seconds.
-        recovery_check_interval: Check recovery from each state of this number; 0 for none.
-        prefix: Patterns of steps to take before the search begins; not part of the trace.
+    The search ends once `max_states` were visited or `max_seconds` are over, which is checked
+    between states. It checks recovery from each state whose number is a multiple of
+    `recovery_check_interval`, unless that is 0, and begins where the patterns of `prefix` lead.
     """
     first_state = follow_patterns(model, model.initial_state(), prefix)
     first_form = model.canonical_form(first_state)
--- a/dunlinlug/fleet/ownership/assignment.py
+++ b/dunlinlug/fleet/ownership/assignment.py
@@ -12,7 +12,8 @@
 MAX_CONCURRENT_MOVES = 16  # shards on their way between owners; the others are worked on meanwhile
 # Leases that a member has to be present without a break before it is assigned what others own ...
 MIN_STABLE_LEASES = 2.0
-# ... doubled by each break up to this, so that a flapping member is not assigned shards each time ...
+# ... doubled by each break up to this, so that a flapping member is not assigned shards each
+# time ...
 MAX_STABLE_LEASES = 64.0
 # ... and halved after so many times as long without a break.
 STABILITY_DECAY_PERIODS = 8.0
--- a/dunlinlug/fleet/ownership/checkpoints.py
+++ b/dunlinlug/fleet/ownership/checkpoints.py
@@ -35,18 +35,18 @@
         return task in self.pending
 
     def next_report(self) -> tuple[TaskCheckpoint, ...]:
-        """What to report now, as much as one message holds; what is settled is dropped.
+        """What to report now, as much as one message holds; what is resolved is dropped.
 
         A checkpoint that was made while the shard moved on would set its next owner back: the log
         ignores it by its token, and here it is dropped.
         """
-        settled = [task for task, made in self.pending.items() if self._is_settled(task, made)]
-        for task in settled:
+        resolved = [task for task, made in self.pending.items() if self._is_resolved(task, made)]
+        for task in resolved:
             del self.pending[task]
         first = islice(self.pending.items(), MAX_CHECKPOINTS_PER_MESSAGE)
         return tuple(TaskCheckpoint(task, made.token, made.body) for task, made in first)
 
-    def _is_settled(self, task: str, made: StoredCheckpoint) -> bool:
+    def _is_resolved(self, task: str, made: StoredCheckpoint) -> bool:
         """Whether the shard has another token, or the checkpoint is committed."""
         assignments = self.replica.assignments
         if assignments.tokens[assignments.shard_of(task)] != made.token:
@@ -57,7 +57,7 @@
 
 
 def acceptable_items(replica: ShardReplica, report: CheckpointReport) -> tuple[TaskCheckpoint, ...]:
-    """What of a member's report is to go into the log: its own tasks, under their present tokens."""
+    """What of a member's report goes into the log: its own tasks, under their present tokens."""
     return tuple(item for item in report.items if _is_acceptable(replica, report.sender, item))
 
 
--- a/dunlinlug/fleet/ownership/coordinator.py
+++ b/dunlinlug/fleet/ownership/coordinator.py
@@ -184,7 +184,7 @@
         """Ask the owner of a shard to release it for another member, as an operator wishes.
 
         Raises:
-            ShardMoveError: We do not decide, the target is not present, or there is nothing to move.
+            ShardMoveError: We do not decide, the target is absent, or there is nothing to move.
         """
         log = self.replica.log
         if not log.holds_lease(now):
--- /dev/null
+++ b/dunlinlug/fleet/ownership/executor.py
@@ -0,0 +1,73 @@
+"""Executing effects at a member: the fence, and who does what an effect asks for."""
+
+from collections.abc import Callable
+
+from dunlinlug.fleet.ownership.fencing import DUPLICATE_REASON, FencingGuard, FencingToken
+from dunlinlug.fleet.ownership.messages import Effect, EffectResult
+from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
+
+LOGGED_TASK_PREFIX = "exercise/"  # tasks whose effects are logged one by one
+
+
+def task_kind(task: str) -> str:
+    """The first word of a task's name, up to its "/", which says whose it is."""
+    return task.partition("/")[0]
+
+
+class EffectExecutor:
+    """Lets effects that pass the fence through to their handlers; owns the fence."""
+
+    def __init__(self, protocol: OwnershipProtocol, log_event: Callable[..., None]) -> None:
+        self.protocol = protocol
+        self.log_event = log_event
+        self.fencing = FencingGuard()
+        self.handlers: dict[str, Callable[[Effect], None]] = {}  # by kind of task
+
+    def execute(self, effect: Effect) -> EffectResult | None:
+        """Execute an effect, or return the rejection that its sender is to be told.
+
+        An effect that came before is ignored.
+        """
+        reason = self._rejection_reason(effect)
+        if reason or effect.task.startswith(LOGGED_TASK_PREFIX):
+            self._log_effect(effect, reason)
+        if not reason:
+            handler = self.handlers.get(task_kind(effect.task))
+            if handler is not None:
+                handler(effect)
+            return None
+        if reason == DUPLICATE_REASON:
+            return None
+        highest = self._highest_token(self.protocol.assignments.shard_of(effect.task))
+        term = self.protocol.log.term
+        return EffectResult.rejection(self.protocol.self_id, effect, highest, term)
+
+    def _rejection_reason(self, effect: Effect) -> str:
+        """Why the fence rejects an effect; empty if it does not.
+
+        An executor that has just started remembers no token, so it goes by the log, and by nothing
+        before it has one.
+        """
+        if not self.protocol.follows_log():
+            return "this carrier follows no log yet"
+        shard = self.protocol.assignments.shard_of(effect.task)
+        minimum = self.protocol.assignments.tokens[shard]
+        return self.fencing.check(shard, effect.token, effect.sender, effect.sequence, minimum)
+
+    def _highest_token(self, shard: int) -> FencingToken:
+        """What an owner is told to exceed: what was executed here or stands in the log."""
+        assignments = self.protocol.assignments
+        logged = FencingToken(assignments.tokens[shard], assignments.owners[shard], 0)
+        executed = self.fencing.highest_token(shard)
+        return max(executed, logged, key=lambda token: (token.number, token.owner))
+
+    def _log_effect(self, effect: Effect, reason: str) -> None:
+        self.log_event(
+            "ownership.effect_rejected" if reason else "ownership.effect_executed",
+            piece=effect.task,
+            number=effect.token,
+            count=effect.sequence,
+            owner=effect.sender,
+            why=reason,
+            body=effect.body.decode(errors="replace"),
+        )
--- a/dunlinlug/fleet/ownership/fencing.py
+++ b/dunlinlug/fleet/ownership/fencing.py
@@ -3,8 +3,8 @@
 A lease alone does not keep a paused owner from acting late: the receiver of an effect has to check
 a token that grows with each grant (M. Kleppmann, "How to do distributed locking", 2016). An effect
 with a lower token than was seen is rejected, as is one of the same token from another owner (a
-token given twice, after disks were lost), and one that came before. A minimum comes from the log: an
-executor that has just started and remembers nothing goes by what the members know.
+token given twice, after disks were lost), and one that came before. A minimum comes from the log:
+an executor that has just started and remembers nothing goes by what the members know.
 """
 
 from dataclasses import dataclass
--- a/dunlinlug/fleet/ownership/health_check_assignment.py
+++ b/dunlinlug/fleet/ownership/health_check_assignment.py
@@ -1,7 +1,7 @@
 """Who checks a worker that several managers ask for: its group's owner, once for all.
 
-Decisions, free of I/O. Each manager's decision module orders health checks of its own. Here an order
-becomes a request to the owner of the worker's group, which checks once for all requests that come
+Decisions, free of I/O. Each manager's decision module orders health checks of its own. Here an
+order becomes a request to the owner of the worker's group, which checks once for all that ask
 meanwhile and tells everybody; a result that is fresh enough answers a request at once.
 
 Where no answer comes, as there is no owner or it is cut off, we check ourselves, so seldom that all
--- a/dunlinlug/fleet/ownership/lease_exercise.py
+++ b/dunlinlug/fleet/ownership/lease_exercise.py
@@ -25,7 +25,7 @@
     """Act for so many tasks, each heartbeat, as long as they are ours."""
     tasks = [f"{TASK_KIND}/{number}" for number in range(task_count)]
     steps = dict.fromkeys(tasks, 0)
-    ownership.executors[TASK_KIND] = lambda effect: _record_step(steps, effect)
+    ownership.handle_effects(TASK_KIND, lambda effect: _record_step(steps, effect))
     while tasks:
         await trio.sleep(ownership.protocol.heartbeat_interval)
         for task in tasks:
--- a/dunlinlug/fleet/ownership/messages.py
+++ b/dunlinlug/fleet/ownership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between members about ownership, and orders of the protocol to its service; plain values.
+"""Messages between members about ownership, and orders of the protocol; plain values.
 
 Work is divided into named tasks. A task belongs to a shard by the hash of its name, and shards are
 owned. Each grant of a shard has a fencing token that only grows: the position of its entry in the
@@ -151,7 +151,8 @@
     body: bytes = field(metadata=wire("body"))
 
 
-Message = RenewLease | LeaseGranted | CheckpointReport | Effect | EffectResult | WorkRequest
+LeaseMessage = RenewLease | LeaseGranted | CheckpointReport  # between the members' protocols
+Message = LeaseMessage | Effect | EffectResult | WorkRequest
 MESSAGE_TYPES = by_wire_name(
     (RenewLease, LeaseGranted, CheckpointReport, Effect, EffectResult, WorkRequest)
 )
@@ -162,7 +163,7 @@
     """An order: send this to another member."""
 
     recipient: str
-    message: RenewLease | LeaseGranted | CheckpointReport
+    message: LeaseMessage
 
 
 @dataclass(frozen=True)
--- a/dunlinlug/fleet/ownership/protocol.py
+++ b/dunlinlug/fleet/ownership/protocol.py
@@ -1,4 +1,4 @@
-"""One owner at a time for each shard of work, as a protocol free of I/O: messages and time in, orders out.
+"""One owner at a time for each shard of work: messages and time in, orders out; free of I/O.
 
 The members replicate a log with the election's protocol; its leader is the coordinator, which
 assigns shards by entries of the log and grants leases. Members renew with the coordinator once a
@@ -24,6 +24,7 @@
     CheckpointReport,
     LeaseGranted,
     LeaseHeld,
+    LeaseMessage,
     RenewLease,
     SendMessage,
     ShardToken,
@@ -179,7 +180,7 @@
         """Move a shard to another member, as an operator wishes.
 
         Raises:
-            ShardMoveError: We do not decide, the target is not present, or there is nothing to move.
+            ShardMoveError: We do not decide, the target is absent, or there is nothing to move.
         """
         orders = self.coordinator.move_shard(now, shard, target)
         return orders + self._update_held_shards(now)
@@ -247,14 +248,14 @@
 
     # Messages.
 
-    def receive(self, now: float, message: object) -> Orders:
+    def receive(self, now: float, message: LeaseMessage | log_messages.Message) -> Orders:
         """A message of ownership, or of the log's protocol."""
         orders = self._handle_message(now, message)
         self.lease.activate()
         self.renewals.follow(self.log.leader, now)
         return orders + self._update_held_shards(now)
 
-    def _handle_message(self, now: float, message: object) -> Orders:
+    def _handle_message(self, now: float, message: LeaseMessage | log_messages.Message) -> Orders:
         match message:
             case RenewLease():
                 return self.coordinator.handle_renewal(now, message)
@@ -263,5 +264,5 @@
                 return []
             case CheckpointReport():
                 return self.coordinator.handle_checkpoint_report(now, message)
-        log_orders = self.log.receive(now, message)  # type: ignore[arg-type]
+        log_orders = self.log.receive(now, message)
         return self.coordinator.handle_log_orders(now, log_orders)
--- a/dunlinlug/fleet/ownership/release.py
+++ b/dunlinlug/fleet/ownership/release.py
@@ -43,7 +43,7 @@
         ]
 
     def release(self, shards: Iterable[int]) -> None:
-        """We have stopped acting for these, and never will again under the tokens that they have."""
+        """We have stopped acting for these, and never will again under the tokens they have."""
         assignments = self.replica.assignments
         for shard in shards:
             if assignments.owners[shard] == self.self_id:
@@ -54,10 +54,12 @@
         self.outdated_tokens[shard] = max(self.outdated_tokens.get(shard, 0), token)
 
     def forget_reassigned(self) -> None:
-        """Drop what the log has settled: the shard has another owner, or a higher token."""
+        """Drop what the log has reassigned: the shard has another owner, or a higher token."""
         for records in (self.released, self.outdated_tokens):
-            settled = [shard for shard, token in records.items() if self._reassigned(shard, token)]
-            for shard in settled:
+            reassigned = [
+                shard for shard, token in records.items() if self._reassigned(shard, token)
+            ]
+            for shard in reassigned:
                 del records[shard]
 
     def _reassigned(self, shard: int, token: int) -> bool:
--- a/dunlinlug/fleet/ownership/service.py
+++ b/dunlinlug/fleet/ownership/service.py
@@ -1,8 +1,8 @@
-"""A manager's part in ownership: the protocol over sockets, timers and the store, and its executors.
+"""A manager's part in ownership: the protocol over sockets, timers and the store.
 
 Users name their tasks, ask `held_token` right before each effect leaves, and send it by
-`send_effect`; executors get what passes the fence. What a task's users do while nobody owns it, each
-decides for itself.
+`send_effect`; at the other end a handler gets what passes the fence. What is to be done while
+nobody owns a task, its users decide for themselves.
 """
 
 import secrets
@@ -10,14 +10,14 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from random import Random
-from typing import Any, NamedTuple
+from typing import Any
 
 import trio
 
 from dunlinlug.fleet.election import codec
 from dunlinlug.fleet.election import messages as log_messages
 from dunlinlug.fleet.election.transport import OWNERSHIP_PREFACE, PeerTransport
-from dunlinlug.fleet.ownership.fencing import DUPLICATE_REASON, FencingGuard, FencingToken
+from dunlinlug.fleet.ownership.executor import EffectExecutor, task_kind
 from dunlinlug.fleet.ownership.messages import (
     MESSAGE_TYPES,
     SHARDS,
@@ -30,10 +30,10 @@
 )
 from dunlinlug.fleet.ownership.options import LeaseTiming, OwnershipOptions
 from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
+from dunlinlug.fleet.ownership.status import RecentChange, describe_changes, describe_protocol
 from dunlinlug.storage.store import Store
 
 MAX_RECENT_CHANGES = 50  # of assignments, for people
-LOGGED_TASK_PREFIX = "exercise/"  # tasks whose effects are logged one by one
 VOTE_STORE_NAME = "owners"  # the name of the log's vote in the store
 INCARNATION_BITS = 62
 
@@ -49,18 +49,11 @@
     shards: int = SHARDS
 
 
-class RecentChange(NamedTuple):
-    """A change of an assignment, and when it was heard of on our clock."""
-
-    at: float
-    change: OwnershipChanged
-
-
 class Ownership:
     """One member of the set that owns work on behalf of the fleet.
 
-    It owns the protocol's state, the connections to other members and the fence. Callbacks are by
-    the first word of a task, up to its "/".
+    It owns the protocol's state, the connections to other members and the executor of effects.
+    Handlers are by the kind of a task: the first word of its name, up to the "/".
     """
 
     def __init__(
@@ -94,10 +87,9 @@
             {**codec.MESSAGE_TYPES, **MESSAGE_TYPES},
             OWNERSHIP_PREFACE,
         )
-        self.fencing = FencingGuard()
+        self.executor = EffectExecutor(self.protocol, log_event)
         self.effect_sequences = Counter[int]()  # by shard
         self.wake = trio.Event()
-        self.executors: dict[str, Callable[[Effect], None]] = {}
         self.request_handlers: dict[str, Callable[[WorkRequest], None]] = {}
         self.on_held_shards_changed: list[Callable[[], None]] = []
         self.recent_changes: deque[RecentChange] = deque(maxlen=MAX_RECENT_CHANGES)
@@ -114,6 +106,16 @@
                 self._execute(self.protocol.tick(self.clock()))
                 await trio.sleep(0)
 
+    # What users register.
+
+    def handle_effects(self, kind: str, handler: Callable[[Effect], None]) -> None:
+        """Let this handler execute all effects for tasks of a kind that pass the fence."""
+        self.executor.handlers[kind] = handler
+
+    def handle_requests(self, kind: str, handler: Callable[[WorkRequest], None]) -> None:
+        """Tell this handler when a task of a kind, which we may own, is asked for."""
+        self.request_handlers[kind] = handler
+
     # What users ask.
 
     def held_token(self, task: str) -> int | None:
@@ -215,56 +217,16 @@
         self._execute(self.protocol.token_rejected(self.clock(), shard, result.highest_token))
 
     def _handle_request(self, request: WorkRequest) -> None:
-        handler = self.request_handlers.get(_task_kind(request.task))
+        handler = self.request_handlers.get(task_kind(request.task))
         if handler is not None:
             handler(request)
 
     def _execute_effect(self, effect: Effect) -> None:
-        """Let the task's executor have an effect, unless the fence rejects it."""
-        reason = self._rejection_reason(effect)
-        if reason or effect.task.startswith(LOGGED_TASK_PREFIX):
-            self._log_effect(effect, reason)
-        if not reason:
-            executor = self.executors.get(_task_kind(effect.task))
-            if executor is not None:
-                executor(effect)
-        elif reason != DUPLICATE_REASON and effect.sender != self.self_id:
+        rejection = self.executor.execute(effect)
+        if rejection is not None and effect.sender != self.self_id:
             self.counters["refused_here"] += 1
-            highest = self._highest_token(self._shard_of(effect.task))
-            term = self.protocol.log.term
-            rejection = EffectResult.rejection(self.self_id, effect, highest, term)
             self.transport.send(effect.sender, rejection)
 
-    def _rejection_reason(self, effect: Effect) -> str:
-        """Why the fence rejects an effect; empty if it does not.
-
-        An executor that has just started remembers no token, so it goes by the log, and by nothing
-        before it has one.
-        """
-        if not self.protocol.follows_log():
-            return "this carrier follows no log yet"
-        shard = self._shard_of(effect.task)
-        minimum = self.protocol.assignments.tokens[shard]
-        return self.fencing.check(shard, effect.token, effect.sender, effect.sequence, minimum)
-
-    def _highest_token(self, shard: int) -> FencingToken:
-        """What an owner is told to exceed: what was executed here or stands in the log."""
-        assignments = self.protocol.assignments
-        logged = FencingToken(assignments.tokens[shard], assignments.owners[shard], 0)
-        executed = self.fencing.highest_token(shard)
-        return max(executed, logged, key=lambda token: (token.number, token.owner))
-
-    def _log_effect(self, effect: Effect, reason: str) -> None:
-        self.log_event(
-            "ownership.effect_rejected" if reason else "ownership.effect_executed",
-            piece=effect.task,
-            number=effect.token,
-            count=effect.sequence,
-            owner=effect.sender,
-            why=reason,
-            body=effect.body.decode(errors="replace"),
-        )
-
     def _execute(self, orders: Sequence[object]) -> None:
         """Carry out the protocol's orders, and release at once what is revoked.
 
@@ -308,60 +270,13 @@
     # For people and programs.
 
     def describe(self) -> dict[str, Any]:
-        """The state as the JSON of `fleet work`; the keys are its outside names."""
-        protocol = self.protocol
-        owners = Counter(protocol.assignments.owners)
+        """The state as the JSON of `fleet work`."""
         return {
-            "member": self.self_id,
-            "steward": protocol.log.leader or None,
-            "term": protocol.log.term,
-            "leads": protocol.log.is_leader,
-            "holds": len(protocol.held_shards),
-            "slots": protocol.shards,
-            "owners": {owner or "nobody": shards for owner, shards in sorted(owners.items())},
-            "moving": {
-                str(shard): recipient
-                for shard, recipient in sorted(protocol.assignments.revoking.items())
-            },
-            "records": self._describe_checkpoints(),
-            "changes": self._describe_changes(),
+            **describe_protocol(self.protocol),
+            "changes": describe_changes(self.recent_changes, self.clock()),
             "counts": dict(self.counters),
         }
 
-    def _describe_checkpoints(self) -> list[dict[str, Any]]:
-        rows = []
-        for task, checkpoint in sorted(self.protocol.assignments.checkpoints.items()):
-            owner, token = self.protocol.owner_of(task)
-            rows.append(
-                {
-                    "piece": task,
-                    "slot": self._shard_of(task),
-                    "owner": owner,
-                    "number": token,
-                    "under": checkpoint.token,
-                    "body": checkpoint.body.decode(errors="replace"),
-                }
-            )
-        return rows
-
-    def _describe_changes(self) -> list[dict[str, Any]]:
-        now = self.clock()
-        return [
-            {
-                "ago": round(now - at, 3),
-                "slot": change.shard,
-                "owner": change.owner,
-                "number": change.token,
-                "why": change.reason,
-            }
-            for at, change in self.recent_changes
-        ]
-
-
-def _task_kind(task: str) -> str:
-    """The first word of a task's name, which says who executes its effects."""
-    return task.partition("/")[0]
-
 
 def _stored_vote(store: Store, config: OwnershipConfig) -> log_messages.Persist:
     """What the log's protocol had on disk; the configured members vote where it had nothing."""
--- a/dunlinlug/fleet/ownership/shared_health_checks.py
+++ b/dunlinlug/fleet/ownership/shared_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks shared by all managers: requests to owners, one check for all, results to everybody."""
+"""Health checks shared by all managers: one check for all, by the owner, with results to all."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -56,8 +56,8 @@
         self.start_task = start_task
         self.shared_checks = SharedHealthChecks(timeout)
         self.checks_started = 0
-        ownership.request_handlers[TASK_KIND] = self._handle_request
-        ownership.executors[TASK_KIND] = self._handle_result
+        ownership.handle_requests(TASK_KIND, self._handle_request)
+        ownership.handle_effects(TASK_KIND, self._handle_result)
 
     async def run(self) -> None:
         """Check ourselves what no owner answers for."""
--- a/dunlinlug/fleet/ownership/simulated_network.py
+++ b/dunlinlug/fleet/ownership/simulated_network.py
@@ -57,6 +57,14 @@
     recheck: bool = True
 
 
+class Event(NamedTuple):
+    """Something that happens at a time; `number` orders the events of one moment."""
+
+    at: float
+    number: int
+    action: Callable[[], None]
+
+
 class PendingEffect(NamedTuple):
     """A task to act for, and the token under which that was decided."""
 
@@ -106,8 +114,8 @@
         self.tasks = options.tasks
         self.member_names = tuple(f"m{index}" for index in range(options.members))
         self.now = 0.0
-        self.event_numbers = count()  # tells events of one moment apart
-        self.event_queue: list[tuple[float, int, Callable[[], None]]] = []
+        self.event_numbers = count()
+        self.event_queue: list[Event] = []
         self.nodes: dict[str, SimulatedMember] = {}
         self.fencing_guards = {f"c{index}": FencingGuard() for index in range(options.executors)}
         self.observations: list[Observation] = []
@@ -190,14 +198,15 @@
 
     def run(self, until: float) -> None:
         """Let all happen that happens until this time."""
-        while self.event_queue and self.event_queue[0][0] <= until:
-            self.now, _, action = heapq.heappop(self.event_queue)
-            action()
+        while self.event_queue and self.event_queue[0].at <= until:
+            event = heapq.heappop(self.event_queue)
+            self.now = event.at
+            event.action()
         self.now = until
 
     def schedule(self, when: float, action: Callable[[], None]) -> None:
         """Call this at a time."""
-        heapq.heappush(self.event_queue, (when, next(self.event_numbers), action))
+        heapq.heappush(self.event_queue, Event(when, next(self.event_numbers), action))
 
     def _schedule_after(self, after: float, action: Callable[[], None]) -> None:
         self.schedule(self.now + after, action)
@@ -228,7 +237,7 @@
             self.execute(node, node.protocol.token_rejected(now, shard, message.highest_token))
 
     def execute(self, node: SimulatedMember, orders: list[Any]) -> None:
-        """Carry out a member's orders, as its service would; what is revoked is released at once."""
+        """Carry out a member's orders as its service would, and release at once what is revoked."""
         for order in orders:
             match order:
                 case log_messages.Send(recipient, message) | SendMessage(recipient, message):
--- a/tests/fleet/ownership/test_service.py
+++ b/tests/fleet/ownership/test_service.py
@@ -160,7 +160,10 @@
     done = list[tuple[str, bytes]]()
     async with members(tmp_path, "abc") as run:
         for name, owners in run.owners.items():
-            owners.executors["site"] = lambda effect, name=name: done.append((name, effect.body))  # type: ignore[misc]
+            owners.handle_effects(
+                "site",
+                lambda effect, name=name: done.append((name, effect.body)),  # type: ignore[misc]
+            )
         owner = next(
             name
             for name, owners in run.owners.items()
