--- /dev/null
+++ b/tests/fleet/ownership/test_assignment.py
@@ -0,0 +1,38 @@
+"""Assigning lost shards and rebalancing."""
+
+from collections import Counter
+from math import ceil
+from random import Random
+
+import pytest
+
+from dunlinlug.fleet.ownership import assignment
+
+
+@pytest.mark.parametrize("seed", range(8))
+def test_assignment_is_balanced_and_moves_no_more_than_it_must(seed: int) -> None:
+    rng = Random(seed)
+    members = [f"m{number}" for number in range(rng.randint(2, 7))]
+    owners = [rng.choice([*members, ""]) for _ in range(rng.choice([8, 64, 256]))]
+    departed = {"", *rng.sample(members, rng.randint(0, len(members) - 1))}
+    eligible = [member for member in members if member not in departed]
+    before = list(owners)
+    for shard, target in assignment.assign_orphans(owners, departed, eligible):
+        assert owners[shard] in departed
+        owners[shard] = target
+    assert not set(owners) & departed
+    orphaned = sum(owner in departed for owner in before)
+    assert sum(old != new for old, new in zip(before, owners, strict=True)) == orphaned
+    share = ceil(len(owners) / len(eligible))
+    least_moves = sum(max(0, owned - share) for owned in Counter(owners).values())
+    moved = 0
+    while moves := assignment.rebalance(owners, {}, eligible):
+        assert len(moves) <= assignment.MAX_CONCURRENT_MOVES
+        for shard, target in moves:
+            owners[shard] = target
+            moved += 1
+    shards_owned = [owners.count(member) for member in eligible]
+    assert max(shards_owned) - min(shards_owned) <= 1
+    # The most that one may own is fixed by the mean; below it the least owners even out: at most
+    # one more move each.
+    assert least_moves <= moved <= least_moves + len(eligible)
