--- a/dunlinlug/fleet/ownership/coordinator.py
+++ b/dunlinlug/fleet/ownership/coordinator.py
@@ -126,7 +126,7 @@
         moves = assignment.rebalance(assignments.owners, assignments.revoking, stable)
         if moves:
             orders += self.append(now, Revoke(tuple(moves)))
-        # Our own as they come, which is the order in the log.
+        # In the order in which we released them.
         tokens = self.replica.assignments.tokens
         released = [(shard, tokens[shard]) for shard in self.releases.released]
         return orders + self._reassign_released(now, self.self_id, released)
@@ -140,7 +140,7 @@
         }
 
     def _departed_owners(self, now: float, present: set[str]) -> set[str]:
-        """Owners all of whose leases have ended; nobody is one, whose shards wait like others."""
+        """Owners all of whose leases have ended; the empty name, of shards without owner, is one."""
         owners = set(self.replica.assignments.owners) - present
         return {owner for owner in owners if self._leases_expired(now, owner)}
 
--- a/dunlinlug/fleet/ownership/lease.py
+++ b/dunlinlug/fleet/ownership/lease.py
@@ -47,9 +47,9 @@
         log = self.replica.log
         return log.committed if log.is_leader else self.committed_position
 
-    def covers(self, token: int, now: float) -> bool:
-        """Whether we may act under a token of ours at this moment."""
-        return token <= token_at(self.committed()) and now < self.deadline(now)
+    def highest_token(self, now: float) -> int:
+        """The highest token of ours under which we may act at this moment; -1 if there is none."""
+        return token_at(self.committed()) if now < self.deadline(now) else -1
 
     def receive(self, lease: LeaseGranted) -> None:
         """The coordinator's answer to a renewal; an answer to another incarnation gives nothing.
--- a/dunlinlug/fleet/ownership/protocol.py
+++ b/dunlinlug/fleet/ownership/protocol.py
@@ -110,7 +110,7 @@
         token = self.assignments.tokens[shard]
         if not self.replica.owns(self.self_id, shard) or not self.releases.allows(shard, token):
             return None
-        return token if self.lease.covers(token, now) else None
+        return token if token <= self.lease.highest_token(now) else None
 
     def owner_of(self, task: str) -> tuple[str, int]:
         """The owner of a task as far as we know, and the token of its shard."""
@@ -164,15 +164,21 @@
     def _update_held_shards(self, now: float) -> Orders:
         """Tell the service which shards are ours to act for, if that has changed."""
         self.releases.forget_reassigned()
-        held = set[ShardToken]()
-        for shard in self.assignments.shards_of(self.self_id):
-            token = self.held_token(now, shard)
-            if token is not None:
-                held.add((shard, token))
-        if held == self.held_shards:
+        held_shards = self._find_held_shards(now)
+        if held_shards == self.held_shards:
             return []
-        self.held_shards = frozenset(held)
-        return [LeaseHeld(self.held_shards)]
+        self.held_shards = held_shards
+        return [LeaseHeld(held_shards)]
+
+    def _find_held_shards(self, now: float) -> frozenset[ShardToken]:
+        """All shards that `held_token` has a token for, with their tokens."""
+        highest_token = self.lease.highest_token(now)
+        tokens = self.assignments.tokens
+        return frozenset(
+            (shard, tokens[shard])
+            for shard in self.assignments.shards_of(self.self_id)
+            if tokens[shard] <= highest_token and self.releases.allows(shard, tokens[shard])
+        )
 
     # Calls of the service.
 
--- a/dunlinlug/fleet/ownership/replica.py
+++ b/dunlinlug/fleet/ownership/replica.py
@@ -6,10 +6,9 @@
 from dunlinlug.fleet.election.protocol import ElectionProtocol
 from dunlinlug.fleet.ownership import log as ownership_log
 from dunlinlug.fleet.ownership.log import AnyLogEntry, AssignmentChange, AssignmentTable
-from dunlinlug.fleet.ownership.messages import OwnershipChanged, SendMessage
+from dunlinlug.fleet.ownership.messages import OwnershipChanged
 
 SNAPSHOT_REASON = "as the steward has it"
-Order = log_messages.Order | SendMessage | OwnershipChanged
 Orders = list[object]  # of the log's protocol and of ownership
 
 
