--- a/dunlinlug/fleet/election/model.py
+++ b/dunlinlug/fleet/election/model.py
@@ -9,7 +9,7 @@
 order to a proxy leaves once it may.
 
 Checked in each state: one leader a term; no two members that hold the lease at one time; no proxy
-that goes back to a lower term or obeys two leaders in one; a drain that a proxy was told is known
+that goes back to a lower term or obeys two leaders in one; a drain that a proxy has got is known
 to each later leader that holds the lease; one allowance of the attempt at most takes effect.
 """
 
--- a/dunlinlug/fleet/election/model_state.py
+++ b/dunlinlug/fleet/election/model_state.py
@@ -71,7 +71,7 @@
     logs: tuple[tuple[bytes, ...], ...]  # entries that each member's service has applied
     pending_orders: tuple[frozenset[PendingOrder], ...]
     followed_leaders: tuple[FollowedLeader, ...]  # by proxy
-    drained: tuple[bool, ...]  # by proxy, whether it was told of the drain
+    drained: tuple[bool, ...]  # by proxy, whether it has got the drain
     attempts_allowed: int
     leaders: tuple[TermLeader, ...]  # all that ever led
 
--- a/dunlinlug/fleet/membership/model.py
+++ b/dunlinlug/fleet/membership/model.py
@@ -2,9 +2,9 @@
 
 python -m dunlinlug.fleet.membership.model [--depth 5] [--walks 2000] [--seed 1]
 
-Takes all courses of so many steps from a set that has settled (states met before are not gone on
-from), then random walks of forty steps. Faults are lost and doubled messages, a kill, a restart and
-a partition. After each course messages flow again for a while, and then: who runs is alive to all,
+Takes all courses of so many steps from a set that has converged (no course goes on from a state
+visited before), then random walks of forty steps. Faults are lost and doubled messages, a kill, a
+restart and a partition. After each course messages flow again for a while, and then: who runs is alive to all,
 by its newest start; who does not run has failed; all views agree. On the way no member knows of a
 start that never was. The protocol is the class that runs in service, with a random number generator
 that always takes the same side.
@@ -67,7 +67,7 @@
     def shuffle(self, x: Any) -> None:
         """Leave the order as it is."""
 
-    def sample(self, population: Any, k: int, *, counts: Any = None) -> Any:
+    def sample(self, population: Any, k: int, **_counts: Any) -> Any:
         """The first `k`."""
         return list(population)[:k]
 
@@ -200,8 +200,8 @@
         return _check_convergence(recovered) or self.check_invariants(recovered)
 
     def within_limits(self, state: MembershipState) -> bool:
-        """Always: courses are limited by their length, and faults by their budget."""
-        return True
+        """Always: steps beyond the budget of faults are not offered."""
+        return min(state.remaining_faults.values()) >= 0
 
     def canonical_form(self, state: MembershipState) -> int:
         """A state's number: equal for states from which all goes on in the same way."""
--- a/dunlinlug/fleet/ownership/coordinator.py
+++ b/dunlinlug/fleet/ownership/coordinator.py
@@ -140,7 +140,7 @@
         }
 
     def _departed_owners(self, now: float, present: set[str]) -> set[str]:
-        """Owners all of whose leases have ended; the empty name, of shards without owner, is one."""
+        """Owners all of whose leases have ended; the empty name, of unowned shards, is one."""
         owners = set(self.replica.assignments.owners) - present
         return {owner for owner in owners if self._leases_expired(now, owner)}
 
--- a/dunlinlug/fleet/ownership/executor.py
+++ b/dunlinlug/fleet/ownership/executor.py
@@ -24,7 +24,7 @@
         self.handlers: dict[str, Callable[[Effect], None]] = {}  # by kind of task
 
     def execute(self, effect: Effect) -> EffectResult | None:
-        """Execute an effect, or return the rejection that its sender is to be told.
+        """Execute an effect, or return the rejection for its sender.
 
         An effect that came before is ignored.
         """
@@ -55,7 +55,7 @@
         return self.fencing.check(shard, effect.token, effect.sender, effect.sequence, minimum)
 
     def _highest_token(self, shard: int) -> FencingToken:
-        """What an owner is told to exceed: what was executed here or stands in the log."""
+        """What an owner has to exceed: the token that was executed here or is in the log."""
         assignments = self.protocol.assignments
         logged = FencingToken(assignments.tokens[shard], assignments.owners[shard], 0)
         executed = self.fencing.highest_token(shard)
--- a/dunlinlug/fleet/ownership/protocol.py
+++ b/dunlinlug/fleet/ownership/protocol.py
@@ -75,7 +75,7 @@
         self.coordinator = self.coordinator_class(
             self.replica, self.releases, self.renewals, options, now
         )
-        self.held_shards: frozenset[ShardToken] = frozenset()  # as the service was told last
+        self.held_shards: frozenset[ShardToken] = frozenset()  # as the service knows it
 
     def clone(self) -> "OwnershipProtocol":
         """An independent copy, for the search of a model."""
--- a/dunlinlug/fleet/ownership/replica.py
+++ b/dunlinlug/fleet/ownership/replica.py
@@ -68,7 +68,7 @@
 
 
 def ownership_orders(changes: Iterable[AssignmentChange]) -> Orders:
-    """What the service is told of changes of the table."""
+    """The orders that tell the service of changes of the table."""
     orders: Orders = []
     for change in changes:
         reason = f"{change.reason} to {change.target}" if change.target else change.reason
