--- a/dunlinlug/fleet/membership/model.py
+++ b/dunlinlug/fleet/membership/model.py
@@ -4,10 +4,10 @@
 
 Takes all courses of so many steps from a set that has converged (no course goes on from a state
 visited before), then random walks of forty steps. Faults are lost and doubled messages, a kill, a
-restart and a partition. After each course messages flow again for a while, and then: who runs is alive to all,
-by its newest start; who does not run has failed; all views agree. On the way no member knows of a
-start that never was. The protocol is the class that runs in service, with a random number generator
-that always takes the same side.
+restart and a partition. After each course messages flow again for a while, and then: who runs is
+alive to all, by its newest start; who does not run has failed; all views agree. On the way no
+member knows of a start that never was. The protocol is the class that runs in service, with a
+random number generator that always takes the same side.
 """
 
 import pickle
