--- a/tests/guard/test_order_validator.py
+++ b/tests/guard/test_order_validator.py
@@ -163,7 +163,7 @@
         assert bool(rejections) != bool(zones)
 
 
-def test_a_validator_that_is_not_enforced_follows_what_was_carried_out() -> None:
+def test_a_validator_that_is_not_enforced_follows_all_orders() -> None:
     validator = OrderValidator(manager_settings(), enforced=False)
     validator.handle(NOW, [listed(), ProxyConnected(0, "north", 10.0, True)])
     rejections = rejections_of(
