--- a/bench/scale/slopes.py
+++ b/bench/scale/slopes.py
@@ -213,7 +213,7 @@
         for proxy, parcel in parcels.items():
             self.channel.enqueue(now, proxy, parcel)  # type: ignore[arg-type]  # it asks for lines alone
             self.bytes[second] += len(parcel.data)
-            self.lines[second] += parcel.lines
+            self.lines[second] += parcel.entry_count
         self.turns[second] += 1
         self.by_second["module"][second] += decided - began
         self.by_second["render"][second] += ended - decided
--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -41,9 +41,10 @@
 from dunlinlug.guard import OrderValidator, OverrideError, Overrides
 from dunlinlug.manager import structured_logging
 from dunlinlug.manager.channel import PacedChannel
-from dunlinlug.manager.decision_loop import DecisionLoop, DecisionModule
+from dunlinlug.manager.decision_loop import DecisionLoop
 from dunlinlug.manager.endpoint_watcher import EndpointWatcher
 from dunlinlug.manager.health_checks import HealthChecker
+from dunlinlug.manager.interfaces import DecisionModule
 from dunlinlug.manager.order_validation import RecordingOrderValidation
 from dunlinlug.manager.report_aggregator import ReportAggregator
 from dunlinlug.manager.signals import STOP_SIGNALS, SignalReceiver
@@ -389,7 +390,7 @@
             self.store.put_overrides,
             validation.record_rejections,
         )
-        validation.on_validated = registry.end_invalid
+        validation.set_validated_callback(registry.end_invalid)
         return AdminApi(
             read_token(Path(self.admin_config.token_file)),
             self.settings.traffic_classes,
--- a/dunlinlug/ads/proxy_state.py
+++ b/dunlinlug/ads/proxy_state.py
@@ -154,7 +154,7 @@
             batch = ResponseBatch(ordered_at=now)
             if proxy_state.uses_state_of_the_world:
                 batch.state_of_the_world = self.state_of_the_world(proxy_state)
-            batch.lines = entry_count + self.message_overhead + (ack_number is not None)
+            batch.entry_count = entry_count + self.message_overhead + (ack_number is not None)
             if (
                 ejection_resource is not None
                 and proxy in self.proxies_with_new_ejections
--- a/dunlinlug/ads/response_batch.py
+++ b/dunlinlug/ads/response_batch.py
@@ -23,7 +23,7 @@
     ack_requests: list[tuple[int, float]] = field(
         default_factory=list
     )  # number, and when it was ordered
-    lines: float = 0.0
+    entry_count: float = 0.0
     ordered_at: float = 0.0  # when the first of it was ordered
     reply_count: int = 1  # how many replies' parcels have been merged into this one
 
@@ -40,5 +40,5 @@
         self.routes = later.routes or self.routes
         self.state_of_the_world = later.state_of_the_world or self.state_of_the_world
         self.ack_requests += later.ack_requests
-        self.lines += later.lines
+        self.entry_count += later.entry_count
         self.reply_count += later.reply_count
--- a/dunlinlug/ads/session.py
+++ b/dunlinlug/ads/session.py
@@ -117,7 +117,7 @@
             # The tag lets a proxy's record show when the first of it was ordered, and how many
             # lines it is.
             tag = (
-                f"{ordered_at:.6f} {batch.lines:g} {batch.reply_count}"
+                f"{ordered_at:.6f} {batch.entry_count:g} {batch.reply_count}"
                 if not responses_in_flight.nonces
                 else ""
             )
--- a/dunlinlug/fleet/election/leadership.py
+++ b/dunlinlug/fleet/election/leadership.py
@@ -21,8 +21,9 @@
 from dunlinlug.fleet.election.protocol import ElectionProtocol
 from dunlinlug.fleet.election.serialization import SerializationError
 from dunlinlug.fleet.election.transport import PeerTransport
-from dunlinlug.manager.decision_loop import DecisionLoop, OutgoingMessage
+from dunlinlug.manager.decision_loop import DecisionLoop
 from dunlinlug.manager.installed_tables import InstalledTable
+from dunlinlug.manager.interfaces import OutgoingMessage
 from dunlinlug.storage.store import Store
 from dunlinlug.xds import fencing_term
 
@@ -117,7 +118,7 @@
         self.replicated_bytes = 0
         self.last_error = ""
         self.recovery_timeout = timing["recovery_timeout"]
-        decision_loop.leadership = self
+        decision_loop.set_leadership(self)
         proxy_service.on_higher_term = self.observe_term
         proxy_service.close_streams("not master yet")
 
--- a/dunlinlug/manager/channel.py
+++ b/dunlinlug/manager/channel.py
@@ -1,17 +1,23 @@
-"""The channel: messages leave one after the other at a pace in lines a second, as the module
-reckons it.
+"""The paced channel: messages leave one after the other, at a rate in table entries per second.
+
+The rate is the one by which the decision module accounts for the channel.
 """
 
 from collections import defaultdict, deque
 
-from dunlinlug.manager.decision_loop import OutgoingMessage
+from dunlinlug.manager.interfaces import OutgoingMessage
 
-# seconds of pace that may be made up for after a stall: a scheduler's usual hiccup
+# Seconds of the rate that may be made up for after a stall: a scheduler's usual hiccup.
 MAX_CATCH_UP_S = 0.1
 
 
 class PacedChannel:
-    """A paced queue in its own order; times are the caller's clock in seconds."""
+    """A queue of messages to proxies that is emptied in order, at a given rate.
+
+    Times are seconds on the caller's clock. `max_queued_entries` and `max_messages` (to one proxy
+    within `messages_window` seconds) are limits that are reported when exceeded, not enforced; a
+    `max_messages` of 0 is no limit.
+    """
 
     def __init__(
         self,
@@ -25,65 +31,71 @@
         self.max_messages = max_messages
         self.messages_window = messages_window
         self.queue: deque[tuple[int, OutgoingMessage]] = deque()
-        self.head_departs_at = 0.0  # when the head of the queue has left
-        self.queued_entries = self.peak_queued_entries = 0.0
+        self.head_departs_at = 0.0  # when the last byte of the queue's first message has left
+        self.queued_entries = 0.0
+        self.peak_queued_entries = 0.0
         self.sent_times: dict[int, deque[float]] = defaultdict(deque)
 
     def enqueue(self, now: float, proxy: int, message: OutgoingMessage) -> list[str]:
-        """Queue a message; tells which of the channel's bounds it passes, if any (it is sent all
-        the same).
+        """Queue a message and return the names of the limits that it exceeds.
+
+        It is sent all the same.
         """
         if not self.queue:
             self.head_departs_at = (
-                max(self.head_departs_at, now) + message.lines / self.entries_per_s
+                max(self.head_departs_at, now) + message.entry_count / self.entries_per_s
             )
         self.queue.append((proxy, message))
-        self.queued_entries += message.lines
+        self.queued_entries += message.entry_count
         self.peak_queued_entries = max(self.peak_queued_entries, self.queued_entries)
         recent_times = self.sent_times[proxy]
         while recent_times and recent_times[0] <= now - self.messages_window:
             recent_times.popleft()
         recent_times.append(now)
-        exceeded_limits = ["waiting_most"] if self.queued_entries > self.max_queued_entries else []
-        return exceeded_limits + (
-            ["messages_most"] if 0 < self.max_messages < len(recent_times) else []
-        )
+        exceeded_limits = []
+        if self.queued_entries > self.max_queued_entries:
+            exceeded_limits.append("waiting_most")
+        if 0 < self.max_messages < len(recent_times):
+            exceeded_limits.append("messages_most")
+        return exceeded_limits
 
     def pop_due(self, now: float) -> list[tuple[int, OutgoingMessage]]:
-        """The messages that have left by now, in order."""
+        """Return the messages that have left by `now`, with their proxies, in order."""
         departed = []
-        if (
-            self.queue
-        ):  # Danger: after a stop of the process all that waited would leave in one burst
+        if self.queue:
+            # Without this, all that was queued would leave in one burst after the process stood.
             self.head_departs_at = max(self.head_departs_at, now - MAX_CATCH_UP_S)
         while self.queue and self.head_departs_at <= now:
             proxy, message = self.queue.popleft()
-            self.queued_entries -= message.lines
+            self.queued_entries -= message.entry_count
             departed.append((proxy, message))
             if self.queue:
-                self.head_departs_at += self.queue[0][1].lines / self.entries_per_s
+                self.head_departs_at += self.queue[0][1].entry_count / self.entries_per_s
         return departed
 
     def next_due_at(self) -> float | None:
+        """Return when the next message has left; None while nothing is queued."""
         return self.head_departs_at if self.queue else None
 
     def remove_proxy(self, proxy: int) -> None:
-        """A proxy has left: what waits for it is lost, and its count of messages starts over."""
+        """Drop what is queued for a disconnected proxy, and its count of messages.
+
+        The message at the head stays, as it is leaving already.
+        """
         head = self.queue[0] if self.queue else None
         remaining = [entry for entry in self.queue if entry[0] != proxy or entry is head]
         self.queue = deque(remaining)
-        self.queued_entries = sum(parcel.lines for _, parcel in remaining)
+        self.queued_entries = sum(message.entry_count for _, message in remaining)
         self.sent_times.pop(proxy, None)
 
     def clear(self) -> None:
-        """We order nothing any more: what waits is lost."""
+        """Drop all that is queued: this manager no longer orders anything."""
         self.queue.clear()
         self.sent_times.clear()
         self.queued_entries = 0.0
 
     def set_rate(self, now: float, entries_per_s: float) -> None:
-        """A new pace, also for the rest of the message at the head."""
-        self.head_departs_at = (
-            now + max(self.head_departs_at - now, 0.0) * self.entries_per_s / entries_per_s
-        )
+        """Change the rate, also for the rest of the message at the head."""
+        remaining_time = max(self.head_departs_at - now, 0.0)
+        self.head_departs_at = now + remaining_time * self.entries_per_s / entries_per_s
         self.entries_per_s = entries_per_s
--- a/dunlinlug/manager/decision_loop.py
+++ b/dunlinlug/manager/decision_loop.py
@@ -1,110 +1,49 @@
-"""The decision loop: what arrives while it is busy forms the next batch; orders take effect in
-order.
+"""The decision loop: batches events for the decision module and carries out its orders in order.
+
+What arrives while a batch is being decided forms the next batch.
 """
 
 import heapq
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping, Sequence
-from typing import Any, Protocol
+from typing import Any, TypeVar
 
 import trio
 
 from dunlinlug.decision.events import EndpointsUpdated, Event, TimerFired
 from dunlinlug.decision.orders import LogMessage, Order, SetEjected, SetTimer
+from dunlinlug.manager.interfaces import (
+    DecisionModule,
+    OrderSink,
+    OrderValidation,
+    OutgoingChannel,
+    OutgoingMessage,
+    ReplicatedLeadership,
+)
 
-# one proxy's message of one reply, as the front at hand makes it; `lines` is what it counts for
-OutgoingMessage = Any
-
-
-class DecisionModule(Protocol):
-    """The decision module, or whatever stands in its place."""
-
-    def decide(self, now: float, events: Iterable[Event]) -> list[Order]: ...
-
-
-class OrderSink(Protocol):
-    """The present state on the wire of the front at hand."""
-
-    def handle_events(self, events: Iterable[Event]) -> None:
-        """Events that the module is about to hear, in order."""
-
-    def apply_orders(
-        self, orders: Iterable[Order], now: float, awaited_proxies: Iterable[int] = ()
-    ) -> Mapping[int, OutgoingMessage]:
-        """Carry out one reply; gives a parcel for each proxy concerned."""
-
-
-class OutgoingChannel(Protocol):
-    """What releases parcels. `waiting` is how many lines wait."""
-
-    queued_entries: float
-
-    def enqueue(self, now: float, proxy: int, message: OutgoingMessage) -> list[str]:
-        """Take a parcel; tells which bounds it passes."""
-
-    def pop_due(self, now: float) -> list[tuple[int, OutgoingMessage]]:
-        """What is to leave now, in order."""
-
-    def next_due_at(self) -> float | None:
-        """When the next is due; None while nothing waits."""
-
-    def remove_proxy(self, proxy: int) -> None:
-        """A proxy has left: what waits for it is lost."""
-
-    def clear(self) -> None:
-        """All that waits is lost."""
-
-
-class OrderValidation(Protocol):
-    """Judges replies before they are carried out."""
-
-    def validate(
-        self,
-        now: float,
-        events: Sequence[Event],
-        orders: list[Order],
-        submit: Callable[[Event], None],
-    ) -> tuple[list[Order], list[int]]:
-        """The orders to carry out, and the proxies that a refused one concerned."""
-
-
-class LeadershipGate(Protocol):
-    """Where several managers take over from each other: whether this one may order, and who else
-    has a batch.
-    """
-
-    def holds_lease(self, now: float) -> bool: ...
-
-    def is_leader(self) -> bool:
-        """Whether this one is master, be it that its lease has not begun yet, or is over and not
-        yet given up.
-        """
-
-    def replicate(self, now: float, events: Sequence[Event], rejected_indexes: list[int]) -> int:
-        """Send a batch to the others; gives its number."""
-
-    def hold_until_committed(
-        self, batch_number: int, messages: Mapping[int, OutgoingMessage]
-    ) -> None:
-        """Parcels that may leave once a majority has this batch."""
+OrderT = TypeVar("OrderT", bound=Order)
 
 
 class DecisionLoop:
-    """One module, one queue of events. Other parts `tell` it and are handed orders by their kind.
-    Module, timers and events live on `clock`: trio's, plus `shift` after a succession.
+    """One decision module, its queue of events and its timers.
+
+    Other parts `submit` events; orders that are not for proxies go to handlers by their type.
+    Module, timers and events live on the module's clock: trio's clock plus `clock_offset` seconds,
+    which a takeover from another manager sets. `min_batch_interval` is the least time in seconds
+    from one batch to the next. `deliver` writes a message that the channel has released; it takes
+    the kind of message that the order sink makes.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - one argument for each collaborator
         self,
         module: DecisionModule,
         order_sink: OrderSink,
         channel: OutgoingChannel,
-        deliver: Callable[[int, OutgoingMessage], None],
+        deliver: Callable[[int, Any], None],
         log_event: Callable[..., None],
         validation: OrderValidation | None = None,
         min_batch_interval: float = 0.0,
     ) -> None:
-        # the last: seconds from one turn to the next at least
         self.validation = validation
         self.min_batch_interval = min_batch_interval
         self.module = module
@@ -115,59 +54,57 @@
         self.pending_events: list[Event] = []
         self.event_arrived = trio.Event()
         self.channel_changed = trio.Event()
-        self.timers: list[tuple[float, int]] = []
-        self.order_handlers: dict[
-            type, Callable[[Any], None]
-        ] = {}  # by kind, who carries out orders not for proxies
+        self.timers: list[tuple[float, int]] = []  # a heap: due time on the module's clock, token
+        # by type of order: who carries out those that are not for proxies
+        self.order_handlers: dict[type, Callable[[Any], None]] = {}
         self.batch_count = 0
         self.clock_offset = 0.0
-        self.leadership: LeadershipGate | None = None
+        self.leadership: ReplicatedLeadership | None = None
         self.stopped = False
 
+    def handle_orders(self, order_type: type[OrderT], handler: Callable[[OrderT], None]) -> None:
+        """Have `handler` carry out the orders of one type."""
+        self.order_handlers[order_type] = handler
+
+    def set_leadership(self, leadership: ReplicatedLeadership) -> None:
+        """Decide only while `leadership` holds its lease, and replicate each batch through it."""
+        self.leadership = leadership
+
     def submit(self, event: Event) -> None:
+        """Add an event to the next batch."""
         self.pending_events.append(event)
         self.event_arrived.set()
 
     def stop(self) -> None:
-        """Nothing is decided any more. Danger: a turn that is due as we are told to stop still runs
+        """Decide nothing from now on.
+
+        Without this, a batch that is due as the process is told to stop would still be decided
         before the loop is cancelled, and would order what nobody stays to see through.
         """
         self.stopped = True
 
     async def run(self) -> None:
+        """Decide batch after batch and release messages until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_due_messages)
             while True:
                 with trio.move_on_at(self._next_timer_at()):
                     await self.event_arrived.wait()
                 self.run_batch(trio.current_time())
-                await trio.sleep(
-                    self.min_batch_interval
-                )  # whatever else is ready runs before the next turn
+                # whatever else is ready runs before the next batch
+                await trio.sleep(self.min_batch_interval)
 
     def _next_timer_at(self) -> float:
-        may_decide = not self.stopped and (
-            self.leadership is None or self.leadership.holds_lease(trio.current_time())
-        )
-        return self.timers[0][0] - self.clock_offset if self.timers and may_decide else float("inf")
+        """Return when the next timer is due on trio's clock; infinity while none may fire."""
+        if not self.timers or self.stopped:
+            return float("inf")
+        if self.leadership is not None and not self.leadership.holds_lease(trio.current_time()):
+            return float("inf")
+        return self.timers[0][0] - self.clock_offset
 
     def run_batch(self, now: float) -> None:
-        """One batch: due timers and all that came, to the module; its orders to whoever they are
-        for.
-        """
-        events = self.pending_events
-        self.pending_events = []
-        self.event_arrived = trio.Event()
-        if self.stopped:
-            return
-        if self.leadership is not None and not self.leadership.holds_lease(now):
-            # Danger: thawed after our lease: what came meanwhile is for another to decide. And lost
-            # while the answers to a new master's first beats are on their way: its own standing,
-            # and who had joined the former one.
-            self.pending_events = events if self.leadership.is_leader() else []
-            return
-        while self.timers and self.timers[0][0] <= now + self.clock_offset:
-            events.append(TimerFired(heapq.heappop(self.timers)[1]))
+        """Decide one batch of due timers and pending events at `now` on trio's clock."""
+        events = self._take_pending_events(now)
         if not events:
             return
         self.batch_count += 1
@@ -183,18 +120,33 @@
         if self.leadership is None:
             self.release(now, messages)
         else:
-            accepted_ids = set(map(id, orders))
-            rejected_indexes = [
-                index for index, order in enumerate(decided) if id(order) not in accepted_ids
-            ]
-            self.leadership.hold_until_committed(
-                self.leadership.replicate(now, events, rejected_indexes), messages
-            )
+            rejected_indexes = _indexes_of_rejected(decided, orders)
+            batch_number = self.leadership.replicate(now, events, rejected_indexes)
+            self.leadership.hold_until_committed(batch_number, messages)
         self._dispatch_orders(now, orders)
         self._log_decision(events, orders, messages)
 
+    def _take_pending_events(self, now: float) -> list[Event]:
+        """Return pending events and those of due timers; none while nothing may be decided."""
+        events = self.pending_events
+        self.pending_events = []
+        self.event_arrived = trio.Event()
+        if self.stopped:
+            return []
+        if self.leadership is not None and not self.leadership.holds_lease(now):
+            # Without this check, a manager that was suspended until after its lease would decide
+            # on what arrived meanwhile, which is now another leader's to decide. A leader whose
+            # lease is not valid at the moment keeps its events: while the answers to a new leader's
+            # first heartbeats are on their way they hold its own partition status, and who had
+            # connected to the former leader.
+            self.pending_events = events if self.leadership.is_leader() else []
+            return []
+        while self.timers and self.timers[0][0] <= now + self.clock_offset:
+            events.append(TimerFired(heapq.heappop(self.timers)[1]))
+        return events
+
     def release(self, now: float, messages: Mapping[int, OutgoingMessage]) -> None:
-        """Into the channel, in order."""
+        """Queue messages on the channel, in order, and log the limits that they exceed."""
         for proxy, message in messages.items():
             for exceeded_limit in self.channel.enqueue(now, proxy, message):
                 self.log_event(
@@ -208,8 +160,10 @@
     def replay_batch(
         self, now: float, events: Sequence[Event], rejected_indexes: Sequence[int]
     ) -> None:
-        """A batch of another manager's, at its time: what is known and wanted comes to be the same;
-        nothing leaves.
+        """Decide another manager's batch at its time, so that the state comes to be the same.
+
+        `now` is on the module's clock; `rejected_indexes` are the orders that the other manager's
+        validation rejected. No message leaves.
         """
         self.clock_offset = max(self.clock_offset, now - trio.current_time())
         fired_tokens = {event.token for event in events if isinstance(event, TimerFired)}
@@ -242,32 +196,26 @@
         orders: Sequence[Order],
         messages: Mapping[int, OutgoingMessage],
     ) -> None:
-        """One log line for each reply that orders anything: what, for how many, and the events that
-        caused it.
-        """
+        """Log what a reply orders, for how many proxies, and the events that caused it."""
         order_counts = Counter(
             type(order).__name__ for order in orders if not isinstance(order, SetTimer | LogMessage)
         )
         if not order_counts:
             return
-        event_counts = Counter(
-            type(event).__name__
-            + (f".{event.update_type}" if isinstance(event, EndpointsUpdated) else "")
-            for event in events
-        )
         ejection_changes = {
             ejection.worker: ejection.ejected
             for ejection in orders
             if isinstance(ejection, SetEjected)
         }
+        optional_fields = {"withdrawn": ejection_changes} if ejection_changes else {}
         self.log_event(
             "decided",
             orders=dict(order_counts),
-            causes=dict(event_counts),
+            causes=_count_by_kind(events),
             proxies=len(messages),
-            lines=round(sum(message.lines for message in messages.values())),
+            lines=round(sum(message.entry_count for message in messages.values())),
             waiting=round(self.channel.queued_entries),
-            **({"withdrawn": ejection_changes} if ejection_changes else {}),
+            **optional_fields,
         )
 
     async def _send_due_messages(self) -> None:
@@ -277,4 +225,21 @@
             self.channel_changed = trio.Event()
             next_due_at = self.channel.next_due_at()
             with trio.move_on_at(float("inf") if next_due_at is None else next_due_at):
-                await self.channel_changed.wait()  # something was put, or the pace has changed
+                await self.channel_changed.wait()  # a message was queued, or the rate has changed
+
+
+def _indexes_of_rejected(decided: Sequence[Order], accepted: Sequence[Order]) -> list[int]:
+    """Return the places in `decided` of the orders that are not in `accepted`, by identity."""
+    accepted_ids = {id(order) for order in accepted}
+    return [index for index, order in enumerate(decided) if id(order) not in accepted_ids]
+
+
+def _count_by_kind(events: Iterable[Event]) -> dict[str, int]:
+    """Return how many events of each kind there are, by the names that the log uses."""
+    counts = Counter[str]()
+    for event in events:
+        kind = type(event).__name__
+        if isinstance(event, EndpointsUpdated):
+            kind += f".{event.update_type}"
+        counts[kind] += 1
+    return dict(counts)
--- a/dunlinlug/manager/endpoint_watcher.py
+++ b/dunlinlug/manager/endpoint_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the roster: blocking queries, news to the module, the list to the store."""
+"""Follows service discovery by blocking queries: changes to the module, the list to the store."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -14,13 +14,18 @@
 
 
 class DiscoveryError(DunlinlugError):
-    """The roster did not answer as agreed."""
+    """Service discovery did not answer as agreed; the text says how."""
 
 
 class EndpointWatcher:
-    """`tell` hears each change as `Listed`; `keep` gets the list's body with wall-clock starts."""
+    """Queries service discovery and submits `EndpointsUpdated` for each change.
 
-    def __init__(
+    `timeout` is the seconds for an answer beyond the query's own wait. `clock_offset` returns the
+    module's clock less the wall clock, in seconds. `store_list` gets each list's body, whose start
+    times are wall time.
+    """
+
+    def __init__(  # noqa: PLR0913, PLR0917 - one argument for each collaborator
         self,
         client: http.Client,
         state: BlockingQuery,
@@ -42,8 +47,9 @@
         self.failing = False
 
     async def watch(self, retry_failures: bool) -> None:
-        """Follow on and on. `patient`: wait out failures here; else the first is told and ends the
-        following.
+        """Follow the list until cancelled.
+
+        With `retry_failures` false, the first failure is submitted and ends the watch.
         """
         while True:
             try:
@@ -59,7 +65,7 @@
                 await trio.sleep(pause)
 
     async def list_endpoints(self) -> None:
-        """The whole list once."""
+        """Query the complete list once; a failure is submitted."""
         self.state.index = 0
         try:
             await self._query_once()
@@ -68,16 +74,7 @@
             self.submit(EndpointsUpdated("failed"))
 
     async def _query_once(self) -> None:
-        reply: http.Response | None = None
-        with trio.move_on_after(self.timeout + self.state.wait):
-            try:
-                reply = await self.client.request("GET", self.state.request_path())
-            except http.HttpError as error:
-                raise DiscoveryError(str(error)) from None
-        if reply is None or reply.status != 200:
-            raise DiscoveryError(
-                "no answer in time" if reply is None else f"answered with status {reply.status}"
-            )
+        reply = await self._request()
         try:
             workers, duplicates = entries.decode_workers(reply.body, 0.0)
             has_changed = self.state.record_index(reply.headers.get(INDEX_HEADER))
@@ -92,10 +89,22 @@
             self._publish_list(workers)
         await trio.sleep(MIN_QUERY_INTERVAL)
 
+    async def _request(self) -> http.Response:
+        """Return the answer to one query; raises DiscoveryError for none, or another status."""
+        reply: http.Response | None = None
+        with trio.move_on_after(self.timeout + self.state.wait):
+            try:
+                reply = await self.client.request("GET", self.state.request_path())
+            except http.HttpError as error:
+                raise DiscoveryError(str(error)) from None
+        if reply is None:
+            raise DiscoveryError("no answer in time")
+        if reply.status != 200:
+            raise DiscoveryError(f"answered with status {reply.status}")
+        return reply
+
     def _publish_list(self, entries_read: list[Endpoint]) -> None:
-        """The first list whole, then what changed; an entry that is missing now is gone. Starts are
-        wall time.
-        """
+        """Submit the first list as a snapshot, then what changed; a missing entry is gone."""
         self.store_list(entries.encode_workers(entries_read))
         workers = [
             self.start_times.to_module_clock(worker, self.clock_offset()) for worker in entries_read
@@ -104,16 +113,18 @@
         if self.last_list is None:
             self.submit(EndpointsUpdated("whole", tuple(workers)))
         else:
-            changed = [worker for worker in workers if worker != self.last_list.get(worker.id)]
-            removed = [
-                replace(worker, state="gone")
-                for key, worker in self.last_list.items()
-                if key not in current
-            ]
-            if changed or removed:
-                self.submit(EndpointsUpdated("changes", (*changed, *removed)))
-                self.log_event(
-                    "discovery.endpoints_changed",
-                    changed=[f"{worker.id} {worker.state}" for worker in (*changed, *removed)],
-                )
+            self._submit_changes(self.last_list, current)
         self.last_list = current
+
+    def _submit_changes(self, previous: dict[str, Endpoint], current: dict[str, Endpoint]) -> None:
+        changed = [worker for worker in current.values() if worker != previous.get(worker.id)]
+        removed = [
+            replace(worker, state="gone") for key, worker in previous.items() if key not in current
+        ]
+        if not changed and not removed:
+            return
+        self.submit(EndpointsUpdated("changes", (*changed, *removed)))
+        self.log_event(
+            "discovery.endpoints_changed",
+            changed=[f"{worker.id} {worker.state}" for worker in (*changed, *removed)],
+        )
--- a/dunlinlug/manager/health_checks.py
+++ b/dunlinlug/manager/health_checks.py
@@ -1,7 +1,9 @@
-"""Probes by HTTP, so many at a time; what came of each goes to the module."""
+"""Active health checks by HTTP, a bounded number at a time; each result goes to the module."""
 
 import json
 from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import StrEnum
 from math import inf
 
 import trio
@@ -9,28 +11,50 @@
 from dunlinlug.decision.events import Event, HealthCheckCompleted
 from dunlinlug.net import http
 
-MAX_REPORT_BYTES = (
-    2**16
-)  # bytes of an answer: a report has some hundred. Danger: one without end, times those at once
+# Bytes of an answer: a load report has some hundred. Without a bound, answers without end would
+# fill the memory, as many as there are checks at once.
+MAX_REPORT_BYTES = 2**16
+
+
+class HealthCheckResult(StrEnum):
+    """What came of a health check, with the value that the module gets."""
+
+    OK = "ok"
+    OVERLOADED = "full"
+    ERROR = "error"
+    RESET = "reset"
+    CONNECT_FAILED = "connect_failed"
+    TIMEOUT = "timeout"
+
+
+@dataclass(frozen=True)
+class _Answer:
+    result: HealthCheckResult
+    load: dict[str, float] = field(default_factory=dict)
 
 
 def address_from_id(worker: str) -> tuple[str, int]:
-    """Where a worker listens whose id is its address."""
+    """Return the host and port of a worker whose id is its address."""
     host, _, port = worker.rpartition(":")
     return host, int(port)
 
 
 def parse_json_report(body: bytes) -> dict[str, float]:
-    """Raises ValueError, TypeError or AttributeError."""
+    """Return a load report's metrics by name.
+
+    Raises ValueError, TypeError or AttributeError for a body that is no JSON object of numbers.
+    """
     return {str(metric): float(value) for metric, value in json.loads(body or b"{}").items()}
 
 
 class HealthChecker:
-    """`where` gives a worker's address, or raises KeyError; `read` its report from an answer's
-    body.
+    """Checks workers and submits a `HealthCheckCompleted` for each check.
+
+    `timeout` is in seconds. `resolve_address` returns a worker's address or raises KeyError;
+    `parse_report` returns the load report in an answer's body.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - one argument for each collaborator
         self,
         path: str,
         timeout: float,
@@ -47,20 +71,23 @@
         self.limit = trio.CapacityLimiter(max(max_concurrent, 1))
 
     async def check(self, worker: str) -> None:
-        """One probe of one worker; always ends in one `Probed`."""
+        """Check one worker once; always submits one result."""
         async with self.limit:
-            started = trio.current_time()
-            result = "timeout"
-            load = dict[str, float]()
+            started_at = trio.current_time()
+            answer = _Answer(HealthCheckResult.TIMEOUT)
             with trio.move_on_after(self.timeout):
-                result, load = await self._request(worker)
+                answer = await self._request(worker)
             self.submit(
                 HealthCheckCompleted(
-                    worker, result == "ok", result, trio.current_time() - started, load
+                    worker,
+                    answer.result is HealthCheckResult.OK,
+                    answer.result.value,
+                    trio.current_time() - started_at,
+                    answer.load,
                 )
             )
 
-    async def _request(self, worker: str) -> tuple[str, dict[str, float]]:
+    async def _request(self, worker: str) -> _Answer:
         try:
             client = http.Client(
                 *self.resolve_address(worker),
@@ -68,17 +95,25 @@
                 max_body_size=MAX_REPORT_BYTES,
             )
         except KeyError:
-            return "connect_failed", {}
+            return _Answer(HealthCheckResult.CONNECT_FAILED)
         try:
             reply = await client.request("GET", self.path)
         except http.HttpError as error:
-            return ("reset" if error.request_sent else "connect_failed"), {}
+            if error.request_sent:
+                return _Answer(HealthCheckResult.RESET)
+            return _Answer(HealthCheckResult.CONNECT_FAILED)
         if reply.status == 503:
-            return "full", {}
+            return _Answer(HealthCheckResult.OVERLOADED)
         if reply.status != 200:
-            return "error", {}
+            return _Answer(HealthCheckResult.ERROR)
+        return _Answer(HealthCheckResult.OK, self._read_load(reply.body))
+
+    def _read_load(self, body: bytes) -> dict[str, float]:
+        """Return the load report's metrics, or none of them if the report is not usable."""
         try:
-            load = self.parse_report(reply.body)
+            load = self.parse_report(body)
         except (ValueError, AttributeError, TypeError):
-            return "ok", {}
-        return "ok", load if all(0.0 <= value < inf for value in load.values()) else {}
+            return {}
+        if not all(0.0 <= value < inf for value in load.values()):
+            return {}
+        return load
--- a/dunlinlug/manager/installed_tables.py
+++ b/dunlinlug/manager/installed_tables.py
@@ -1,7 +1,8 @@
-"""Tables as laid and who is bound to them: what a reply of the module touches, whatever the wire.
+"""Installed tables and the proxies assigned to them: what a reply affects, whatever the wire.
 
-A reply's orders are carried out one after the other; `touched` then holds, for each proxy that gets
-a message, the lines that the module reckons for it. No socket, no clock, no decision.
+A reply's orders are carried out one after the other; `entries_by_proxy` then holds, for each proxy
+that gets a message, the table entries that the module accounts for. No socket, no clock, no
+decision.
 """
 
 from collections.abc import Iterable
@@ -21,8 +22,10 @@
 
 @dataclass(eq=False)
 class InstalledTable:
-    """A table as ordered: weights by worker, and by product the way of trying again and the share
-    let in.
+    """A table as ordered.
+
+    `weights` is by worker; `admissions` gives, by traffic class, the retry policy and the admitted
+    fraction.
     """
 
     name: str
@@ -32,36 +35,53 @@
 
 @dataclass(eq=False)
 class ProxyAssignment:
-    """A joined proxy and its table by product."""
+    """A connected proxy and the table that it uses, by traffic class."""
 
     table_by_class: dict[int, int] = field(default_factory=dict)
 
 
-Seated = TypeVar("Seated", bound=ProxyAssignment)
+ProxyStateT = TypeVar("ProxyStateT", bound=ProxyAssignment)
+
+
+@dataclass(eq=False)
+class _PendingTableChange:
+    """What was changed at a table and not yet counted at its proxies."""
+
+    entry_count: float = 0.0
+    admission_changed: bool = False
+
+
+@dataclass(frozen=True)
+class _EjectionEffect:
+    """What a set of changed ejections means to proxies with the same tables."""
+
+    entry_count: float
+    affected_tables: set[int]
+
 
+class TableInstaller(Generic[ProxyStateT]):
+    """Carries out a reply's orders on tables, ejections and assignments.
 
-class TableInstaller(Generic[Seated]):
-    """Tables, withdrawals and seats. A front's own part fills in what its wire needs to know of
-    each order.
+    A front end derives from it and overrides the hooks at the end for what its wire needs to know
+    of each order; it adds the proxies to `proxies` itself.
     """
 
     def __init__(self, traffic_class_count: int) -> None:
         self.traffic_class_count = traffic_class_count
         self.tables: dict[int, InstalledTable] = {}
         self.ejected: set[str] = set()
-        self.proxies: dict[int, Seated] = {}
-        self.table_users: dict[
-            int, dict[int, None]
-        ] = {}  # by table the proxies bound to it, in the order they were
-        self.entries_by_proxy: dict[int, float] = {}  # lines by proxy in the reply at hand
-        # Told to proxies once the reply goes on to something else. Danger: told one by one, a
-        # change or a mass of withdrawals would cost proxies x lines.
-        self.pending_table_changes: dict[
-            int, tuple[float, bool]
-        ] = {}  # by table, its lines changed, and whether a level is among them
-        self.pending_ejection_changes: list[str] = []  # workers shut out or let back
+        self.proxies: dict[int, ProxyStateT] = {}
+        # by table: the proxies assigned to it, in the order in which they were
+        self.table_users: dict[int, dict[int, None]] = {}
+        # by proxy: the table entries of the reply at hand
+        self.entries_by_proxy: dict[int, float] = {}
+        # Changes are counted at the proxies once the reply goes on to something else. Without
+        # this, a change of a whole table or many ejections at once would cost proxies x entries.
+        self.pending_table_changes: dict[int, _PendingTableChange] = {}
+        self.pending_ejection_changes: list[str] = []  # workers ejected or readmitted
 
     def remove_proxy(self, proxy: int) -> None:
+        """Forget a proxy that has disconnected."""
         self.proxies.pop(proxy, None)
         for users in self.table_users.values():
             users.pop(proxy, None)
@@ -69,9 +89,11 @@
     def install_orders(
         self, orders: Iterable[Order], awaited_proxies: Iterable[int] = ()
     ) -> int | None:
-        """Carry out the orders that concern proxies; the rest are the host's. `concerned` are
-        touched whatever else they get, as the module awaits their answers for orders that were
-        refused. Tells the reply's mark.
+        """Carry out the orders that concern proxies and return the reply's acknowledgement number.
+
+        The other orders are the decision loop's. `awaited_proxies` get a message whatever else
+        they get, as the module awaits their acknowledgement for orders that were rejected. Returns
+        None where no acknowledgement is requested.
         """
         self.entries_by_proxy = {}
         self.pending_table_changes = {}
@@ -88,12 +110,16 @@
                 case RequestAcknowledgement(requested_number, from_all_proxies):
                     ack_number = requested_number
                     self._flush_pending_changes()
-                    for proxy in self.proxies if from_all_proxies else awaited_proxies:
-                        if proxy in self.proxies:
-                            self.entries_by_proxy.setdefault(proxy, 0.0)
+                    self._add_awaited(self.proxies if from_all_proxies else awaited_proxies)
         self._flush_pending_changes()
         return ack_number
 
+    def _add_awaited(self, awaited_proxies: Iterable[int]) -> None:
+        """Have each of these proxies get a message, be it one without table entries."""
+        for proxy in awaited_proxies:
+            if proxy in self.proxies:
+                self.entries_by_proxy.setdefault(proxy, 0.0)
+
     def _get_or_create_table(self, table_id: int) -> InstalledTable:
         if table_id not in self.tables:
             self.tables[table_id] = InstalledTable(self.table_name(table_id))
@@ -102,90 +128,107 @@
     def _update_table(self, order: SetWeight | DeleteTable | SetAdmission) -> None:
         table = self._get_or_create_table(order.table_id)
         if self.pending_ejection_changes:
-            self._flush_pending_changes()  # by the lines as they stand
+            self._flush_pending_changes()  # ejections count by the entries as they were
         match order:
             case SetWeight(_, worker, weight):
                 table.weights[worker] = weight
                 if not weight:
                     del table.weights[worker]
-            case SetAdmission(_, traffic_class, retry, admitted_fraction):
-                table.admissions[traffic_class] = (retry, admitted_fraction)
+            case SetAdmission(_, traffic_class, retry_policy, admitted_fraction):
+                table.admissions[traffic_class] = (retry_policy, admitted_fraction)
             case DeleteTable(table_id):
                 del self.tables[table_id]
         self.on_table_updated(order, table)
         if self.table_users.get(order.table_id):
-            entry_count, admission_changed = self.pending_table_changes.get(
-                order.table_id, (0.0, False)
-            )
-            self.pending_table_changes[order.table_id] = (
-                entry_count + 1.0,
-                admission_changed or isinstance(order, SetAdmission),
-            )
+            change = self.pending_table_changes.get(order.table_id)
+            if change is None:
+                change = _PendingTableChange()
+                self.pending_table_changes[order.table_id] = change
+            change.entry_count += 1.0
+            if isinstance(order, SetAdmission):
+                change.admission_changed = True
         if isinstance(order, DeleteTable):
             self._flush_pending_changes()
             self.table_users.pop(order.table_id, None)
 
     def _flush_pending_changes(self) -> None:
+        """Count the pending changes at the proxies that use the tables now."""
         pending = self.pending_table_changes
         self.pending_table_changes = {}
-        for table_id, (entry_count, admission_changed) in pending.items():
+        for table_id, change in pending.items():
             for proxy in self.table_users[table_id]:
-                self._add_entries(proxy, entry_count)
-                self.on_proxy_table_changed(proxy, table_id, admission_changed)
+                self._add_entries(proxy, change.entry_count)
+                self.on_proxy_table_changed(proxy, table_id, change.admission_changed)
         if self.pending_ejection_changes:
             self._flush_ejection_changes()
 
     def _flush_ejection_changes(self) -> None:
-        """A line to each proxy for each of these workers that a table of its own names, or that one
-        not known may.
+        """Count one entry at each proxy for each changed worker that its tables name.
+
+        A proxy with a traffic class whose table is not known counts all the workers.
         """
         changed_workers = self.pending_ejection_changes
         self.pending_ejection_changes = []
         changed_workers_by_table = {
-            tbl: {worker for worker in changed_workers if worker in laid.weights}
-            for tbl, laid in self.tables.items()
+            table_id: {worker for worker in changed_workers if worker in table.weights}
+            for table_id, table in self.tables.items()
         }
-        result_by_assignment: dict[tuple[int, ...], tuple[float, set[int]]] = {}
+        effect_by_assignment: dict[tuple[int, ...], _EjectionEffect] = {}
         for proxy, assignment in self.proxies.items():
             assigned_tables = tuple(assignment.table_by_class.values())
-            if assigned_tables not in result_by_assignment:
-                affected_tables = {tbl for tbl in assigned_tables if changed_workers_by_table[tbl]}
-                count = (
-                    len(changed_workers)
-                    if len(assigned_tables) < self.traffic_class_count
-                    else len(
-                        set().union(*(changed_workers_by_table[tbl] for tbl in affected_tables))
-                    )
+            effect = effect_by_assignment.get(assigned_tables)
+            if effect is None:
+                effect = self._ejection_effect(
+                    assigned_tables, changed_workers, changed_workers_by_table
                 )
-                result_by_assignment[assigned_tables] = (float(count), affected_tables)
-            entry_count, affected_tables = result_by_assignment[assigned_tables]
-            if entry_count:
-                self._add_entries(proxy, entry_count)
-                self.on_proxy_ejections_changed(proxy, affected_tables)
+                effect_by_assignment[assigned_tables] = effect
+            if effect.entry_count:
+                self._add_entries(proxy, effect.entry_count)
+                self.on_proxy_ejections_changed(proxy, effect.affected_tables)
+
+    def _ejection_effect(
+        self,
+        assigned_tables: tuple[int, ...],
+        changed_workers: list[str],
+        changed_workers_by_table: dict[int, set[str]],
+    ) -> _EjectionEffect:
+        affected_tables = {
+            table_id for table_id in assigned_tables if changed_workers_by_table[table_id]
+        }
+        if len(assigned_tables) < self.traffic_class_count:
+            return _EjectionEffect(float(len(changed_workers)), affected_tables)
+        named_workers = set[str]()
+        for table_id in affected_tables:
+            named_workers |= changed_workers_by_table[table_id]
+        return _EjectionEffect(float(len(named_workers)), affected_tables)
 
     def _assign_table(self, proxy: int, traffic_classes: tuple[int, ...], table_id: int) -> None:
         table = self._get_or_create_table(table_id)
-        assignment = self.proxies[proxy]
-        if (
-            self.pending_ejection_changes
-            or table_id in self.pending_table_changes
-            or any(
-                assigned_table in self.pending_table_changes
-                for assigned_table in assignment.table_by_class.values()
-            )
-        ):
-            self._flush_pending_changes()  # to who is bound as yet
-        for assigned_table in assignment.table_by_class.values():
+        table_by_class = self.proxies[proxy].table_by_class
+        if self._has_pending_changes(table_id, table_by_class.values()):
+            self._flush_pending_changes()  # they count at those who were assigned until now
+        for assigned_table in table_by_class.values():
             self.table_users.get(assigned_table, {}).pop(proxy, None)
-        assignment.table_by_class.update(dict.fromkeys(traffic_classes, table_id))
-        for assigned_table in assignment.table_by_class.values():
+        table_by_class.update(dict.fromkeys(traffic_classes, table_id))
+        for assigned_table in table_by_class.values():
             self.table_users.setdefault(assigned_table, {})[proxy] = None
         ejected_count = sum(worker in table.weights for worker in self.ejected)
         self._add_entries(proxy, 1.0 + len(table.weights) + len(table.admissions) + ejected_count)
         self.on_table_assigned(proxy, traffic_classes, table_id)
 
+    def _has_pending_changes(self, table_id: int, assigned_tables: Iterable[int]) -> bool:
+        """Return whether a change is pending that concerns one of these tables."""
+        if self.pending_ejection_changes or table_id in self.pending_table_changes:
+            return True
+        return any(
+            assigned_table in self.pending_table_changes for assigned_table in assigned_tables
+        )
+
     def _set_ejected(self, worker: str, is_ejected: bool) -> None:
-        (self.ejected.add if is_ejected else self.ejected.discard)(worker)
+        if is_ejected:
+            self.ejected.add(worker)
+        else:
+            self.ejected.discard(worker)
         self.on_ejection_changed(worker)
         if self.pending_table_changes:
             self._flush_pending_changes()
@@ -194,29 +237,34 @@
     def _add_entries(self, proxy: int, entry_count: float) -> None:
         self.entries_by_proxy[proxy] = self.entries_by_proxy.get(proxy, 0.0) + entry_count
 
-    # What a front fills in.
+    # Hooks for a front end.
 
     def table_name(self, table_id: int) -> str:
-        """The table's name on the wire."""
+        """Return the table's name on the wire."""
         return str(table_id)
 
     def on_table_updated(
         self, order: SetWeight | DeleteTable | SetAdmission, table: InstalledTable
     ) -> None:
-        """A table has been changed."""
+        """Called after a table has been changed or deleted."""
 
     def on_ejection_changed(self, worker: str) -> None:
-        """A worker was shut out or let back, whoever uses it."""
+        """Called after a worker was ejected or readmitted, whoever uses it."""
 
     def on_proxy_table_changed(self, proxy: int, table_id: int, admission_changed: bool) -> None:
-        """A proxy's table has been changed; `levels` where not its lines alone."""
+        """Called for each proxy whose table has been changed.
+
+        `admission_changed` tells whether admission was changed, and not its entries alone.
+        """
 
     def on_table_assigned(
         self, proxy: int, traffic_classes: tuple[int, ...], table_id: int
     ) -> None:
-        """A proxy has been bound."""
+        """Called after a proxy has been assigned to a table for these traffic classes."""
 
     def on_proxy_ejections_changed(self, proxy: int, affected_tables: set[int]) -> None:
-        """Workers in these tables of the proxy, or in one that is not known, were shut out or let
-        back.
+        """Called for each proxy that may use a worker that was ejected or readmitted.
+
+        `affected_tables` are the proxy's tables that name such a worker; none where only a table
+        that is not known may.
         """
--- a/dunlinlug/manager/order_validation.py
+++ b/dunlinlug/manager/order_validation.py
@@ -1,9 +1,11 @@
-"""The guard in the manager's loop: has each reply judged, tells the module, the log and the store
-of refusals.
+"""The validation stage of the decision loop: has replies checked and makes rejections known.
+
+A rejection is logged, stored, and, where rejections are enforced, submitted to the module.
 """
 
 import time
 from collections.abc import Callable, Sequence
+from dataclasses import asdict, dataclass
 from typing import Any
 
 from dunlinlug.decision.events import Event, OrderRejected
@@ -11,10 +13,27 @@
 from dunlinlug.guard import OrderValidator, Rejection
 from dunlinlug.manager.rejected_order_text import rejected_order_text
 
+MAX_PROXIES_IN_RECORD = 20
+
+
+@dataclass(frozen=True)
+class RejectionRecord:
+    """One rejection as it is logged and stored; the field names are the keys of the record."""
+
+    source: str  # whose order it was
+    rule: str
+    order: str
+    why: str
+    would_pass: str
+    proxies: list[int]
+    done: str
+
 
 class RecordingOrderValidation:
-    """With `obeyed` false it only tells what would be refused. `keep` gets each batch of refusals
-    as plain records.
+    """The stage between the module and the front end that checks each reply.
+
+    With `enforced` false it only records what would be rejected. `store_rejections` gets each
+    batch of rejections as plain records: the fields of `RejectionRecord` and the wall time.
     """
 
     def __init__(
@@ -29,9 +48,12 @@
         self.log_event = log_event
         self.store_rejections = store_rejections
         self.rejection_count = 0
-        self.on_validated: Callable[[float, list[Rejection]], None] | None = (
-            None  # told after each reply is judged
-        )
+        # called after each reply is checked, with the rejections that are enforced
+        self.on_validated: Callable[[float, list[Rejection]], None] | None = None
+
+    def set_validated_callback(self, callback: Callable[[float, list[Rejection]], None]) -> None:
+        """Have `callback` called after each reply, with the time and the enforced rejections."""
+        self.on_validated = callback
 
     def validate(
         self,
@@ -40,7 +62,7 @@
         orders: list[Order],
         submit: Callable[[Event], None],
     ) -> tuple[list[Order], list[int]]:
-        """The orders to carry out, and the proxies that a refused one concerned."""
+        """Return the orders to carry out, and the proxies that a rejected one concerned."""
         self.validator.handle(now, events)
         accepted, rejections = self.validator.validate(now, orders)
         if rejections:
@@ -57,23 +79,30 @@
         return accepted, awaited_proxies
 
     def record_rejections(self, rejections: list[Rejection], source: str) -> None:
-        """Tell the log and the ring on disk; `source` is whose orders they were."""
+        """Log and store rejections; `source` is whose orders they were."""
         records = []
         for rejection in rejections:
             self.rejection_count += 1
-            fields = {
-                "source": source,
-                "rule": rejection.rule,
-                "order": rejected_order_text(rejection.order),  # type: ignore[arg-type]
-                "why": rejection.reason,
-                "would_pass": rejection.remedy,
-                "proxies": list(rejection.proxies[:20]),
-                "done": "passed as the lesser harm"
-                if rejection.allowed_anyway
-                else "refused"
-                if self.enforced
-                else "passed, as the guard only watches",
-            }
+            fields = asdict(self._create_record(rejection, source))
             self.log_event("guard.order_rejected", count=self.rejection_count, **fields)
             records.append({"wall": time.time(), **fields})
         self.store_rejections(records)
+
+    def _create_record(self, rejection: Rejection, source: str) -> RejectionRecord:
+        return RejectionRecord(
+            source=source,
+            rule=rejection.rule,
+            order=rejected_order_text(rejection.order),  # type: ignore[arg-type]
+            why=rejection.reason,
+            would_pass=rejection.remedy,
+            proxies=list(rejection.proxies[:MAX_PROXIES_IN_RECORD]),
+            done=self._outcome(rejection),
+        )
+
+    def _outcome(self, rejection: Rejection) -> str:
+        """Return what was done with the order, in the record's words."""
+        if rejection.allowed_anyway:
+            return "passed as the lesser harm"
+        if self.enforced:
+            return "refused"
+        return "passed, as the guard only watches"
--- a/dunlinlug/manager/rejected_order_text.py
+++ b/dunlinlug/manager/rejected_order_text.py
@@ -10,7 +10,7 @@
 def rejected_order_text(
     order: SetWeight | DeleteTable | AssignTable | SetEjected | SetAdmission,
 ) -> str:
-    """One line for one order."""
+    """Return the one-line text of one order, as in the store and in the log."""
     match order:
         case SetWeight(table_id, worker, weight):
             return f"Share(tbl={table_id!r}, worker={worker!r}, weight={weight!r})"
--- a/dunlinlug/manager/report_aggregator.py
+++ b/dunlinlug/manager/report_aggregator.py
@@ -1,5 +1,6 @@
-"""Sums of what proxies report, given on at the rate that the module is told of: the oldest first,
-the rest adds up.
+"""Sums of what proxies report, passed on at the rate that the module is set up for.
+
+The oldest sums leave first; the others go on adding up.
 """
 
 from dataclasses import dataclass, field
@@ -10,37 +11,43 @@
 
 @dataclass
 class _EndpointTotals:
+    """What proxies of one zone saw at one endpoint since `started_at`."""
+
     started_at: float
     attempts: int = 0
     failed: int = 0
-    total_latency: float = 0.0
+    total_latency: float = 0.0  # seconds, over the attempts whose latency is known
     without_latency: int = 0
     load: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass
 class _DemandTotals:
+    """What one proxy received of one traffic class since `started_at`."""
+
     started_at: float
     requests: int = 0
     failed: int = 0
 
 
 class ReportAggregator:
-    """`lines_per_s` events at most leave each second; times are the caller's clock."""
+    """Adds up load reports and turns the sums into events.
+
+    At most `events_per_s` events leave each second. Times are seconds on the caller's clock.
+    """
 
     def __init__(self, events_per_s: float, traffic_classes: frozenset[str]) -> None:
         self.events_per_s = events_per_s
         self.traffic_classes = traffic_classes
-        self.endpoint_totals: dict[tuple[str, str], _EndpointTotals] = {}
-        self.demand_totals: dict[tuple[int, str], _DemandTotals] = {}
-        self.last_latency: dict[
-            str, float
-        ] = {}  # by worker, seconds that a settled try took, as told last
+        self.endpoint_totals: dict[tuple[str, str], _EndpointTotals] = {}  # by zone and worker
+        self.demand_totals: dict[tuple[int, str], _DemandTotals] = {}  # by proxy and traffic class
+        # by worker: the mean latency in seconds that was reported last
+        self.last_latency: dict[str, float] = {}
         self.event_credit = 0.0
         self.last_taken_at: float | None = None
 
     def add_report(self, now: float, proxy: int, zone: str, report: LoadReport) -> None:
-        """Take one proxy's report; products that are not ours are passed over."""
+        """Add one proxy's report; traffic classes that are not configured are passed over."""
         started_at = now - report.window
         for worker, endpoint_load in report.workers.items():
             endpoint = self.endpoint_totals.setdefault((zone, worker), _EndpointTotals(started_at))
@@ -58,17 +65,15 @@
                 demand.failed += failed
 
     def remove_proxy(self, proxy: int) -> None:
+        """Drop the demand of a proxy that has disconnected."""
         self.demand_totals = {
             key: totals for key, totals in self.demand_totals.items() if key[0] != proxy
         }
 
     def take_events(self, now: float) -> list[Event]:
-        """What may be told now."""
-        elapsed = now - self.last_taken_at if self.last_taken_at is not None else 1.0
-        self.last_taken_at = now
-        self.event_credit = min(
-            self.event_credit + elapsed * self.events_per_s, max(self.events_per_s, 1.0)
-        )
+        """Return the events that may leave now, the oldest sums first, and drop their sums."""
+        self._add_credit(now)
+        # Ordered by age; at the same age endpoints go before demand, then by their keys as text.
         endpoint_keys = [
             (totals.started_at, 0, key[0], key[1]) for key, totals in self.endpoint_totals.items()
         ]
@@ -78,23 +83,32 @@
         ]
         chosen = sorted(endpoint_keys + demand_keys)[: int(self.event_credit)]
         self.event_credit -= len(chosen)
-        return [
-            self._take_endpoint_report(now, source, subject)
-            if not is_demand
-            else self._take_demand_report(now, int(source), subject)
-            for _, is_demand, source, subject in chosen
-        ]
+        events = list[Event]()
+        for _, is_demand, source, subject in chosen:
+            if is_demand:
+                events.append(self._take_demand_report(now, int(source), subject))
+            else:
+                events.append(self._take_endpoint_report(now, source, subject))
+        return events
+
+    def _add_credit(self, now: float) -> None:
+        """Add the events that have become due since the last call, up to those of one second."""
+        elapsed = now - self.last_taken_at if self.last_taken_at is not None else 1.0
+        self.last_taken_at = now
+        self.event_credit = min(
+            self.event_credit + elapsed * self.events_per_s, max(self.events_per_s, 1.0)
+        )
 
     def _take_endpoint_report(self, now: float, zone: str, worker: str) -> Event:
         totals = self.endpoint_totals.pop((zone, worker))
         timed_attempts = totals.attempts - totals.failed - totals.without_latency
         if timed_attempts > 0:
             self.last_latency[worker] = totals.total_latency / timed_attempts
-        # What was met without its time counts at the worker's pace as last told; not known at all,
-        # it is none.
-        mean_latency = (
-            self.last_latency.get(worker, 0.0) if totals.attempts > totals.failed else 0.0
-        )
+        # Successes without a latency count at the worker's latency as reported last; 0 if none
+        # was ever reported.
+        mean_latency = 0.0
+        if totals.attempts > totals.failed:
+            mean_latency = self.last_latency.get(worker, 0.0)
         return EndpointReported(
             zone,
             worker,
--- a/dunlinlug/manager/skewed_clock.py
+++ b/dunlinlug/manager/skewed_clock.py
@@ -1,6 +1,4 @@
-"""A clock that goes faster or slower than the machine's: days run managers whose clocks drift
-apart.
-"""
+"""A trio clock that runs faster or slower than the machine's, for trials with clocks that drift."""
 
 import time
 
@@ -8,7 +6,10 @@
 
 
 class SkewedClock(trio.abc.Clock):
-    """`rate` seconds of this clock pass in one true second."""
+    """A clock on which `rate` seconds pass in one second of the machine's monotonic clock.
+
+    Raises ValueError for a rate outside 0.5 to 2.
+    """
 
     def __init__(self, rate: float) -> None:
         if not 0.5 <= rate <= 2.0:
@@ -17,10 +18,13 @@
         self.started_at = 0.0
 
     def start_clock(self) -> None:
+        """Start at 0; trio calls this once, as it begins to run."""
         self.started_at = time.monotonic()
 
     def current_time(self) -> float:
+        """Return the seconds since the start on this clock."""
         return (time.monotonic() - self.started_at) * self.rate
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
+        """Return the seconds of the machine's clock until `deadline` of this one."""
         return (deadline - self.current_time()) / self.rate
--- a/dunlinlug/manager/start_times.py
+++ b/dunlinlug/manager/start_times.py
@@ -1,33 +1,49 @@
-"""Starts of workers, told in wall time, on the module's clock."""
+"""Converts the start times of endpoints from wall time to the decision module's clock."""
 
 from collections.abc import Container
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from dunlinlug.decision.events import Endpoint
 
 
+@dataclass(frozen=True)
+class KnownStart:
+    """One endpoint's start: in Unix seconds as listed, and in seconds on the module's clock."""
+
+    wall_time: float
+    module_time: float
+
+
 class StartTimes:
-    """Each start is reckoned once. Danger: a wall clock set back would otherwise make every start
-    look fresh, and the whole fleet cold.
+    """The start of each endpoint on the module's clock, converted once per incarnation.
+
+    Without this, a wall clock that is set back would make every start look recent, and the whole
+    fleet would be taken to be warming up.
     """
 
     def __init__(self) -> None:
-        self.known_starts: dict[
-            str, tuple[float, float]
-        ] = {}  # by worker: its start as told, and on our clock
-
-    def to_module_clock(self, worker: Endpoint, clock_offset: float) -> Endpoint:
-        """`offset`: the module's clock less the wall clock, in seconds, now."""
-        if worker.started_at is None:
-            return worker
-        wall_start, module_start = self.known_starts.get(worker.id, (None, 0.0))
-        if wall_start != worker.started_at:
-            module_start = worker.started_at + clock_offset
-            self.known_starts[worker.id] = (worker.started_at, module_start)
-        return replace(worker, started_at=module_start)
-
-    def retain_only(self, workers: Container[str]) -> None:
-        """All others are gone. Danger: over new ids for good they would pile up."""
+        self.known_starts: dict[str, KnownStart] = {}  # by endpoint id
+
+    def to_module_clock(self, endpoint: Endpoint, clock_offset: float) -> Endpoint:
+        """Return the endpoint with its start on the module's clock.
+
+        `clock_offset` is the module's clock less the wall clock, in seconds, now.
+        """
+        if endpoint.started_at is None:
+            return endpoint
+        known = self.known_starts.get(endpoint.id)
+        if known is None or known.wall_time != endpoint.started_at:
+            known = KnownStart(endpoint.started_at, endpoint.started_at + clock_offset)
+            self.known_starts[endpoint.id] = known
+        return replace(endpoint, started_at=known.module_time)
+
+    def retain_only(self, endpoint_ids: Container[str]) -> None:
+        """Forget all other endpoints, as they are gone.
+
+        Without this, the starts would pile up where ids are always new.
+        """
         self.known_starts = {
-            worker: start for worker, start in self.known_starts.items() if worker in workers
+            endpoint_id: start
+            for endpoint_id, start in self.known_starts.items()
+            if endpoint_id in endpoint_ids
         }
--- a/dunlinlug/manager/structured_logging.py
+++ b/dunlinlug/manager/structured_logging.py
@@ -7,11 +7,14 @@
 
 
 def configure_logging(log_format: str) -> None:
-    """`form` is 'auto', 'console' or 'json'."""
-    use_console = log_format == "console" or log_format == "auto" and sys.stderr.isatty()
-    renderer: Any = (
-        structlog.dev.ConsoleRenderer() if use_console else structlog.processors.JSONRenderer()
-    )
+    """Set up the whole process' logs; `log_format` is 'auto', 'console' or 'json'.
+
+    With 'auto', lines are made for people if standard error is a terminal.
+    """
+    use_console = log_format == "console" or (log_format == "auto" and sys.stderr.isatty())
+    renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
+    if use_console:
+        renderer = structlog.dev.ConsoleRenderer()
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -24,4 +27,5 @@
 
 
 def get_logger(component: str) -> Any:
+    """Return a logger whose lines name the component of the process in the field `part`."""
     return structlog.get_logger(part=component)
--- a/dunlinlug/platform/main.py
+++ b/dunlinlug/platform/main.py
@@ -20,13 +20,14 @@
 from dunlinlug.decision.events import EndpointsUpdated, Event
 from dunlinlug.decision.orders import CheckHealth
 from dunlinlug.decision.settings import ManagerSettings
-from dunlinlug.manager.decision_loop import DecisionLoop, DecisionModule
+from dunlinlug.manager.decision_loop import DecisionLoop
 from dunlinlug.manager.health_checks import HealthChecker
+from dunlinlug.manager.interfaces import DecisionModule, OutgoingMessage
 from dunlinlug.manager.signals import STOP_SIGNALS, SignalReceiver
 from dunlinlug.platform import connections, discovery_state, server
 from dunlinlug.platform import environment as platform_environment
 from dunlinlug.platform.discovery import DiscoveryWatcher
-from dunlinlug.platform.orders import PlatformTableInstaller, ProxyMessage
+from dunlinlug.platform.orders import PlatformTableInstaller
 
 HEALTH_PATH = "/healthz"
 LOAD_PATH = "/load"
@@ -56,18 +57,18 @@
     would be wrong.
     """
 
-    def __init__(self, deliver: Callable[[int, ProxyMessage], None]) -> None:
+    def __init__(self, deliver: Callable[[int, Any], None]) -> None:
         self.deliver = deliver
         self.queued_entries = 0.0
         self.message_count = self.entry_count = 0.0
 
-    def enqueue(self, now: float, proxy: int, message: ProxyMessage) -> list[str]:
+    def enqueue(self, now: float, proxy: int, message: OutgoingMessage) -> list[str]:
         self.message_count += 1
-        self.entry_count += message.lines
+        self.entry_count += message.entry_count
         self.deliver(proxy, message)
         return []
 
-    def pop_due(self, now: float) -> list[tuple[int, ProxyMessage]]:
+    def pop_due(self, now: float) -> list[tuple[int, OutgoingMessage]]:
         return []
 
     def next_due_at(self) -> float | None:
--- a/dunlinlug/platform/orders.py
+++ b/dunlinlug/platform/orders.py
@@ -64,7 +64,7 @@
     """One message for one proxy: its bytes, the lines that it counts for, the mark that it bears."""
 
     data: bytes
-    lines: float
+    entry_count: float
     ack_number: int | None
 
 
--- a/tests/ads/test_proxy_state.py
+++ b/tests/ads/test_proxy_state.py
@@ -154,17 +154,17 @@
     desk.add_proxy(0, True, ())
     lay: list[Order] = [SetWeight(1, worker, 1.0) for worker in WORKERS[:3]]
     assert (
-        desk.apply_orders([*lay, SetEjected(WORKERS[0], True)], 0.0)[0].lines == 4 + 1
+        desk.apply_orders([*lay, SetEjected(WORKERS[0], True)], 0.0)[0].entry_count == 4 + 1
     )  # unbound: told all the same
     bound = desk.apply_orders([AssignTable(0, (0, 1), 1), RequestAcknowledgement(1, False)], 1.0)[0]
-    assert bound.lines == 4 + 1 + (
+    assert bound.entry_count == 4 + 1 + (
         1 + 3 + 1
     )  # head, mark, bind with its lines and the withdrawn one
     assert desk.apply_orders([SetEjected(WORKERS[5], True)], 2.0) == {}  # in no table of it
     assert (
         desk.apply_orders([SetWeight(1, WORKERS[3], 0.5), RequestAcknowledgement(2, True)], 3.0)[
             0
-        ].lines
+        ].entry_count
         == 4 + 1 + 1
     )
 
@@ -323,7 +323,7 @@
             free = max(free, now) + lines / 100.0
             due.append((free, n))
             waiting = sum(1 for at, _ in due if at > now)
-            channel.enqueue(now, 0, ResponseBatch(lines=lines, ordered_at=float(n)))
+            channel.enqueue(now, 0, ResponseBatch(entry_count=lines, ordered_at=float(n)))
             assert len(channel.queue) <= waiting + 1
     while (at := channel.next_due_at()) is not None:
         now = max(now, at)
@@ -335,10 +335,10 @@
 
 def test_the_channel_names_the_bound_that_is_passed_and_forgets_who_left() -> None:
     channel = PacedChannel(100.0, 50.0, 2, 10.0)
-    assert channel.enqueue(0.0, 1, ResponseBatch(lines=40.0)) == []
-    assert channel.enqueue(0.0, 2, ResponseBatch(lines=20.0)) == ["waiting_most"]
-    assert channel.enqueue(0.1, 1, ResponseBatch(lines=1.0)) == ["waiting_most"]
-    assert "messages_most" in channel.enqueue(0.2, 1, ResponseBatch(lines=1.0))
+    assert channel.enqueue(0.0, 1, ResponseBatch(entry_count=40.0)) == []
+    assert channel.enqueue(0.0, 2, ResponseBatch(entry_count=20.0)) == ["waiting_most"]
+    assert channel.enqueue(0.1, 1, ResponseBatch(entry_count=1.0)) == ["waiting_most"]
+    assert "messages_most" in channel.enqueue(0.2, 1, ResponseBatch(entry_count=1.0))
     channel.remove_proxy(2)
     assert channel.queued_entries == 42.0 and [proxy for proxy, _ in channel.queue] == [1, 1, 1]
     channel.set_rate(0.2, 10.0)
@@ -350,5 +350,5 @@
 def test_after_a_stop_nothing_leaves_in_a_burst() -> None:
     channel = PacedChannel(100.0, 1000.0, 0, 10.0)
     for n in range(20):
-        channel.enqueue(0.0, n, ResponseBatch(lines=10.0))
+        channel.enqueue(0.0, n, ResponseBatch(entry_count=10.0))
     assert len(channel.pop_due(60.0)) <= 1 + MAX_CATCH_UP_S * 100.0 / 10.0
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -105,7 +105,7 @@
         for proxy, parcel in parcels.items():
             lines, mark = self.plain[proxy].read(parcel.data)
             assert [mark] == marks or not marks
-            assert parcel.lines == lines + self.trade.channel.message_overhead
+            assert parcel.entry_count == lines + self.trade.channel.message_overhead
             reckoned = self.orders_out.entries_by_proxy[proxy] + (mark is not None)
             # Only who may have come with workers shut out costs more, and only at its first table.
             self.over += lines > reckoned and proxy not in bare
@@ -175,7 +175,7 @@
         {"@type": "push", "endpoints": [[endpoint(1).id, 0.0]], "continued": True},
         {"@type": "push", "routes": ["book"], "admit": 0.5, "policy": 0, "nonce_out": 906},
     ]
-    assert parcel.lines == 4 + 3
+    assert parcel.entry_count == 4 + 3
 
 
 def test_a_full_table_forgets_levels_so_that_they_are_sent_again() -> None:
@@ -231,7 +231,7 @@
     shares = {endpoint(n).id: 1.0 for n in range(4)}
     orders = desk(ProxyConnected(3, "north", 5.0, False))
     first = orders.apply_orders([*laid(shares), AssignTable(3, (0, 1), 1)], 0.0)[3]
-    assert first.lines == 4 + 1 + 4
+    assert first.entry_count == 4 + 1 + 4
     orders.apply_orders(laid(shares, 2), 0.0)
     second = orders.apply_orders([AssignTable(3, (0, 1), 2)], 0.0)[3]
     assert list(lines_of(second.data)) == [{"@type": "push", "restore": sorted(shares)}]
@@ -275,7 +275,7 @@
     )
     proxies = {1: PlainProxy(), 2: PlainProxy()}
     for p, plain in proxies.items():
-        assert plain.read(parcels[p].data)[0] <= parcels[p].lines
+        assert plain.read(parcels[p].data)[0] <= parcels[p].entry_count
         assert len(plain.held["read"]) == 6
         assert plain.held["book"].keys() == {endpoint(n).id for n in (p - 1, p + 2)}
     parcels = orders.apply_orders(
@@ -312,6 +312,6 @@
             for proxy, p in parcels.items()
             if p.ack_number in account.pending_replies
         )
-        written += sum(parcel.lines for parcel in parcels.values())
-        assert sum(parcel.lines for parcel in parcels.values()) <= reckoned
+        written += sum(parcel.entry_count for parcel in parcels.values())
+        assert sum(parcel.entry_count for parcel in parcels.values()) <= reckoned
     assert written > 500 and not model.broken
--- a/tests/recorded/record_platform.py
+++ b/tests/recorded/record_platform.py
@@ -326,7 +326,7 @@
             {
                 str(proxy): {
                     "data": text_of(parcel.data),
-                    "lines": parcel.lines,
+                    "lines": parcel.entry_count,
                     "gen": parcel.ack_number,
                 }
                 for proxy, parcel in parcels.items()
