--- a/dunlinlug/platform/__init__.py
+++ b/dunlinlug/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: one more path into the manager, by JSON lines over plain TCP."""
+"""The platform's front end: JSON lines over plain TCP, one more path into the same manager."""
--- a/dunlinlug/platform/connections.py
+++ b/dunlinlug/platform/connections.py
@@ -1,13 +1,13 @@
-"""Who stands at the manager's address: collectors, proxies, and who has not joined. Bytes in;
-events for the module, bytes for the peer and its end out. No socket; times are the caller's
-clock in seconds.
+"""The peers at the manager's address: collectors, proxies, and those that have not joined.
+
+Bytes in; events for the module out, and for the peer its answers and its end. No socket; times
+are seconds on the caller's clock.
 """
 
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from dunlinlug.config.settings_json import LOAD_FIELD_NAMES, MILLISECOND_FIELDS
 from dunlinlug.decision.events import (
     Acknowledged,
     DemandReported,
@@ -18,6 +18,7 @@
 )
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.platform import messages
+from dunlinlug.platform.load_metrics import convert_metrics
 from dunlinlug.platform.messages import (
     Acknowledgement,
     CollectorHello,
@@ -28,52 +29,50 @@
     ProxyHello,
 )
 
-# kinds of fault shown in one summary: a flood of different ones must not fill log and memory
+# Kinds of error shown in one summary: a flood of different ones must not fill log and memory.
 MAX_SAMPLES = 8
-# streams kept for each zone: the old one, its successor and one that only says so
+# Connections kept for each zone: the old one, its successor and one that only says that it is.
 MAX_COLLECTORS_PER_ZONE = 3
-# seconds by which an answer's own time may be longer than we saw: clocks of machines
+# Seconds by which a proxy's own response time may exceed what we saw: clocks of machines differ.
 MAX_CLOCK_DIFFERENCE_S = 0.25
-METRIC_NAMES = {
-    "queue": "queue",
-    "latency_ms": "service_s",
-    "inflight": "held",
-    "util": "busy",
-    "qps": "settled_per_s",
-    "eps": "voided_per_s",
-    **LOAD_FIELD_NAMES,
-}
 
 
 @dataclass(eq=False)
 class Peer:
-    """One connection. `end` closes it; it is called for a peer that another takes the place of.
-    Once `over`, nothing that it says counts any more.
+    """One connection's state in the protocol.
+
+    `end` closes the connection; it is called with the reason for a peer that another replaces.
+    Once `ended`, nothing that arrives from the peer counts any more.
     """
 
     end: Callable[[str], None]
     ended: bool = False
     line_splitter: messages.LineSplitter = field(default_factory=messages.LineSplitter)
-    zone: str = ""  # of a collector or a proxy
+    zone: str = ""  # of a collector or a proxy; empty until it has joined
     proxy: int | None = None
-    pending_acks: dict[int, float] = field(
-        default_factory=dict
-    )  # asked and not answered, with when
+    # by acknowledgement number: when it was requested, oldest first
+    pending_acks: dict[int, float] = field(default_factory=dict)
     reported_at: float = -1.0  # when a collector last brought a report
 
     @property
     def joined(self) -> bool:
+        """Whether the peer has said who it is."""
         return bool(self.zone)
 
 
 class ConnectionRejectedError(DunlinlugError):
-    """The peer is to be closed; if it has not joined, it is sent the message `error` with this text
-    first.
+    """The peer is to be closed; one that has not joined is sent the message `error` first.
+
+    The error's text is that message's reason.
     """
 
 
 class PeerRegistry:
-    """`tell` hears events; `listed` says whether a worker is or was listed."""
+    """All peers, and who of them is which proxy or collector.
+
+    `submit` takes the events that messages give; `is_known_worker` tells whether a worker is or
+    was listed.
+    """
 
     def __init__(
         self,
@@ -91,12 +90,16 @@
         self.peer_by_proxy: dict[int, Peer] = {}
         self.collectors: dict[str, list[Peer]] = {zone: [] for zone in zones}
         self.counts: Counter[str] = Counter()
-        self.error_samples: dict[str, str] = {}  # by kind of fault, one since the last summary
+        self.error_samples: dict[str, str] = {}  # by kind of error, one since the last summary
 
     def receive(self, peer: Peer, data: bytes, now: float) -> bytes:
-        """What came from a peer; gives what to answer. Raises Turned."""
-        # Danger: a connection that is ended may be readable in that very turn. What the old stream
-        # of a proxy says then would be believed of its new one, and who was turned away could join.
+        """Handle what arrived from a peer and return the answer to write.
+
+        Raises ConnectionRejectedError if the peer is to be closed.
+        """
+        # A connection that is ended may be readable in that very turn. Without this check, what
+        # the old connection of a proxy says then would count for its new one, and a rejected peer
+        # could join.
         if peer.ended:
             return b""
         answer = b""
@@ -109,6 +112,25 @@
             raise ConnectionRejectedError(str(error)) from None
         return answer
 
+    def remove_peer(self, peer: Peer) -> None:
+        """Forget a peer whose connection has ended."""
+        if peer.proxy is not None:
+            if self.peer_by_proxy.get(peer.proxy) is peer:
+                del self.peer_by_proxy[peer.proxy]
+                self.submit(ProxyDisconnected(peer.proxy))
+        elif peer.joined and peer in self.collectors[peer.zone]:
+            self.collectors[peer.zone].remove(peer)
+
+    def add_sample(self, reason: str, data: bytes) -> None:
+        """Keep one sample of each kind of error for the next summary."""
+        if len(self.error_samples) < MAX_SAMPLES:
+            self.error_samples.setdefault(reason[:60], data[:200].decode("utf-8", "replace"))
+
+    def clear_statistics(self) -> None:
+        """Start counts and samples anew, once they are logged."""
+        self.counts.clear()
+        self.error_samples.clear()
+
     def _end_replaced(self, peer: Peer, reason: str) -> None:
         peer.ended = True
         peer.end(reason)
@@ -130,43 +152,44 @@
             if not peer.joined:
                 peer.ended = True
                 raise ConnectionRejectedError(str(error)) from None
-            self._count_invalid(str(error), line)
+            self.counts["spoilt"] += 1
+            self.add_sample(str(error), line)
         return b""
 
-    def _count_invalid(self, reason: str, line: bytes) -> None:
-        self.counts["spoilt"] += 1
-        self.add_sample(reason, line)
-
-    def add_sample(self, reason: str, data: bytes) -> None:
-        """Keep one of each kind of fault for the next summary."""
-        if len(self.error_samples) < MAX_SAMPLES:
-            self.error_samples.setdefault(reason[:60], data[:200].decode("utf-8", "replace"))
-
     # Joining.
 
     def _handle_join(self, peer: Peer, message: messages.Message) -> None:
-        if isinstance(message, ProxyHello | CollectorHello) and message.site not in self.zones:
-            raise InvalidMessageError(f"there is no site {message.site!r}")
+        if isinstance(message, ProxyHello | CollectorHello) and message.zone not in self.zones:
+            raise InvalidMessageError(f"there is no site {message.zone!r}")
         if isinstance(message, CollectorHello):
-            self._add_collector(peer, message.site)
+            self._add_collector(peer, message.zone)
         elif isinstance(message, ProxyHello):
-            if message.id >= self.proxy_count:
-                raise InvalidMessageError(f"there is no proxy {message.id}")
-            previous = self.peer_by_proxy.get(message.id)
-            self.peer_by_proxy[message.id] = peer
-            if previous is not None:
-                self.submit(ProxyDisconnected(message.id))
-                self._end_replaced(previous, "its proxy has a new stream")
-            peer.proxy = message.id
-            peer.zone = message.site
-            self.submit(ProxyConnected(message.id, message.site, message.rps, message.new))
+            self._add_proxy(peer, message)
         else:
             raise InvalidMessageError("nobody has joined on this connection")
         peer.line_splitter.max_bytes = messages.MAX_JOINED_LINE_BYTES
 
+    def _add_proxy(self, peer: Peer, hello: ProxyHello) -> None:
+        """Make the peer its proxy's connection; an earlier connection of the proxy ends."""
+        if hello.proxy >= self.proxy_count:
+            raise InvalidMessageError(f"there is no proxy {hello.proxy}")
+        previous = self.peer_by_proxy.get(hello.proxy)
+        self.peer_by_proxy[hello.proxy] = peer
+        if previous is not None:
+            self.submit(ProxyDisconnected(hello.proxy))
+            self._end_replaced(previous, "its proxy has a new stream")
+        peer.proxy = hello.proxy
+        peer.zone = hello.zone
+        self.submit(
+            ProxyConnected(
+                hello.proxy, hello.zone, hello.requests_per_second, hello.first_connection
+            )
+        )
+
     def _add_collector(self, peer: Peer, zone: str) -> None:
-        """Danger: a newcomer need not be the one that will bring reports, so the former stays
-        beside it.
+        """Add a collector beside those of its zone.
+
+        Without this, a newcomer that never brings reports would displace the one that does.
         """
         peer.zone = zone
         others = self.collectors[zone]
@@ -176,16 +199,7 @@
             self._end_replaced(idle, "others of its zone bring reports")
         others.append(peer)
 
-    def remove_peer(self, peer: Peer) -> None:
-        """Its connection has ended."""
-        if peer.proxy is not None:
-            if self.peer_by_proxy.get(peer.proxy) is peer:
-                del self.peer_by_proxy[peer.proxy]
-                self.submit(ProxyDisconnected(peer.proxy))
-        elif peer.joined and peer in self.collectors[peer.zone]:
-            self.collectors[peer.zone].remove(peer)
-
-    # What the joined say.
+    # Messages of joined peers.
 
     def _handle_message(self, peer: Peer, message: messages.Message, now: float) -> None:
         match message:
@@ -194,7 +208,7 @@
             case DemandReport():
                 self._handle_demand_report(peer, message)
             case EndpointReport() if peer.proxy is None:
-                self._handle_endpoint_report(peer, message)
+                self._handle_endpoint_report(message)
             case _:
                 raise InvalidMessageError(
                     f"a {type(message).__struct_config__.tag} does not belong on this connection"
@@ -203,69 +217,54 @@
             peer.reported_at = now
 
     def _handle_ack(self, peer: Peer, ack: Acknowledgement, now: float) -> None:
-        if ack.id != peer.proxy:
+        if ack.proxy != peer.proxy:
             raise InvalidMessageError("an answer of another proxy")
-        requested_at = peer.pending_acks.get(ack.seq)
+        requested_at = peer.pending_acks.get(ack.ack_number)
         if requested_at is None:
-            self.counts["unasked"] += (
-                1  # an answer to a mark never asked, or answered already, is nothing
-            )
+            # an acknowledgement that was never requested, or was received before, is ignored
+            self.counts["unasked"] += 1
             return
-        response_time = ack.ms / 1000.0
-        if (
-            response_time > now - requested_at + MAX_CLOCK_DIFFERENCE_S
-        ):  # Danger: one spoilt time would make the channel look slow for long
+        response_time = ack.response_time_ms / 1000.0
+        # Without this check, one wrong time would make the channel look slow for long.
+        if response_time > now - requested_at + MAX_CLOCK_DIFFERENCE_S:
             raise InvalidMessageError("an answer that took longer than it has been asked for")
         for ack_number in list(peer.pending_acks):
             del peer.pending_acks[ack_number]
-            if ack_number == ack.seq:
+            if ack_number == ack.ack_number:
                 break
-        self.submit(Acknowledged(ack.id, ack.seq, response_time))
+        self.submit(Acknowledged(ack.proxy, ack.ack_number, response_time))
 
     def _handle_demand_report(self, peer: Peer, report: DemandReport) -> None:
-        if report.lane not in self.traffic_classes:
+        if report.traffic_class not in self.traffic_classes:
             raise InvalidMessageError("there is no such lane")
-        if report.id >= self.proxy_count or peer.proxy not in (None, report.id):
+        if report.proxy >= self.proxy_count or peer.proxy not in (None, report.proxy):
             raise InvalidMessageError("usage of another proxy")
-        # More may have failed than came: what failed in this span may have come in the one before.
+        # More requests may have failed than arrived: some may have arrived in the window before.
         self.submit(
-            DemandReported(report.id, report.lane, report.count, report.fail, report.over / 1000.0)
+            DemandReported(
+                report.proxy,
+                report.traffic_class,
+                report.requests,
+                report.failed,
+                report.window_ms / 1000.0,
+            )
         )
 
-    def _handle_endpoint_report(self, peer: Peer, report: EndpointReport) -> None:
-        if report.site not in self.zones:
+    def _handle_endpoint_report(self, report: EndpointReport) -> None:
+        if report.zone not in self.zones:
             raise InvalidMessageError("there is no such site")
-        if not self.is_known_worker(report.target):
+        if not self.is_known_worker(report.worker):
             raise InvalidMessageError("there is no such target")
-        if report.fail > report.count:
+        if report.failed > report.attempts:
             raise InvalidMessageError("more failed than were tried")
-        load = {METRIC_NAMES.get(key, key): value for key, value in (report.util or {}).items()}
-        load = {
-            key: value / 1000.0 if key in MILLISECOND_FIELDS else value
-            for key, value in load.items()
-        }
         self.submit(
             EndpointReported(
-                report.site,
-                report.target,
-                report.count,
-                report.fail,
-                report.mean / 1000.0,
-                report.over / 1000.0,
-                load,
+                report.zone,
+                report.worker,
+                report.attempts,
+                report.failed,
+                report.mean_latency_ms / 1000.0,
+                report.window_ms / 1000.0,
+                convert_metrics(report.load_metrics or {}),
             )
         )
-
-
-def parse_text_report(body: bytes) -> dict[str, float]:
-    """A probe's load report in TEXT form. Raises ValueError."""
-    text = body.decode("ascii", "strict").strip()
-    format_name, _, rest = text.partition(" ")
-    if format_name != "TEXT":
-        raise ValueError("no report")
-    load = {}
-    for metric_text in rest.split(","):
-        name, _, value = metric_text.strip().partition("=")
-        metric = METRIC_NAMES.get(name, name)
-        load[metric] = float(value) / (1000.0 if metric in MILLISECOND_FIELDS else 1.0)
-    return load
--- a/dunlinlug/platform/discovery.py
+++ b/dunlinlug/platform/discovery.py
@@ -1,7 +1,7 @@
-"""Follows discovery on trio: asks, tells the module, knows where workers listen."""
+"""Follows service discovery on trio: queries it, and submits what changed to the module."""
 
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 
 import trio
 
@@ -12,7 +12,10 @@
 
 
 class DiscoveryWatcher:
-    """Follows discovery at `place`, which a reload may move."""
+    """Follows discovery at an address that a reload may change, and knows the workers' addresses.
+
+    Each change is submitted as `EndpointsUpdated` with start times on the module's clock.
+    """
 
     def __init__(
         self,
@@ -25,38 +28,28 @@
         self.submit = submit
         self.log_event = log_event
         self.start_times = StartTimes()
-        self.addresses = dict[str, discovery_state.Address]()
+        self.addresses = dict[str, discovery_state.Address]()  # by worker
         self.failing = False
         self.query_scope = trio.CancelScope()
         self.client = http.Client(*address, max_idle_connections=1)
 
     def set_address(self, address: discovery_state.Address) -> None:
-        """Ask there from now on; what is under way at the old place is given up."""
+        """Query this address from now on; a query at the old one is given up."""
         self.client = http.Client(*address, max_idle_connections=1)
         self.state.forget_version()
         self.query_scope.cancel()
 
-    def publish(self, update: EndpointsUpdated) -> None:
-        """Tell of a list with its starts in Unix time."""
-        offset = trio.current_time() - time.time()
-        workers = tuple(
-            self.start_times.to_module_clock(worker, offset) for worker in update.endpoints
-        )
-        self.start_times.retain_only(self.addresses)
-        self.submit(EndpointsUpdated(update.update_type, workers))
+    def resolve_address(self, worker: str) -> discovery_state.Address:
+        """Return where a worker listens; raises KeyError for one that is not listed."""
+        return self.addresses[worker]
 
-    def update_addresses(
-        self, instances: list[discovery_state.Instance], is_snapshot: bool
-    ) -> None:
-        if is_snapshot:
-            self.addresses.clear()
-        for instance in instances:
-            if instance.lifecycle == "gone":
-                self.addresses.pop(instance.instance_id, None)
-            else:
-                self.addresses[instance.instance_id] = instance.address()
+    def publish_stored_list(self, instances: list[discovery_state.Instance]) -> None:
+        """Take the list that was known before this process started."""
+        self._update_addresses(instances, is_snapshot=True)
+        self._publish(EndpointsUpdated("kept", discovery_state.present_workers(instances)))
 
     async def run(self) -> None:
+        """Query again and again until cancelled."""
         while True:
             client = self.client
             with trio.CancelScope() as self.query_scope:
@@ -81,16 +74,36 @@
             except http.HttpError as error:
                 raise discovery_state.DiscoveryError(str(error)) from None
         if client is not self.client:
-            return  # Danger: come in the turn of a move, it would stand for the new place's
-        if reply is None or reply.status != 200:
-            raise discovery_state.DiscoveryError(
-                "no answer in time" if reply is None else f"status {reply.status}"
-            )
-        answer = discovery_state.decode_response(reply.body)
-        update = self.state.handle_response(answer)
+            return  # an answer in the turn of a change of address must not count for the new one
+        if reply is None:
+            raise discovery_state.DiscoveryError("no answer in time")
+        if reply.status != 200:
+            raise discovery_state.DiscoveryError(f"status {reply.status}")
+        response = discovery_state.decode_response(reply.body)
+        update = self.state.handle_response(response)
         if self.failing:
-            self.log_event("discovery.recovered", generation=answer.generation)
+            self.log_event("discovery.recovered", generation=response.generation)
         self.failing = False
         if update is not None:
-            self.update_addresses(answer.instances, answer.reset)
-            self.publish(update)
+            self._update_addresses(response.instances, response.reset)
+            self._publish(update)
+
+    def _update_addresses(
+        self, instances: Iterable[discovery_state.Instance], is_snapshot: bool
+    ) -> None:
+        if is_snapshot:
+            self.addresses.clear()
+        for instance in instances:
+            if instance.lifecycle == "gone":
+                self.addresses.pop(instance.instance_id, None)
+            else:
+                self.addresses[instance.instance_id] = instance.address()
+
+    def _publish(self, update: EndpointsUpdated) -> None:
+        """Submit an update whose start times are Unix time."""
+        clock_offset = trio.current_time() - time.time()
+        workers = tuple(
+            self.start_times.to_module_clock(worker, clock_offset) for worker in update.endpoints
+        )
+        self.start_times.retain_only(self.addresses)
+        self.submit(EndpointsUpdated(update.update_type, workers))
--- a/dunlinlug/platform/discovery_state.py
+++ b/dunlinlug/platform/discovery_state.py
@@ -1,10 +1,10 @@
-"""Discovery's lists: answers to the module's workers, and what to ask next. No socket and no clock.
+"""Service discovery's lists: answers into the module's endpoints, and what to query next.
 
-Times on the wire are Unix milliseconds; starts leave here in Unix seconds and are put on the
-module's clock by whoever has one.
+No socket and no clock. Times on the wire are Unix milliseconds; start times leave here in Unix
+seconds, and who has a clock puts them on the module's.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from typing import Annotated, Literal
 
 import msgspec
@@ -14,38 +14,50 @@
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.platform.messages import Name
 
-# Seconds that a call may wait. What a waiting call is to tell counts as told 2 s after its end,
-# without one after 6 s: with 2 s a silent connection is left, and the list asked for anew, well
+# Seconds that a watch may wait. What a watch is to bring counts as delivered 2 s after its end,
+# without one after 6 s: with 2 s, a silent connection is given up and the list queried anew well
 # before either.
 WATCH_WAIT_S = 2.0
-ANSWER_TIMEOUT_S = 0.5  # seconds beyond the wait for an answer: the agent is on our own machine
-# seconds from one query to the next where the version did not move on; a quarter of what ends a
-# watch
+# Seconds beyond the wait for an answer: discovery's agent is on our own machine.
+ANSWER_TIMEOUT_S = 0.5
+# Seconds from one query to the next where the version did not move on; a quarter of the time
+# after which a watch counts as ended.
 MIN_QUERY_INTERVAL_S = 0.05
-# seconds to pause after a failure, doubled up to the most: the agent answers without cost
+# Seconds to pause after a failure, doubled up to the maximum: for the agent an answer is cheap.
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.5
 SERVERS_PATH = "/v1/servers"
 
 
 class DiscoveryError(DunlinlugError):
-    """An answer that is not a list as agreed."""
+    """An answer of service discovery that is not as agreed; the text says how."""
 
 
-Address = tuple[str, int]
+class AddressError(DiscoveryError):
+    """A text that is no address and port; `setting` is what it was to be the address of."""
+
+    def __init__(self, setting: str, text: str) -> None:
+        super().__init__(f"{setting} is {text!r}, not an address and a port")
+        self.setting = setting
+        self.text = text
+
+
+Address = tuple[str, int]  # host and port
 
 
 def parse_address(text: str, setting: str) -> Address:
-    """Raises ServersFault, which says that `what` is not an address and a port."""
+    """Return the host and port that `text` gives; raises AddressError, which names `setting`."""
     host, _, port = text.rpartition(":")
-    # Danger: other scripts' digits and superscripts are digits too, and not all of them make a
-    # number.
-    if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
-        raise DiscoveryError(f"{setting} is {text!r}, not an address and a port")
+    # Digits of other scripts and superscripts are digits too, and not all of them make a number.
+    is_number = port.isascii() and port.isdigit()
+    if not host or not is_number or not 0 < int(port) < 65536:
+        raise AddressError(setting, text)
     return host, int(port)
 
 
 class Instance(msgspec.Struct, rename="camel", frozen=True):
+    """One entry of the list, as on the wire."""
+
     instance_id: Name
     host_port: Annotated[str, Meta(min_length=3, max_length=128)]
     zone: Name
@@ -56,7 +68,7 @@
     started_at_ms: Annotated[float, Meta(ge=0.0)] = 0.0
 
     def worker(self) -> Endpoint:
-        """As the module knows it, the start in Unix seconds."""
+        """Return it as the module knows it, its start in Unix seconds."""
         return Endpoint(
             self.instance_id,
             self.zone,
@@ -68,11 +80,13 @@
         )
 
     def address(self) -> Address:
-        """Raises ServersFault."""
+        """Return where it listens; raises AddressError."""
         return parse_address(self.host_port, f"the place of {self.instance_id}")
 
 
 class DiscoveryResponse(msgspec.Struct, frozen=True):
+    """One answer: the list's version, and all of its entries (`reset`) or those that changed."""
+
     generation: Annotated[int, Meta(ge=0)]
     reset: bool
     instances: list[Instance]
@@ -82,7 +96,7 @@
 
 
 def decode_response(body: bytes) -> DiscoveryResponse:
-    """Raises ServersFault."""
+    """Return a body's answer, whose addresses are all usable; raises DiscoveryError."""
     try:
         response = _response_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -92,72 +106,72 @@
     return response
 
 
+def present_workers(instances: Iterable[Instance]) -> tuple[Endpoint, ...]:
+    """Return the entries that are not gone, as the module knows them."""
+    return tuple(instance.worker() for instance in instances if instance.lifecycle != "gone")
+
+
 class DiscoveryState:
-    """Which version is held and what to ask: the whole list after a start or a version that went
-    back, else a watch.
+    """Which version of the list is held, and so what to query next.
+
+    The complete list is queried after a start and after a version that went back, else a watch
+    from the version held. `random_uniform` draws a float between two bounds.
     """
 
     def __init__(self, random_uniform: Callable[[float, float], float]) -> None:
         self.random_uniform = random_uniform
         self.generation: int | None = None
         self.failure_count = 0
-        self.min_pause = 0.0  # seconds that the next query follows the last one by, at least
+        self.min_pause = 0.0  # least seconds from the last query to the next
 
     def forget_version(self) -> None:
-        """Another place is asked from now on. Danger: its versions need not be those of the old
-        one, so that a watch from the one held could miss what is not in our list.
+        """Query the complete list next, as another address is queried from now on.
+
+        Its versions need not be those of the old one. Without this, a watch from the version held
+        could miss what is not in our list.
         """
         self.generation = None
 
     def next_query(self) -> str:
+        """Return the path of the next query."""
         if self.generation is None:
             return SERVERS_PATH
         return f"{SERVERS_PATH}?index={self.generation}&wait={round(WATCH_WAIT_S * 1000)}"
 
     def answer_timeout(self) -> float:
-        """Seconds for the answer to the next query."""
+        """Return the seconds to wait for the answer to the next query."""
         return ANSWER_TIMEOUT_S if self.generation is None else WATCH_WAIT_S + ANSWER_TIMEOUT_S
 
     def handle_response(self, response: DiscoveryResponse) -> EndpointsUpdated | None:
-        """News for the module; None where nothing changed, or where the whole list is to be asked
-        for first.
+        """Take an answer and return the update for the module.
 
-        Raises ServersFault for changes to a list that is not held.
+        Returns None where nothing changed, or where the complete list is to be queried first.
+        Raises DiscoveryError for changes to a list that is not held.
         """
         previous_generation = self.generation
         self.failure_count = 0
-        # Danger: answered at once and again and again with what is known, we would do nothing else
-        # but ask.
-        self.min_pause = (
-            0.0
-            if previous_generation is None or response.generation > previous_generation
-            else MIN_QUERY_INTERVAL_S
-        )
+        # Without this pause, a discovery that answers at once, again and again, with what is known
+        # would keep the manager busy with queries alone.
+        has_advanced = previous_generation is None or response.generation > previous_generation
+        self.min_pause = 0.0 if has_advanced else MIN_QUERY_INTERVAL_S
         if response.reset:
             self.generation = response.generation
-            return EndpointsUpdated(
-                "whole",
-                tuple(
-                    instance.worker()
-                    for instance in response.instances
-                    if instance.lifecycle != "gone"
-                ),
-            )
+            return EndpointsUpdated("whole", present_workers(response.instances))
         if previous_generation is None:
             raise DiscoveryError("changes, though the whole list was asked for")
         if response.generation < previous_generation:
-            # Danger: discovery was put back; its changes are to another list than ours
+            # Discovery was put back: its changes are to another list than ours.
             self.generation = None
             return None
         self.generation = response.generation
-        return (
-            EndpointsUpdated("changes", tuple(instance.worker() for instance in response.instances))
-            if response.instances
-            else None
+        if not response.instances:
+            return None
+        return EndpointsUpdated(
+            "changes", tuple(instance.worker() for instance in response.instances)
         )
 
     def next_backoff(self) -> float:
-        """Seconds to pause before the next query, drawn so that managers spread."""
+        """Return the seconds to pause after a failure, drawn so that managers spread."""
         self.failure_count += 1
         max_delay = min(INITIAL_BACKOFF_S * 2.0 ** min(self.failure_count - 1, 10), MAX_BACKOFF_S)
         return self.random_uniform(max_delay / 2, max_delay)
--- a/dunlinlug/platform/environment.py
+++ b/dunlinlug/platform/environment.py
@@ -1,6 +1,4 @@
-"""What a manager is told on the platform: the ROUTER_ variables and the configuration that they
-name.
-"""
+"""The platform's settings of a manager: the ROUTER_ variables and the file that they name."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -14,37 +12,72 @@
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.platform.discovery_state import (
     Address,
-    DiscoveryError,
+    AddressError,
     DiscoveryResponse,
     parse_address,
 )
 
-MAX_PROXIES = 2**16  # their ids on the wire lie below it
+CONFIG_VARIABLE = "ROUTER_CONFIG"
+NAME_VARIABLE = "ROUTER_NAME"
+LISTEN_VARIABLE = "ROUTER_LISTEN"
+DISCOVERY_VARIABLE = "ROUTER_DISCOVERY"
+MAX_PROXIES = 2**16  # their ids on the wire are below it
 
 
 class EnvironmentConfigError(DunlinlugError):
-    """What we were told can't be used; the text says where and why in one line."""
+    """Settings that cannot be used; the text says where and why in one line."""
+
+
+class MissingConfigPathError(EnvironmentConfigError):
+    """No configuration file is named."""
+
+    def __init__(self) -> None:
+        super().__init__(f"{CONFIG_VARIABLE} is not set; it names the configuration's file")
+
+
+class ConfigFileError(EnvironmentConfigError):
+    """The configuration file at `path` cannot be used, for `reason`."""
+
+    def __init__(self, path: str, reason: str) -> None:
+        super().__init__(f"{path}: {reason}")
+        self.path = path
+        self.reason = reason
+
+
+class InvalidSeedError(EnvironmentConfigError):
+    """The configuration's seed is no hexadecimal number."""
+
+    def __init__(self, seed: str) -> None:
+        super().__init__(f"seed is {seed!r}, not a hexadecimal number")
+        self.seed = seed
 
 
 class ResourceLimits(msgspec.Struct, frozen=True):
+    """What the process may use; `sockets` counts its open descriptors."""
+
     cores: float = 1.0
     memory_mb: float = 192.0
     sockets: Annotated[int, Meta(ge=1)] = 1024
 
 
-class _ConfigFile(msgspec.Struct, frozen=True):
+class _ConfigFile(msgspec.Struct, frozen=True, rename={"initial_list": "known"}):
+    """The configuration file, by its JSON keys; `settings` is read by `read_settings`."""
+
     settings: dict[str, Any]
     name: str = ""
     listen: str = ""
     discovery: str = ""
     seed: str | int = 0
     limits: ResourceLimits = ResourceLimits()
-    known: DiscoveryResponse = DiscoveryResponse(0, True, [])
+    initial_list: DiscoveryResponse = DiscoveryResponse(0, True, [])
 
 
 class PlatformConfig(msgspec.Struct, frozen=True):
-    """`turn`: seconds from one batch to the next at least; `proxies`: how many there are in all;
-    `unmet`: what the settings ask for and we have no answer for.
+    """All settings of a manager on the platform.
+
+    `initial_list` is the endpoint list known before the start. `proxy_count` is how many proxies
+    there are in all, `min_batch_interval` the least seconds from one batch to the next.
+    `unsupported_settings` are those that the settings ask for and the manager does not have.
     """
 
     name: str
@@ -59,74 +92,97 @@
     unsupported_settings: tuple[str, ...] = ()
 
 
-_config_decoder = msgspec.json.Decoder(_ConfigFile)
+class _FleetSettings(msgspec.Struct, frozen=True):
+    """What the file's `settings` say."""
 
+    manager: ManagerSettings
+    zones: tuple[str, ...]
+    proxy_count: int
+    min_batch_interval: float
 
-def _parse_seed(seed: str | int) -> int:
-    try:
-        return int(seed, 16) if isinstance(seed, str) else seed
-    except ValueError:
-        raise EnvironmentConfigError(f"seed is {seed!r}, not a hexadecimal number") from None
+
+_config_decoder = msgspec.json.Decoder(_ConfigFile)
 
 
 def load_config(environment: Mapping[str, str]) -> PlatformConfig:
-    """At the start: variables win over the file, which may leave out what they say. Raises
-    TermsFault.
+    """Return the settings at the start; raises EnvironmentConfigError.
+
+    Variables win over the file, which may leave out what they say.
     """
-    path = environment.get("ROUTER_CONFIG", "")
+    path = environment.get(CONFIG_VARIABLE, "")
     if not path:
-        raise EnvironmentConfigError("ROUTER_CONFIG is not set; it names the configuration's file")
+        raise MissingConfigPathError
     return _load_file(path, environment)
 
 
 def reload_config(environment: Mapping[str, str]) -> PlatformConfig:
-    """At a reload: the file wins, as the variables are as old as the process. Raises TermsFault."""
-    return _load_file(environment.get("ROUTER_CONFIG", ""), {})
+    """Return the settings at a reload; raises EnvironmentConfigError.
+
+    The file wins, as the variables are as old as the process.
+    """
+    return _load_file(environment.get(CONFIG_VARIABLE, ""), {})
+
+
+def with_discovery(config: PlatformConfig, discovery: Address) -> PlatformConfig:
+    """Return the same settings with discovery at another address."""
+    return msgspec.structs.replace(config, discovery=discovery)
 
 
 def _load_file(path: str, variables: Mapping[str, str]) -> PlatformConfig:
+    file = _decode_file(path)
+    settings = _read_fleet_settings(path, file)
+    try:
+        for instance in file.initial_list.instances:
+            instance.address()
+        listen = parse_address(variables.get(LISTEN_VARIABLE) or file.listen, "listen")
+        discovery = parse_address(variables.get(DISCOVERY_VARIABLE) or file.discovery, "discovery")
+    except AddressError as error:
+        raise ConfigFileError(path, str(error)) from None
+    return PlatformConfig(
+        name=variables.get(NAME_VARIABLE) or file.name,
+        listen=listen,
+        discovery=discovery,
+        limits=file.limits,
+        initial_list=file.initial_list,
+        settings=settings.manager,
+        zones=settings.zones,
+        proxy_count=settings.proxy_count,
+        min_batch_interval=settings.min_batch_interval,
+        unsupported_settings=tuple(unsupported_settings(file.settings)),
+    )
+
+
+def _decode_file(path: str) -> _ConfigFile:
     try:
-        body = Path(path).read_bytes()
-        file = _config_decoder.decode(body)
+        return _config_decoder.decode(Path(path).read_bytes())
     except OSError as error:
-        raise EnvironmentConfigError(f"{path}: {error.strerror}") from None
+        raise ConfigFileError(path, str(error.strerror)) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise EnvironmentConfigError(f"{path}: {error}") from None
+        raise ConfigFileError(path, str(error)) from None
+
+
+def _read_fleet_settings(path: str, file: _ConfigFile) -> _FleetSettings:
+    settings_json = file.settings
     try:
-        settings_json = file.settings
         settings = read_settings(_parse_seed(file.seed), settings_json)
         zones = tuple(str(zone) for zone in settings_json["dcs"])
-        proxies = int(settings_json["specifics"]["proxyCount"])
+        proxy_count = int(settings_json["specifics"]["proxyCount"])
         min_batch_interval = seconds(settings_json.get("roundUs") or 0)
-        if not zones or not 0 < proxies <= MAX_PROXIES:
+        if not zones or not 0 < proxy_count <= MAX_PROXIES:
             raise ValueError(
-                f"there are {len(zones)} zones (dcs) and {proxies} proxies (proxyCount)"
+                f"there are {len(zones)} zones (dcs) and {proxy_count} proxies (proxyCount)"
             )
     except KeyError as error:
-        raise EnvironmentConfigError(f"{path}: settings lack {error}") from None
+        raise ConfigFileError(path, f"settings lack {error}") from None
     except (TypeError, ValueError, AttributeError) as error:
-        raise EnvironmentConfigError(f"{path}: settings hold what can't be used: {error}") from None
-    try:
-        for instance in file.known.instances:
-            instance.address()
-        listen = parse_address(variables.get("ROUTER_LISTEN") or file.listen, "listen")
-        discovery = parse_address(variables.get("ROUTER_DISCOVERY") or file.discovery, "discovery")
-    except DiscoveryError as error:
-        raise EnvironmentConfigError(f"{path}: {error}") from None
-    return PlatformConfig(
-        variables.get("ROUTER_NAME") or file.name,
-        listen,
-        discovery,
-        file.limits,
-        file.known,
-        settings,
-        zones,
-        proxies,
-        min_batch_interval,
-        tuple(unsupported_settings(settings_json)),
-    )
+        raise ConfigFileError(path, f"settings hold what can't be used: {error}") from None
+    return _FleetSettings(settings, zones, proxy_count, min_batch_interval)
 
 
-def with_discovery(config: PlatformConfig, discovery: Address) -> PlatformConfig:
-    """The same with discovery elsewhere."""
-    return msgspec.structs.replace(config, discovery=discovery)
+def _parse_seed(seed: str | int) -> int:
+    if isinstance(seed, int):
+        return seed
+    try:
+        return int(seed, 16)
+    except ValueError:
+        raise InvalidSeedError(seed) from None
--- /dev/null
+++ b/dunlinlug/platform/load_metrics.py
@@ -0,0 +1,42 @@
+"""Load metrics of workers: from the platform's names and units to those of the decision module."""
+
+from collections.abc import Mapping
+
+from dunlinlug.config.settings_json import LOAD_FIELD_NAMES, MILLISECOND_FIELDS
+
+# by the platform's name: the module's; other names stay as they are
+METRIC_NAMES = {
+    "queue": "queue",
+    "latency_ms": "service_s",
+    "inflight": "held",
+    "util": "busy",
+    "qps": "settled_per_s",
+    "eps": "voided_per_s",
+    **LOAD_FIELD_NAMES,
+}
+
+
+def convert_metrics(metrics: Mapping[str, float]) -> dict[str, float]:
+    """Return the metrics by the module's names, times in seconds."""
+    converted = {}
+    for wire_name, value in metrics.items():
+        name = METRIC_NAMES.get(wire_name, wire_name)
+        converted[name] = value / 1000.0 if name in MILLISECOND_FIELDS else value
+    return converted
+
+
+def parse_text_report(body: bytes) -> dict[str, float]:
+    """Return the metrics of a health check's load report in its TEXT form, by the module's names.
+
+    Raises ValueError for a body that is no such report.
+    """
+    text = body.decode("ascii", "strict").strip()
+    format_name, _, metric_list = text.partition(" ")
+    if format_name != "TEXT":
+        raise ValueError("no report")
+    load = {}
+    for metric_text in metric_list.split(","):
+        wire_name, _, value = metric_text.strip().partition("=")
+        name = METRIC_NAMES.get(wire_name, wire_name)
+        load[name] = float(value) / (1000.0 if name in MILLISECOND_FIELDS else 1.0)
+    return load
--- /dev/null
+++ b/dunlinlug/platform/table_diff.py
@@ -0,0 +1,257 @@
+"""The difference between what a proxy has and what it should have, as updates on the wire.
+
+What goes out follows from the two alone. Its table entries are never more than the module accounts
+for, but for readmissions of workers that the proxy may have ejected before it connected.
+No socket, no clock, no decision.
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from dunlinlug.platform.known_workers import NO_WORKERS
+from dunlinlug.platform.messages import TableUpdate
+
+# Table entries in one update: with names of 128 bytes well below the protocol's 1 MiB.
+MAX_ENTRIES_PER_UPDATE = 4096
+Admission = tuple[float, int]  # the admitted fraction and the retry policy
+WeightEntry = tuple[str, float]  # a worker and its weight
+
+
+@dataclass(frozen=True, eq=False)
+class TableSnapshot:
+    """A table's weights at one moment, shared by all proxies that have them."""
+
+    weights: Mapping[str, float]
+
+
+@dataclass(frozen=True)
+class ProxyTables:
+    """What a proxy has.
+
+    `tables` and `admissions` are by traffic class, None where they are not known. `ejected` are
+    the workers that it surely has ejected; `possibly_ejected` those that it may have ejected before
+    it connected.
+    """
+
+    tables: tuple[TableSnapshot | None, ...]
+    admissions: tuple[Admission | None, ...]
+    ejected: frozenset[str] = NO_WORKERS
+    possibly_ejected: frozenset[str] = NO_WORKERS
+
+
+@dataclass(frozen=True)
+class DesiredTables:
+    """What a proxy should have.
+
+    `tables` and `admissions` are by traffic class, a table None where the proxy is not assigned to
+    one. `ejection_changes` are workers ejected or readmitted in this very reply,
+    `suspected_ejections` those that any proxy may have ejected.
+    """
+
+    tables: tuple[TableSnapshot | None, ...]
+    admissions: tuple[Admission, ...]
+    ejected: frozenset[str]
+    ejection_changes: frozenset[str]
+    suspected_ejections: frozenset[str]
+
+
+@dataclass
+class ProxyUpdate:
+    """One message's updates, what the proxy has after it, and the table entries that it counts."""
+
+    updates: list[TableUpdate]
+    tables_after: ProxyTables
+    entry_count: int
+
+
+class _WeightChange(NamedTuple):
+    """What goes out for a table; with `replaces_table` the entries are all of it."""
+
+    replaces_table: bool
+    entries: tuple[WeightEntry, ...]
+
+
+@dataclass
+class _TableChanges:
+    """What differs by traffic class; classes with the same difference share an update."""
+
+    tables_after: list[TableSnapshot | None]
+    admissions_after: list[Admission | None]
+    classes_by_weights: dict[_WeightChange, list[int]] = field(default_factory=dict)
+    classes_by_admission: dict[Admission, list[int]] = field(default_factory=dict)
+
+
+class _EjectionChanges(NamedTuple):
+    """Workers to eject and to readmit at the proxy."""
+
+    eject: list[str]
+    readmit: list[str]
+
+
+NO_WEIGHT_CHANGE = _WeightChange(False, ())
+
+
+def build_update(
+    current: ProxyTables,
+    desired: DesiredTables,
+    class_names: tuple[str, ...],
+    default_admission: Admission,
+    max_entries: float,
+) -> ProxyUpdate:
+    """Return what turns `current` into `desired`.
+
+    `class_names` are the traffic classes' names on the wire; `default_admission` holds for a table
+    that has been told none. Up to `max_entries` entries in all may go for workers that may be
+    ejected at the proxy.
+    """
+    changes = _compare_tables(current, desired, default_admission)
+    updates = list[TableUpdate]()
+    entry_count = _append_weights(updates, changes, class_names)
+    entry_count += _append_admissions(updates, changes, class_names)
+    ejections = _compare_ejections(
+        current, desired, changes.tables_after, max_entries - entry_count
+    )
+    entry_count += len(ejections.eject) + len(ejections.readmit)
+    if ejections.eject or ejections.readmit:
+        if not updates:
+            updates.append(TableUpdate())
+        updates[-1].eject = ejections.eject or None
+        updates[-1].readmit = ejections.readmit or None
+    changed_workers = {*ejections.eject, *ejections.readmit}
+    tables_after = ProxyTables(
+        tuple(changes.tables_after),
+        tuple(changes.admissions_after),
+        (current.ejected | set(ejections.eject)) - set(ejections.readmit),
+        current.possibly_ejected - changed_workers,
+    )
+    return ProxyUpdate(updates, tables_after, entry_count)
+
+
+def _compare_tables(
+    current: ProxyTables, desired: DesiredTables, default_admission: Admission
+) -> _TableChanges:
+    changes = _TableChanges(list(current.tables), list(current.admissions))
+    for class_index, desired_table in enumerate(desired.tables):
+        if desired_table is None:
+            continue
+        desired_admission = desired.admissions[class_index]
+        weight_change = _compare_weights(
+            current.tables[class_index], desired_table, desired_admission != default_admission
+        )
+        if weight_change.replaces_table or weight_change.entries:
+            changes.classes_by_weights.setdefault(weight_change, []).append(class_index)
+        admission_before: Admission | None = current.admissions[class_index]
+        if weight_change.replaces_table:
+            admission_before = default_admission
+        if desired_admission != admission_before:
+            changes.classes_by_admission.setdefault(desired_admission, []).append(class_index)
+        changes.tables_after[class_index] = desired_table
+        changes.admissions_after[class_index] = desired_admission
+    return changes
+
+
+def _compare_weights(
+    current: TableSnapshot | None, desired: TableSnapshot, has_admission_entry: bool
+) -> _WeightChange:
+    """Return the shorter of the changed entries and the whole table.
+
+    A table that replaces another starts with the default admission, so that another admission
+    counts as one more entry with it.
+    """
+    if current is desired:
+        return NO_WEIGHT_CHANGE
+    all_entries = tuple(desired.weights.items())
+    if current is None:
+        return _WeightChange(True, all_entries)
+    changed = [
+        (worker, weight) for worker, weight in all_entries if current.weights.get(worker) != weight
+    ]
+    changed += [(worker, 0.0) for worker in current.weights if worker not in desired.weights]
+    if len(changed) > 1 + len(all_entries) + has_admission_entry:
+        return _WeightChange(True, all_entries)
+    return _WeightChange(False, tuple(changed))
+
+
+def _append_weights(
+    updates: list[TableUpdate], changes: _TableChanges, class_names: tuple[str, ...]
+) -> int:
+    """Append the updates of weights, and return the entries that they count."""
+    entry_count = 0
+    for change, class_indexes in changes.classes_by_weights.items():
+        traffic_classes = _wire_classes(class_indexes, class_names)
+        updates.extend(
+            TableUpdate(
+                traffic_classes=traffic_classes,
+                replaces_table=change.replaces_table and not start,
+                weights=list(change.entries[start : start + MAX_ENTRIES_PER_UPDATE]),
+            )
+            for start in range(0, max(len(change.entries), 1), MAX_ENTRIES_PER_UPDATE)
+        )
+        entry_count += change.replaces_table + len(change.entries)
+    return entry_count
+
+
+def _append_admissions(
+    updates: list[TableUpdate], changes: _TableChanges, class_names: tuple[str, ...]
+) -> int:
+    """Add the changed admissions to the updates, and return the entries that they count."""
+    for admission, class_indexes in changes.classes_by_admission.items():
+        traffic_classes = _wire_classes(class_indexes, class_names)
+        update = _last_update_without_admission(updates, traffic_classes)
+        if update is None:
+            update = TableUpdate(traffic_classes=traffic_classes)
+            updates.append(update)
+        update.admitted_fraction, update.retry_policy = admission
+    return len(changes.classes_by_admission)
+
+
+def _last_update_without_admission(
+    updates: list[TableUpdate], traffic_classes: list[str] | None
+) -> TableUpdate | None:
+    """Return the update that ends the weights of the same classes, if it has no admission yet."""
+    for update in reversed(updates):
+        if update.traffic_classes == traffic_classes and update.admitted_fraction is None:
+            return update
+    return None
+
+
+def _wire_classes(class_indexes: list[int], class_names: tuple[str, ...]) -> list[str] | None:
+    """Return the classes' names, or None for all of them."""
+    if len(class_indexes) == len(class_names):
+        return None
+    return [class_names[class_index] for class_index in class_indexes]
+
+
+def _compare_ejections(
+    current: ProxyTables,
+    desired: DesiredTables,
+    tables: list[TableSnapshot | None],
+    spare_entries: float,
+) -> _EjectionChanges:
+    """Return the workers to eject and to readmit, given the tables that the proxy will have.
+
+    `spare_entries` may go for all of it; what surely differs goes in any case.
+    """
+    named_workers = {
+        worker
+        for snapshot in dict.fromkeys(tables)
+        if snapshot is not None
+        for worker in snapshot.weights
+    }
+    relevant_workers = named_workers
+    if None in tables:
+        # A table from before the proxy connected may name who was ejected just now.
+        relevant_workers = named_workers | desired.ejection_changes
+    eject = sorted((desired.ejected & relevant_workers) - current.ejected)
+    readmit = sorted((current.ejected & relevant_workers) - desired.ejected)
+    spare_count = int(spare_entries - len(eject) - len(readmit))
+    # Without these, a worker that an earlier connection or another manager ejected would stay
+    # ejected for good.
+    possibly_ejected = sorted(
+        (current.possibly_ejected & named_workers) - desired.ejected - set(readmit),
+        key=lambda worker: (worker not in desired.suspected_ejections, worker),
+    )
+    suspected_count = sum(worker in desired.suspected_ejections for worker in possibly_ejected)
+    readmit += possibly_ejected[: max(suspected_count, spare_count)]
+    return _EjectionChanges(eject, readmit)
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -18,7 +18,7 @@
     ProxyDisconnected,
 )
 from dunlinlug.manager.start_times import StartTimes
-from dunlinlug.platform import connections, discovery_state, messages
+from dunlinlug.platform import connections, discovery_state, load_metrics, messages
 from dunlinlug.platform.connections import (
     MAX_COLLECTORS_PER_ZONE,
     ConnectionRejectedError,
@@ -31,7 +31,7 @@
     TableUpdate,
     encode,
 )
-from dunlinlug.platform.server import MAX_UNSENT_BYTES, Connection
+from dunlinlug.platform.socket_connection import MAX_UNSENT_BYTES, Connection
 
 EXAMPLES = (
     b'{"@type":"agent","site":"a"}',
@@ -291,11 +291,11 @@
     assert json.loads(
         encode(
             TableUpdate(
-                routes=["lookup", "order"],
-                full=True,
-                endpoints=[("s-5be2a07c", 1.5)],
-                admit=0.9,
-                policy=1,
+                traffic_classes=["lookup", "order"],
+                replaces_table=True,
+                weights=[("s-5be2a07c", 1.5)],
+                admitted_fraction=0.9,
+                retry_policy=1,
                 continued=True,
             )
         )
@@ -308,7 +308,7 @@
         "policy": 1,
         "continued": True,
     }
-    assert encode(TableUpdate(eject=["s-77aa0310"], nonce_out=905)) == (
+    assert encode(TableUpdate(eject=["s-77aa0310"], ack_number=905)) == (
         b'{"@type":"push","eject":["s-77aa0310"],"nonce_out":905}\n'
     )
     assert encode(TableUpdate()) == b'{"@type":"push"}\n'
@@ -411,12 +411,12 @@
 
 
 def test_reports_of_probes() -> None:
-    assert connections.parse_text_report(b"TEXT inflight=7, queue=2, util=0.61") == {
+    assert load_metrics.parse_text_report(b"TEXT inflight=7, queue=2, util=0.61") == {
         "held": 7.0,
         "queue": 2.0,
         "busy": 0.61,
     }
-    assert connections.parse_text_report(b"TEXT latency_ms=40") == {"service_s": 0.04}
+    assert load_metrics.parse_text_report(b"TEXT latency_ms=40") == {"service_s": 0.04}
     for body in (b"", b"TEXT x", b"JSON {}", b"TEXT queue=two"):
         with pytest.raises(ValueError):
-            connections.parse_text_report(body)
+            load_metrics.parse_text_report(body)
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -23,7 +23,8 @@
     SetWeight,
 )
 from dunlinlug.decision.settings import ManagerSettings
-from dunlinlug.platform.orders import MAX_REMEMBERED_WORKERS, PlatformTableInstaller
+from dunlinlug.platform.known_workers import MAX_REMEMBERED_WORKERS
+from dunlinlug.platform.orders import PlatformTableInstaller
 from tests.decision.rules_model import ZONES, Model, endpoint, manager_settings, run
 
 NAMES = ("read", "book")
@@ -250,7 +251,7 @@
             [EndpointsUpdated("changes", (Endpoint(fresh.id, "north", "", 0, "gone", 1.0, None),))]
         )
         orders.apply_orders([SetEjected(fresh.id, False)], 0.0)
-    assert len(orders.known_workers) <= MAX_REMEMBERED_WORKERS + 4
+    assert len(orders.workers.known) <= MAX_REMEMBERED_WORKERS + 4
     assert (
         len(orders.proxies[3].sent_tables.ejected) <= MAX_REMEMBERED_WORKERS + 4
         and len(orders.suspected_ejections) <= MAX_REMEMBERED_WORKERS + 4
--- a/tests/race_conditions/test_http_connections.py
+++ b/tests/race_conditions/test_http_connections.py
@@ -14,7 +14,7 @@
 from dunlinlug.decision.events import Event, HealthCheckCompleted
 from dunlinlug.manager.health_checks import MAX_REPORT_BYTES, HealthChecker, parse_json_report
 from dunlinlug.net import http
-from dunlinlug.platform.connections import parse_text_report
+from dunlinlug.platform.load_metrics import parse_text_report
 
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
--- a/tests/race_conditions/test_platform_sockets.py
+++ b/tests/race_conditions/test_platform_sockets.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 import trio
 import trio.testing
@@ -24,17 +25,17 @@
 from dunlinlug.decision.orders import Order, SetTimer
 from dunlinlug.manager.decision_loop import DecisionLoop
 from dunlinlug.platform import discovery_state, messages
+from dunlinlug.platform.channel import UnpacedChannel
 from dunlinlug.platform.connections import ConnectionRejectedError, PeerRegistry
 from dunlinlug.platform.discovery import DiscoveryWatcher
-from dunlinlug.platform.main import UnpacedChannel
 from dunlinlug.platform.orders import ProxyMessage
 from dunlinlug.platform.server import (
     SHUTDOWN_GRACE_S,
     SILENT_GRACE_S,
-    Connection,
     ConnectionServer,
     listen,
 )
+from dunlinlug.platform.socket_connection import Connection
 
 HELLO = b'{"@type":"hello","id":17,"site":"a","rps":2.0,"new":true}\n'
 DEMAND = b'{"@type":"demand","id":17,"lane":"read","count":7,"fail":0,"over":1000.0}\n'
@@ -211,7 +212,7 @@
 
 def order(lines: int) -> bytes:
     endpoints = [(f"worker-{n:06}.of-some-length", 1.0) for n in range(lines)]
-    return messages.encode(messages.TableUpdate(full=True, endpoints=endpoints))
+    return messages.encode(messages.TableUpdate(replaces_table=True, weights=endpoints))
 
 
 async def read_to_the_end(client: socket.socket) -> bytes:
@@ -391,7 +392,7 @@
 
 
 def listed(generation: int, *names: str, reset: bool = True) -> bytes:
-    return messages._encoder.encode(
+    return msgspec.json.encode(
         {
             "generation": generation,
             "reset": reset,
--- a/tests/recorded/record_platform.py
+++ b/tests/recorded/record_platform.py
@@ -10,7 +10,13 @@
 from typing import Any
 
 from dunlinlug.decision.events import Event
-from dunlinlug.platform import connections, discovery_state, environment, messages
+from dunlinlug.platform import (
+    connections,
+    discovery_state,
+    environment,
+    load_metrics,
+    messages,
+)
 from dunlinlug.platform.orders import PlatformTableInstaller
 from dunlinlug.simulator import codec
 from tests.recorded import record_drill
@@ -96,36 +102,41 @@
         case messages.LivenessProbe():
             return {"@type": "probe"}
         case messages.CollectorHello():
-            return {"@type": "agent", "site": said.site}
+            return {"@type": "agent", "site": said.zone}
         case messages.ProxyHello():
             return {
                 "@type": "hello",
-                "id": said.id,
-                "site": said.site,
-                "rps": said.rps,
-                "new": said.new,
+                "id": said.proxy,
+                "site": said.zone,
+                "rps": said.requests_per_second,
+                "new": said.first_connection,
             }
         case messages.Acknowledgement():
-            return {"@type": "ack", "id": said.id, "seq": said.seq, "ms": said.ms}
+            return {
+                "@type": "ack",
+                "id": said.proxy,
+                "seq": said.ack_number,
+                "ms": said.response_time_ms,
+            }
         case messages.EndpointReport():
             return {
                 "@type": "outcomes",
-                "site": said.site,
-                "target": said.target,
-                "count": said.count,
-                "fail": said.fail,
-                "mean": said.mean,
-                "over": said.over,
-                "util": said.util,
+                "site": said.zone,
+                "target": said.worker,
+                "count": said.attempts,
+                "fail": said.failed,
+                "mean": said.mean_latency_ms,
+                "over": said.window_ms,
+                "util": said.load_metrics,
             }
         case messages.DemandReport():
             return {
                 "@type": "demand",
-                "id": said.id,
-                "lane": said.lane,
-                "count": said.count,
-                "fail": said.fail,
-                "over": said.over,
+                "id": said.proxy,
+                "lane": said.traffic_class,
+                "count": said.requests,
+                "fail": said.failed,
+                "over": said.window_ms,
             }
     raise TypeError(f"no plain form for {said!r}")
 
@@ -240,14 +251,14 @@
     return text_of(
         messages.encode(
             messages.TableUpdate(
-                routes=part.get("routes"),
-                full=part.get("full", False),
-                endpoints=None if endpoints is None else [(w, weight) for w, weight in endpoints],
-                admit=part.get("admit"),
-                policy=part.get("policy"),
+                traffic_classes=part.get("routes"),
+                replaces_table=part.get("full", False),
+                weights=None if endpoints is None else [(w, weight) for w, weight in endpoints],
+                admitted_fraction=part.get("admit"),
+                retry_policy=part.get("policy"),
                 eject=part.get("eject"),
-                restore=part.get("restore"),
-                nonce_out=part.get("nonce_out"),
+                readmit=part.get("restore"),
+                ack_number=part.get("nonce_out"),
                 continued=part.get("continued", False),
             )
         )
@@ -533,7 +544,7 @@
 def report(body: str) -> Plain:
     """A probe's load report by the module's reading, under the simulator's names."""
     try:
-        return {"usage": load(connections.parse_text_report(bytes_of(body)))}
+        return {"usage": load(load_metrics.parse_text_report(bytes_of(body)))}
     except ValueError as fault:
         return {"fault": str(fault)}
 
