--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -1,4 +1,4 @@
-"""One reply as messages on streams, against a plain proxy that applies what it reads, word for word."""
+"""Replies as messages to proxies, against a reference proxy that applies what it reads."""
 
 import json
 from collections.abc import Iterator
@@ -30,133 +30,151 @@
 NAMES = ("read", "book")
 
 
-class PlainProxy:
-    """What the protocol's page says of a proxy. `held` is None for a table that somebody else wrote."""
+class ReferenceProxy:
+    """A proxy as the protocol describes it; it starts with tables that somebody else wrote."""
 
     def __init__(self) -> None:
-        self.held: dict[str, dict[str, float]] = {name: {"elsewhere:1": 1.0} for name in NAMES}
-        self.level: dict[str, tuple[float, int] | None] = dict.fromkeys(NAMES)
-        self.shut: set[str] = set()
+        self.tables: dict[str, dict[str, float]] = {name: {"elsewhere:1": 1.0} for name in NAMES}
+        self.admissions: dict[str, tuple[float, int] | None] = dict.fromkeys(NAMES)
+        self.ejected: set[str] = set()
 
     def read(self, data: bytes) -> tuple[int, int | None]:
-        """Apply a message; gives its lines and its mark."""
-        lines, mark, parts = 0, None, [json.loads(line) for line in data.splitlines()]
-        assert [part.get("continued", False) for part in parts] == [True] * (len(parts) - 1) + [
-            False
-        ]
-        assert len(parts) <= 64 and all(len(line) < 2**20 for line in data.splitlines())
-        for part in parts:
-            assert part["@type"] == "push"
-            for name in part.get("routes", NAMES):
-                if part.get("full"):
-                    self.held[name], self.level[name] = {}, None
-                for worker_id, weight in part.get("endpoints", ()):
+        """Apply a message; return its table entries and its acknowledgement number."""
+        entry_count = 0
+        ack_number = None
+        updates = [json.loads(line) for line in data.splitlines()]
+        continued = [update.get("continued", False) for update in updates]
+        assert continued == [True] * (len(updates) - 1) + [False]
+        assert len(updates) <= 64 and all(len(line) < 2**20 for line in data.splitlines())
+        for update in updates:
+            assert update["@type"] == "push"
+            for name in update.get("routes", NAMES):
+                if update.get("full"):
+                    self.tables[name], self.admissions[name] = {}, None
+                for worker_id, weight in update.get("endpoints", ()):
                     assert weight >= 0
-                    self.held[name][worker_id] = weight
+                    self.tables[name][worker_id] = weight
                     if not weight:
-                        del self.held[name][worker_id]
-                if "admit" in part:
-                    self.level[name] = (part["admit"], part["policy"])
-            self.shut |= set(part.get("eject", ()))
-            self.shut -= set(part.get("restore", ()))
-            mark = part.get("nonce_out", mark)
-            lines += sum(len(part.get(key, ())) for key in ("endpoints", "eject", "restore"))
-            lines += sum(key in part for key in ("admit", "nonce_out")) + part.get("full", False)
-        return lines, mark
-
-
-class Both(Model):
-    """The plain model of the rules, with each reply written out as well, and read by plain proxies."""
+                        del self.tables[name][worker_id]
+                if "admit" in update:
+                    self.admissions[name] = (update["admit"], update["policy"])
+            self.ejected |= set(update.get("eject", ()))
+            self.ejected -= set(update.get("restore", ()))
+            ack_number = update.get("nonce_out", ack_number)
+            entry_count += sum(
+                len(update.get(key, ())) for key in ("endpoints", "eject", "restore")
+            )
+            entry_count += sum(key in update for key in ("admit", "nonce_out"))
+            entry_count += update.get("full", False)
+        return entry_count, ack_number
+
+
+class ModelWithMessages(Model):
+    """The reference model of the rules, whose replies are sent to reference proxies as well."""
 
     def __init__(self, what: ManagerSettings) -> None:
         super().__init__(what)
-        self.came: list[Event] = []
-        self.messages = self.over = 0
+        self.pending_events: list[Event] = []
+        self.message_count = 0
+        self.overrun_count = 0
 
     def restart(self) -> None:
         super().restart()
-        self.orders_out = PlatformTableInstaller(
+        self.installer = PlatformTableInstaller(
             NAMES, self.trade.default_retry_policy, self.trade.channel.message_overhead
         )
-        self.plain: dict[int, PlainProxy] = {}
+        self.reference_proxies: dict[int, ReferenceProxy] = {}
 
     def _meet(self, event: Event) -> None:
         super()._meet(event)
-        self.came.append(event)
+        self.pending_events.append(event)
         if isinstance(event, ProxyConnected):
-            proxy = self.plain.setdefault(event.proxy, PlainProxy())
+            proxy = self.reference_proxies.setdefault(event.proxy, ReferenceProxy())
             if event.first_connection:
-                self.plain[event.proxy] = PlainProxy()
-            else:  # another manager had it, and let nobody back
-                proxy.shut |= {endpoint(n).id for n in range(9) if n % 3 == event.proxy % 3}
+                self.reference_proxies[event.proxy] = ReferenceProxy()
+            else:  # another manager had it, and readmitted nobody
+                proxy.ejected |= {endpoint(n).id for n in range(9) if n % 3 == event.proxy % 3}
 
     def _obey(self) -> None:
         super()._obey()
-        came, self.came = self.came, []
-        self.orders_out.handle_events(came)
-        bare = {
-            p
-            for p, seat in self.orders_out.proxies.items()
-            if len(seat.table_by_class) < len(NAMES)
+        self.installer.handle_events(self.pending_events)
+        self.pending_events = []
+        proxies_without_table = {
+            proxy
+            for proxy, state in self.installer.proxies.items()
+            if len(state.table_by_class) < len(NAMES)
         }
-        parcels = self.orders_out.apply_orders(self.orders, self.now)
-        marks = [
+        messages = self.installer.apply_orders(self.orders, self.now)
+        requested = [
             order.ack_number for order in self.orders if isinstance(order, RequestAcknowledgement)
         ]
-        for proxy, parcel in parcels.items():
-            lines, mark = self.plain[proxy].read(parcel.data)
-            assert [mark] == marks or not marks
-            assert parcel.entry_count == lines + self.trade.channel.message_overhead
-            reckoned = self.orders_out.entries_by_proxy[proxy] + (mark is not None)
-            # Only who may have come with workers shut out costs more, and only at its first table.
-            self.over += lines > reckoned and proxy not in bare
-        self.messages += len(parcels)
+        for proxy, message in messages.items():
+            entry_count, ack_number = self.reference_proxies[proxy].read(message.data)
+            assert [ack_number] == requested or not requested
+            assert message.entry_count == entry_count + self.trade.channel.message_overhead
+            expected = self.installer.entries_by_proxy[proxy] + (ack_number is not None)
+            # Only a proxy that may have workers ejected from before costs more, at its first table.
+            self.overrun_count += entry_count > expected and proxy not in proxies_without_table
+        self.message_count += len(messages)
         self._compare()
 
     def _compare(self) -> None:
-        orders = self.orders_out
-        for p, seat in orders.proxies.items():
-            for k, tbl in seat.table_by_class.items():
-                name, laid, plain = NAMES[k], orders.tables[tbl], self.plain[p]
-                assert plain.held[name] == laid.weights
-                level = plain.level[name] or (1.0, self.trade.default_retry_policy)
-                retry, share = laid.admissions.get(k, (self.trade.default_retry_policy, 1.0))
-                assert level == (share, retry)
-                assert orders.ejected & laid.weights.keys() <= plain.shut, "sent to while withdrawn"
-                sure = laid.weights.keys() - orders.ejected - seat.sent_tables.possibly_ejected
-                assert not plain.shut & sure, "shut out for good"
+        for proxy, state in self.installer.proxies.items():
+            reference = self.reference_proxies[proxy]
+            possibly_ejected = state.sent_tables.possibly_ejected
+            for class_index, table_id in state.table_by_class.items():
+                self._compare_table(reference, class_index, table_id, possibly_ejected)
+
+    def _compare_table(
+        self,
+        reference: ReferenceProxy,
+        class_index: int,
+        table_id: int,
+        possibly_ejected: frozenset[str],
+    ) -> None:
+        name = NAMES[class_index]
+        table = self.installer.tables[table_id]
+        ejected = self.installer.ejected
+        default_retry = self.trade.default_retry_policy
+        assert reference.tables[name] == table.weights
+        admission = reference.admissions[name] or (1.0, default_retry)
+        retry_policy, fraction = table.admissions.get(class_index, (default_retry, 1.0))
+        assert admission == (fraction, retry_policy)
+        assert ejected & table.weights.keys() <= reference.ejected, "used though ejected"
+        surely_usable = table.weights.keys() - ejected - possibly_ejected
+        assert not reference.ejected & surely_usable, "ejected for good"
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_proxy_ends_up_with_what_the_module_laid_at_no_more_lines_than_reckoned(
-    seed: int,
-) -> None:
-    both = run(Both(manager_settings()), seed)
-    assert both.messages > 100
-    assert both.over == 0
+def test_proxies_get_the_installed_tables_at_no_more_entries_than_accounted_for(seed: int) -> None:
+    model = run(ModelWithMessages(manager_settings()), seed)
+    assert model.message_count > 100
+    assert model.overrun_count == 0
 
 
-def laid(shares: dict[str, float], tbl: int = 1) -> list[Order]:
-    return [SetWeight(tbl, name, weight) for name, weight in shares.items()]
+def set_weights(weights: dict[str, float], table_id: int = 1) -> list[Order]:
+    return [SetWeight(table_id, worker, weight) for worker, weight in weights.items()]
 
 
-def desk(*joined: ProxyConnected) -> PlatformTableInstaller:
-    orders = PlatformTableInstaller(NAMES, 1, 4.0)
-    orders.handle_events([EndpointsUpdated("kept", tuple(endpoint(n) for n in range(4))), *joined])
-    return orders
+def create_installer(*joined: ProxyConnected) -> PlatformTableInstaller:
+    installer = PlatformTableInstaller(NAMES, 1, 4.0)
+    installer.handle_events(
+        [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(4))), *joined]
+    )
+    return installer
 
 
-def lines_of(data: bytes) -> Iterator[dict[str, Any]]:
+def decode_updates(data: bytes) -> Iterator[dict[str, Any]]:
     return map(json.loads, data.splitlines())
 
 
-def test_products_that_share_a_table_are_named_together_and_a_level_rides_along() -> None:
-    orders = desk(ProxyConnected(3, "north", 5.0, True))
-    shares = {endpoint(0).id: 1.5, endpoint(1).id: 0.25}
-    parcel = orders.apply_orders(
-        [*laid(shares), AssignTable(3, (0, 1), 1), RequestAcknowledgement(905, False)], 0.0
+def test_classes_with_the_same_table_share_an_update_that_may_bear_an_admission() -> None:
+    installer = create_installer(ProxyConnected(3, "north", 5.0, True))
+    weights = {endpoint(0).id: 1.5, endpoint(1).id: 0.25}
+    message = installer.apply_orders(
+        [*set_weights(weights), AssignTable(3, (0, 1), 1), RequestAcknowledgement(905, False)], 0.0
     )[3]
-    assert list(lines_of(parcel.data)) == [
+    assert list(decode_updates(message.data)) == [
         {
             "@type": "push",
             "full": True,
@@ -164,7 +182,7 @@
             "nonce_out": 905,
         }
     ]
-    parcel = orders.apply_orders(
+    message = installer.apply_orders(
         [
             SetWeight(1, endpoint(1).id, 0.0),
             SetAdmission(1, 1, 0, 0.5),
@@ -172,147 +190,169 @@
         ],
         0.0,
     )[3]
-    assert list(lines_of(parcel.data)) == [
+    assert list(decode_updates(message.data)) == [
         {"@type": "push", "endpoints": [[endpoint(1).id, 0.0]], "continued": True},
         {"@type": "push", "routes": ["book"], "admit": 0.5, "policy": 0, "nonce_out": 906},
     ]
-    assert parcel.entry_count == 4 + 3
+    assert message.entry_count == 4 + 3
 
 
-def test_a_full_table_forgets_levels_so_that_they_are_sent_again() -> None:
-    orders = desk(ProxyConnected(3, "north", 5.0, True))
-    orders.apply_orders(
-        [*laid({endpoint(0).id: 1.0}), SetAdmission(1, 0, 1, 0.5), AssignTable(3, (0, 1), 1)], 0.0
+def test_a_replaced_table_loses_its_admission_which_is_sent_again() -> None:
+    installer = create_installer(ProxyConnected(3, "north", 5.0, True))
+    installer.apply_orders(
+        [
+            *set_weights({endpoint(0).id: 1.0}),
+            SetAdmission(1, 0, 1, 0.5),
+            AssignTable(3, (0, 1), 1),
+        ],
+        0.0,
     )
-    orders.handle_events([ProxyDisconnected(3), ProxyConnected(3, "north", 5.0, False)])
-    parts = list(lines_of(orders.apply_orders([AssignTable(3, (0, 1), 1)], 0.0)[3].data))
-    assert parts[0]["full"] and parts[1] == {
-        **parts[1],
+    installer.handle_events([ProxyDisconnected(3), ProxyConnected(3, "north", 5.0, False)])
+    updates = list(decode_updates(installer.apply_orders([AssignTable(3, (0, 1), 1)], 0.0)[3].data))
+    assert updates[0]["full"] and updates[1] == {
+        **updates[1],
         "routes": ["read"],
         "admit": 0.5,
         "policy": 1,
     }
 
 
-def test_a_mark_goes_out_alone_where_nothing_differs() -> None:
-    orders = desk(ProxyConnected(3, "north", 5.0, True), ProxyConnected(4, "north", 5.0, True))
-    orders.apply_orders([*laid({endpoint(0).id: 1.0}), AssignTable(3, (0, 1), 1)], 0.0)
-    parcels = orders.apply_orders(
+def test_an_acknowledgement_request_is_sent_alone_where_nothing_differs() -> None:
+    installer = create_installer(
+        ProxyConnected(3, "north", 5.0, True), ProxyConnected(4, "north", 5.0, True)
+    )
+    installer.apply_orders([*set_weights({endpoint(0).id: 1.0}), AssignTable(3, (0, 1), 1)], 0.0)
+    messages = installer.apply_orders(
         [
-            *laid({endpoint(0).id: 1.0}, 2),
+            *set_weights({endpoint(0).id: 1.0}, 2),
             AssignTable(3, (0, 1), 2),
             RequestAcknowledgement(7, True),
         ],
         0.0,
     )
     assert (
-        list(lines_of(parcels[3].data))
+        list(decode_updates(messages[3].data))
         == [{"@type": "push", "nonce_out": 7}]
-        == list(lines_of(parcels[4].data))
+        == list(decode_updates(messages[4].data))
     )
 
 
-def test_who_was_shut_out_on_an_earlier_stream_is_let_back_on_the_next() -> None:
-    shares = {endpoint(n).id: 1.0 for n in range(3)}
-    orders = desk(ProxyConnected(3, "north", 5.0, True))
-    orders.apply_orders([*laid(shares), AssignTable(3, (0, 1), 1)], 0.0)
-    (part,) = lines_of(orders.apply_orders([SetEjected(endpoint(1).id, True)], 0.0)[3].data)
-    assert part == {"@type": "push", "eject": [endpoint(1).id]}
-    assert not orders.apply_orders([SetEjected(endpoint(1).id, True)], 0.0), "told once"
-    orders.handle_events([ProxyDisconnected(3)])
-    orders.apply_orders([SetEjected(endpoint(1).id, False)], 0.0)
-    orders.handle_events([ProxyConnected(3, "north", 5.0, False)])
-    (part,) = lines_of(orders.apply_orders([AssignTable(3, (0, 1), 1)], 0.0)[3].data)
-    assert part["restore"][0] == endpoint(1).id, "those that we know of come first"
-
-
-def test_a_worker_that_another_manager_may_have_shut_out_is_let_back_within_the_lines_reckoned() -> (
-    None
-):
-    shares = {endpoint(n).id: 1.0 for n in range(4)}
-    orders = desk(ProxyConnected(3, "north", 5.0, False))
-    first = orders.apply_orders([*laid(shares), AssignTable(3, (0, 1), 1)], 0.0)[3]
+def test_a_worker_ejected_on_an_earlier_connection_is_readmitted_on_the_next() -> None:
+    weights = {endpoint(n).id: 1.0 for n in range(3)}
+    installer = create_installer(ProxyConnected(3, "north", 5.0, True))
+    installer.apply_orders([*set_weights(weights), AssignTable(3, (0, 1), 1)], 0.0)
+    (update,) = decode_updates(
+        installer.apply_orders([SetEjected(endpoint(1).id, True)], 0.0)[3].data
+    )
+    assert update == {"@type": "push", "eject": [endpoint(1).id]}
+    assert not installer.apply_orders([SetEjected(endpoint(1).id, True)], 0.0), "sent once"
+    installer.handle_events([ProxyDisconnected(3)])
+    installer.apply_orders([SetEjected(endpoint(1).id, False)], 0.0)
+    installer.handle_events([ProxyConnected(3, "north", 5.0, False)])
+    (update,) = decode_updates(installer.apply_orders([AssignTable(3, (0, 1), 1)], 0.0)[3].data)
+    assert update["restore"][0] == endpoint(1).id, "those known to be ejected come first"
+
+
+def test_workers_that_another_manager_may_have_ejected_are_readmitted_within_the_entries() -> None:
+    weights = {endpoint(n).id: 1.0 for n in range(4)}
+    installer = create_installer(ProxyConnected(3, "north", 5.0, False))
+    first = installer.apply_orders([*set_weights(weights), AssignTable(3, (0, 1), 1)], 0.0)[3]
     assert first.entry_count == 4 + 1 + 4
-    orders.apply_orders(laid(shares, 2), 0.0)
-    second = orders.apply_orders([AssignTable(3, (0, 1), 2)], 0.0)[3]
-    assert list(lines_of(second.data)) == [{"@type": "push", "restore": sorted(shares)}]
-    orders.apply_orders(laid(shares, 3), 0.0)
-    assert not orders.apply_orders([AssignTable(3, (0, 1), 3)], 0.0), "once, and nothing differs"
+    installer.apply_orders(set_weights(weights, 2), 0.0)
+    second = installer.apply_orders([AssignTable(3, (0, 1), 2)], 0.0)[3]
+    assert list(decode_updates(second.data)) == [{"@type": "push", "restore": sorted(weights)}]
+    installer.apply_orders(set_weights(weights, 3), 0.0)
+    assert not installer.apply_orders([AssignTable(3, (0, 1), 3)], 0.0), "once, and nothing differs"
 
 
-def test_what_is_kept_by_worker_has_an_end() -> None:
-    orders = desk(ProxyConnected(3, "north", 5.0, True))
+def test_state_kept_by_worker_is_bounded() -> None:
+    installer = create_installer(ProxyConnected(3, "north", 5.0, True))
     for n in range(4 * MAX_REMEMBERED_WORKERS):
-        fresh = Endpoint(f"w{n}", "north", "", 0, "ready", 1.0, None)
-        orders.handle_events([EndpointsUpdated("changes", (fresh,))])
-        orders.apply_orders([SetWeight(1, fresh.id, 1.0), AssignTable(3, (0, 1), 1)], 0.0)
-        orders.apply_orders([SetEjected(fresh.id, True), SetWeight(1, fresh.id, 0.0)], 0.0)
-        orders.handle_events(
-            [EndpointsUpdated("changes", (Endpoint(fresh.id, "north", "", 0, "gone", 1.0, None),))]
+        endpoint_added = Endpoint(f"w{n}", "north", "", 0, "ready", 1.0, None)
+        installer.handle_events([EndpointsUpdated("changes", (endpoint_added,))])
+        installer.apply_orders(
+            [SetWeight(1, endpoint_added.id, 1.0), AssignTable(3, (0, 1), 1)], 0.0
+        )
+        installer.apply_orders(
+            [SetEjected(endpoint_added.id, True), SetWeight(1, endpoint_added.id, 0.0)], 0.0
+        )
+        installer.handle_events(
+            [
+                EndpointsUpdated(
+                    "changes", (Endpoint(endpoint_added.id, "north", "", 0, "gone", 1.0, None),)
+                )
+            ]
         )
-        orders.apply_orders([SetEjected(fresh.id, False)], 0.0)
-    assert len(orders.workers.known) <= MAX_REMEMBERED_WORKERS + 4
+        installer.apply_orders([SetEjected(endpoint_added.id, False)], 0.0)
+    assert len(installer.workers.known) <= MAX_REMEMBERED_WORKERS + 4
     assert (
-        len(orders.proxies[3].sent_tables.ejected) <= MAX_REMEMBERED_WORKERS + 4
-        and len(orders.suspected_ejections) <= MAX_REMEMBERED_WORKERS + 4
+        len(installer.proxies[3].sent_tables.ejected) <= MAX_REMEMBERED_WORKERS + 4
+        and len(installer.suspected_ejections) <= MAX_REMEMBERED_WORKERS + 4
     )
 
 
-def test_a_product_for_its_own_zone_gets_the_lines_of_that_zone_alone() -> None:
-    orders = PlatformTableInstaller(NAMES, 1, 4.0, (False, True))
-    orders.handle_events([EndpointsUpdated("whole", tuple(endpoint(n) for n in range(6)))])
-    orders.handle_events(
+def test_a_zone_local_class_gets_the_entries_of_its_zone_alone() -> None:
+    installer = PlatformTableInstaller(NAMES, 1, 4.0, (False, True))
+    installer.handle_events([EndpointsUpdated("whole", tuple(endpoint(n) for n in range(6)))])
+    installer.handle_events(
         [ProxyConnected(1, "north", 5.0, True), ProxyConnected(2, "south", 5.0, True)]
     )
-    shares = [SetWeight(7, endpoint(n).id, 1.0) for n in range(6)]
-    parcels = orders.apply_orders(
+    weights = [SetWeight(7, endpoint(n).id, 1.0) for n in range(6)]
+    messages = installer.apply_orders(
         [
-            *shares,
+            *weights,
             AssignTable(1, (0, 1), 7),
             AssignTable(2, (0, 1), 7),
             RequestAcknowledgement(3, False),
         ],
         1.0,
     )
-    proxies = {1: PlainProxy(), 2: PlainProxy()}
-    for p, plain in proxies.items():
-        assert plain.read(parcels[p].data)[0] <= parcels[p].entry_count
-        assert len(plain.held["read"]) == 6
-        assert plain.held["book"].keys() == {endpoint(n).id for n in (p - 1, p + 2)}
-    parcels = orders.apply_orders(
+    proxies = {1: ReferenceProxy(), 2: ReferenceProxy()}
+    for proxy, reference in proxies.items():
+        assert reference.read(messages[proxy].data)[0] <= messages[proxy].entry_count
+        assert len(reference.tables["read"]) == 6
+        assert reference.tables["book"].keys() == {endpoint(n).id for n in (proxy - 1, proxy + 2)}
+    messages = installer.apply_orders(
         [SetWeight(7, endpoint(0).id, 0.5), SetWeight(7, endpoint(1).id, 0.0)], 2.0
     )
-    for p, plain in proxies.items():
-        plain.read(parcels[p].data)
-    assert proxies[1].held["book"] == {endpoint(0).id: 0.5, endpoint(3).id: 1.0}
-    assert proxies[2].held["book"] == {endpoint(4).id: 1.0} and len(proxies[2].held["read"]) == 5
+    for proxy, reference in proxies.items():
+        reference.read(messages[proxy].data)
+    assert proxies[1].tables["book"] == {endpoint(0).id: 0.5, endpoint(3).id: 1.0}
+    assert (
+        proxies[2].tables["book"] == {endpoint(4).id: 1.0} and len(proxies[2].tables["read"]) == 5
+    )
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_lines_of_products_that_keep_to_the_zone_are_never_more_than_the_module_reckons(
+def test_entries_of_zone_local_classes_are_no_more_than_accounted_for(
     seed: int,
 ) -> None:
-    products = (
+    traffic_classes = (
         manager_settings().traffic_classes[0],
         replace(manager_settings().traffic_classes[1], same_zone_only=True),
     )
-    model = Model(manager_settings(traffic_classes=products, initial_subset_size=3, seed=seed))
+    model = Model(
+        manager_settings(traffic_classes=traffic_classes, initial_subset_size=3, seed=seed)
+    )
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(60)))])
-    orders = PlatformTableInstaller(NAMES, 1, model.trade.channel.message_overhead, (False, True))
-    orders.handle_events([EndpointsUpdated("kept", tuple(endpoint(n) for n in range(60)))])
-    account, written = model.module.budget, 0.0
+    installer = PlatformTableInstaller(
+        NAMES, 1, model.trade.channel.message_overhead, (False, True)
+    )
+    installer.handle_events([EndpointsUpdated("kept", tuple(endpoint(n) for n in range(60)))])
+    budget = model.module.budget
+    written = 0.0
     for n in range(60):
         events: list[Event] = [ProxyConnected(n, ZONES[n % 3], 5.0, True)]
         if n % 7 == 6:
             events.append(EndpointsUpdated("changes", (endpoint(n, "gone"),)))
-        orders.handle_events(events)
+        installer.handle_events(events)
         model.step(0.05, events)
-        parcels = orders.apply_orders(model.orders, model.now)
-        reckoned = sum(
-            account.pending_replies[p.ack_number].entries_by_proxy[proxy]
-            for proxy, p in parcels.items()
-            if p.ack_number in account.pending_replies
+        messages = installer.apply_orders(model.orders, model.now)
+        expected = sum(
+            budget.pending_replies[p.ack_number].entries_by_proxy[proxy]
+            for proxy, p in messages.items()
+            if p.ack_number in budget.pending_replies
         )
-        written += sum(parcel.entry_count for parcel in parcels.values())
-        assert sum(parcel.entry_count for parcel in parcels.values()) <= reckoned
+        written += sum(message.entry_count for message in messages.values())
+        assert sum(message.entry_count for message in messages.values()) <= expected
     assert written > 500 and not model.broken
