--- a/bench/restart.py
+++ b/bench/restart.py
@@ -18,7 +18,7 @@
 
 from dunlinlug.standins.platform import PlatformClient
 from tests.fixtures.manager_set import free_ports
-from tests.platform.test_process import ROOT, SETTINGS, ZONES, instance
+from tests.fixtures.platform_process import ROOT, SETTINGS, ZONES, instance
 
 WORKERS = 200
 
--- a/tests/race_conditions/roaming_proxies.py
+++ b/tests/race_conditions/roaming_proxies.py
@@ -1,4 +1,4 @@
-"""Proxies that roam over several managers, as the platform's do, and the workers that they send requests to."""
+"""Proxies that move between several managers, and the workers that they send requests to."""
 
 import json
 from collections import Counter
@@ -11,10 +11,10 @@
 import trio
 
 from dunlinlug.standins.platform import PlatformClient
-from tests.platform.test_process import SETTINGS
+from tests.fixtures.platform_process import SETTINGS
 
 LANES = tuple(lane["name"] for lane in SETTINGS["lanes"])
-PUSH = {
+UPDATE_KEYS = {
     "@type",
     "routes",
     "full",
@@ -30,220 +30,244 @@
 
 @dataclass
 class Stream:
-    """One joining of a proxy, and what came on it."""
+    """One connection of a proxy, and what arrived on it."""
 
     port: int
-    at: float
-    order_times: list[float] = field(default_factory=list)
-    marks: set[int] = field(default_factory=set)
-    bytes_after: int = 0  # of an order begun and never ended
+    opened_at: float
+    update_times: list[float] = field(default_factory=list)
+    ack_numbers: set[int] = field(default_factory=set)
+    partial_bytes: int = 0  # of a message begun and never ended
 
 
 class Proxy:
-    """A proxy as the platform has them: it holds what it was ordered across its streams, dials another manager once a
-    stream ends or brings nothing in time, reports usage, and is strict: what it can't use stands in `faults`."""
+    """A proxy of the platform, which moves to another manager when its connection ends.
 
-    DIAL, FIRST = 1.0, 3.0  # seconds for a connection, and to a stream's first order
-    USAGE = 0.2  # seconds between reports of usage
+    It keeps its tables across connections, connects to another manager once one ends or brings
+    nothing in time, and reports demand. It is strict: what it cannot use stands in `errors`.
+    """
+
+    CONNECT_TIMEOUT_S = 1.0
+    FIRST_UPDATE_TIMEOUT_S = 3.0
+    REPORT_INTERVAL_S = 0.2
 
     def __init__(
         self,
         number: int,
         zone: str,
         ports: list[int],
-        chance: Random,
+        rng: Random,
         lanes: tuple[str, ...] = LANES,
     ) -> None:
-        self.number, self.zone, self.ports, self.chance, self.lanes = (
-            number,
-            zone,
-            ports,
-            chance,
-            lanes,
-        )
+        self.number = number
+        self.zone = zone
+        self.ports = ports
+        self.rng = rng
+        self.lanes = lanes
         self.tables: dict[str, dict[str, float]] = {lane: {} for lane in lanes}
-        self.admits, self.shut = dict.fromkeys(lanes, 1.0), set[str]()
-        self.streams, self.faults = list[Stream](), list[str]()
-        self.refused = dict[int, float]()  # by port, when it refused our dial last
-        self.dialled = 0  # the port
-        self.joined: Stream | None = None  # the stream that stands and has brought an order
-        self.changed, self.heard = trio.Event(), list[Callable[[], None]]()
-        self.rps, self.writing = 2.0, trio.Lock()
+        self.admitted_fractions = dict.fromkeys(lanes, 1.0)
+        self.ejected = set[str]()
+        self.streams = list[Stream]()
+        self.errors = list[str]()
+        self.refused_at = dict[int, float]()  # by port, when it refused a connection last
+        self.chosen_port = 0
+        self.joined: Stream | None = None  # the connection that has brought an update
+        self.changed = trio.Event()
+        self.listeners = list[Callable[[], None]]()
+        self.requests_per_second = 2.0
+        self.write_lock = trio.Lock()
 
     def usable(self, lane: str = "") -> dict[str, float]:
-        """Who may be picked, with weights."""
+        """Return the workers that may be picked, with their weights."""
         table = self.tables[lane or self.lanes[0]]
-        return {name: weight for name, weight in table.items() if weight and name not in self.shut}
-
-    async def until(self, seen: Callable[[], Any], within: float = 10.0) -> None:
-        """`seen` is looked at after each order and each end of a stream."""
-        with trio.fail_after(within):
-            while not seen():
+        return {
+            name: weight for name, weight in table.items() if weight and name not in self.ejected
+        }
+
+    async def until(self, condition: Callable[[], Any], timeout: float = 10.0) -> None:
+        """Wait for a condition that is checked after each update and each end of a connection."""
+        with trio.fail_after(timeout):
+            while not condition():
                 await self.changed.wait()
 
-    def choose(self, last: int) -> int:
-        """The port to dial next."""
-        return self.chance.choice([port for port in self.ports if port != last] or self.ports)
+    def choose_port(self, last_port: int) -> int:
+        """Return the port to connect to next."""
+        return self.rng.choice([port for port in self.ports if port != last_port] or self.ports)
 
     async def run(self) -> None:
-        """Until cancelled."""
-        last = 0
+        """Be served by one manager after the other until cancelled."""
+        last_port = 0
         while True:
-            last = self.dialled = self.choose(last)
+            last_port = self.chosen_port = self.choose_port(last_port)
             stream: trio.SocketStream | None = None
-            with trio.move_on_after(self.DIAL):
+            with trio.move_on_after(self.CONNECT_TIMEOUT_S):
                 try:
-                    stream = await trio.open_tcp_stream("127.0.0.1", last)
+                    stream = await trio.open_tcp_stream("127.0.0.1", last_port)
                 except OSError:
-                    self.refused[last] = trio.current_time()
+                    self.refused_at[last_port] = trio.current_time()
                     await trio.sleep(0.02)
             if stream is not None:
                 async with stream:
-                    await self._serve(PlatformClient(stream), last)
+                    await self._serve(PlatformClient(stream), last_port)
             self.joined = None
-            self._tell()
+            self._notify()
 
-    def _tell(self) -> None:
-        for heard in self.heard:
-            heard()
+    def _notify(self) -> None:
+        for listener in self.listeners:
+            listener()
         self.changed.set()
         self.changed = trio.Event()
 
     async def _serve(self, client: PlatformClient, port: int) -> None:
-        self.streams.append(stream := Stream(port, trio.current_time()))
+        stream = Stream(port, trio.current_time())
+        self.streams.append(stream)
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._report, client)
-                await self._follow(client, stream)
+                await self._receive_updates(client, stream)
                 nursery.cancel_scope.cancel()
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # reset: as good as an end
-        except* json.JSONDecodeError as fault:
-            self.faults.append(f"can't be read: {fault.exceptions}")
-
-    async def _follow(self, client: PlatformClient, stream: Stream) -> None:
-        """Orders up to the stream's end. What is begun and not ended has no effect."""
-        parts = list[dict[str, Any]]()
-        await self._say(
-            client, "hello", site=self.zone, rps=self.rps, new=not any(self.tables.values())
+            pass  # a reset is an end as any other
+        except* json.JSONDecodeError as error:
+            self.errors.append(f"cannot be decoded: {error.exceptions}")
+
+    async def _receive_updates(self, client: PlatformClient, stream: Stream) -> None:
+        """Apply messages up to the connection's end; an incomplete one has no effect."""
+        updates = list[dict[str, Any]]()
+        await self._send(
+            client,
+            "hello",
+            site=self.zone,
+            rps=self.requests_per_second,
+            new=not any(self.tables.values()),
         )
         while True:
-            order: dict[str, Any] | None = None
-            with trio.move_on_after(inf if stream.order_times else self.FIRST):
-                order = await client.receive()
-            if order is None:
-                stream.bytes_after = len(client.buffer) + len(parts)
+            received: dict[str, Any] | None = None
+            with trio.move_on_after(inf if stream.update_times else self.FIRST_UPDATE_TIMEOUT_S):
+                received = await client.receive()
+            if received is None:
+                stream.partial_bytes = len(client.buffer) + len(updates)
                 return
-            parts.append(order)
-            if not order.get("continued"):
-                self._take(stream, parts)
-                for mark in [part["nonce_out"] for part in parts if "nonce_out" in part]:
-                    await self._say(client, "ack", seq=mark, ms=1.0)
-                parts = []
+            updates.append(received)
+            if not received.get("continued"):
+                self._apply(stream, updates)
+                for ack_number in [
+                    update["nonce_out"] for update in updates if "nonce_out" in update
+                ]:
+                    await self._send(client, "ack", seq=ack_number, ms=1.0)
+                updates = []
 
     async def _report(self, client: PlatformClient) -> None:
         while True:
-            await trio.sleep(self.USAGE)
+            await trio.sleep(self.REPORT_INTERVAL_S)
             for lane in self.lanes:
-                await self._say(
+                await self._send(
                     client,
                     "demand",
                     lane=lane,
-                    count=round(self.rps),
+                    count=round(self.requests_per_second),
                     fail=0,
-                    over=1000.0 * self.USAGE,
+                    over=1000.0 * self.REPORT_INTERVAL_S,
                 )
 
-    async def _say(self, client: PlatformClient, kind: str, **message: Any) -> None:
-        async with self.writing:
+    async def _send(self, client: PlatformClient, kind: str, **message: Any) -> None:
+        async with self.write_lock:
             await client.send(message_type=kind, id=self.number, **message)
 
-    def _take(self, stream: Stream, parts: list[dict[str, Any]]) -> None:
-        stream.order_times.append(trio.current_time())
-        for part in parts:
-            for mark in [part["nonce_out"]] if "nonce_out" in part else []:
-                if mark in stream.marks:
-                    self.faults.append(f"mark {mark} is asked twice")
-                stream.marks.add(mark)
+    def _apply(self, stream: Stream, updates: list[dict[str, Any]]) -> None:
+        stream.update_times.append(trio.current_time())
+        for update in updates:
+            for ack_number in [update["nonce_out"]] if "nonce_out" in update else []:
+                if ack_number in stream.ack_numbers:
+                    self.errors.append(f"acknowledgement {ack_number} is requested twice")
+                stream.ack_numbers.add(ack_number)
             if (
-                part.keys() - PUSH
-                or part["@type"] != "push"
-                or not {*part.get("routes", ())} <= {*self.lanes}
+                update.keys() - UPDATE_KEYS
+                or update["@type"] != "push"
+                or not {*update.get("routes", ())} <= {*self.lanes}
             ):
-                self.faults.append(f"not an order: {part}")
-            for lane in part.get("routes", self.lanes):
-                table = {} if part.get("full") else self.tables[lane]
-                table.update(part.get("endpoints", ()))
+                self.errors.append(f"not an update: {update}")
+            for lane in update.get("routes", self.lanes):
+                table = {} if update.get("full") else self.tables[lane]
+                table.update(update.get("endpoints", ()))
                 self.tables[lane] = {name: weight for name, weight in table.items() if weight}
-                self.admits[lane] = part.get(
-                    "admit", 1.0 if part.get("full") else self.admits[lane]
+                self.admitted_fractions[lane] = update.get(
+                    "admit", 1.0 if update.get("full") else self.admitted_fractions[lane]
                 )
-            self.shut = (self.shut | {*part.get("eject", ())}) - {*part.get("restore", ())}
+            self.ejected = (self.ejected | {*update.get("eject", ())}) - {
+                *update.get("restore", ())
+            }
         self.joined = stream
-        self._tell()
+        self._notify()
 
 
 class Workers:
-    """Workers on loopback: a request's number on a line is its effect, a line is its answer."""
+    """Workers on loopback, which count the effects of requests by number and answer each."""
 
     def __init__(self) -> None:
-        self.effects, self.ports = Counter[int](), dict[str, int]()
+        self.effects = Counter[int]()
+        self.ports = dict[str, int]()
 
     async def open(self, nursery: trio.Nursery, *names: str) -> None:
         for name in names:
-            doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            self.ports[name] = doors[0].socket.getsockname()[1]
-            nursery.start_soon(trio.serve_listeners, self._answer, doors)
+            listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
+            self.ports[name] = listeners[0].socket.getsockname()[1]
+            nursery.start_soon(trio.serve_listeners, self._answer, listeners)
 
     async def _answer(self, stream: trio.SocketStream) -> None:
         async with stream:
             try:
-                if asked := await stream.receive_some():
-                    self.effects[int(asked)] += 1
+                request = await stream.receive_some()
+                if request:
+                    self.effects[int(request)] += 1
                     await stream.send_all(b"done")
             except trio.BrokenResourceError:
                 return
 
 
 class Requests:
-    """Requests that reach proxies; each is to get one final answer, and to have its effect once at most."""
+    """Requests at proxies; each is to get one answer, and to have its effect at most once."""
 
-    def __init__(self, workers: Workers, chance: Random, within: float = 2.0) -> None:
-        self.workers, self.chance, self.asked = workers, chance, 0
-        self.within = within  # seconds for an answer
+    def __init__(self, workers: Workers, rng: Random, timeout: float = 2.0) -> None:
+        self.workers = workers
+        self.rng = rng
+        self.request_count = 0
+        self.timeout = timeout  # seconds for an answer
         self.answers: dict[int, list[str]] = {}
-        self.over = False
+        self.finishing = False
 
-    async def at(self, proxy: Proxy, per_second: float) -> None:
+    async def send_to(self, proxy: Proxy, per_second: float) -> None:
         async with trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(self.chance.expovariate(per_second))
-                if self.over:
+                await trio.sleep(self.rng.expovariate(per_second))
+                if self.finishing:
                     return
-                nursery.start_soon(self._ask, proxy)
+                nursery.start_soon(self._send_one, proxy)
 
-    async def _ask(self, proxy: Proxy) -> None:
-        self.asked, number = self.asked + 1, self.asked
-        lane, went = self.chance.choice(proxy.lanes), ["nobody to pick"]
+    async def _send_one(self, proxy: Proxy) -> None:
+        number = self.request_count
+        self.request_count += 1
+        lane = self.rng.choice(proxy.lanes)
+        attempts = ["no endpoint"]
         answer = ""
-        with trio.move_on_after(self.within):
-            answer = await self._answer(proxy, lane, number, went)
-        self.answers.setdefault(number, []).append(answer or f"late: {went[-1]}")
+        with trio.move_on_after(self.timeout):
+            answer = await self._attempt(proxy, lane, number, attempts)
+        self.answers.setdefault(number, []).append(answer or f"late: {attempts[-1]}")
 
-    async def _answer(self, proxy: Proxy, lane: str, number: int, went: list[str]) -> str:
+    async def _attempt(self, proxy: Proxy, lane: str, number: int, attempts: list[str]) -> str:
         while True:
-            if usable := proxy.usable(lane):
-                name = self.chance.choices([*usable], [*usable.values()])[0]
-                went.append(name)
+            usable = proxy.usable(lane)
+            if usable:
+                name = self.rng.choices([*usable], [*usable.values()])[0]
+                attempts.append(name)
                 try:
                     stream = await trio.open_tcp_stream("127.0.0.1", self.workers.ports[name])
                 except OSError:
                     await trio.sleep(0.02)
-                    continue  # it was not sent: another may be picked
+                    continue  # it was not sent, so another worker may be picked
                 async with stream:
                     await stream.send_all(b"%d" % number)
                     return (await stream.receive_some()).decode() or "failed"
-            went.append("nobody to pick")
+            attempts.append("no endpoint")
             await proxy.changed.wait()
 
     async def until_answered(self, count: int) -> None:
@@ -252,14 +276,14 @@
                 await trio.sleep(0.005)
 
     async def finish(self) -> None:
-        """No more are made; checks that each had its one answer and its one effect."""
-        self.over = True
-        with trio.fail_after(self.within + 3.0):
-            while len(self.answers) < self.asked:
+        """Send no more, and check that each request had one answer and one effect."""
+        self.finishing = True
+        with trio.fail_after(self.timeout + 3.0):
+            while len(self.answers) < self.request_count:
                 await trio.sleep(0.01)
-        assert self.asked == len(self.answers) > 0
-        other = [said for said in self.answers.values() if said != ["done"]]
-        assert not other, other
+        assert self.request_count == len(self.answers) > 0
+        failed = [answers for answers in self.answers.values() if answers != ["done"]]
+        assert not failed, failed
         assert (
             set(self.workers.effects.values()) == {1}
             and self.workers.effects.keys() == self.answers.keys()
--- a/tests/race_conditions/test_discovery_failures.py
+++ b/tests/race_conditions/test_discovery_failures.py
@@ -1,5 +1,7 @@
-"""A discovery that falls silent late, in the middle of what it says, or gives its whole list again and again at speed,
-before a manager process with a joined proxy."""
+"""Discovery that stalls in the middle of an answer, or sends its complete list again and again.
+
+Before a manager process with a proxy that has joined.
+"""
 
 import heapq
 from collections import defaultdict
@@ -30,90 +32,91 @@
 from dunlinlug.decision.settings import ChannelSettings
 from dunlinlug.platform import discovery_state
 from tests.decision.rules_model import endpoint, manager_settings
-from tests.platform.test_process import ZONES, instance
+from tests.fixtures.platform_process import ZONES, initial_list, instance
 from tests.race_conditions.processes import (
-    Agent,
-    answered,
-    chunked,
-    known,
-    listed,
-    serving,
-    settings,
+    ScriptedDiscovery,
+    chunked_response,
+    fleet_settings,
+    http_response,
+    list_body,
+    serving_manager,
 )
 from tests.race_conditions.roaming_proxies import LANES, Proxy
 
-NEWS = 300  # versions before the silence, as fast as they are asked for
+CHANGE_COUNT = 300  # versions before the stall, as fast as they are queried
 
 
-class Breaking:
-    """Quick news, then one answer by `breaks`; from then on one change, and silence."""
+class StallingDiscovery:
+    """Sends quick changes, then one answer by `stall`; from then on one change, then nothing."""
 
-    def __init__(self, breaks: Callable[[trio.SocketStream], Any], whole: bool) -> None:
-        self.breaks, self.whole = breaks, whole
-        self.agent = Agent(self.play)
-        self.broken: trio.SocketStream | None = None
+    def __init__(self, stall: Callable[[trio.SocketStream], Any], is_snapshot: bool) -> None:
+        self.stall, self.is_snapshot = stall, is_snapshot
+        self.server = ScriptedDiscovery(self.respond)
+        self.stalled_stream: trio.SocketStream | None = None
         self.closed = trio.Event()
-        self.generation, self.mended = 1, False
-        self.broke_at = self.again_at = 0.0
+        self.generation, self.answered_again = 1, False
+        self.stalled_at = self.queried_again_at = 0.0
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        await self.agent.serve(stream)
-        if stream is self.broken:
+        await self.server.serve(stream)
+        if stream is self.stalled_stream:
             self.closed.set()
 
-    async def play(self, stream: trio.SocketStream, target: str) -> None:
-        if self.broken is not None:
-            await self._again(stream)
-        elif self.generation < NEWS:
+    async def respond(self, stream: trio.SocketStream, path: str) -> None:
+        if self.stalled_stream is not None:
+            await self._answer_again(stream)
+        elif self.generation < CHANGE_COUNT:
             self.generation += 1
-            known_before = "index" in target
+            is_watch = "index" in path
             entries = (
                 [instance(0, weight=1.0 + self.generation % 7)]
-                if known_before
+                if is_watch
                 else [*map(instance, range(6))]
             )
             await stream.send_all(
-                answered(listed(self.generation, *entries, reset=not known_before))
+                http_response(list_body(self.generation, *entries, reset=not is_watch))
             )
-        elif self.whole and "index" in target:
+        elif self.is_snapshot and "index" in path:
             await stream.send_all(
-                answered(listed(1, reset=False))
-            )  # put back, so that the whole list is asked for
+                http_response(list_body(1, reset=False))
+            )  # put back, so that the complete list is queried
         else:
-            self.broken, self.broke_at = stream, trio.current_time()
-            await self.breaks(stream)
-
-    async def _again(self, stream: trio.SocketStream) -> None:
-        self.again_at = self.again_at or trio.current_time()
-        if not self.mended and stream is not self.broken:
-            self.mended = True
-            entries = [*map(instance, range(6)), instance(7)] if self.whole else [instance(7)]
-            await stream.send_all(answered(listed(NEWS + 1, *entries, reset=self.whole)))
+            self.stalled_stream, self.stalled_at = stream, trio.current_time()
+            await self.stall(stream)
+
+    async def _answer_again(self, stream: trio.SocketStream) -> None:
+        self.queried_again_at = self.queried_again_at or trio.current_time()
+        if not self.answered_again and stream is not self.stalled_stream:
+            self.answered_again = True
+            entries = [*map(instance, range(6)), instance(7)] if self.is_snapshot else [instance(7)]
+            await stream.send_all(
+                http_response(list_body(CHANGE_COUNT + 1, *entries, reset=self.is_snapshot))
+            )
 
 
-def spoilt(whole: bool) -> bytes:
-    """What is broken off: it would take every worker but one away."""
-    gone = [] if whole else [instance(n, lifecycle="gone") for n in range(6)]
-    return listed(NEWS + 5, *gone, instance(9), reset=whole)
+def unfinished_list(is_snapshot: bool) -> bytes:
+    """Return what is sent in part: it would remove every worker but one."""
+    gone = [] if is_snapshot else [instance(n, lifecycle="gone") for n in range(6)]
+    return list_body(CHANGE_COUNT + 5, *gone, instance(9), reset=is_snapshot)
 
 
-async def half(stream: trio.SocketStream, whole: bool) -> None:
-    data = answered(spoilt(whole))
-    await stream.send_all(data[: -len(spoilt(whole)) // 2])
+async def send_half(stream: trio.SocketStream, is_snapshot: bool) -> None:
+    data = http_response(unfinished_list(is_snapshot))
+    await stream.send_all(data[: -len(unfinished_list(is_snapshot)) // 2])
 
 
-async def half_a_head(stream: trio.SocketStream, whole: bool) -> None:
-    await stream.send_all(answered(spoilt(whole))[:40])
+async def send_half_of_head(stream: trio.SocketStream, is_snapshot: bool) -> None:
+    await stream.send_all(http_response(unfinished_list(is_snapshot))[:40])
 
 
-async def half_in_chunks(stream: trio.SocketStream, whole: bool) -> None:
+async def send_chunks_without_end(stream: trio.SocketStream, is_snapshot: bool) -> None:
     await stream.send_all(
-        chunked(spoilt(whole), 16).removesuffix(b"0\r\n\r\n")
+        chunked_response(unfinished_list(is_snapshot), 16).removesuffix(b"0\r\n\r\n")
     )  # all but the last, empty one
 
 
-async def trickle(stream: trio.SocketStream, whole: bool) -> None:
-    """Never silent for long, and never at an end."""
+async def send_slowly(stream: trio.SocketStream, is_snapshot: bool) -> None:
+    """Send a byte at a time without end."""
     await stream.send_all(b"HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n")
     while True:
         await stream.send_all(b" ")
@@ -121,62 +124,69 @@
 
 
 @pytest.mark.parametrize(
-    ("breaks", "whole"),
+    ("stall", "is_snapshot"),
     [
-        (half, False),
-        (half, True),
-        (half_a_head, True),
-        (half_in_chunks, True),
-        (trickle, False),
-        (trickle, True),
+        (send_half, False),
+        (send_half, True),
+        (send_half_of_head, True),
+        (send_chunks_without_end, True),
+        (send_slowly, False),
+        (send_slowly, True),
     ],
 )
-async def test_a_discovery_silent_in_the_middle_of_an_answer_is_left_for_another_call(
-    tmp_path: Path, breaks: Callable[..., Any], whole: bool
+async def test_discovery_that_stalls_in_an_answer_is_queried_again(
+    tmp_path: Path, stall: Callable[..., Any], is_snapshot: bool
 ) -> None:
-    """After news at speed. What had come of the answer is nothing, though it be all but its end."""
-    played = Breaking(lambda stream: breaks(stream, whole), whole)
-    async with serving(
+    """After quick changes. What had arrived of the answer does not count, be it all but its end."""
+    discovery = StallingDiscovery(lambda stream: stall(stream, is_snapshot), is_snapshot)
+    async with serving_manager(
         tmp_path,
-        played.serve,
-        known=known(*map(instance, range(6))),
-        settings=settings(messagesMost=0),
+        discovery.serve,
+        known=initial_list(*map(instance, range(6))),
+        settings=fleet_settings(messagesMost=0),
     ) as (running, nursery):
         proxy, late = (Proxy(n, ZONES[n % 2], [running.port], Random(n)) for n in (3, 4))
         nursery.start_soon(proxy.run)
-        await played.agent.calls(NEWS + whole)
+        await discovery.server.until_queried(CHANGE_COUNT + is_snapshot)
         with trio.fail_after(5):
-            while played.broken is None:
+            while discovery.stalled_stream is None:
                 await trio.sleep(0.01)
         nursery.start_soon(late.run)
         await late.until(lambda: late.usable().keys() == {f"s-{n}" for n in range(6)})
-        assert not played.again_at, "what is held serves meanwhile"
-        for one in (proxy, late):
-            await one.until(
-                lambda one=one: one.usable().keys() == {f"s-{n}" for n in (*range(6), 7)}
+        assert not discovery.queried_again_at, "the list that is held serves meanwhile"
+        for each_proxy in (proxy, late):
+            await each_proxy.until(
+                lambda each_proxy=each_proxy: (
+                    each_proxy.usable().keys() == {f"s-{n}" for n in (*range(6), 7)}
+                )
             )
         with trio.fail_after(1):
-            await played.closed.wait()
-        bound = (
+            await discovery.closed.wait()
+        max_delay = (
             discovery_state.ANSWER_TIMEOUT_S
-            + (0.0 if whole else discovery_state.WATCH_WAIT_S)
+            + (0.0 if is_snapshot else discovery_state.WATCH_WAIT_S)
             + discovery_state.MAX_BACKOFF_S
         )
-        assert played.again_at - played.broke_at < bound + 0.5
-        assert len(running.said("discovery.failed")) == 1
-        asked = played.agent.asked[NEWS + whole]
-        assert asked == discovery_state.SERVERS_PATH if whole else f"index={NEWS}&" in asked
-        assert not proxy.faults and not late.faults and len(proxy.streams) == len(late.streams) == 1
+        assert discovery.queried_again_at - discovery.stalled_at < max_delay + 0.5
+        assert len(running.logged("discovery.failed")) == 1
+        query = discovery.server.queries[CHANGE_COUNT + is_snapshot]
+        assert (
+            query == discovery_state.SERVERS_PATH
+            if is_snapshot
+            else f"index={CHANGE_COUNT}&" in query
+        )
+        assert not proxy.errors and not late.errors and len(proxy.streams) == len(late.streams) == 1
         nursery.cancel_scope.cancel()
 
 
-class Resetting:
-    """The whole list at once at each call, by turns the same, another, an empty one; once `over`, the last for good."""
+class RepeatingDiscovery:
+    """Sends a complete list at once for each query, by turns others; once `finishing`, the last one."""
 
-    def __init__(self, moves_on: bool) -> None:
-        self.moves_on, self.agent = moves_on, Agent(self.play)
-        self.over = self.told = False
-        self.told_as = 0
+    def __init__(self, versions_advance: bool) -> None:
+        self.versions_advance, self.server = versions_advance, ScriptedDiscovery(self.respond)
+        self.finishing = False
+        self.finished = False
+        self.last_version = 0
         self.lists = [[*map(instance, range(6))]] * 2 + [
             [*map(instance, range(3, 9))],
             [],
@@ -184,99 +194,115 @@
         ]
         self.last = [instance(n) for n in (0, 1, 4, 8)]
 
-    async def play(self, stream: trio.SocketStream, target: str) -> None:
-        asked = len(self.agent.asked)
-        if self.told:  # nothing new
+    async def respond(self, stream: trio.SocketStream, path: str) -> None:
+        query_count = len(self.server.queries)
+        if self.finished:  # nothing new
             await trio.sleep(1.0)
-            await stream.send_all(answered(listed(self.told_as, reset=False)))
+            await stream.send_all(http_response(list_body(self.last_version, reset=False)))
             return
-        self.told_as = asked if self.moves_on else 1
-        entries, self.told = (
-            self.last if self.over else self.lists[asked % len(self.lists)],
-            self.over,
+        self.last_version = query_count if self.versions_advance else 1
+        entries, self.finished = (
+            self.last if self.finishing else self.lists[query_count % len(self.lists)],
+            self.finishing,
         )
-        await stream.send_all(answered(listed(self.told_as, *entries)))
+        await stream.send_all(http_response(list_body(self.last_version, *entries)))
 
 
-@pytest.mark.parametrize("moves_on", [True, False])
-async def test_a_whole_list_again_and_again_at_speed_leads_to_the_last_one(
-    tmp_path: Path, moves_on: bool
+@pytest.mark.parametrize("versions_advance", [True, False])
+async def test_complete_lists_in_quick_succession_lead_to_the_last_one(
+    tmp_path: Path, versions_advance: bool
 ) -> None:
-    """No proxy gets more messages than it takes, none that it can't use, and what was shut out meanwhile is back."""
-    most, span = 10, 2.0
-    played = Resetting(moves_on)
-    async with serving(
+    """No proxy gets more messages than allowed or unusable ones, and ejected workers are readmitted."""
+    max_messages = 10
+    window = 2.0
+    discovery = RepeatingDiscovery(versions_advance)
+    async with serving_manager(
         tmp_path,
-        played.agent.serve,
-        known=known(*map(instance, range(6))),
-        settings=settings(messagesMost=most, reloadSpanUs=span * 1e6),
+        discovery.server.serve,
+        known=initial_list(*map(instance, range(6))),
+        settings=fleet_settings(messagesMost=max_messages, reloadSpanUs=window * 1e6),
     ) as (running, nursery):
         proxies = [Proxy(n, ZONES[n % 2], [running.port], Random(n)) for n in range(4)]
         for proxy in proxies:
             nursery.start_soon(proxy.run)
         for proxy in proxies:
             await proxy.until(proxy.usable)
-        before, began = len(played.agent.asked), trio.current_time()
-        await played.agent.calls(before + (300 if moves_on else 30))
-        took = trio.current_time() - began
-        assert moves_on or took > 28 * discovery_state.MIN_QUERY_INTERVAL_S, (
-            "one that stands still is not asked without a pause"
+        queries_before = len(discovery.server.queries)
+        started_at = trio.current_time()
+        await discovery.server.until_queried(queries_before + (300 if versions_advance else 30))
+        elapsed = trio.current_time() - started_at
+        assert versions_advance or elapsed > 28 * discovery_state.MIN_QUERY_INTERVAL_S, (
+            "a version that does not advance is not queried without a pause"
         )
-        played.over = True
-        names = {entry["instanceId"] for entry in played.last}
+        discovery.finishing = True
+        names = {entry["instanceId"] for entry in discovery.last}
         for proxy in proxies:
             await proxy.until(
                 lambda proxy=proxy: proxy.usable().keys() == proxy.usable(LANES[1]).keys() == names,
                 15,
             )
         for proxy in proxies:
-            [stream], times = proxy.streams, proxy.streams[0].order_times
-            assert not proxy.faults
-            assert all(times[n + most] - times[n] > span - 0.3 for n in range(len(times) - most)), (
-                stream
-            )
-        assert not running.said("discovery.failed") and played.agent.connections == 1
+            [stream], times = proxy.streams, proxy.streams[0].update_times
+            assert not proxy.errors
+            assert all(
+                times[n + max_messages] - times[n] > window - 0.3
+                for n in range(len(times) - max_messages)
+            ), stream
+        assert not running.logged("discovery.failed") and discovery.server.connection_count == 1
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize(
-    ("lists", "gap", "answer"), [(2, 0.002, 0.001), (4, 0.004, 0.005), (12, 0.004, 0.005)]
+    ("list_count", "gap", "response_time"),
+    [(2, 0.002, 0.001), (4, 0.004, 0.005), (12, 0.004, 0.005)],
 )
-def test_the_last_of_many_lists_is_laid_by_the_module_s_own_timers(
-    lists: int, gap: float, answer: float
+def test_the_last_of_many_lists_is_installed_by_the_module_s_own_timers(
+    list_count: int, gap: float, response_time: float
 ) -> None:
-    """Nothing else happens behind it: no report, no usage. Danger: left for want of messages and not looked at again, a
-    change would wait for the next report, and proxies of an idle fleet would hold a table of nobody."""
+    """Nothing else happens after it: no report, no demand.
+
+    A change that waited for lack of messages and was not looked at again would wait for the next
+    report, and proxies of an idle fleet would keep a table without workers.
+    """
     module = Balancer(
         manager_settings(channel=ChannelSettings(1300.0, 4.0, 2000.0, 0.252, 0.63, 10, 2.0))
     )
-    turns = [range(6), range(3, 9), range(0)]
-    due, numbers = list[tuple[float, int, Event]](), count()
-
-    def later(at: float, event: Event) -> None:
-        heapq.heappush(due, (at, next(numbers), event))
-
-    for p in range(2):
-        later(0.0, ProxyConnected(p, "north", 5.0, True))
-    later(0.0, EndpointsUpdated("kept", tuple(map(endpoint, range(6)))))
-    for n in range(lists):
-        later(0.001 + gap * n, EndpointsUpdated("whole", tuple(map(endpoint, turns[n % 3]))))
-    later(0.001 + gap * lists, EndpointsUpdated("whole", tuple(map(endpoint, range(4)))))
-    tables, bound = defaultdict[int, dict[str, float]](dict), dict[tuple[int, int], int]()
+    lists = [range(6), range(3, 9), range(0)]
+    due = list[tuple[float, int, Event]]()
+    sequence = count()
+
+    def schedule(at: float, event: Event) -> None:
+        heapq.heappush(due, (at, next(sequence), event))
+
+    for proxy in range(2):
+        schedule(0.0, ProxyConnected(proxy, "north", 5.0, True))
+    schedule(0.0, EndpointsUpdated("kept", tuple(map(endpoint, range(6)))))
+    for n in range(list_count):
+        schedule(0.001 + gap * n, EndpointsUpdated("whole", tuple(map(endpoint, lists[n % 3]))))
+    schedule(0.001 + gap * list_count, EndpointsUpdated("whole", tuple(map(endpoint, range(4)))))
+    tables = defaultdict[int, dict[str, float]](dict)
+    table_by_proxy_and_class = dict[tuple[int, int], int]()
     while due and due[0][0] < 30.0:
         now, _, event = heapq.heappop(due)
         for order in module.decide(now, [event]):
             match order:
-                case SetWeight(tbl, name, weight):
-                    tables[tbl][name] = weight
-                case DeleteTable(tbl):
-                    tables.pop(tbl, None)
-                case AssignTable(proxy, products, tbl):
-                    bound.update({(proxy, k): tbl for k in products})
-                case RequestAcknowledgement(number):
-                    for p in range(2):
-                        later(now + answer, Acknowledged(p, number, answer))
-                case SetTimer(after, token):
-                    later(now + max(after, 0.001), TimerFired(token))
-    held = [{name for name, weight in tables[tbl].items() if weight} for tbl in bound.values()]
-    assert held and all(names == {endpoint(n).id for n in range(4)} for names in held)
+                case SetWeight(table_id, name, weight):
+                    tables[table_id][name] = weight
+                case DeleteTable(table_id):
+                    tables.pop(table_id, None)
+                case AssignTable(proxy, traffic_classes, table_id):
+                    table_by_proxy_and_class.update(
+                        {(proxy, class_index): table_id for class_index in traffic_classes}
+                    )
+                case RequestAcknowledgement(ack_number):
+                    for proxy in range(2):
+                        schedule(
+                            now + response_time, Acknowledged(proxy, ack_number, response_time)
+                        )
+                case SetTimer(delay, token):
+                    schedule(now + max(delay, 0.001), TimerFired(token))
+    installed = [
+        {name for name, weight in tables[table_id].items() if weight}
+        for table_id in table_by_proxy_and_class.values()
+    ]
+    assert installed and all(names == {endpoint(n).id for n in range(4)} for names in installed)
--- a/tests/race_conditions/test_kill_points.py
+++ b/tests/race_conditions/test_kill_points.py
@@ -1,5 +1,8 @@
-"""A manager killed (SIGKILL) at a very point of its first dealings with a proxy. It kills itself there, by a hook that
-is loaded into the process, as no signal from outside would meet the point. Its proxies find another manager."""
+"""A manager that is killed (SIGKILL) at a given point while it first deals with a proxy.
+
+It kills itself there, by a hook that is loaded into the process, as no signal from outside would
+meet the point. Its proxies find another manager.
+"""
 
 from pathlib import Path
 from random import Random
@@ -7,8 +10,13 @@
 import pytest
 import trio
 
-from tests.platform.test_process import ZONES, instance
-from tests.race_conditions.processes import Managers, Source, known, managers, settings
+from tests.fixtures.platform_process import ZONES, initial_list, instance
+from tests.race_conditions.processes import (
+    DiscoverySource,
+    Managers,
+    fleet_settings,
+    running_managers,
+)
 from tests.race_conditions.roaming_proxies import LANES, Proxy, Requests, Workers
 
 HOOK = """
@@ -18,118 +26,124 @@
     os.unlink(ARMED)
     os.kill(os.getpid(), signal.SIGKILL)
 
-class Watched(socket.socket):
+class KillingSocket(socket.socket):
     def recv(self, *args):
         data = super().recv(*args)
-        if POINT == "a joining read" and b'"hello"' in data and os.path.exists(ARMED):
+        if POINT == "hello received" and b'"hello"' in data and os.path.exists(ARMED):
             die()
         return data
 
     def send(self, data, *args):
-        if POINT == "half an order written" and b'"push"' in data and os.path.exists(ARMED):
+        if POINT == "update half written" and b'"push"' in data and os.path.exists(ARMED):
             super().send(data[:len(data) // 2], *args)
             die()
         count = super().send(data, *args)
-        if POINT == "an order written" and b'"push"' in data and os.path.exists(ARMED):
+        if POINT == "update written" and b'"push"' in data and os.path.exists(ARMED):
             die()
         return count
 
 accept = socket.socket.accept
 
-def watched(self):
-    taken, place = accept(self)
+def killing_accept(self):
+    accepted, address = accept(self)
     if POINT == "accepted" and os.path.exists(ARMED):
         die()
-    return Watched(fileno=taken.detach()), place
+    return KillingSocket(fileno=accepted.detach()), address
 
-socket.socket.accept = watched
+socket.socket.accept = killing_accept
 """
 
 
-class Stage:
-    """Three managers with a proxy each to begin with, requests at the proxies, and the first manager to be killed."""
+class ThreeManagers:
+    """Three managers with their proxies, and requests at the proxies; the first one is to be killed."""
 
-    def __init__(self, made: Managers, nursery: trio.Nursery, source: Source, armed: Path) -> None:
-        self.made, self.nursery, self.source, self.armed = made, nursery, source, armed
-        self.workers, self.chance = Workers(), Random(11)
-        self.requests = Requests(self.workers, self.chance)
-        self.proxies = [Proxy(n, ZONES[n % 2], [*made.ports], self.chance) for n in range(9)]
+    def __init__(self, managers: Managers, nursery: trio.Nursery) -> None:
+        self.managers = managers
+        self.nursery = nursery
+        self.workers = Workers()
+        self.rng = Random(11)
+        self.requests = Requests(self.workers, self.rng)
+        self.proxies = [Proxy(n, ZONES[n % 2], [*managers.ports], self.rng) for n in range(9)]
 
-    async def begin(self) -> None:
-        """All proxies dial the other two."""
+    async def start_proxies(self) -> None:
+        """Start all proxies, at the other two managers."""
         await self.workers.open(self.nursery, *(f"s-{n}" for n in range(8)))
         for n, proxy in enumerate(self.proxies):
-            proxy.ports = [self.made.ports[1 + n % 2]]
+            proxy.ports = [self.managers.ports[1 + n % 2]]
             self.nursery.start_soon(proxy.run)
         for proxy in self.proxies:
             await proxy.until(proxy.usable)
-            self.nursery.start_soon(self.requests.at, proxy, 30.0)
+            self.nursery.start_soon(self.requests.send_to, proxy, 30.0)
 
-    async def settled(self, *names: str) -> None:
-        """Every proxy is joined to a manager that runs, and may use these workers and nobody else, for all lanes."""
-        runs = {
+    async def until_all_use(self, *names: str) -> None:
+        """Wait until each proxy is connected to a running manager and may use just these workers."""
+        running_ports = {
             port
-            for n, port in enumerate(self.made.ports)
-            if self.made.running[n].process.poll() is None
+            for n, port in enumerate(self.managers.ports)
+            if self.managers.running[n].process.poll() is None
         }
         for proxy in self.proxies:
             await proxy.until(
                 lambda proxy=proxy: (
                     proxy.joined
-                    and proxy.joined.port in runs
+                    and proxy.joined.port in running_ports
                     and all(proxy.usable(lane).keys() == {*names} for lane in LANES)
                 )
             )
 
 
 @pytest.mark.parametrize(
-    "point", ["accepted", "a joining read", "half an order written", "an order written"]
+    "point", ["accepted", "hello received", "update half written", "update written"]
 )
-async def test_a_manager_killed_at_its_first_dealings_loses_nothing(
+async def test_a_manager_killed_while_proxies_join_loses_nothing(
     tmp_path: Path, point: str
 ) -> None:
-    """What changes meanwhile is told to the others alone: who went, who was let in, who was shut out and is back."""
-    source, armed, hook = Source(*map(instance, range(6))), tmp_path / "armed", tmp_path / "hook"
+    """Workers that go, come, are ejected or readmitted meanwhile are known to the others alone."""
+    source, armed, hook = (
+        DiscoverySource(*map(instance, range(6))),
+        tmp_path / "armed",
+        tmp_path / "hook",
+    )
     hook.mkdir()
     (hook / "sitecustomize.py").write_text(f"ARMED, POINT = {str(armed)!r}, {point!r}\n{HOOK}")
-    async with managers(
+    async with running_managers(
         tmp_path,
-        source.agent.serve,
+        source.server.serve,
         3,
-        known=known(*map(instance, range(6))),
-        settings=settings(messagesMost=0),
-    ) as (made, nursery):
-        stage = Stage(made, nursery, source, armed)
-        await made.kill(0)
-        await made.start(0, PYTHONPATH=str(hook))
-        await made.until_alive(0)
-        await stage.begin()
+        known=initial_list(*map(instance, range(6))),
+        settings=fleet_settings(messagesMost=0),
+    ) as (managers, nursery):
+        fleet = ThreeManagers(managers, nursery)
+        await managers.kill(0)
+        await managers.start(0, PYTHONPATH=str(hook))
+        await managers.until_alive(0)
+        await fleet.start_proxies()
         armed.touch()
-        for proxy in stage.proxies:
-            proxy.ports = [made.ports[0]]
-        await made.kill(1)  # its proxies dial the first manager alone, as many at once
+        for proxy in fleet.proxies:
+            proxy.ports = [managers.ports[0]]
+        await managers.kill(1)  # its proxies connect to the first manager alone, all at once
         with trio.fail_after(10):
-            await made.running[0].process.wait()
-        assert not armed.exists() and not any(proxy.faults for proxy in stage.proxies)
-        taken = sum(
-            len(stream.order_times)
-            for proxy in stage.proxies
+            await managers.running[0].process.wait()
+        assert not armed.exists() and not any(proxy.errors for proxy in fleet.proxies)
+        update_count = sum(
+            len(stream.update_times)
+            for proxy in fleet.proxies
             for stream in proxy.streams
-            if stream.port == made.ports[0]
+            if stream.port == managers.ports[0]
         )
-        assert taken <= (point == "an order written"), "it died before its first answer"
-        source.tell(instance(0, lifecycle="gone"), instance(1, lifecycle="draining"), instance(6))
-        for proxy in stage.proxies:
-            proxy.ports = [*made.ports]
-        await stage.settled("s-2", "s-3", "s-4", "s-5", "s-6")
-        await made.start(0)
-        await made.start(1)
-        await made.until_alive(0, 1)
-        await made.kill(2)  # which alone had shut s-1 out: the others never had it in a table
-        await stage.settled("s-2", "s-3", "s-4", "s-5", "s-6")
-        assert any("s-1" in proxy.shut for proxy in stage.proxies)
-        source.tell(instance(1), instance(7))
-        await stage.settled(*(f"s-{n}" for n in range(1, 8)))
-        await stage.requests.finish()
-        assert not any(proxy.faults for proxy in stage.proxies)
+        assert update_count <= (point == "update written"), "it died before its first answer"
+        source.update(instance(0, lifecycle="gone"), instance(1, lifecycle="draining"), instance(6))
+        for proxy in fleet.proxies:
+            proxy.ports = [*managers.ports]
+        await fleet.until_all_use("s-2", "s-3", "s-4", "s-5", "s-6")
+        await managers.start(0)
+        await managers.start(1)
+        await managers.until_alive(0, 1)
+        await managers.kill(2)  # which alone had ejected s-1: the others never had it in a table
+        await fleet.until_all_use("s-2", "s-3", "s-4", "s-5", "s-6")
+        assert any("s-1" in proxy.ejected for proxy in fleet.proxies)
+        source.update(instance(1), instance(7))
+        await fleet.until_all_use(*(f"s-{n}" for n in range(1, 8)))
+        await fleet.requests.finish()
+        assert not any(proxy.errors for proxy in fleet.proxies)
         nursery.cancel_scope.cancel()
--- a/tests/race_conditions/test_many_managers.py
+++ b/tests/race_conditions/test_many_managers.py
@@ -1,6 +1,8 @@
-"""Twenty manager processes that start at once before cold workers, in a storm of repeats; a third of them is killed
-and started again, another third drained and started again as the storm is back. What all of them together give a cold
-worker is held against what it bears by the settings."""
+"""Twenty manager processes that start at once before workers that are warming up, in a retry storm.
+
+A third of them is killed and started again, another third drained and started again as the storm
+is back. What all of them together send to a warming worker is compared with what it can take.
+"""
 
 import json
 import signal
@@ -17,14 +19,24 @@
 from dunlinlug.decision.events import EndpointReported, EndpointsUpdated, ProxyConnected
 from dunlinlug.decision.settings import SafetyLimits
 from tests.decision.rules_model import Model, endpoint, manager_settings
-from tests.platform.test_process import SETTINGS, ZONES, instance
-from tests.race_conditions.processes import Managers, Source, known, managers, settings
+from tests.fixtures.platform_process import SETTINGS, ZONES, initial_list, instance
+from tests.race_conditions.processes import (
+    DiscoverySource,
+    Managers,
+    fleet_settings,
+    running_managers,
+)
 from tests.race_conditions.roaming_proxies import LANES, Proxy, Requests, Workers
 
-MANAGERS, PROXIES, WARM, COLD, LATER = 20, 40, 12, 8, 4
-BUSY = 0.95  # of what the warm bear, asked of all workers in calm
-TRIES = 3.0  # times that in a storm
-VOIDED = 0.5  # part of all tries in a storm
+MANAGER_COUNT = 20
+PROXY_COUNT = 40
+WARM_COUNT = 12
+WARMING_COUNT = 8
+LATER_WARMING_COUNT = 4
+# requests to all workers in calm, as a part of what the warm ones can take
+UTILIZATION = 0.95
+STORM_ATTEMPTS = 3.0  # attempts in a storm for each in calm
+STORM_FAILURE_RATE = 0.5
 RULES = {
     **SETTINGS["rules"],
     "coldUs": 60_000_000,
@@ -34,76 +46,85 @@
 }
 
 
-def told() -> dict[str, Any]:
-    made = settings(proxyCount=PROXIES, messagesMost=0, egressPerS=20000.0, pendingMax=40000.0)
-    lanes = [{**lane, "aimUs": 300_000, "hardLimitUs": 500_000} for lane in made["lanes"]]
-    return {**made, "rules": RULES, "lanes": lanes}
+def warm_up_settings() -> dict[str, Any]:
+    base = fleet_settings(
+        proxyCount=PROXY_COUNT, messagesMost=0, egressPerS=20000.0, pendingMax=40000.0
+    )
+    lanes = [{**lane, "aimUs": 300_000, "hardLimitUs": 500_000} for lane in base["lanes"]]
+    return {**base, "rules": RULES, "lanes": lanes}
 
 
-class Given:
-    """What all tables together give each worker; a warm one bears 1, of whom WARM together are asked BUSY in calm."""
+class SentLoad:
+    """What all tables together send to each worker, in units of what a warm one can take."""
 
     def __init__(self) -> None:
-        self.parts: dict[int, dict[str, float]] = {}  # by proxy
-        self.sums: dict[str, float] = {}
-        self.started: dict[str, float] = {}  # of cold workers, in Unix seconds
-        self.tries, self.over = (
-            1.0,
-            dict[str, float](),
-        )  # the latter: since when one is given more than it bears
-        self.worst = self.longest = 0.0
-        self.told: dict[
-            str, tuple[float, bytes]
-        ] = {}  # by zone, the last reports and when they were made
-
-    def ordered(self, proxy: Proxy) -> None:
-        """An order of its was taken."""
-        each, mine = WARM * BUSY / PROXIES / len(LANES), dict[str, float]()
+        self.load_by_proxy: dict[int, dict[str, float]] = {}
+        self.load_by_worker: dict[str, float] = {}
+        self.warming_since: dict[str, float] = {}  # by worker, in Unix seconds
+        self.attempts_per_request = 1.0
+        self.overloaded_since = dict[str, float]()
+        self.worst_ratio = 0.0  # of what a warming worker was sent to what it can take
+        self.longest_overload = 0.0  # seconds
+        # by zone: when the last reports were made, and their lines
+        self.last_reports: dict[str, tuple[float, bytes]] = {}
+
+    def update_proxy(self, proxy: Proxy) -> None:
+        """Take note that a proxy has applied an update."""
+        load_per_class = WARM_COUNT * UTILIZATION / PROXY_COUNT / len(LANES)
+        load = dict[str, float]()
         for lane in LANES:
             usable = proxy.usable(lane)
             for name, weight in usable.items():
-                mine[name] = mine.get(name, 0.0) + each * proxy.admits[lane] * weight / sum(
-                    usable.values()
-                )
-        former, self.parts[proxy.number] = self.parts.get(proxy.number, {}), mine
-        for name in {**former, **mine}:
-            self.sums[name] = self.sums.get(name, 0.0) - former.get(name, 0.0) + mine.get(name, 0.0)
-        self.look()
+                load[name] = load.get(name, 0.0) + load_per_class * proxy.admitted_fractions[
+                    lane
+                ] * weight / sum(usable.values())
+        previous = self.load_by_proxy.get(proxy.number, {})
+        self.load_by_proxy[proxy.number] = load
+        for name in {**previous, **load}:
+            self.load_by_worker[name] = (
+                self.load_by_worker.get(name, 0.0) - previous.get(name, 0.0) + load.get(name, 0.0)
+            )
+        self.check()
 
-    def cold(self) -> dict[str, float]:
+    def load_of_warming(self) -> dict[str, float]:
         return {
-            name: max(round(self.sums.get(name, 0.0), 9), 0.0) for name in self.started
-        }  # but for sums' rounding
-
-    def look(self) -> None:
-        now, least = time.time(), RULES["startCapacity"]
-        for name, sent in self.cold().items():
-            age = (now - self.started[name]) * 1e6 / RULES["coldUs"]
-            bears = RULES["tipMultiple"] * min(least + (1.0 - least) * max(age, 0.0), 1.0)
-            part = self.tries * sent / bears
-            self.worst = max(self.worst, part)
-            if part > 1.0:
-                self.longest = max(self.longest, now - self.over.setdefault(name, now))
+            name: max(round(self.load_by_worker.get(name, 0.0), 9), 0.0)
+            for name in self.warming_since
+        }  # without the rounding errors of sums
+
+    def check(self) -> None:
+        now = time.time()
+        initial = RULES["startCapacity"]
+        for name, sent in self.load_of_warming().items():
+            age = (now - self.warming_since[name]) * 1e6 / RULES["coldUs"]
+            capacity = RULES["tipMultiple"] * min(initial + (1.0 - initial) * max(age, 0.0), 1.0)
+            ratio = self.attempts_per_request * sent / capacity
+            self.worst_ratio = max(self.worst_ratio, ratio)
+            if ratio > 1.0:
+                self.longest_overload = max(
+                    self.longest_overload, now - self.overloaded_since.setdefault(name, now)
+                )
             else:
-                self.over.pop(name, None)
+                self.overloaded_since.pop(name, None)
 
-    def anew(self) -> None:
-        self.worst = self.longest = 0.0
-        self.over.clear()
-        self.look()
+    def restart_checks(self) -> None:
+        self.worst_ratio = 0.0
+        self.longest_overload = 0.0
+        self.overloaded_since.clear()
+        self.check()
 
     def reports(self, zone: str, names: Iterable[str]) -> bytes:
-        """What the proxies of a zone met of late, as its collectors tell it, made anew each tenth of a second."""
-        at, made = self.told.get(zone, (-1.0, b""))
-        if time.time() - at > 0.1:
-            made = self._reports(zone, names)
-            self.told[zone] = time.time(), made
-        return made
-
-    def _reports(self, zone: str, names: Iterable[str]) -> bytes:
+        """Return the lines of a zone's collector, made again each tenth of a second."""
+        made_at, reports = self.last_reports.get(zone, (-1.0, b""))
+        if time.time() - made_at > 0.1:
+            reports = self._make_reports(zone, names)
+            self.last_reports[zone] = time.time(), reports
+        return reports
+
+    def _make_reports(self, zone: str, names: Iterable[str]) -> bytes:
         lines = [{"@type": "agent", "site": zone}]
         for name in names:
-            count = round(40 * self.tries * self.sums.get(name, 0.0))
+            count = round(40 * self.attempts_per_request * self.load_by_worker.get(name, 0.0))
             lines.append(
                 {
                     "@type": "outcomes",
@@ -111,7 +132,9 @@
                     "target": name,
                     "count": count,
                     "mean": 20.0,
-                    "fail": round(count * VOIDED) if self.tries > 1.0 else 0,
+                    "fail": round(count * STORM_FAILURE_RATE)
+                    if self.attempts_per_request > 1.0
+                    else 0,
                     "over": 250.0,
                 }
             )
@@ -119,158 +142,192 @@
 
 
 class Fleet:
-    def __init__(self, made: Managers, nursery: trio.Nursery, source: Source) -> None:
-        self.made, self.nursery, self.source, self.chance = made, nursery, source, Random(17)
-        self.given, self.workers = Given(), Workers()
-        # Danger: twenty processes beside this one take its core for seconds where others are at work too.
-        self.requests = Requests(self.workers, self.chance, within=10.0)
-        self.proxies = [Roaming(n, self) for n in range(PROXIES)]
-
-    def fresh(self, numbers: Iterable[int]) -> list[dict[str, Any]]:
-        """Workers that start now."""
+    def __init__(self, managers: Managers, source: DiscoverySource) -> None:
+        self.managers = managers
+        self.source = source
+        self.rng = Random(17)
+        self.sent_load = SentLoad()
+        self.workers = Workers()
+        # Twenty processes beside this one take its core for seconds on a busy machine.
+        self.requests = Requests(self.workers, self.rng, timeout=10.0)
+        self.proxies = [BalancingProxy(n, self) for n in range(PROXY_COUNT)]
+
+    def start_workers(self, numbers: Iterable[int]) -> list[dict[str, Any]]:
+        """Return list entries of workers that start now."""
         now = time.time()
-        self.given.started.update({f"s-{n}": now for n in numbers})
+        self.sent_load.warming_since.update({f"s-{n}": now for n in numbers})
         return [instance(n, startedAtMs=round(now * 1000)) for n in numbers]
 
-    def joined(self) -> dict[int, int]:
-        """How many proxies have a table of each manager, by its number."""
+    def proxies_by_manager(self) -> dict[int, int]:
+        """Return how many proxies have a table of each manager."""
         ports = [proxy.joined.port for proxy in self.proxies if proxy.joined]
-        return {n: ports.count(port) for n, port in enumerate(self.made.ports)}
+        return {n: ports.count(port) for n, port in enumerate(self.managers.ports)}
 
-    def all_let_in(self) -> bool:
-        """Every proxy is joined and may use every cold worker."""
+    def all_workers_usable(self) -> bool:
+        """Return whether every proxy is connected and may use every warming worker."""
         return all(
-            proxy.joined and proxy.usable().keys() >= self.given.started.keys()
+            proxy.joined and proxy.usable().keys() >= self.sent_load.warming_since.keys()
             for proxy in self.proxies
         )
 
     async def collect(self, port: int, zone: str) -> None:
-        """A zone's collector at one manager, for good."""
+        """Be a zone's collector at one manager until cancelled."""
         while True:
             try:
                 async with await trio.open_tcp_stream("127.0.0.1", port) as stream:
                     while True:
-                        await stream.send_all(self.given.reports(zone, self.source.instances))
+                        await stream.send_all(self.sent_load.reports(zone, self.source.instances))
                         await trio.sleep(0.25)
             except (OSError, trio.BrokenResourceError):
                 await trio.sleep(0.1)
 
-    async def until(self, seen: Any, within: float = 30.0) -> None:
-        """The sums are looked at all the while."""
-        with trio.fail_after(within):
-            while not seen():
-                await self.last(0.02)
+    async def until(self, condition: Any, timeout: float = 30.0) -> None:
+        """Wait for a condition, and check the load meanwhile."""
+        with trio.fail_after(timeout):
+            while not condition():
+                await self.keep_checking(0.02)
 
-    async def last(self, seconds: float) -> None:
+    async def keep_checking(self, seconds: float) -> None:
         until = trio.current_time() + seconds
         while trio.current_time() < until:
-            self.given.look()
+            self.sent_load.check()
             await trio.sleep(0.02)
 
 
-class Roaming(Proxy):
-    """It dials the manager with the fewest proxies, of those that did not refuse it of late."""
+class BalancingProxy(Proxy):
+    """A proxy that chooses the manager with the fewest proxies that has not refused it recently."""
 
-    USAGE, REFUSED = 1.0, 1.0
+    REPORT_INTERVAL_S = 1.0
+    REFUSAL_MEMORY_S = 1.0
 
     def __init__(self, number: int, fleet: Fleet) -> None:
-        super().__init__(number, ZONES[number % 2], fleet.made.ports, fleet.chance)
+        super().__init__(number, ZONES[number % 2], fleet.managers.ports, fleet.rng)
         self.fleet = fleet
-        self.heard.append(lambda: fleet.given.ordered(self))
+        self.listeners.append(lambda: fleet.sent_load.update_proxy(self))
 
-    def choose(self, last: int) -> int:
-        since = trio.current_time() - self.REFUSED
+    def choose_port(self, last_port: int) -> int:
+        since = trio.current_time() - self.REFUSAL_MEMORY_S
         ports = [
-            port for port in self.ports if port != last and self.refused.get(port, 0.0) < since
+            port
+            for port in self.ports
+            if port != last_port and self.refused_at.get(port, 0.0) < since
         ]
-        dialled = Counter(proxy.dialled for proxy in self.fleet.proxies)
-        return min(ports or self.ports, key=lambda port: (dialled[port], self.chance.random()))
+        proxy_counts = Counter(proxy.chosen_port for proxy in self.fleet.proxies)
+        return min(ports or self.ports, key=lambda port: (proxy_counts[port], self.rng.random()))
 
 
-async def test_no_cold_worker_is_pushed_over_by_what_all_managers_together_give_it(
+async def test_all_managers_together_overload_no_worker_that_is_warming_up(
     tmp_path: Path,
 ) -> None:
-    source = Source(*map(instance, range(WARM)))
-    async with managers(
+    source = DiscoverySource(*map(instance, range(WARM_COUNT)))
+    async with running_managers(
         tmp_path,
-        source.agent.serve,
-        MANAGERS,
+        source.server.serve,
+        MANAGER_COUNT,
         wait=False,
-        settings=told(),
-        known=known(*map(instance, range(WARM))),
-    ) as (made, nursery):
-        fleet = Fleet(made, nursery, source)
-        given, thirds = fleet.given, [range(n, MANAGERS, 3) for n in range(3)]
-        given.tries = TRIES
-        source.tell(*fleet.fresh(range(WARM, WARM + COLD)))
-        await fleet.workers.open(nursery, *(f"s-{n}" for n in range(WARM + COLD + LATER)))
+        settings=warm_up_settings(),
+        known=initial_list(*map(instance, range(WARM_COUNT))),
+    ) as (managers, nursery):
+        fleet = Fleet(managers, source)
+        sent_load = fleet.sent_load
+        thirds = [range(n, MANAGER_COUNT, 3) for n in range(3)]
+        sent_load.attempts_per_request = STORM_ATTEMPTS
+        source.update(*fleet.start_workers(range(WARM_COUNT, WARM_COUNT + WARMING_COUNT)))
+        await fleet.workers.open(
+            nursery, *(f"s-{n}" for n in range(WARM_COUNT + WARMING_COUNT + LATER_WARMING_COUNT))
+        )
         for proxy in fleet.proxies:
             nursery.start_soon(proxy.run)
-        await fleet.until(lambda: sum(fleet.joined().values()) == PROXIES)
-        assert given.worst == 0.0, "in a storm from the start, of which no manager has word yet"
-        for port in made.ports:
+        await fleet.until(lambda: sum(fleet.proxies_by_manager().values()) == PROXY_COUNT)
+        assert sent_load.worst_ratio == 0.0, (
+            "in a storm from the start that no manager has reports of yet"
+        )
+        for port in managers.ports:
             for zone in ZONES:
                 nursery.start_soon(fleet.collect, port, zone)
         for proxy in fleet.proxies:
-            nursery.start_soon(fleet.requests.at, proxy, 2.0)
-        await fleet.last(1.0)
-        assert given.worst == 0.0, "with word of it"
+            nursery.start_soon(fleet.requests.send_to, proxy, 2.0)
+        await fleet.keep_checking(1.0)
+        assert sent_load.worst_ratio == 0.0, "with reports of it"
 
-        given.tries = 1.0
-        given.anew()
-        await fleet.until(fleet.all_let_in)
+        sent_load.attempts_per_request = 1.0
+        sent_load.restart_checks()
+        await fleet.until(fleet.all_workers_usable)
         for n in thirds[0]:
-            await made.kill(n)
-            await made.start(n)
-        source.tell(*fleet.fresh(range(WARM + COLD, WARM + COLD + LATER)))
-        await made.until_alive(*thirds[0])
-        await fleet.until(fleet.all_let_in)
-        assert 0.0 < given.worst <= 1.0, "in calm, with a third killed"
-
-        given.tries = TRIES
-        given.anew()
+            await managers.kill(n)
+            await managers.start(n)
+        source.update(
+            *fleet.start_workers(
+                range(WARM_COUNT + WARMING_COUNT, WARM_COUNT + WARMING_COUNT + LATER_WARMING_COUNT)
+            )
+        )
+        await managers.until_alive(*thirds[0])
+        await fleet.until(fleet.all_workers_usable)
+        assert 0.0 < sent_load.worst_ratio <= 1.0, "in calm, with a third killed"
+
+        sent_load.attempts_per_request = STORM_ATTEMPTS
+        sent_load.restart_checks()
         for n in thirds[1]:
-            made.running[n].process.send_signal(signal.SIGTERM)
+            managers.running[n].process.send_signal(signal.SIGTERM)
         for n in thirds[1]:
-            assert await made.running[n].process.wait() == 0
-            await made.start(n)
+            assert await managers.running[n].process.wait() == 0
+            await managers.start(n)
         await fleet.until(
-            lambda: max(given.cold().values()) == 0.0 and sum(fleet.joined().values()) == PROXIES
+            lambda: (
+                max(sent_load.load_of_warming().values()) == 0.0
+                and sum(fleet.proxies_by_manager().values()) == PROXY_COUNT
+            )
+        )
+        assert sent_load.longest_overload * 1e6 < RULES["fallUs"], (
+            "until reports of the storm arrive"
         )
-        assert given.longest * 1e6 < RULES["fallUs"], "until word of the storm is there"
-        assert all(fleet.joined()[n] for n in thirds[0]), "who was killed and started serves again"
-        given.anew()
-        await made.until_alive(*thirds[1])
+        assert all(fleet.proxies_by_manager()[n] for n in thirds[0]), (
+            "managers killed and started serve again"
+        )
+        sent_load.restart_checks()
+        await managers.until_alive(*thirds[1])
         for n in thirds[2]:
-            await made.kill(n)
-        await fleet.until(lambda: sum(fleet.joined().values()) == PROXIES)
-        assert all(fleet.joined()[n] for n in thirds[1]), "who was drained and started serves again"
-        assert given.worst == 0.0, "in the storm, by those that started in it too"
+            await managers.kill(n)
+        await fleet.until(lambda: sum(fleet.proxies_by_manager().values()) == PROXY_COUNT)
+        assert all(fleet.proxies_by_manager()[n] for n in thirds[1]), (
+            "managers drained and started serve again"
+        )
+        assert sent_load.worst_ratio == 0.0, "in the storm, also by managers that started in it"
         await fleet.requests.finish()
-        assert not any(proxy.faults for proxy in fleet.proxies)
+        assert not any(proxy.errors for proxy in fleet.proxies)
         nursery.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize(("cold", "multiple"), [(16.0, 3.0), (60.0, 1.5), (120.0, 1.5)])
-def test_a_ramp_gives_no_more_than_a_cold_worker_bears_by_the_settings(
-    cold: float, multiple: float
+@pytest.mark.parametrize(
+    ("warm_up_time", "overload_multiple"), [(16.0, 3.0), (60.0, 1.5), (120.0, 1.5)]
+)
+def test_slow_start_sends_no_more_than_a_warming_worker_can_take(
+    warm_up_time: float, overload_multiple: float
 ) -> None:
-    """In calm, by one manager for all proxies. Danger: a ramp of fixed steps reaches the whole share in 15 s, however
-    long workers stay cold and however little they bear meanwhile."""
+    """In calm, by one manager for all proxies.
+
+    Slow start by fixed steps reaches the whole weight in 15 s, however long workers take to warm up
+    and however little they can take meanwhile.
+    """
     model = Model(
-        manager_settings(safety_limits=SafetyLimits(5.0, 3.0, 10.0, cold, 0.2, multiple, 2.0))
+        manager_settings(
+            safety_limits=SafetyLimits(5.0, 3.0, 10.0, warm_up_time, 0.2, overload_multiple, 2.0)
+        )
     )
-    fleet = [endpoint(n, since=None if n < WARM else 0.0) for n in range(WARM + COLD)]
+    fleet = [
+        endpoint(n, since=None if n < WARM_COUNT else 0.0)
+        for n in range(WARM_COUNT + WARMING_COUNT)
+    ]
     model.step(0.1, [EndpointsUpdated("kept", tuple(fleet))])
     model.step(0.1, [ProxyConnected(0, "north", 5.0, True)])
-    parts = []
+    ratios = []
     for _ in range(100):
         model.step(0.2, [EndpointReported("north", one.id, 20, 0, 0.05, 0.2) for one in fleet])
-        lines = {
+        weights = {
             name: weight
             for name, weight in model.holds[0][0][1].items()
             if name not in model.shut[0]
         }
-        given = BUSY * WARM * lines.get(fleet[-1].id, 0.0) / sum(lines.values())
-        parts.append(given / (multiple * min(0.2 + 0.8 * model.now / cold, 1.0)))
-    assert 0.0 < max(parts) <= 1.0
+        load = UTILIZATION * WARM_COUNT * weights.get(fleet[-1].id, 0.0) / sum(weights.values())
+        ratios.append(load / (overload_multiple * min(0.2 + 0.8 * model.now / warm_up_time, 1.0)))
+    assert 0.0 < max(ratios) <= 1.0
--- a/tests/race_conditions/test_partial_messages.py
+++ b/tests/race_conditions/test_partial_messages.py
@@ -1,5 +1,8 @@
-"""Messages in pieces at a manager process: each piece is a reading of its own, as the next one is written once the
-process has read the one before. Names hold characters of several bytes, so that cuts fall inside them."""
+"""Messages in pieces at a manager process, each of which it reads alone.
+
+The next piece is written once the process has read the one before. Names hold characters of several
+bytes, so that pieces end inside them.
+"""
 
 import json
 from pathlib import Path
@@ -9,21 +12,20 @@
 
 from dunlinlug.platform.server import JOIN_TIMEOUT_S
 from dunlinlug.standins.platform import PlatformClient
-from tests.platform.test_process import Running, instance
+from tests.fixtures.platform_process import RunningManager, initial_list, instance
 from tests.race_conditions.processes import (
-    Agent,
-    answered,
-    chunked,
-    in_pieces,
-    known,
-    listed,
-    one_by_one,
-    serving,
-    settings,
+    ScriptedDiscovery,
+    chunked_response,
+    fleet_settings,
+    http_response,
+    list_body,
+    send_in_pieces,
+    serving_manager,
+    single_bytes,
 )
 
 ZONE, LANE, WORKER = "zürich-東", "läsen-頁", "s-é€"
-NAMED = {"settings": settings((ZONE, "b"), (LANE, "book"), messagesMost=0)}
+CONFIG = {"settings": fleet_settings((ZONE, "b"), (LANE, "book"), messagesMost=0)}
 
 
 def line(kind: str, **message: Any) -> bytes:
@@ -34,15 +36,15 @@
     return instance(n, instanceId=f"{WORKER}{n}", zone=ZONE, **changes)
 
 
-async def quiet(stream: trio.SocketStream, target: str) -> None:
-    """The list at the first question, silence after it."""
-    if "index" not in target:
-        await stream.send_all(answered(listed(1, worker(0), worker(1))))
+async def send_list_once(stream: trio.SocketStream, path: str) -> None:
+    """Send the list at the first query, and nothing after it."""
+    if "index" not in path:
+        await stream.send_all(http_response(list_body(1, worker(0), worker(1))))
 
 
-HELLO = line("hello", id=17, site=ZONE, rps=12.5, new=True)
-DEMAND = line("demand", id=17, lane=LANE, count=1907, fail=21, over=1000.25)
-OUTCOMES = line(
+PROXY_HELLO = line("hello", id=17, site=ZONE, rps=12.5, new=True)
+DEMAND_REPORT = line("demand", id=17, lane=LANE, count=1907, fail=21, over=1000.25)
+ENDPOINT_REPORT = line(
     "outcomes",
     site=ZONE,
     target=f"{WORKER}1",
@@ -52,23 +54,23 @@
     over=1000.0,
     util={"inflight": 7, "util": 0.61},
 )
-PROBE = line("probe")
+LIVENESS_PROBE = line("probe")
 
 
-def cuts(data: bytes) -> list[int]:
-    """Where a piece may end: inside each character of several bytes, and between two digits."""
+def split_points(data: bytes) -> list[int]:
+    """Return where a piece may end: inside characters of several bytes, and between digits."""
     return [
         n for n in range(1, len(data)) if data[n] & 0xC0 == 0x80 or data[n - 1 : n + 1].isdigit()
     ]
 
 
-async def joined(running: Running, pieces: list[bytes]) -> PlatformClient:
-    """Who has not joined after its second is closed, as it may be on a busy machine: then it dials again."""
+async def join_in_pieces(running: RunningManager, pieces: list[bytes]) -> PlatformClient:
+    """Join, again where the manager closed the connection: on a busy machine it may be late."""
     for _ in range(5):
-        began, client = trio.current_time(), await running.dial()
+        began, client = trio.current_time(), await running.connect()
         client.proxy_id = 17
         try:
-            await in_pieces(client.stream, pieces)
+            await send_in_pieces(client.stream, pieces)
             with trio.fail_after(8):
                 await client.wait_for_table(**{f"{WORKER}0": 1.0, f"{WORKER}1": 1.0})
             return client
@@ -77,8 +79,8 @@
     raise TimeoutError("no joining within its second in five")
 
 
-async def alive(client: PlatformClient, count: int) -> None:
-    """Exactly so many probes are answered: none is lost or answered twice, whatever orders stand between."""
+async def expect_alive_answers(client: PlatformClient, count: int) -> None:
+    """Receive `count` answers to liveness probes, whatever table updates come between."""
     with trio.fail_after(8):
         while count:
             answer = await client.receive()
@@ -86,147 +88,175 @@
             count -= answer["@type"] == "alive"
 
 
-async def test_what_joins_and_reports_in_pieces_is_heard_once_each(tmp_path: Path) -> None:
-    assert len(cuts(HELLO)) > 4 < len(cuts(DEMAND))
-    async with serving(
-        tmp_path, Agent(quiet).serve, known=known(worker(0), worker(1)), **NAMED
+async def test_joins_and_reports_in_pieces_count_once_each(tmp_path: Path) -> None:
+    assert len(split_points(PROXY_HELLO)) > 4 < len(split_points(DEMAND_REPORT))
+    async with serving_manager(
+        tmp_path,
+        ScriptedDiscovery(send_list_once).serve,
+        known=initial_list(worker(0), worker(1)),
+        **CONFIG,
     ) as (running, _):
-        joinings = [one_by_one(HELLO), *([HELLO[:n], HELLO[n:]] for n in cuts(HELLO))]
-        for pieces in joinings:  # each takes the place of the one before
-            await joined(running, pieces)
-        client = await running.dial()
-        await in_pieces(client.stream, [HELLO + PROBE])
-        await alive(client, 1)  # what lay behind the joining in one piece
-        said = [
-            one_by_one(DEMAND),
-            *([DEMAND[:n], DEMAND[n:]] for n in cuts(DEMAND)),
-            [DEMAND + DEMAND],
-            [DEMAND + DEMAND[:40], DEMAND[40:] + PROBE[:9], PROBE[9:]],
-            one_by_one(PROBE),
-            [PROBE + PROBE],
+        hellos = [
+            single_bytes(PROXY_HELLO),
+            *([PROXY_HELLO[:n], PROXY_HELLO[n:]] for n in split_points(PROXY_HELLO)),
+        ]
+        for pieces in hellos:  # each replaces the one before
+            await join_in_pieces(running, pieces)
+        client = await running.connect()
+        await send_in_pieces(client.stream, [PROXY_HELLO + LIVENESS_PROBE])
+        await expect_alive_answers(client, 1)  # what followed the hello in one piece
+        sent = [
+            single_bytes(DEMAND_REPORT),
+            *([DEMAND_REPORT[:n], DEMAND_REPORT[n:]] for n in split_points(DEMAND_REPORT)),
+            [DEMAND_REPORT + DEMAND_REPORT],
+            [
+                DEMAND_REPORT + DEMAND_REPORT[:40],
+                DEMAND_REPORT[40:] + LIVENESS_PROBE[:9],
+                LIVENESS_PROBE[9:],
+            ],
+            single_bytes(LIVENESS_PROBE),
+            [LIVENESS_PROBE + LIVENESS_PROBE],
         ]
-        for pieces in said:
-            await in_pieces(client.stream, pieces)
-        await alive(client, 4)
-        collector = await running.dial()
+        for pieces in sent:
+            await send_in_pieces(client.stream, pieces)
+        await expect_alive_answers(client, 4)
+        collector = await running.connect()
         agent = line("agent", site=ZONE)
         reports = [
-            one_by_one(agent + OUTCOMES),
-            *([OUTCOMES[:n], OUTCOMES[n:]] for n in cuts(OUTCOMES)),
+            single_bytes(agent + ENDPOINT_REPORT),
+            *([ENDPOINT_REPORT[:n], ENDPOINT_REPORT[n:]] for n in split_points(ENDPOINT_REPORT)),
         ]
         for pieces in reports:
-            await in_pieces(collector.stream, pieces)
-        await in_pieces(collector.stream, [PROBE])
-        await alive(collector, 1)  # so that all before it was heard
-        asked = 1 + len(cuts(DEMAND)) + 2 + 2  # as `said` has them
+            await send_in_pieces(collector.stream, pieces)
+        await send_in_pieces(collector.stream, [LIVENESS_PROBE])
+        await expect_alive_answers(collector, 1)  # so that all before it has been handled
+        report_count = 1 + len(split_points(DEMAND_REPORT)) + 2 + 2  # as `sent` has them
         expected = {
-            "ProxyConnected": len(joinings) + 1,
-            "DemandReported": asked,
+            "ProxyConnected": len(hellos) + 1,
+            "DemandReported": report_count,
             "EndpointReported": len(reports),
         }
-        before = len(running.said("summary"))
-        await running.until_said("summary", before + 1)  # what was heard by now is in it
-        sums = running.said("summary")[: before + 1]
+        before = len(running.logged("summary"))
+        await running.until_logged("summary", before + 1)  # what has arrived by now is in it
+        summaries = running.logged("summary")[: before + 1]
         assert {
-            kind: sum(one["counts"].get(kind, 0) for one in sums) for kind in expected
+            kind: sum(summary["counts"].get(kind, 0) for summary in summaries) for kind in expected
         } == expected
-        assert not any("spoilt" in one["peers"] for one in sums)
+        assert not any("spoilt" in summary["peers"] for summary in summaries)
 
 
 # Discovery.
 
 
-class Steps:
-    """Discovery that gives the first list whole and then one answer of `answers` to each watch, in its pieces."""
+class StepwiseDiscovery:
+    """Discovery that sends a list, then one of `answers` for each watch, in its pieces."""
 
     def __init__(self, answers: list[list[bytes]]) -> None:
         self.answers = answers
-        self.agent = Agent(self.play)
+        self.server = ScriptedDiscovery(self.respond)
 
-    async def play(self, stream: trio.SocketStream, target: str) -> None:
-        if "index" not in target:
-            await stream.send_all(answered(listed(1, worker(0), worker(1))))
+    async def respond(self, stream: trio.SocketStream, path: str) -> None:
+        if "index" not in path:
+            await stream.send_all(http_response(list_body(1, worker(0), worker(1))))
         elif self.answers:
-            await in_pieces(stream, self.answers.pop(0))
+            await send_in_pieces(stream, self.answers.pop(0))
 
 
-def news(n: int, chunk: int = 0) -> bytes:
-    body = listed(n, worker(n), reset=False)
-    return chunked(body, chunk) if chunk else answered(body)
+def change(n: int, chunk_size: int = 0) -> bytes:
+    body = list_body(n, worker(n), reset=False)
+    return chunked_response(body, chunk_size) if chunk_size else http_response(body)
 
 
-async def test_discovery_in_pieces_is_one_answer_each(tmp_path: Path) -> None:
-    """Cut inside the digits of its length, of a chunk's size and of its version, inside characters, at each byte."""
-    answers = [one_by_one(news(2)), one_by_one(news(3, 17))]
-    for chunk in (0, 17):
-        for k in range(len(cuts(news(100, chunk)))):
-            whole = news(100 + len(answers), chunk)  # as long as every other of its form
-            answers.append([whole[: cuts(whole)[k]], whole[cuts(whole)[k] :]])
+async def test_an_answer_of_discovery_in_pieces_is_one_answer(tmp_path: Path) -> None:
+    """Split inside the digits of lengths and versions, inside characters, and at each byte."""
+    answers = [single_bytes(change(2)), single_bytes(change(3, 17))]
+    for chunk_size in (0, 17):
+        for index in range(len(split_points(change(100, chunk_size)))):
+            response = change(100 + len(answers), chunk_size)  # as long as every other of its form
+            answers.append(
+                [
+                    response[: split_points(response)[index]],
+                    response[split_points(response)[index] :],
+                ]
+            )
     versions = ["", "1", "2", "3", *(str(100 + n) for n in range(2, len(answers)))]
-    steps = Steps(answers)
-    async with serving(tmp_path, steps.agent.serve, known=known(worker(0)), **NAMED) as (
+    discovery = StepwiseDiscovery(answers)
+    async with serving_manager(
+        tmp_path, discovery.server.serve, known=initial_list(worker(0)), **CONFIG
+    ) as (
         running,
         _,
     ):
-        proxy = await running.dial()
+        proxy = await running.connect()
         await proxy.join(17, ZONE)
         with trio.fail_after(10):
-            await steps.agent.calls(len(versions))
+            await discovery.server.until_queried(len(versions))
             await proxy.wait_for_table(
                 **{f"{WORKER}{n}": 1.0 for n in (0, *map(int, versions[1:]))}
             )
-        assert not running.said("discovery.failed")
-        asked = [target.partition("index=")[2].partition("&")[0] for target in steps.agent.asked]
-        assert asked == versions and steps.agent.connections == 1
+        assert not running.logged("discovery.failed")
+        queried = [
+            path.partition("index=")[2].partition("&")[0] for path in discovery.server.queries
+        ]
+        assert queried == versions and discovery.server.connection_count == 1
 
 
-async def test_two_answers_in_one_piece_are_one_and_what_was_not_asked_for_is_dropped(
+async def test_of_two_answers_in_one_piece_the_unrequested_one_is_dropped(
     tmp_path: Path,
 ) -> None:
-    """The second names a worker, and a version ahead: taken for the answer to the next question, it would be listed."""
-    unasked = answered(listed(9, worker(9), reset=False))
-    steps = Steps([[news(2) + unasked], [news(3) + unasked[:30]], [news(4)]])
-    async with serving(tmp_path, steps.agent.serve, known=known(worker(0)), **NAMED) as (
+    """It names a worker and a later version; as the answer to the next query it would count."""
+    unrequested = http_response(list_body(9, worker(9), reset=False))
+    discovery = StepwiseDiscovery(
+        [[change(2) + unrequested], [change(3) + unrequested[:30]], [change(4)]]
+    )
+    async with serving_manager(
+        tmp_path, discovery.server.serve, known=initial_list(worker(0)), **CONFIG
+    ) as (
         running,
         _,
     ):
-        proxy = await running.dial()
+        proxy = await running.connect()
         await proxy.join(17, ZONE)
         with trio.fail_after(10):
             table = await proxy.wait_for_table(**{f"{WORKER}{n}": 1.0 for n in (2, 3, 4)})
-        assert f"{WORKER}9" not in table and not running.said("discovery.failed")
-        await steps.agent.calls(5)
-        assert "index=4" in steps.agent.asked[4] and steps.agent.connections == 3
+        assert f"{WORKER}9" not in table and not running.logged("discovery.failed")
+        await discovery.server.until_queried(5)
+        assert "index=4" in discovery.server.queries[4] and discovery.server.connection_count == 3
 
 
-# Probes.
+# Health checks.
 
 
-async def test_a_probe_answered_a_byte_at_a_time_is_one_answer(tmp_path: Path) -> None:
-    """A worker that failed is asked; its report comes in pieces, and it is let in again."""
-    asked, doors = list[bytes](), await trio.open_tcp_listeners(0, host="127.0.0.1")
+async def test_a_health_check_answered_byte_by_byte_is_one_answer(tmp_path: Path) -> None:
+    """A worker that failed is checked; its report arrives in pieces, and it is readmitted."""
+    requests = list[bytes]()
+    listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     report = b"TEXT inflight=17, queue=2, util=0.61\n"
 
     async def load(stream: trio.SocketStream) -> None:
-        asked.append(await stream.receive_some())
-        await in_pieces(
+        requests.append(await stream.receive_some())
+        await send_in_pieces(
             stream,
-            one_by_one(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s" % (len(report), report)),
+            single_bytes(
+                b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s" % (len(report), report)
+            ),
         )
 
-    place = f"127.0.0.1:{doors[0].socket.getsockname()[1]}"
-    fleet = [worker(0, hostPort=place), *(worker(n) for n in range(1, 8))]
+    address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
+    fleet = [worker(0, hostPort=address), *(worker(n) for n in range(1, 8))]
 
-    async def play(stream: trio.SocketStream, target: str) -> None:
-        if "index" not in target:
-            await stream.send_all(answered(listed(1, *fleet)))
+    async def respond(stream: trio.SocketStream, path: str) -> None:
+        if "index" not in path:
+            await stream.send_all(http_response(list_body(1, *fleet)))
 
-    async with serving(tmp_path, Agent(play).serve, known=known(*fleet), **NAMED) as (
+    async with serving_manager(
+        tmp_path, ScriptedDiscovery(respond).serve, known=initial_list(*fleet), **CONFIG
+    ) as (
         running,
         nursery,
     ):
-        nursery.start_soon(trio.serve_listeners, load, doors)
-        proxy, collector = await running.dial(), await running.dial()
+        nursery.start_soon(trio.serve_listeners, load, listeners)
+        proxy, collector = await running.connect(), await running.connect()
         await proxy.join(17, ZONE)
         await collector.send(message_type="agent", site=ZONE)
 
@@ -238,7 +268,7 @@
                         site=ZONE,
                         target=f"{WORKER}{n}",
                         count=50,
-                        fail=50 if n == 0 and not asked else 0,
+                        fail=50 if n == 0 and not requests else 0,
                         mean=20.0,
                         over=100.0,
                     )
@@ -249,5 +279,5 @@
             nursery.start_soon(report_failures)
             await proxy.wait_for_table(f"{WORKER}0")
             await proxy.wait_for_table(**{f"{WORKER}0": 1.0})
-        assert asked and asked[0].startswith(b"GET /load ")
+        assert requests and requests[0].startswith(b"GET /load ")
         nursery.cancel_scope.cancel()
--- a/tests/race_conditions/test_process_signals.py
+++ b/tests/race_conditions/test_process_signals.py
@@ -1,5 +1,7 @@
-"""Signals, reloads and restarts of the manager on the platform as a process, each at the very point where two events
-cross: a settings file that is a pipe, a stop under way, a file half written, a door that everybody dials."""
+"""Signals, reloads and restarts of the manager on the platform as a process, at critical points.
+
+A settings file that is a pipe, a stop under way, a file half written, an address that all dial.
+"""
 
 import json
 import os
@@ -18,19 +20,16 @@
 from dunlinlug.platform import environment, server
 from dunlinlug.standins.platform import DiscoveryServer
 from tests.fixtures.manager_set import free_ports
-from tests.platform.test_process import ROOT, SETTINGS, ZONES, Running, instance, manager
-
-
-def told(port: int, **more: Any) -> dict[str, Any]:
-    return {
-        "name": "n1",
-        "listen": f"127.0.0.1:{port}",
-        "discovery": "127.0.0.1:9",
-        "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-        "settings": SETTINGS,
-        **more,
-    }
+from tests.fixtures.platform_process import (
+    ROOT,
+    SETTINGS,
+    ZONES,
+    RunningManager,
+    initial_list,
+    instance,
+    manager_config,
+    running_manager,
+)
 
 
 async def start(config: Path, log: Path) -> trio.Process:
@@ -43,8 +42,8 @@
         )
 
 
-async def at_its_settings(config: Path) -> int:
-    """The pipe's end to write to, once the manager reads from the other: it stands at the reading of its settings."""
+async def open_pipe_for_settings(config: Path) -> int:
+    """Return a pipe's writing end once the manager waits for its settings at the other end."""
     os.mkfifo(config)
     return await trio.to_thread.run_sync(
         lambda: os.open(config, os.O_WRONLY), abandon_on_cancel=True
@@ -52,16 +51,16 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-async def test_a_stop_before_the_settings_are_read_ends_it_quietly(
+async def test_a_stop_before_the_settings_are_read_ends_the_manager_quietly(
     tmp_path: Path, number: int
 ) -> None:
     config, log, port = tmp_path / "config.json", tmp_path / "log", free_ports(1)[0]
     process = await start(config, log)
     try:
         with trio.fail_after(20):
-            pipe = await at_its_settings(config)
+            pipe = await open_pipe_for_settings(config)
             process.send_signal(number)
-            os.write(pipe, json.dumps(told(port)).encode())
+            os.write(pipe, json.dumps(manager_config(port)).encode())
             os.close(pipe)
             assert await process.wait() == 0
         assert "Traceback" not in log.read_text()
@@ -69,29 +68,33 @@
         process.kill()
 
 
-async def test_a_reload_before_the_settings_are_read_is_done_once_it_serves(tmp_path: Path) -> None:
+async def test_a_reload_before_the_settings_are_read_is_done_once_the_manager_serves(
+    tmp_path: Path,
+) -> None:
     config, log, port = tmp_path / "config.json", tmp_path / "log", free_ports(1)[0]
     process = await start(config, log)
-    running = Running(process, port, DiscoveryServer([]), config, log)
+    running = RunningManager(process, port, DiscoveryServer([]), config, log)
     try:
         with trio.fail_after(20):
-            pipe = await at_its_settings(config)
+            pipe = await open_pipe_for_settings(config)
             process.send_signal(signal.SIGHUP)
-            (tmp_path / "fresh").write_text(json.dumps(told(port, discovery="127.0.0.1:10")))
-            (tmp_path / "fresh").replace(config)
-            os.write(pipe, json.dumps(told(port)).encode())
+            (tmp_path / "new").write_text(
+                json.dumps(manager_config(port, discovery="127.0.0.1:10"))
+            )
+            (tmp_path / "new").replace(config)
+            os.write(pipe, json.dumps(manager_config(port)).encode())
             os.close(pipe)
-            assert (await running.until_said("reload.done"))["discovery"] == ["127.0.0.1", 10]
+            assert (await running.until_logged("reload.done"))["discovery"] == ["127.0.0.1", 10]
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
     finally:
         process.kill()
 
 
-async def test_what_comes_behind_a_stop_is_nothing(tmp_path: Path) -> None:
-    """The stop is under way for as long as proxies keep their ends open: the manager has closed its own already."""
-    async with manager(tmp_path) as running:
-        proxies = [await running.dial() for _ in range(3)]
+async def test_signals_after_a_stop_have_no_effect(tmp_path: Path) -> None:
+    """The stop lasts as long as proxies keep their ends open: the manager has closed its own."""
+    async with running_manager(tmp_path) as running:
+        proxies = [await running.connect() for _ in range(3)]
         for n, proxy in enumerate(proxies):
             await proxy.join(n, ZONES[n % 2])
         with trio.fail_after(5):
@@ -102,47 +105,47 @@
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
                 running.process.send_signal(number)
             assert await running.process.wait() == 0
-        assert running.said("stopped") and "Traceback" not in running.log.read_text()
-        assert not running.said("reload.done")
+        assert running.logged("stopped") and "Traceback" not in running.log.read_text()
+        assert not running.logged("reload.done")
 
 
 async def test_a_stop_and_a_reload_in_one_turn_are_a_stop(tmp_path: Path) -> None:
-    async with manager(tmp_path) as running:
-        await running.proxy()
+    async with running_manager(tmp_path) as running:
+        await running.join_proxy()
         running.process.send_signal(signal.SIGSTOP)
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGCONT):
             running.process.send_signal(number)
         with trio.fail_after(5):
             assert await running.process.wait() == 0
-        assert not running.said("reload.done")
+        assert not running.logged("reload.done")
 
 
 async def test_a_file_read_while_it_is_written_is_read_again(tmp_path: Path) -> None:
-    async with manager(tmp_path) as running, trio.open_nursery() as nursery:
-        proxy = await running.proxy()
-        whole = json.loads(running.config.read_text())
-        doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
+    async with running_manager(tmp_path) as running, trio.open_nursery() as nursery:
+        proxy = await running.join_proxy()
+        config_json = json.loads(running.config.read_text())
+        listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         other = DiscoveryServer([instance(n) for n in (0, 1, 9)])
-        nursery.start_soon(http.serve, other.handle, doors)
-        whole["discovery"] = f"127.0.0.1:{doors[0].socket.getsockname()[1]}"
-        text = json.dumps(whole)
+        nursery.start_soon(http.serve, other.handle, listeners)
+        config_json["discovery"] = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
+        text = json.dumps(config_json)
         with running.config.open("w") as file:
             file.write(text[: len(text) // 2])
             file.flush()
             running.process.send_signal(signal.SIGHUP)
-            await running.until_said("reload.rejected")
+            await running.until_logged("reload.rejected")
             file.write(text[len(text) // 2 :])
         with trio.fail_after(10):
             await proxy.wait_for_table("s-2", "s-3", **{"s-9": 1.0})
-        assert len(running.said("reload.rejected")) == 1
+        assert len(running.logged("reload.rejected")) == 1
         nursery.cancel_scope.cancel()
 
 
-async def test_a_manager_frozen_over_a_stop_and_a_lost_discovery_ends_all_the_same(
+async def test_a_manager_suspended_over_a_stop_and_a_lost_discovery_still_ends(
     tmp_path: Path,
 ) -> None:
-    async with manager(tmp_path) as running:
-        proxy = await running.proxy()
+    async with running_manager(tmp_path) as running:
+        proxy = await running.join_proxy()
         running.process.send_signal(signal.SIGSTOP)
         running.discovery.unresponsive = True
         await proxy.send(message_type="ack", id=3, seq=1, ms=1.0)
@@ -154,12 +157,14 @@
         assert "Traceback" not in running.log.read_text()
 
 
-async def test_a_restart_is_ready_while_every_proxy_and_many_strangers_dial_and_discovery_is_silent(
+async def test_a_restart_is_ready_while_all_proxies_and_many_others_connect_and_discovery_is_silent(
     tmp_path: Path,
 ) -> None:
-    """They dial from before there is a door, so that all stand there at once; what is known is old."""
-    _, alive, _ = await once(tmp_path, 40, 300)
-    assert alive < 10 and "connection.internal_error" not in (tmp_path / "log").read_text()
+    """They connect from before the manager listens, so that all are there at once."""
+    _, seconds_to_alive, _ = await once(tmp_path, 40, 300)
+    assert (
+        seconds_to_alive < 10 and "connection.internal_error" not in (tmp_path / "log").read_text()
+    )
 
 
 # Settings.
@@ -185,24 +190,24 @@
         ("rules.tipMultiple", [3]),
     ],
 )
-def test_a_setting_that_can_t_be_used_is_named(tmp_path: Path, where: str, value: Any) -> None:
+def test_the_error_for_an_unusable_setting_names_it(tmp_path: Path, where: str, value: Any) -> None:
     settings = json.loads(json.dumps(SETTINGS))
     *path, name = where.split(".")
-    inside: Any = settings
+    section: Any = settings
     for step in path:
-        inside = inside[int(step) if step.isdigit() else step]
-    inside[name] = value
+        section = section[int(step) if step.isdigit() else step]
+    section[name] = value
     config = tmp_path / "config.json"
-    config.write_text(json.dumps(told(9, settings=settings)))
-    with pytest.raises(environment.EnvironmentConfigError) as fault:
+    config.write_text(json.dumps(manager_config(9, settings=settings)))
+    with pytest.raises(environment.EnvironmentConfigError) as raised:
         environment.load_config({"ROUTER_CONFIG": str(config)})
-    assert name in str(fault.value) and "\n" not in str(fault.value)
+    assert name in str(raised.value) and "\n" not in str(raised.value)
 
 
-def test_a_setting_that_can_t_be_used_ends_run_with_one_line_and_status_2(tmp_path: Path) -> None:
+def test_an_unusable_setting_ends_the_process_with_one_line_and_status_2(tmp_path: Path) -> None:
     config = tmp_path / "config.json"
     settings = {**SETTINGS, "specifics": {**SETTINGS["specifics"], "egressPerS": 0}}
-    config.write_text(json.dumps(told(9, settings=settings)))
+    config.write_text(json.dumps(manager_config(9, settings=settings)))
     ended = subprocess.run(
         [sys.executable, "-m", "dunlinlug.platform"],
         cwd=ROOT,
@@ -214,40 +219,36 @@
     assert ended.returncode == 2 and "egressPerS" in ended.stderr and ended.stderr.count("\n") == 1
 
 
-async def test_a_setting_without_an_answer_is_said_at_the_start_and_a_further_one_is_nothing(
+async def test_an_unsupported_setting_is_logged_and_an_unknown_one_is_ignored(
     tmp_path: Path,
 ) -> None:
-    async with manager(
+    async with running_manager(
         tmp_path, specifics={"admit": "tokens", "keyRanges": 0, "newIn2030": {"a": [1]}}
     ) as running:
-        [said] = running.said("settings.unsupported")
-        assert "admit" in said["what"] and "tokens" in said["what"]
-        await running.proxy()
+        [unsupported] = running.logged("settings.unsupported")
+        assert "admit" in unsupported["what"] and "tokens" in unsupported["what"]
+        await running.join_proxy()
 
 
-async def test_workers_that_are_never_cold_are_served(tmp_path: Path) -> None:
+async def test_workers_without_warm_up_time_are_used(tmp_path: Path) -> None:
     config, log, port = tmp_path / "config.json", tmp_path / "log", free_ports(1)[0]
     settings = {**SETTINGS, "rules": {**SETTINGS["rules"], "coldUs": 0, "startCapacity": 1.0}}
-    known = {
-        "generation": 1,
-        "reset": True,
-        "instances": [instance(n, startedAtMs=1) for n in range(6)],
-    }
-    config.write_text(json.dumps(told(port, settings=settings, known=known)))
+    known = initial_list(*(instance(n, startedAtMs=1) for n in range(6)))
+    config.write_text(json.dumps(manager_config(port, settings=settings, known=known)))
     process = await start(config, log)
-    running = Running(process, port, DiscoveryServer([]), config, log)
+    running = RunningManager(process, port, DiscoveryServer([]), config, log)
     try:
-        await running.until_said("ready")
-        assert len(await (await running.proxy()).wait_for_table()) == 6
+        await running.until_logged("ready")
+        assert len(await (await running.join_proxy()).wait_for_table()) == 6
     finally:
         process.kill()
 
 
-def test_the_door_holds_every_proxy_of_a_large_fleet_at_once() -> None:
-    """Nobody is accepted meanwhile, as in a long turn of the loop."""
+def test_the_listen_backlog_holds_every_proxy_of_a_large_fleet() -> None:
+    """No connection is accepted meanwhile, as during a long batch."""
     listener = server.listen("127.0.0.1", 0)
-    room = min(int(Path("/proc/sys/net/core/somaxconn").read_text()), 2 * 1600)
-    for _ in range(room):
+    connection_count = min(int(Path("/proc/sys/net/core/somaxconn").read_text()), 2 * 1600)
+    for _ in range(connection_count):
         with socket.socket() as client:
             client.settimeout(2)
             client.connect(listener.getsockname())
