--- a/dunlinlug/platform/manager.py
+++ b/dunlinlug/platform/manager.py
@@ -79,14 +79,7 @@
             self._submit,
             log_event,
         )
-        self.health_checker = HealthChecker(
-            HEALTH_PATH if config.settings.report_delivery == "none" else LOAD_PATH,
-            HEALTH_CHECK_TIMEOUT_S,
-            MAX_CONCURRENT_HEALTH_CHECKS,
-            self._submit,
-            self.discovery.resolve_address,
-            parse_text_report,
-        )
+        self.health_checker = _make_health_checker(config.settings, self._submit, self.discovery)
         self.reloader = ConfigReloader(config, environment, self.discovery.set_address, log_event)
         self.summary_log = SummaryLog(
             self.loop,
@@ -158,6 +151,20 @@
     )
 
 
+def _make_health_checker(
+    settings: ManagerSettings, submit: Callable[[Event], None], discovery: DiscoveryWatcher
+) -> HealthChecker:
+    """Return a checker that reads load reports where workers are to give any."""
+    return HealthChecker(
+        HEALTH_PATH if settings.report_delivery == "none" else LOAD_PATH,
+        HEALTH_CHECK_TIMEOUT_S,
+        MAX_CONCURRENT_HEALTH_CHECKS,
+        submit,
+        discovery.resolve_address,
+        parse_text_report,
+    )
+
+
 def _max_unjoined(config: PlatformConfig) -> int:
     """Return how many connections that have not joined may stand at once.
 
--- a/dunlinlug/platform/orders.py
+++ b/dunlinlug/platform/orders.py
@@ -209,6 +209,7 @@
         self.ejection_changes = set()
         ack_number = self.install_orders(orders, awaited_proxies)
         reply = _Reply(ack_number, frozenset(self.ejected), frozenset(self.ejection_changes))
+        # a plain tuple as key, as one is made for each proxy and reply
         rendered_by_state: dict[
             tuple[ProxyTables, AssignedTables, str, float], _RenderedUpdate
         ] = {}
--- a/tests/manager/test_manager.py
+++ b/tests/manager/test_manager.py
@@ -1,4 +1,4 @@
-"""The running manager met over sockets: what goes wrong with one peer stays with that peer."""
+"""The running manager over sockets: a fault of one peer does not reach another."""
 
 import threading
 import time
@@ -21,7 +21,7 @@
 from tests.fixtures.manager_process import WORKERS, Running, bound, peer, running, until
 
 
-async def test_a_joiner_is_bound_and_a_drain_reaches_it(tmp_path: Path) -> None:
+async def test_a_proxy_that_joins_is_assigned_tables_and_sees_a_drain(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
         run.roster.tell(w2="draining")
@@ -35,61 +35,63 @@
         )
 
 
-async def test_bad_peers_are_told_and_harm_nobody_else(tmp_path: Path) -> None:
+async def test_invalid_peers_get_an_error_and_disturb_no_other(tmp_path: Path) -> None:
     hello = ("store = ", "hello_within = 300ms\nstore = ")
     async with (
         running(tmp_path, hello) as run,
-        peer(run, "good") as good,
-        grpc.connect(*run.address) as bad,
+        peer(run, "valid") as valid,
+        grpc.connect(*run.address) as invalid,
     ):
-        await good.until(bound)
+        await valid.until(bound)
         for path, data, status in [
             (names.DELTA_ADS_METHOD, b"\xff\xff", rpc.Status.INVALID_ARGUMENT),
             ("/no/where", b"", rpc.Status.UNIMPLEMENTED),
             (names.LRS_METHOD, b"\xff\xff", rpc.Status.INVALID_ARGUMENT),
         ]:
-            call = bad.start_call(path)
+            call = invalid.start_call(path)
             call.send(data)
             with trio.fail_after(5.0), pytest.raises(grpc.CallEndedError) as ended:
                 await call.receive()
             assert ended.value.status == status
         for greeting in (b"", b"GET / HTTP/1.1\r\n\r\n"):
-            mute = await trio.open_tcp_stream(*run.address)
+            silent = await trio.open_tcp_stream(*run.address)
             if greeting:
-                await mute.send_all(greeting)
+                await silent.send_all(greeting)
             with trio.fail_after(5.0):
-                while await mute.receive_some():
+                while await silent.receive_some():
                     pass
         run.roster.tell(w1="draining")
-        await good.until(lambda h: WORKERS[1].id in h.ejected)
+        await valid.until(lambda h: WORKERS[1].id in h.ejected)
 
 
-async def test_a_peer_that_reads_nothing_stalls_nobody_and_is_sent_the_newest_state(
+async def test_a_peer_that_does_not_read_blocks_no_other_and_gets_the_newest_state(
     tmp_path: Path,
 ) -> None:
-    async with running(tmp_path) as run, peer(run, "good") as good, peer(run, "mute") as mute:
-        await good.until(bound)
-        await mute.until(bound)
+    async with running(tmp_path) as run, peer(run, "valid") as valid, peer(run, "slow") as slow:
+        await valid.until(bound)
+        await slow.until(bound)
         service = run.manager.service
-        session = service.sessions[service.proxy_numbers["mute"]]
+        session = service.sessions[service.proxy_numbers["slow"]]
         for n in range(30):
             run.roster.tell(**{f"w{n % 3}": "draining" if n % 6 < 3 else "ready"})
             await until(lambda: run.manager.endpoint_watcher.state.index == run.roster.index)
-        await good.until(lambda h: not h.ejected & {w.id for w in WORKERS[:3]})
+        await valid.until(lambda h: not h.ejected & {w.id for w in WORKERS[:3]})
         assert len(session.in_flight) <= 8, "the rest is merged"
-        await good.until(bound)
-        await mute.until(lambda h: bound(h) and not h.ejected)
+        await valid.until(bound)
+        await slow.until(lambda h: bound(h) and not h.ejected)
 
 
-async def test_a_refusal_is_no_answer_is_said_once_and_is_not_sent_again(tmp_path: Path) -> None:
+async def test_a_rejected_response_is_no_acknowledgement_and_is_not_sent_again(
+    tmp_path: Path,
+) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
         await until(lambda: not run.manager.service.sessions[0].in_flight)
-        before = dict(proxy.holdings.tables)
-        refusals = 0
+        tables_before = dict(proxy.holdings.tables)
+        rejection_count = 0
 
-        async def refuse_tables() -> None:
-            nonlocal refusals
+        async def reject_tables() -> None:
+            nonlocal rejection_count
             while True:
                 data = await proxy.call.receive()
                 response = discovery_pb2.DeltaDiscoveryResponse()
@@ -98,36 +100,36 @@
                     resource.name not in (names.EJECTIONS_RESOURCE, names.ROUTES_RESOURCE)
                     for resource in response.resources
                 ):
-                    refusals += 1
-                    no = discovery_pb2.DeltaDiscoveryRequest(
+                    rejection_count += 1
+                    rejection = discovery_pb2.DeltaDiscoveryRequest(
                         type_url=response.type_url, response_nonce=response.nonce
                     )
-                    no.error_detail.code, no.error_detail.message = 3, "not today"
-                    proxy.call.send(no.SerializeToString())
+                    rejection.error_detail.code, rejection.error_detail.message = 3, "not today"
+                    proxy.call.send(rejection.SerializeToString())
                 else:
                     proxy.call.send(proxy.subscriber.receive(data)[0])
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(refuse_tables)
+            nursery.start_soon(reject_tables)
             run.roster.tell(w1="gone")
             await until(lambda: bool(run.said("proxy.response_rejected")))
-            await trio.sleep(1.5)  # time in which a loop would show
+            await trio.sleep(1.5)  # time in which a repetition would show
             nursery.cancel_scope.cancel()
         assert run.said("proxy.response_rejected")[0]["why"] == "not today"
-        assert refusals <= 4 and len(run.said("proxy.response_rejected")) <= 2 * refusals, (
-            "a table, and a route to it"
-        )
+        assert (
+            rejection_count <= 4 and len(run.said("proxy.response_rejected")) <= 2 * rejection_count
+        ), "a table, and a route to it"
         assert WORKERS[1].id in proxy.holdings.ejected, (
-            "a withdrawal does not fall with the tables beside it"
+            "an ejection is not lost with the tables beside it"
         )
-        held = run.manager.loop.module.assignments.proxies[0].tables_in_use  # type: ignore[attr-defined]
-        assert any(mark for tables in held.values() for _, mark in tables), (
-            "the module was told of no answer"
+        tables_in_use = run.manager.loop.module.assignments.proxies[0].tables_in_use  # type: ignore[attr-defined]
+        assert any(ack_number for tables in tables_in_use.values() for _, ack_number in tables), (
+            "the module got no acknowledgement"
         )
-        assert {t for t, _ in proxy.holdings.routes.values()} <= before.keys()
+        assert {t for t, _ in proxy.holdings.routes.values()} <= tables_before.keys()
 
 
-async def test_a_stream_cut_with_half_a_set_delivered_is_taken_up_by_the_next(
+async def test_a_stream_that_ends_with_a_set_half_delivered_is_continued_by_the_next(
     tmp_path: Path,
 ) -> None:
     async with running(tmp_path) as run:
@@ -144,7 +146,9 @@
             await second.until(lambda h: "gone/1" not in h.tables)
 
 
-async def test_a_proxy_that_dies_between_laid_and_bound_holds_up_no_change(tmp_path: Path) -> None:
+async def test_a_proxy_that_disconnects_before_its_assignment_delays_no_update(
+    tmp_path: Path,
+) -> None:
     async with running(tmp_path) as run, peer(run, "stays") as stays:
         await stays.until(bound)
         async with peer(run, "dies") as dies:
@@ -167,7 +171,7 @@
             assert len(run.manager.service.sessions) == 1
 
 
-async def test_reports_reach_the_module_at_the_agreed_rate(tmp_path: Path) -> None:
+async def test_reports_reach_the_module_at_the_configured_rate(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
         call = proxy.link.start_call(names.LRS_METHOD)
@@ -189,14 +193,15 @@
         call.send(load_reports.encode_report(report, is_first=False))
         module = run.manager.loop.module
         await until(lambda: bool(module.admission_controller.arrivals["ticket-read"]))  # type: ignore[attr-defined]
-        health, i = module.outlier_detector, module.fleet.row_by_id[WORKERS[0].id]  # type: ignore[attr-defined]
-        await until(lambda: bool(health.attempts[i]))
-        assert health.failure_rate(i) == pytest.approx(0.4) and "127.0.0.1:9" not in {
-            w for _, w in run.manager.report_aggregator.endpoint_totals
+        detector = module.outlier_detector  # type: ignore[attr-defined]
+        row = module.fleet.row_by_id[WORKERS[0].id]  # type: ignore[attr-defined]
+        await until(lambda: bool(detector.attempts[row]))
+        assert detector.failure_rate(row) == pytest.approx(0.4) and "127.0.0.1:9" not in {
+            worker for _, worker in run.manager.report_aggregator.endpoint_totals
         }
 
 
-async def test_the_roster_going_back_or_away_is_lived_with(tmp_path: Path) -> None:
+async def test_discovery_that_goes_back_or_fails_does_not_stop_updates(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
         run.roster.tell(index=3, w0="draining")
@@ -210,7 +215,7 @@
         assert len(run.said("discovery.failed")) == 1 and run.said("discovery.recovered")
 
 
-async def test_a_wall_clock_set_back_makes_no_worker_fresh(tmp_path: Path) -> None:
+async def test_a_wall_clock_that_is_set_back_restarts_no_slow_start(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         run.roster.workers[5] = replace(WORKERS[5], started_at=1000.0)
         run.roster.tell()
@@ -228,7 +233,7 @@
         assert fleet.started_at[fleet.row_by_id[WORKERS[5].id]] < trio.current_time() - 3600
 
 
-async def test_our_own_mistake_with_one_peer_ends_that_link_alone(tmp_path: Path) -> None:
+async def test_an_internal_error_with_one_peer_ends_that_connection_alone(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
         run.manager.service.proxy_numbers = None  # type: ignore[assignment]
@@ -244,28 +249,30 @@
         assert "TypeError" in run.said("connection.internal_error")[0]["why"]
 
 
-async def test_the_list_outlives_the_manager_and_the_store_has_one_writer(tmp_path: Path) -> None:
+async def test_the_endpoint_list_outlives_the_manager_and_the_store_has_one_writer(
+    tmp_path: Path,
+) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
         with pytest.raises(StoreError, match="another manager"):
             Store(tmp_path / "store")
         assert run.manager.epoch == 1
     path = manager_file(tmp_path, ("store = unused", f"store = {tmp_path / 'store'}"))
-    again = Manager(path, manager_config.load_manager_config(path))
-    again._submit_stored_list()
-    kept = again.loop.pending_events[0]
-    again.store.close()
-    assert again.epoch == 2 and kept.update_type == "kept"  # type: ignore[union-attr]
-    assert [w.id for w in kept.endpoints] == sorted(w.id for w in WORKERS)  # type: ignore[union-attr]
+    restarted = Manager(path, manager_config.load_manager_config(path))
+    restarted._submit_stored_list()
+    stored_list = restarted.loop.pending_events[0]
+    restarted.store.close()
+    assert restarted.epoch == 2 and stored_list.update_type == "kept"  # type: ignore[union-attr]
+    assert [w.id for w in stored_list.endpoints] == sorted(w.id for w in WORKERS)  # type: ignore[union-attr]
 
 
-def ask_with_grpcio(
+def subscribe_with_grpcio(
     address: tuple[str, int], done: threading.Event
 ) -> list[discovery_pb2.DeltaDiscoveryResponse]:
-    """An unmodified client that nobody here wrote: subscribes and acknowledges until told that it is done."""
-    got: list[discovery_pb2.DeltaDiscoveryResponse] = []
+    """Subscribe by an unmodified outside client, and acknowledge all until `done` is set."""
+    responses: list[discovery_pb2.DeltaDiscoveryResponse] = []
     acks: list[discovery_pb2.DeltaDiscoveryRequest] = []
-    more = threading.Condition()
+    ack_queued = threading.Condition()
     for type_url in (names.ENDPOINTS_TYPE, names.ROUTES_TYPE):
         request = discovery_pb2.DeltaDiscoveryRequest(
             type_url=type_url, resource_names_subscribe=["*"]
@@ -275,8 +282,8 @@
 
     def requests() -> object:
         while not done.is_set():
-            with more:
-                more.wait_for(lambda: bool(acks) or done.is_set(), 0.2)
+            with ack_queued:
+                ack_queued.wait_for(lambda: bool(acks) or done.is_set(), 0.2)
                 batch, acks[:] = list(acks), []
             yield from batch
 
@@ -287,49 +294,53 @@
             discovery_pb2.DeltaDiscoveryResponse.FromString,
         )
         for response in stream(requests(), timeout=10.0):
-            got.append(response)
-            with more:
+            responses.append(response)
+            with ack_queued:
                 acks.append(
                     discovery_pb2.DeltaDiscoveryRequest(
                         type_url=response.type_url, response_nonce=response.nonce
                     )
                 )
-                more.notify()
-    return got
+                ack_queued.notify()
+    return responses
 
 
-def settled(run: Running) -> bool:
-    """Whether the module has heard an answer for all that it ordered for every proxy."""
+def all_acknowledged(run: Running) -> bool:
+    """Return whether the module has acknowledgements of all proxies for all that it ordered."""
     proxies = run.manager.loop.module.assignments.proxies  # type: ignore[attr-defined]
     return bool(proxies) and all(
-        proxy.tables_in_use and not mark
+        proxy.tables_in_use and not ack_number
         for proxy in proxies.values()
         for tables in proxy.tables_in_use.values()
-        for _, mark in tables
+        for _, ack_number in tables
     )
 
 
-async def test_a_grpcio_client_gets_its_tables_and_its_answers_count(tmp_path: Path) -> None:
+async def test_a_grpcio_client_gets_its_tables_and_its_acknowledgements_count(
+    tmp_path: Path,
+) -> None:
     async with running(tmp_path) as run:
-        done, got = threading.Event(), list[discovery_pb2.DeltaDiscoveryResponse]()
+        done, responses = threading.Event(), list[discovery_pb2.DeltaDiscoveryResponse]()
 
         async def outside_client() -> None:
-            got.extend(await trio.to_thread.run_sync(ask_with_grpcio, run.address, done))
+            responses.extend(
+                await trio.to_thread.run_sync(subscribe_with_grpcio, run.address, done)
+            )
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(outside_client)
             try:
-                await until(lambda: settled(run))
+                await until(lambda: all_acknowledged(run))
             finally:
                 done.set()
         tables = endpoint_pb2.ClusterLoadAssignment()
-        tables.ParseFromString(got[0].resources[0].resource.value)
-        named = {
+        tables.ParseFromString(responses[0].resources[0].resource.value)
+        ports = {
             e.endpoint.address.socket_address.port_value
             for g in tables.endpoints
             for e in g.lb_endpoints
         }
-        assert named == {7000 + n for n in range(6)}
-        assert [r.type_url for r in got[:2]] == [names.ENDPOINTS_TYPE, names.ROUTES_TYPE], (
+        assert ports == {7000 + n for n in range(6)}
+        assert [r.type_url for r in responses[:2]] == [names.ENDPOINTS_TYPE, names.ROUTES_TYPE], (
             "tables before routes"
         )
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -265,7 +265,7 @@
     assert not installer.apply_orders([AssignTable(3, (0, 1), 3)], 0.0), "once, and nothing differs"
 
 
-def test_state_kept_by_worker_is_bounded() -> None:
+def test_state_by_worker_is_bounded() -> None:
     installer = create_installer(ProxyConnected(3, "north", 5.0, True))
     for n in range(4 * MAX_REMEMBERED_WORKERS):
         endpoint_added = Endpoint(f"w{n}", "north", "", 0, "ready", 1.0, None)
--- a/tests/race_conditions/test_ads_shutdown.py
+++ b/tests/race_conditions/test_ads_shutdown.py
@@ -1,4 +1,4 @@
-"""Stops that cross with what the gRPC front and the operators' endpoint have under way."""
+"""Stops of the gRPC front end while something is being sent, and signals in quick succession."""
 
 import signal
 import socket
@@ -17,7 +17,7 @@
 GOAWAY = 7
 
 
-def test_signals_of_all_kinds_in_one_moment_end_a_manager_once_and_quietly(tmp_path: Path) -> None:
+def test_signals_of_all_kinds_at_once_stop_a_manager_once_and_quietly(tmp_path: Path) -> None:
     path = manager_file(
         tmp_path,
         ("127.0.0.1:18000", "127.0.0.1:0"),
@@ -36,75 +36,78 @@
             manager.process.send_signal(number)
         assert manager.until("manager.stopped")
         assert manager.process.wait(15) == 0
-        assert not [said for said in manager.lines.queue if "Traceback" in said["event"]]
+        assert not [line for line in manager.lines.queue if "Traceback" in line["event"]]
     finally:
         manager.process.kill()
         manager.process.wait()
 
 
-def frames(data: bytes) -> list[int]:
-    """The kinds of these HTTP/2 frames, which are whole."""
-    kinds = []
+def frame_types(data: bytes) -> list[int]:
+    """Return the types of these HTTP/2 frames, which are complete."""
+    types = []
     while data:
         length = 9 + int.from_bytes(data[:3], "big")
-        assert len(data) >= length, "a frame is half written"
-        kinds.append(data[3])
+        assert len(data) >= length, "a frame is incomplete"
+        types.append(data[3])
         data = data[length:]
-    return kinds
+    return types
 
 
-@pytest.mark.parametrize("reads", [True, False])
-async def test_a_frame_under_way_at_the_stop_goes_out_whole_where_its_peer_reads(
-    reads: bool,
+@pytest.mark.parametrize("peer_reads", [True, False])
+async def test_a_frame_being_sent_at_a_stop_is_completed_where_the_peer_reads(
+    peer_reads: bool,
 ) -> None:
-    begun, links = trio.Event(), list[grpc.GrpcConnection]()
+    response_started = trio.Event()
+    connections = list[grpc.GrpcConnection]()
 
     async def answer(call: grpc.Call) -> None:
-        links.append(call.connection)
+        connections.append(call.connection)
         assert isinstance(call.connection.socket, trio.SocketStream)
         call.connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         call.accept()
         call.send(b"x" * 400_000)
-        begun.set()
+        response_started.set()
         await trio.sleep_forever()
 
-    doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
-    peer, ours = socket.socket(), rpc.Connection(is_client=True)
+    listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
+    peer = socket.socket()
+    client = rpc.Connection(is_client=True)
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    peer.connect(doors[0].socket.getsockname())
-    ours.start_call("/a", "h")
-    peer.sendall(ours.data_to_send())
+    peer.connect(listeners[0].socket.getsockname())
+    client.start_call("/a", "h")
+    peer.sendall(client.data_to_send())
     peer.setblocking(False)
-    scope, data = trio.CancelScope(), b""
+    scope = trio.CancelScope()
+    data = b""
 
     async def serve() -> None:
         with scope:
-            await grpc.serve(doors, answer)
+            await grpc.serve(listeners, answer)
 
     with trio.fail_after(8):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(serve)
-            await begun.wait()
+            await response_started.wait()
             await trio.testing.wait_all_tasks_blocked()  # the writer stands in the middle of it
             scope.cancel()
-            began = trio.current_time()
-            if (
-                not reads
-            ):  # until the bound is over, and then at once: the cut frame leaves room for a goodbye
+            stopped_at = trio.current_time()
+            if not peer_reads:  # until the time is over, then at once: the incomplete frame leaves room for a GOAWAY
                 await trio.testing.wait_all_tasks_blocked()
-                await trio.sleep_until(links[0].close_deadline)
+                await trio.sleep_until(connections[0].close_deadline)
                 with suppress(BlockingIOError):
-                    while part := peer.recv(8192):
+                    part = peer.recv(8192)
+                    while part:
                         data += part
+                        part = peer.recv(8192)
             while True:
                 await trio.lowlevel.wait_readable(peer)
                 part = peer.recv(8192)
                 if not part:
                     break
                 data += part
-        assert trio.current_time() - began < grpc.CLOSE_TIMEOUT + 0.5
+        assert trio.current_time() - stopped_at < grpc.CLOSE_TIMEOUT + 0.5
     peer.close()
-    if reads:
-        assert len(data) > 60_000 and frames(data)[-1] == GOAWAY
+    if peer_reads:
+        assert len(data) > 60_000 and frame_types(data)[-1] == GOAWAY
     else:
-        assert data.endswith(b"xxxx"), "no goodbye behind half a frame"
+        assert data.endswith(b"xxxx"), "no GOAWAY after an incomplete frame"
--- a/tests/race_conditions/test_http_connections.py
+++ b/tests/race_conditions/test_http_connections.py
@@ -1,4 +1,7 @@
-"""Two events that cross on an HTTP connection: closes, left-over bytes, idle bounds, stops; raw sockets as peers."""
+"""Two events at one HTTP connection at once: closes, surplus bytes, idle timeouts, stops.
+
+The peers are raw sockets.
+"""
 
 import os
 import socket
@@ -19,25 +22,27 @@
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
 
-class Scripted:
-    """A server that does on its n-th connection what the n-th of `acts` says."""
+class ScriptedServer:
+    """A server that handles its n-th connection by the n-th of `handlers`."""
 
-    def __init__(self, *acts: Callable[[trio.SocketStream], Awaitable[None]]) -> None:
-        self.acts, self.dialled = list(acts), 0
-        self.closed = [trio.Event() for _ in acts]
+    def __init__(self, *handlers: Callable[[trio.SocketStream], Awaitable[None]]) -> None:
+        self.handlers = list(handlers)
+        self.connection_count = 0
+        self.closed = [trio.Event() for _ in handlers]
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        n, self.dialled = self.dialled, self.dialled + 1
+        index = self.connection_count
+        self.connection_count += 1
         with suppress(trio.BrokenResourceError):  # of a client that has gone
-            await self.acts[n](stream)
-        self.closed[n].set()
+            await self.handlers[index](stream)
+        self.closed[index].set()
 
     @asynccontextmanager
-    async def client(self, **more: int) -> AsyncIterator[http.Client]:
+    async def client(self, **options: int) -> AsyncIterator[http.Client]:
         async with trio.open_nursery() as nursery:
-            doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            nursery.start_soon(trio.serve_listeners, self.serve, doors)
-            yield http.Client("127.0.0.1", doors[0].socket.getsockname()[1], **more)
+            listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
+            nursery.start_soon(trio.serve_listeners, self.serve, listeners)
+            yield http.Client("127.0.0.1", listeners[0].socket.getsockname()[1], **options)
             nursery.cancel_scope.cancel()
 
 
@@ -46,69 +51,71 @@
     stream.socket.close()
 
 
-async def answers(stream: trio.SocketStream) -> None:
+async def answer_all(stream: trio.SocketStream) -> None:
     while await stream.receive_some():
         await stream.send_all(OK)
 
 
-async def answers_once_then_closes_on_the_next(stream: trio.SocketStream) -> None:
+async def answer_once_then_close_on_the_next(stream: trio.SocketStream) -> None:
     await stream.receive_some()
     await stream.send_all(OK)
     await stream.receive_some()
     await stream.aclose()
 
 
-async def answers_once_then_resets_on_the_next(stream: trio.SocketStream) -> None:
+async def answer_once_then_reset_on_the_next(stream: trio.SocketStream) -> None:
     await stream.receive_some()
     await stream.send_all(OK)
     await stream.receive_some()
     reset(stream)
 
 
-async def answers_and_closes(stream: trio.SocketStream) -> None:
+async def answer_and_close(stream: trio.SocketStream) -> None:
     await stream.receive_some()
     await stream.send_all(OK)
     await stream.aclose()
 
 
 @pytest.mark.parametrize(
-    "crossed", [answers_once_then_closes_on_the_next, answers_once_then_resets_on_the_next]
+    "handler", [answer_once_then_close_on_the_next, answer_once_then_reset_on_the_next]
 )
 @pytest.mark.parametrize("method", ["GET", "POST"])
-async def test_where_a_kept_connection_closes_under_it_only_what_has_no_effect_is_said_again(
-    crossed: Any, method: str
+async def test_on_a_reused_connection_that_closes_only_idempotent_requests_are_retried(
+    handler: Any, method: str
 ) -> None:
-    peer = Scripted(crossed, answers)
+    peer = ScriptedServer(handler, answer_all)
     async with peer.client() as client:
         with trio.fail_after(5):
             assert (await client.request(method, "/a")).body == b"ok"
             if method == "GET":
-                assert (await client.request(method, "/b")).body == b"ok" and peer.dialled == 2
+                assert (
+                    await client.request(method, "/b")
+                ).body == b"ok" and peer.connection_count == 2
                 return
-            with pytest.raises(http.HttpError) as fault:
+            with pytest.raises(http.HttpError) as raised:
                 await client.request(method, "/b")
-        assert fault.value.request_sent and peer.dialled == 1
+        assert raised.value.request_sent and peer.connection_count == 1
 
 
-async def test_an_answer_that_began_is_not_asked_for_again() -> None:
-    async def breaks_off(stream: trio.SocketStream) -> None:
+async def test_a_request_whose_response_has_begun_is_not_retried() -> None:
+    async def send_half_of_second_response(stream: trio.SocketStream) -> None:
         await stream.receive_some()
         await stream.send_all(OK)
         await stream.receive_some()
         await stream.send_all(OK[:20])
         await stream.aclose()
 
-    peer = Scripted(breaks_off, answers)
+    peer = ScriptedServer(send_half_of_second_response, answer_all)
     async with peer.client() as client:
         with trio.fail_after(5):
             await client.request("GET", "/a")
-            with pytest.raises(http.HttpError) as fault:
+            with pytest.raises(http.HttpError) as raised:
                 await client.request("GET", "/b")
-        assert fault.value.response_started and peer.dialled == 1
+        assert raised.value.response_started and peer.connection_count == 1
 
 
-async def test_a_kept_connection_that_its_server_has_closed_is_not_written_to() -> None:
-    peer = Scripted(answers_and_closes, answers)
+async def test_an_idle_connection_that_the_server_has_closed_is_not_reused() -> None:
+    peer = ScriptedServer(answer_and_close, answer_all)
     async with peer.client() as client:
         with trio.fail_after(5):
             await client.request("POST", "/a")
@@ -117,25 +124,25 @@
 
 
 @pytest.mark.parametrize("at_once", [True, False])
-async def test_bytes_nobody_asked_for_answer_no_later_request(at_once: bool) -> None:
-    """Behind a whole answer, or sent into an idle connection (as a server does that gives it up with a 408)."""
-    asked, sent = trio.Event(), trio.Event()
+async def test_surplus_bytes_do_not_answer_a_later_request(at_once: bool) -> None:
+    """After a response, or on an idle connection, as a server sends that closes it with a 408."""
+    first_answered, sent = trio.Event(), trio.Event()
 
-    async def says_too_much(stream: trio.SocketStream) -> None:
+    async def send_surplus(stream: trio.SocketStream) -> None:
         late = b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\n\r\n"
         await stream.receive_some()
         await stream.send_all(OK + late if at_once else OK)
         if not at_once:
-            await asked.wait()
+            await first_answered.wait()
             await stream.send_all(late)
         sent.set()
         await stream.receive_some()
 
-    peer = Scripted(says_too_much, answers)
+    peer = ScriptedServer(send_surplus, answer_all)
     async with peer.client() as client:
         with trio.fail_after(5):
             assert (await client.request("GET", "/a")).status == 200
-            asked.set()
+            first_answered.set()
             await sent.wait()
             if not at_once:
                 await trio.lowlevel.wait_readable(client.idle_connections[0][0].socket)
@@ -152,11 +159,13 @@
         ("127.0.0.1", "/\r\nx: y"),
     ],
 )
-async def test_what_can_t_be_asked_is_a_fault_of_the_exchange_alone(host: str, path: str) -> None:
-    async with Scripted(answers).client() as client:
-        with trio.fail_after(5), pytest.raises(http.HttpError) as fault:
+async def test_an_impossible_request_is_an_error_of_that_exchange_alone(
+    host: str, path: str
+) -> None:
+    async with ScriptedServer(answer_all).client() as client:
+        with trio.fail_after(5), pytest.raises(http.HttpError) as raised:
             await http.Client(host, client.port).request("GET", path)
-        assert not fault.value.request_sent
+        assert not raised.value.request_sent
 
 
 @pytest.mark.parametrize(
@@ -173,112 +182,115 @@
         (b'{"queue": -1}', {}),
     ],
 )
-async def test_a_report_out_of_range_is_no_report(body: bytes, load: dict[str, float]) -> None:
-    async def reports(stream: trio.SocketStream) -> None:
+async def test_a_load_report_out_of_range_is_ignored(body: bytes, load: dict[str, float]) -> None:
+    async def send_report(stream: trio.SocketStream) -> None:
         await stream.receive_some()
         await stream.send_all(
             b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s" % (len(body), body)
         )
 
-    async with Scripted(reports).client() as client:
-        told, read = (
-            list[Event](),
-            parse_json_report if body.startswith(b"{") else parse_text_report,
-        )
+    async with ScriptedServer(send_report).client() as client:
+        events = list[Event]()
+        parse_report = parse_json_report if body.startswith(b"{") else parse_text_report
         await HealthChecker(
-            "/load", 5.0, 1, told.append, lambda worker: ("127.0.0.1", client.port), read
+            "/load", 5.0, 1, events.append, lambda worker: ("127.0.0.1", client.port), parse_report
         ).check("w")
         assert [
-            (event.healthy, event.load) for event in told if isinstance(event, HealthCheckCompleted)
+            (event.healthy, event.load)
+            for event in events
+            if isinstance(event, HealthCheckCompleted)
         ] == [(True, load)]
 
 
 @pytest.mark.parametrize("ends", ["never", "early"])
-async def test_a_report_without_end_or_broken_off_is_a_failed_probe_and_fills_no_memory(
+async def test_an_endless_or_incomplete_report_fails_the_health_check_and_fills_no_memory(
     ends: str,
 ) -> None:
-    taken = 0
+    sent_bytes = 0
 
-    async def floods(stream: trio.SocketStream) -> None:
-        nonlocal taken
+    async def flood(stream: trio.SocketStream) -> None:
+        nonlocal sent_bytes
         await stream.receive_some()
         await stream.send_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
         try:
             while ends == "never":
                 await stream.send_all(b"1000\r\n" + b"x" * 4096 + b"\r\n")
-                taken += 4096
+                sent_bytes += 4096
             await stream.send_all(b"1000\r\nTEXT")
         except trio.BrokenResourceError:
             return
 
-    peer = Scripted(floods)
+    peer = ScriptedServer(flood)
     async with peer.client() as client:
-        told = list[Event]()
-        prober = HealthChecker(
+        events = list[Event]()
+        health_checker = HealthChecker(
             "/load",
             5.0,
             1,
-            told.append,
+            events.append,
             lambda worker: ("127.0.0.1", client.port),
             parse_text_report,
         )
         with trio.fail_after(4):
-            await prober.check("w")
-        assert [event.result for event in told if isinstance(event, HealthCheckCompleted)] == [
+            await health_checker.check("w")
+        assert [event.result for event in events if isinstance(event, HealthCheckCompleted)] == [
             "reset"
         ]
-        assert taken < 100 * MAX_REPORT_BYTES  # what socket buffers hold, at most
+        assert sent_bytes < 100 * MAX_REPORT_BYTES  # what socket buffers hold, at most
 
 
-async def test_a_worker_that_goes_while_its_probe_waits_for_a_place_is_not_dialled() -> None:
-    begun, go = trio.Event(), trio.Event()
+async def test_a_worker_that_leaves_while_its_health_check_is_queued_is_not_connected_to() -> None:
+    started, proceed = trio.Event(), trio.Event()
 
     async def slow(stream: trio.SocketStream) -> None:
         await stream.receive_some()
-        begun.set()
-        await go.wait()
+        started.set()
+        await proceed.wait()
         await stream.send_all(OK)
 
-    peer = Scripted(slow)
+    peer = ScriptedServer(slow)
     async with peer.client() as client:
-        told, listed = (
-            list[Event](),
-            {"first": ("127.0.0.1", client.port), "second": ("127.0.0.1", client.port)},
-        )
-        prober = HealthChecker(
-            "/healthz", 5.0, 1, told.append, listed.__getitem__, parse_text_report
+        events = list[Event]()
+        addresses = {"first": ("127.0.0.1", client.port), "second": ("127.0.0.1", client.port)}
+        health_checker = HealthChecker(
+            "/healthz", 5.0, 1, events.append, addresses.__getitem__, parse_text_report
         )
         with trio.fail_after(5):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(prober.check, "first")
-                await begun.wait()
-                nursery.start_soon(prober.check, "second")
+                nursery.start_soon(health_checker.check, "first")
+                await started.wait()
+                nursery.start_soon(health_checker.check, "second")
                 await trio.testing.wait_all_tasks_blocked()
-                del listed["second"], listed["first"]  # the one that runs ends as it would have
-                go.set()
+                del (
+                    addresses["second"],
+                    addresses["first"],
+                )  # the one that runs ends as it would have
+                proceed.set()
         assert [
             (event.worker, event.result)
-            for event in told
+            for event in events
             if isinstance(event, HealthCheckCompleted)
         ] == [("first", "ok"), ("second", "connect_failed")]
-        assert peer.dialled == 1
+        assert peer.connection_count == 1
 
 
-class Door:
+class RunningServer:
     """A server by `http.serve`, and raw clients of it."""
 
-    def __init__(self, handler: http.Handler, **more: float) -> None:
-        self.handler, self.more = handler, more
-        self.scope, self.ended = trio.CancelScope(), trio.Event()
+    def __init__(self, handler: http.Handler, **options: float) -> None:
+        self.handler = handler
+        self.options = options
+        self.scope = trio.CancelScope()
+        self.ended = trio.Event()
 
     @asynccontextmanager
     async def open(self) -> AsyncIterator[Callable[[], Awaitable[trio.SocketStream]]]:
-        doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        port = doors[0].socket.getsockname()[1]
+        listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
+        port = listeners[0].socket.getsockname()[1]
 
         async def serve() -> None:
             with self.scope:
-                await http.serve(self.handler, doors, **self.more)
+                await http.serve(self.handler, listeners, **self.options)
             self.ended.set()
 
         async with trio.open_nursery() as nursery:
@@ -287,9 +299,9 @@
             nursery.cancel_scope.cancel()
 
 
-async def whole(stream: trio.SocketStream) -> bytes:
+async def read_until_closed(stream: trio.SocketStream) -> bytes:
     data = b""
-    while part := await stream.receive_some():
+    async for part in stream:
         data += part
     return data
 
@@ -313,82 +325,80 @@
     async def handler(request: http.Request) -> http.Response:
         return http.Response.json({"at": request.path}, 200 if request.method == "GET" else 401)
 
-    async with Door(handler).open() as dial:
+    async with RunningServer(handler).open() as connect:
         with trio.fail_after(5):
-            odd = await dial()
-            await odd.send_all(request_line.encode("latin-1") + b"\r\nhost: h\r\n\r\n")
-            assert (await odd.receive_some()).startswith(b"HTTP/1.1 ")
-            good = await dial()
-            await good.send_all(
+            unusual = await connect()
+            await unusual.send_all(request_line.encode("latin-1") + b"\r\nhost: h\r\n\r\n")
+            assert (await unusual.receive_some()).startswith(b"HTTP/1.1 ")
+            valid = await connect()
+            await valid.send_all(
                 b"HEAD / HTTP/1.1\r\nhost: h\r\n\r\n"
                 b"GET /b HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n"
             )
-            said = await whole(good)
-        assert said.count(b"HTTP/1.1 ") == 2 and said.endswith(b'{"at": "/b"}')
+            responses = await read_until_closed(valid)
+        assert responses.count(b"HTTP/1.1 ") == 2 and responses.endswith(b'{"at": "/b"}')
 
 
-async def test_a_request_under_way_at_the_stop_is_answered_and_nothing_new_is_taken() -> None:
-    begun, go = trio.Event(), trio.Event()
+async def test_a_request_in_progress_at_a_stop_is_answered_and_no_new_one_accepted() -> None:
+    started, proceed = trio.Event(), trio.Event()
     effects = list[str]()
 
     async def handler(request: http.Request) -> http.Response:
-        begun.set()
-        await go.wait()
+        started.set()
+        await proceed.wait()
         effects.append(request.path)
-        await (
-            trio.lowlevel.checkpoint()
-        )  # Danger: the point at which the stop used to come between effect and answer
+        await trio.lowlevel.checkpoint()  # a stop must not come between effect and answer here
         return http.Response(200, body=b"done")
 
-    door = Door(handler, grace_period=5.0)
-    async with door.open() as dial:
+    server = RunningServer(handler, grace_period=5.0)
+    async with server.open() as connect:
         with trio.fail_after(8):
-            mine, idle = await dial(), await dial()
-            await mine.send_all(b"PUT /pin HTTP/1.1\r\nhost: h\r\ncontent-length: 0\r\n\r\n")
-            await begun.wait()
-            door.scope.cancel()
-            assert await whole(idle) == b""
+            busy, idle = await connect(), await connect()
+            await busy.send_all(b"PUT /pin HTTP/1.1\r\nhost: h\r\ncontent-length: 0\r\n\r\n")
+            await started.wait()
+            server.scope.cancel()
+            assert await read_until_closed(idle) == b""
             with pytest.raises(OSError):
-                await dial()
-            go.set()
-            assert (await whole(mine)).endswith(b"done") and effects == ["/pin"]
-            await door.ended.wait()
+                await connect()
+            proceed.set()
+            assert (await read_until_closed(busy)).endswith(b"done") and effects == ["/pin"]
+            await server.ended.wait()
 
 
-async def test_a_stop_waits_for_no_handler_longer_than_its_bound() -> None:
-    begun = trio.Event()
+async def test_a_stop_waits_for_handlers_for_a_bounded_time() -> None:
+    started = trio.Event()
 
     async def handler(request: http.Request) -> http.Response:
-        begun.set()
+        started.set()
         await trio.sleep_forever()
         raise AssertionError
 
-    door = Door(handler, grace_period=0.1)
-    async with door.open() as dial:
+    server = RunningServer(handler, grace_period=0.1)
+    async with server.open() as connect:
         with trio.fail_after(5):
-            mine = await dial()
-            await mine.send_all(b"GET / HTTP/1.1\r\nhost: h\r\n\r\n")
-            await begun.wait()
-            door.scope.cancel()
-            assert await whole(mine) == b""
-            await door.ended.wait()
+            busy = await connect()
+            await busy.send_all(b"GET / HTTP/1.1\r\nhost: h\r\n\r\n")
+            await started.wait()
+            server.scope.cancel()
+            assert await read_until_closed(busy) == b""
+            await server.ended.wait()
 
 
-async def test_a_request_that_lies_there_when_the_idle_bound_ends_is_answered() -> None:
-    """Both in one turn: the clock jumps over the bound while the request is in the socket."""
+async def test_a_request_that_arrived_as_the_idle_timeout_ends_is_answered() -> None:
+    """Both in one turn: the timeout passes while the request is in the socket."""
 
     async def handler(request: http.Request) -> http.Response:
         return http.Response(200, body=b"ok")
 
-    async with Door(handler, idle_timeout=0.2).open() as dial:
+    async with RunningServer(handler, idle_timeout=0.2).open() as connect:
         for _ in range(5):
-            stream = await dial()
+            stream = await connect()
             await trio.testing.wait_all_tasks_blocked()
-            begun = trio.current_time()
+            sent_at = trio.current_time()
             os.write(
                 stream.socket.fileno(), b"GET / HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n"
             )
-            while trio.current_time() < begun + 0.25:
-                pass  # no turn of the loop in between
+            while trio.current_time() < sent_at + 0.25:
+                pass  # the event loop does not run meanwhile
             with trio.fail_after(5):
-                assert (await whole(stream)).endswith(b"ok")
+                assert (await read_until_closed(stream)).endswith(b"ok")
--- a/tests/race_conditions/test_platform_sockets.py
+++ b/tests/race_conditions/test_platform_sockets.py
@@ -1,5 +1,7 @@
-"""Two events that cross at the manager's address or on its way to discovery, on real sockets, in this process: what
-both ends do is put into one turn of the loop."""
+"""Two events at the manager's address, or at its query of discovery, in one turn of the event loop.
+
+On real sockets, in this process.
+"""
 
 import os
 import socket
@@ -37,68 +39,73 @@
 )
 from dunlinlug.platform.socket_connection import Connection
 
-HELLO = b'{"@type":"hello","id":17,"site":"a","rps":2.0,"new":true}\n'
-DEMAND = b'{"@type":"demand","id":17,"lane":"read","count":7,"fail":0,"over":1000.0}\n'
+PROXY_HELLO = b'{"@type":"hello","id":17,"site":"a","rps":2.0,"new":true}\n'
+DEMAND_REPORT = b'{"@type":"demand","id":17,"lane":"read","count":7,"fail":0,"over":1000.0}\n'
 
 
-class Stage:
-    """A front at work, what it told, and raw clients of it that block nothing."""
+class RunningServer:
+    """A server, the events that it submitted, and raw clients of it that do not block."""
 
-    def __init__(self, unjoined_most: int = 64) -> None:
-        self.told, self.notes = list[Event](), list[Any]()
-        self.peers = PeerRegistry(
-            ("a", "b"), 400, ("read", "book"), lambda worker: True, self.told.append
+    def __init__(self, max_unjoined: int = 64) -> None:
+        self.events = list[Event]()
+        self.log_entries = list[Any]()
+        self.registry = PeerRegistry(
+            ("a", "b"), 400, ("read", "book"), lambda worker: True, self.events.append
         )
-        self.front = ConnectionServer(
-            self.peers, unjoined_most, lambda event, **said: self.notes.append((event, said))
+        self.server = ConnectionServer(
+            self.registry,
+            max_unjoined,
+            lambda event, **fields: self.log_entries.append((event, fields)),
         )
         self.clients: list[socket.socket] = []
 
     @asynccontextmanager
     async def open(self) -> AsyncIterator[None]:
         listener = listen("127.0.0.1", 0)
-        self.place = listener.getsockname()
+        self.address = listener.getsockname()
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.front.serve, listener)
+                nursery.start_soon(self.server.serve, listener)
                 yield
                 nursery.cancel_scope.cancel()
         finally:
             for client in self.clients:
                 client.close()
-        assert not self.notes, "no connection met a mistake of ours"
-
-    def dial(self, receives: int = 0) -> socket.socket:
-        """Connected by the kernel alone: the front has not had a turn yet."""
-        made = socket.socket()
-        if receives:
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receives)
-        made.connect(self.place)
-        self.clients.append(made)
-        return made
-
-    async def slow(self, number: int = 17) -> tuple[socket.socket, Connection]:
-        """A proxy whose end takes little at a time, joined, and our connection to it, which holds little either."""
-        made, before = (
-            self.dial(receives=4096),
-            sum(isinstance(event, ProxyConnected) for event in self.told),
-        )
-        made.sendall(HELLO.replace(b"17", b"%d" % number))
-        await self.until(before + 1)
-        ours = self.front.connections[self.peers.peer_by_proxy[number]]
-        ours.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        return made, ours
-
-    async def until(self, count: int, kind: type = ProxyConnected) -> None:
+        assert not self.log_entries, "no internal error"
+
+    def connect(self, receive_buffer: int = 0) -> socket.socket:
+        """Connect; the kernel alone has accepted it yet, not the server."""
+        client = socket.socket()
+        if receive_buffer:
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
+        client.connect(self.address)
+        self.clients.append(client)
+        return client
+
+    async def join_slow_reader(self, number: int = 17) -> tuple[socket.socket, Connection]:
+        """Return a joined proxy that receives little at a time, and the server's connection to it."""
+        client = self.connect(receive_buffer=4096)
+        joined_before = self._count(ProxyConnected)
+        client.sendall(PROXY_HELLO.replace(b"17", b"%d" % number))
+        await self.until_submitted(joined_before + 1)
+        connection = self.server.connections[self.registry.peer_by_proxy[number]]
+        connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        return client, connection
+
+    async def until_submitted(self, count: int, event_type: type = ProxyConnected) -> None:
         with trio.fail_after(8):
-            while sum(isinstance(event, kind) for event in self.told) < count:
+            while self._count(event_type) < count:
                 await trio.sleep(0.001)
 
-    async def joined(self, hello: bytes = HELLO) -> socket.socket:
-        made, before = self.dial(), sum(isinstance(event, ProxyConnected) for event in self.told)
-        made.sendall(hello)
-        await self.until(before + 1)
-        return made
+    def _count(self, event_type: type) -> int:
+        return sum(isinstance(event, event_type) for event in self.events)
+
+    async def join(self, hello: bytes = PROXY_HELLO) -> socket.socket:
+        client = self.connect()
+        joined_before = self._count(ProxyConnected)
+        client.sendall(hello)
+        await self.until_submitted(joined_before + 1)
+        return client
 
 
 def reset(client: socket.socket) -> None:
@@ -106,257 +113,263 @@
     client.close()
 
 
-def busy(seconds: float) -> None:
-    """No turn of the loop for so long."""
+def block(seconds: float) -> None:
+    """Keep the event loop from running."""
     until = time.perf_counter() + seconds
     while time.perf_counter() < until:
         pass
 
 
-# The address.
+# The server.
 
 
-async def test_what_an_old_stream_says_in_the_turn_of_the_new_one_is_nothing() -> None:
-    stage = Stage()
-    async with stage.open():
-        old = await stage.joined()
-        for n in range(2, 42):  # which of the two is read first is chance
-            new = stage.dial()
-            await trio.testing.wait_all_tasks_blocked()  # taken, and nothing said yet
-            new.sendall(HELLO)
-            old.sendall(DEMAND)
-            await stage.until(n)
+async def test_an_old_connection_s_message_in_the_turn_of_the_new_one_does_not_count() -> None:
+    running = RunningServer()
+    async with running.open():
+        old = await running.join()
+        for n in range(2, 42):  # which of the two is read first is random
+            new = running.connect()
+            await trio.testing.wait_all_tasks_blocked()  # accepted, and nothing sent yet
+            new.sendall(PROXY_HELLO)
+            old.sendall(DEMAND_REPORT)
+            await running.until_submitted(n)
             old.close()
             await trio.testing.wait_all_tasks_blocked()
             old = new
-        # Read ahead of the new hello it counts, and then the old stream's Left comes next; behind it, it is nothing.
-        spoke = [n for n, event in enumerate(stage.told) if isinstance(event, DemandReported)]
-        assert all(isinstance(stage.told[n + 1], ProxyDisconnected) for n in spoke)
+        # Read before the new hello it counts, and the old connection's end comes next; else it does not.
+        report_indexes = [
+            n for n, event in enumerate(running.events) if isinstance(event, DemandReported)
+        ]
+        assert all(isinstance(running.events[n + 1], ProxyDisconnected) for n in report_indexes)
 
 
-def test_who_was_turned_away_or_ended_joins_no_more() -> None:
-    stage = Stage()
+def test_a_rejected_or_ended_connection_cannot_join() -> None:
+    running = RunningServer()
     left, right = socket.socketpair()
     joining = Connection(left, 0.0)
     with pytest.raises(ConnectionRejectedError):
-        stage.peers.receive(joining.peer, b"garbage\n", 0.0)
-    assert stage.peers.receive(joining.peer, HELLO, 0.0) == b"" and not stage.told
+        running.registry.receive(joining.peer, b"garbage\n", 0.0)
+    assert running.registry.receive(joining.peer, PROXY_HELLO, 0.0) == b"" and not running.events
     ended = Connection(right, 0.0)
     ended.end("there are too many that have not joined")
     assert (
-        stage.peers.receive(ended.peer, HELLO + DEMAND, 0.0) == b""
-        and not stage.told
-        and not stage.peers.peer_by_proxy
+        running.registry.receive(ended.peer, PROXY_HELLO + DEMAND_REPORT, 0.0) == b""
+        and not running.events
+        and not running.registry.peer_by_proxy
     )
     left.close(), right.close()
 
 
-async def test_a_hello_in_the_socket_as_its_connection_is_to_give_way_is_heard() -> None:
+async def test_a_hello_that_arrives_as_its_connection_is_to_be_closed_counts() -> None:
     for _ in range(12):
-        stage = Stage(unjoined_most=1)
-        async with stage.open():
-            first = stage.dial()
+        running = RunningServer(max_unjoined=1)
+        async with running.open():
+            first = running.connect()
             await trio.testing.wait_all_tasks_blocked()
-            stage.dial()
+            running.connect()
             await (
                 trio.testing.wait_all_tasks_blocked()
-            )  # the second waits for the first to give way
-            first.sendall(HELLO)
-            busy(2 * SILENT_GRACE_S)  # so that its time is over in the turn in which it can be read
-            await stage.until(1)
+            )  # the second waits for the first to be closed
+            first.sendall(PROXY_HELLO)
+            block(2 * SILENT_GRACE_S)  # so that its time is over as it becomes readable
+            await running.until_submitted(1)
             await trio.testing.wait_all_tasks_blocked()
-            assert not any(isinstance(event, ProxyDisconnected) for event in stage.told)
+            assert not any(isinstance(event, ProxyDisconnected) for event in running.events)
 
 
-@pytest.mark.parametrize("begun", [b"", b'{"@type":"hel'])
-async def test_a_proxy_behind_a_flood_of_strangers_is_soon_taken(begun: bytes) -> None:
-    stage = Stage(unjoined_most=8)
-    async with stage.open():
-        for _ in range(60 if begun else 300):
-            stage.dial().sendall(begun)
-        began = trio.current_time()
-        await stage.joined()
+@pytest.mark.parametrize("partial_hello", [b"", b'{"@type":"hel'])
+async def test_a_proxy_behind_many_unjoined_connections_is_soon_accepted(
+    partial_hello: bytes,
+) -> None:
+    running = RunningServer(max_unjoined=8)
+    async with running.open():
+        for _ in range(60 if partial_hello else 300):
+            running.connect().sendall(partial_hello)
+        started_at = trio.current_time()
+        await running.join()
         assert (
-            trio.current_time() - began < 4.0
-        )  # by the oldest, whatever it said, it was 9 s behind 300
-
-
-async def test_a_reset_before_the_first_reading_and_an_end_right_behind_a_line_harm_nobody() -> (
-    None
-):
-    stage = Stage()
-    async with stage.open():
-        good = await stage.joined(HELLO.replace(b"17", b"3"))
-        for cut in range(0, len(HELLO) + 1, 7):
-            gone, ended = stage.dial(), stage.dial()
-            gone.sendall(HELLO.replace(b"17", b"18")[:cut])
-            reset(gone)
-            ended.sendall(HELLO + DEMAND[:cut])
+            trio.current_time() - started_at < 4.0
+        )  # closing the oldest, whatever it sent, would take 9 s for 300
+
+
+async def test_resets_and_ends_at_any_byte_do_not_disturb_other_connections() -> None:
+    running = RunningServer()
+    async with running.open():
+        good = await running.join(PROXY_HELLO.replace(b"17", b"3"))
+        for length in range(0, len(PROXY_HELLO) + 1, 7):
+            reset_client, ended = running.connect(), running.connect()
+            reset_client.sendall(PROXY_HELLO.replace(b"17", b"18")[:length])
+            reset(reset_client)
+            ended.sendall(PROXY_HELLO + DEMAND_REPORT[:length])
             ended.close()
-        await stage.until(len(range(0, len(HELLO) + 1, 7)), ProxyDisconnected)
-        good.sendall(DEMAND.replace(b"17", b"3"))
-        await stage.until(1, DemandReported)
-        assert 3 in stage.peers.peer_by_proxy
+        await running.until_submitted(len(range(0, len(PROXY_HELLO) + 1, 7)), ProxyDisconnected)
+        good.sendall(DEMAND_REPORT.replace(b"17", b"3"))
+        await running.until_submitted(1, DemandReported)
+        assert 3 in running.registry.peer_by_proxy
 
 
-async def test_a_line_that_comes_a_byte_in_a_turn_is_one_line() -> None:
-    stage = Stage()
-    async with stage.open():
-        client = stage.dial()
-        for byte in HELLO + DEMAND:
+async def test_a_line_that_arrives_byte_by_byte_is_one_line() -> None:
+    running = RunningServer()
+    async with running.open():
+        client = running.connect()
+        for byte in PROXY_HELLO + DEMAND_REPORT:
             client.sendall(bytes([byte]))
             await trio.testing.wait_all_tasks_blocked()
-        await stage.until(1, DemandReported)
-        assert [type(event) for event in stage.told] == [ProxyConnected, DemandReported]
+        await running.until_submitted(1, DemandReported)
+        assert [type(event) for event in running.events] == [ProxyConnected, DemandReported]
 
 
-def order(lines: int) -> bytes:
-    endpoints = [(f"worker-{n:06}.of-some-length", 1.0) for n in range(lines)]
-    return messages.encode(messages.TableUpdate(replaces_table=True, weights=endpoints))
+def table_update(entry_count: int) -> bytes:
+    weights = [(f"worker-{n:06}.of-some-length", 1.0) for n in range(entry_count)]
+    return messages.encode(messages.TableUpdate(replaces_table=True, weights=weights))
 
 
-async def read_to_the_end(client: socket.socket) -> bytes:
+async def read_until_closed(client: socket.socket) -> bytes:
     client.setblocking(False)
     data = b""
     while True:
         await trio.lowlevel.wait_readable(client)
         try:
-            part = client.recv(65536)
+            chunk = client.recv(65536)
         except ConnectionResetError:
             return data
-        if not part:
+        if not chunk:
             return data
-        data += part
+        data += chunk
 
 
-async def test_an_order_begun_at_the_stop_goes_out_whole_where_its_peer_reads() -> None:
-    stage = Stage()
-    async with stage.open():
-        client, connection = await stage.slow()
-        whole = order(4000) + order(100)
-        stage.front.deliver(17, ProxyMessage(whole, 4000.0, None))
-        assert connection.unsent, "the socket took a part"
+async def test_output_begun_before_a_stop_is_completed_where_the_peer_reads() -> None:
+    running = RunningServer()
+    async with running.open():
+        client, connection = await running.join_slow_reader()
+        expected = table_update(4000) + table_update(100)
+        running.server.deliver(17, ProxyMessage(expected, 4000.0, None))
+        assert connection.unsent, "the socket took a part of it"
         client.sendall(
-            DEMAND
-        )  # unread by us: closed over it, the connection would be reset under what it still holds
-        got = b""
+            DEMAND_REPORT
+        )  # not read by the server: closed with it, the connection would be reset and its output lost
+        received = b""
 
         async def read() -> None:
-            nonlocal got
-            got = await read_to_the_end(client)
+            nonlocal received
+            received = await read_until_closed(client)
             client.close()
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(read)
             with trio.fail_after(5):
-                await stage.front.finish()
-                nursery.start_soon(stage.front.finish)  # a second stop finds nothing to do
-        assert got == whole
+                await running.server.finish()
+                nursery.start_soon(running.server.finish)  # a second stop has nothing to do
+        assert received == expected
 
 
-async def test_the_stop_waits_for_no_peer_longer_than_its_bound_and_takes_nobody_new() -> None:
-    stage = Stage()
-    async with stage.open():
-        await stage.slow()
-        silent = stage.dial()
+async def test_a_stop_is_bounded_in_time_and_accepts_no_connection() -> None:
+    running = RunningServer()
+    async with running.open():
+        await running.join_slow_reader()
+        silent = running.connect()
         await trio.testing.wait_all_tasks_blocked()
-        stage.front.deliver(17, ProxyMessage(order(4000) * 4, 16000.0, None))
-        began = trio.current_time()
+        running.server.deliver(17, ProxyMessage(table_update(4000) * 4, 16000.0, None))
+        started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(stage.front.finish)
+            nursery.start_soon(running.server.finish)
             await trio.testing.wait_all_tasks_blocked()
-            assert not stage.front.unjoined and stage.front.connections, (
-                "who has not joined is closed at once"
+            assert not running.server.unjoined and running.server.connections, (
+                "unjoined connections are closed at once"
             )
-            assert await read_to_the_end(silent) == b""
+            assert await read_until_closed(silent) == b""
             with pytest.raises(OSError):
-                stage.dial()
-        assert SHUTDOWN_GRACE_S <= trio.current_time() - began < SHUTDOWN_GRACE_S + 0.5
+                running.connect()
+        assert SHUTDOWN_GRACE_S <= trio.current_time() - started_at < SHUTDOWN_GRACE_S + 0.5
 
 
-async def test_writes_while_older_bytes_wait_keep_their_order() -> None:
-    stage = Stage()
-    async with stage.open():
-        client, _ = await stage.slow()
-        parts = [order(2000 + n) for n in range(6)]
-        got = b""
+async def test_writes_while_output_is_queued_keep_their_order() -> None:
+    running = RunningServer()
+    async with running.open():
+        client, _ = await running.join_slow_reader()
+        messages_sent = [table_update(2000 + n) for n in range(6)]
+        received = b""
 
         async def read() -> None:
-            nonlocal got
+            nonlocal received
             client.setblocking(False)
-            while len(got) < sum(map(len, parts)):
+            while len(received) < sum(map(len, messages_sent)):
                 await trio.lowlevel.wait_readable(client)
-                got += client.recv(3000)
+                received += client.recv(3000)
 
         with trio.fail_after(8):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(read)
-                for part in parts:
-                    stage.front.deliver(17, ProxyMessage(part, 1.0, None))
+                for message in messages_sent:
+                    running.server.deliver(17, ProxyMessage(message, 1.0, None))
                     await trio.lowlevel.checkpoint()
-        assert got == b"".join(parts)
+        assert received == b"".join(messages_sent)
 
 
-async def test_a_connection_that_is_readable_in_the_turn_of_the_stop_is_not_taken() -> None:
+async def test_a_connection_that_arrives_in_the_turn_of_the_stop_is_not_accepted() -> None:
     for _ in range(12):
-        stage = Stage()
-        async with stage.open():
-            door = _own(lambda one, place=stage.place: one.getsockname() == place)  # type: ignore[misc]
-            at_the_stop = list[int]()
+        running = RunningServer()
+        async with running.open():
+            listener = _duplicate_own_socket(
+                lambda one, address=running.address: one.getsockname() == address
+            )  # type: ignore[misc]
+            accepted_at_stop = list[int]()
 
             async def stop(
-                door: socket.socket = door,
-                stage: Stage = stage,
-                at_the_stop: list[int] = at_the_stop,
+                listener: socket.socket = listener,
+                running: RunningServer = running,
+                accepted_at_stop: list[int] = accepted_at_stop,
             ) -> None:
                 await trio.lowlevel.wait_readable(
-                    door
-                )  # woken with the accepting task, in an order that is chance
-                at_the_stop.append(stage.front.accepted_count)
-                await stage.front.finish()
+                    listener
+                )  # woken with the accepting task, in random order
+                accepted_at_stop.append(running.server.accepted_count)
+                await running.server.finish()
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(stop)
                 await trio.testing.wait_all_tasks_blocked()
-                stage.dial()
-            assert [stage.front.accepted_count] == at_the_stop
-            door.close()
+                running.connect()
+            assert [running.server.accepted_count] == accepted_at_stop
+            listener.close()
 
 
-async def test_a_peer_that_resets_while_orders_wait_for_it_ends_alone() -> None:
-    stage = Stage()
-    async with stage.open():
-        good = await stage.joined()
-        gone, connection = await stage.slow(18)
-        stage.front.deliver(18, ProxyMessage(order(4000) * 4, 16000.0, None))
+async def test_a_peer_that_resets_with_output_queued_disturbs_no_other() -> None:
+    running = RunningServer()
+    async with running.open():
+        good = await running.join()
+        reset_client, connection = await running.join_slow_reader(18)
+        running.server.deliver(18, ProxyMessage(table_update(4000) * 4, 16000.0, None))
         assert connection.unsent
-        reset(gone)
-        await stage.until(1, ProxyDisconnected)
-        stage.front.deliver(
-            18, ProxyMessage(order(10), 10.0, None)
-        )  # for a stream that has ended: lost
-        good.sendall(DEMAND)
-        await stage.until(1, DemandReported)
-        assert stage.peers.peer_by_proxy.keys() == {17}
+        reset(reset_client)
+        await running.until_submitted(1, ProxyDisconnected)
+        running.server.deliver(
+            18, ProxyMessage(table_update(10), 10.0, None)
+        )  # for a connection that has ended: lost
+        good.sendall(DEMAND_REPORT)
+        await running.until_submitted(1, DemandReported)
+        assert running.registry.peer_by_proxy.keys() == {17}
 
 
-# The loop.
+# The decision loop.
 
 
-class Counting:
-    """A module that counts its calls and asks to be woken at once."""
+class CountingModule:
+    """A module that counts its batches and sets a timer for at once."""
 
     def __init__(self) -> None:
-        self.calls = 0
+        self.batch_count = 0
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
-        self.calls += 1
-        return [SetTimer(0.0, self.calls)]
+        self.batch_count += 1
+        return [SetTimer(0.0, self.batch_count)]
+
 
+class NullOrderSink:
+    """An order sink that makes no messages."""
 
-class Nothing:
     def handle_events(self, events: Iterable[Event]) -> None:
-        """Nothing."""
+        """Take note of nothing."""
 
     def apply_orders(
         self, orders: Iterable[Order], now: float, awaited_proxies: Iterable[int] = ()
@@ -364,20 +377,20 @@
         return {}
 
 
-async def test_a_turn_that_is_due_as_we_are_told_to_stop_decides_nothing() -> None:
-    for timer in (False, True) * 5:
-        module = Counting()
+async def test_a_batch_that_is_due_as_the_loop_is_stopped_is_not_decided() -> None:
+    for with_timer in (False, True) * 5:
+        module = CountingModule()
         loop = DecisionLoop(
             module,
-            Nothing(),
-            UnpacedChannel(lambda proxy, parcel: None),
-            lambda proxy, parcel: None,
-            lambda event, **said: None,
+            NullOrderSink(),
+            UnpacedChannel(lambda proxy, message: None),
+            lambda proxy, message: None,
+            lambda event, **fields: None,
         )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(loop.run)
             await trio.testing.wait_all_tasks_blocked()
-            if timer:
+            if with_timer:
                 loop.timers.append((trio.current_time(), 1))
             loop.submit(ProxyDisconnected(1))
             loop.stop()  # the loop is woken already, and has not run
@@ -385,13 +398,13 @@
             loop.submit(ProxyDisconnected(2))
             await trio.testing.wait_all_tasks_blocked()
             nursery.cancel_scope.cancel()
-        assert not module.calls
+        assert not module.batch_count
 
 
 # Discovery.
 
 
-def listed(generation: int, *names: str, reset: bool = True) -> bytes:
+def list_body(generation: int, *names: str, reset: bool = True) -> bytes:
     return msgspec.json.encode(
         {
             "generation": generation,
@@ -409,165 +422,186 @@
     )
 
 
-class Agent:
-    """Discovery by script: each request is kept, and answered by the next of `answers`; without one it is not."""
+class ScriptedDiscovery:
+    """Discovery by script: each query gets the next of `answers`; without one it gets none."""
 
     def __init__(self, *answers: bytes) -> None:
-        self.answers, self.asked, self.at = list(answers), list[str](), list[float]()
-        self.more = trio.Event()
-        self.raw: socket.socket | None = None
+        self.answers = list(answers)
+        self.queries = list[str]()
+        self.queried_at = list[float]()
+        self.query_arrived = trio.Event()
+        self.socket: socket.socket | None = None
 
     async def serve(self, stream: trio.SocketStream) -> None:
         data = b""
         with suppress(trio.BrokenResourceError):
-            while part := await stream.receive_some():
-                data += part
+            async for chunk in stream:
+                data += chunk
                 while b"\r\n\r\n" in data:
                     head, _, data = data.partition(b"\r\n\r\n")
-                    self.asked.append(head.split()[1].decode())
-                    self.at.append(trio.current_time())
-                    self.raw = socket.fromfd(
+                    self.queries.append(head.split()[1].decode())
+                    self.queried_at.append(trio.current_time())
+                    self.socket = socket.fromfd(
                         stream.socket.fileno(), socket.AF_INET, socket.SOCK_STREAM
                     )
-                    self.more.set()
-                    self.more = trio.Event()
+                    self.query_arrived.set()
+                    self.query_arrived = trio.Event()
                     if self.answers:
-                        await stream.send_all(self.answered(self.answers.pop(0)))
+                        await stream.send_all(self.http_response(self.answers.pop(0)))
 
     @staticmethod
-    def answered(body: bytes) -> bytes:
+    def http_response(body: bytes) -> bytes:
         return b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s" % (len(body), body)
 
-    async def calls(self, count: int) -> None:
+    async def until_queried(self, count: int) -> None:
         with trio.fail_after(8):
-            while len(self.asked) < count:
-                await self.more.wait()
+            while len(self.queries) < count:
+                await self.query_arrived.wait()
 
 
 @asynccontextmanager
-async def followed(
-    *agents: Agent,
+async def watched_discovery(
+    *servers: ScriptedDiscovery,
 ) -> AsyncIterator[tuple[DiscoveryWatcher, list[EndpointsUpdated], list[tuple[str, int]]]]:
-    told = list[Event]()
+    events = list[Event]()
     async with trio.open_nursery() as nursery:
-        places = []
-        for agent in agents:
-            doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            nursery.start_soon(trio.serve_listeners, agent.serve, doors)
-            places.append(doors[0].socket.getsockname()[:2])
+        addresses = []
+        for server in servers:
+            listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
+            nursery.start_soon(trio.serve_listeners, server.serve, listeners)
+            addresses.append(listeners[0].socket.getsockname()[:2])
         state = discovery_state.DiscoveryState(lambda low, high: low)
-        discovery = DiscoveryWatcher(places[0], state, told.append, lambda event, **said: None)
+        discovery = DiscoveryWatcher(
+            addresses[0], state, events.append, lambda event, **fields: None
+        )
         nursery.start_soon(discovery.run)
-        yield discovery, told, places  # type: ignore[misc]
+        yield discovery, events, addresses  # type: ignore[misc]
         nursery.cancel_scope.cancel()
 
 
-def names(told: Event) -> set[str]:
-    assert isinstance(told, EndpointsUpdated)
-    return {worker.id for worker in told.endpoints}
+def worker_names(event: Event) -> set[str]:
+    assert isinstance(event, EndpointsUpdated)
+    return {worker.id for worker in event.endpoints}
+
 
+async def test_a_new_address_is_queried_for_its_complete_list() -> None:
+    old, new = ScriptedDiscovery(list_body(5, "s-1")), ScriptedDiscovery(list_body(5, "s-2"))
+    async with watched_discovery(old, new) as (discovery, events, addresses):
+        await old.until_queried(2)
+        discovery.set_address(addresses[1])
+        await new.until_queried(2)
+        assert new.queries[0] == discovery_state.SERVERS_PATH and "index=5" in new.queries[1]
+        assert worker_names(events[-1]) == {"s-2"}
 
-async def test_a_new_place_is_asked_for_its_whole_list_though_both_count_alike() -> None:
-    old, new = Agent(listed(5, "s-1")), Agent(listed(5, "s-2"))
-    async with followed(old, new) as (discovery, told, places):
-        await old.calls(2)
-        discovery.set_address(places[1])
-        await new.calls(2)
-        assert new.asked[0] == discovery_state.SERVERS_PATH and "index=5" in new.asked[1]
-        assert names(told[-1]) == {"s-2"}
 
+async def test_an_answer_in_the_turn_of_an_address_change_does_not_count() -> None:
+    """Who changes the address waits for the same bytes as the watcher, on a descriptor of its own.
 
-async def test_an_answer_that_comes_in_the_turn_of_a_move_stands_for_nothing() -> None:
-    """The mover waits for the very bytes that the follower waits for, on a descriptor of its own: both are woken in one
-    turn, in an order that is chance."""
+    Both are woken in one turn, in random order.
+    """
     for _ in range(16):
-        old, new = Agent(listed(5, "s-1")), Agent(listed(2, "s-2"))
-        async with followed(old, new) as (discovery, told, places):
-            await old.calls(2)
+        old, new = ScriptedDiscovery(list_body(5, "s-1")), ScriptedDiscovery(list_body(2, "s-2"))
+        async with watched_discovery(old, new) as (discovery, events, addresses):
+            await old.until_queried(2)
             await trio.testing.wait_all_tasks_blocked()
-            assert old.raw is not None
-            twin, told_before = _twin_of(old.raw), list[int]()
+            assert old.socket is not None
+            client_socket = _client_end(old.socket)
+            events_before = list[int]()
 
-            async def move(
-                twin: socket.socket = twin,
+            async def change_address(
+                client_socket: socket.socket = client_socket,
                 discovery: DiscoveryWatcher = discovery,
-                told: list[Any] = told,
-                place: tuple[str, int] = places[1],
-                told_before: list[int] = told_before,
+                events: list[Any] = events,
+                address: tuple[str, int] = addresses[1],
+                events_before: list[int] = events_before,
             ) -> None:
-                await trio.lowlevel.wait_readable(twin)
-                told_before.append(len(told))
-                discovery.set_address(place)
+                await trio.lowlevel.wait_readable(client_socket)
+                events_before.append(len(events))
+                discovery.set_address(address)
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(move)
+                nursery.start_soon(change_address)
                 await trio.testing.wait_all_tasks_blocked()
-                old.raw.send(Agent.answered(listed(9, "s-9")))
-            await new.calls(2)
-            assert new.asked[0] == discovery_state.SERVERS_PATH, (
-                "not a watch from a version of the old place"
+                old.socket.send(ScriptedDiscovery.http_response(list_body(9, "s-9")))
+            await new.until_queried(2)
+            assert new.queries[0] == discovery_state.SERVERS_PATH, (
+                "not a watch from a version of the old address"
             )
-            assert [names(list_) for list_ in told[told_before[0] :]] == [{"s-2"}]
-            twin.close()
-
-
-def _own(fits: Callable[[socket.socket], bool]) -> socket.socket:
-    """The one of our own sockets that fits, on a descriptor of its own."""
-    fitting = []
-    for link in list(Path("/proc/self/fd").iterdir()):
-        if link.is_socket():
-            one = socket.socket(fileno=os.dup(int(link.name)))
-            if one.family == socket.AF_INET and fits(one):
-                fitting.append(one)
+            assert [worker_names(list_) for list_ in events[events_before[0] :]] == [{"s-2"}]
+            client_socket.close()
+
+
+def _duplicate_own_socket(matches: Callable[[socket.socket], bool]) -> socket.socket:
+    """Return the one of this process' sockets that matches, on another descriptor."""
+    matching = []
+    for descriptor in list(Path("/proc/self/fd").iterdir()):
+        if descriptor.is_socket():
+            one = socket.socket(fileno=os.dup(int(descriptor.name)))
+            if one.family == socket.AF_INET and matches(one):
+                matching.append(one)
             else:
                 one.close()
-    found, *again = fitting  # a number that was free while we looked may have come to be a copy
-    for one in again:
+    # a number that was free while they were listed may have become a duplicate
+    found, *duplicates = matching
+    for one in duplicates:
         one.close()
     return found
 
 
-def _twin_of(server: socket.socket) -> socket.socket:
-    """Our own client's end of this connection."""
-    return _own(lambda one: one.getsockname() == server.getpeername())
+def _client_end(server: socket.socket) -> socket.socket:
+    """Return the client's end of this connection."""
+    return _duplicate_own_socket(lambda one: one.getsockname() == server.getpeername())
 
 
 @pytest.mark.parametrize(
-    ("answers", "least"),
+    ("answers", "min_pauses"),
     [
-        ([listed(5, "s-1")] + [listed(5, reset=False)] * 20, 8),  # at once, and nothing new
-        ([listed(5, "s-1")] * 20, 8),  # the whole list again and again
-        ([listed(5, "s-1"), listed(4, reset=False)] * 10, 4),  # a version that goes back each time
+        (
+            [list_body(5, "s-1")] + [list_body(5, reset=False)] * 20,
+            8,
+        ),  # at once, and without changes
+        ([list_body(5, "s-1")] * 20, 8),  # the complete list again and again
+        (
+            [list_body(5, "s-1"), list_body(4, reset=False)] * 10,
+            4,
+        ),  # a version that goes back each time
     ],
 )
-async def test_a_discovery_that_answers_at_once_is_not_asked_without_a_pause(
-    answers: list[bytes], least: int
+async def test_discovery_that_answers_at_once_without_changes_is_queried_with_pauses(
+    answers: list[bytes], min_pauses: int
 ) -> None:
-    agent = Agent(*answers)
-    async with followed(agent):
-        await agent.calls(10)
-        assert agent.at[9] - agent.at[0] >= least * discovery_state.MIN_QUERY_INTERVAL_S * 0.9
+    server = ScriptedDiscovery(*answers)
+    async with watched_discovery(server):
+        await server.until_queried(10)
+        assert (
+            server.queried_at[9] - server.queried_at[0]
+            >= min_pauses * discovery_state.MIN_QUERY_INTERVAL_S * 0.9
+        )
 
 
-async def test_changes_that_move_on_are_followed_without_a_pause() -> None:
-    agent = Agent(listed(5, "s-1"), *(listed(6 + n, f"s-{n}", reset=False) for n in range(30)))
-    async with followed(agent) as (_, told, _):
-        await agent.calls(32)
+async def test_changes_that_advance_are_followed_without_pauses() -> None:
+    server = ScriptedDiscovery(
+        list_body(5, "s-1"), *(list_body(6 + n, f"s-{n}", reset=False) for n in range(30))
+    )
+    async with watched_discovery(server) as (_, events, _):
+        await server.until_queried(32)
         assert (
-            agent.at[31] - agent.at[0] < 30 * discovery_state.MIN_QUERY_INTERVAL_S
-            and len(told) == 31
+            server.queried_at[31] - server.queried_at[0] < 30 * discovery_state.MIN_QUERY_INTERVAL_S
+            and len(events) == 31
         )
 
 
-async def test_a_list_that_breaks_off_or_names_what_can_t_be_dialled_changes_nothing() -> None:
-    spoilt = [
-        listed(6, "s-2").replace(b":9000", port)
+async def test_an_incomplete_list_or_one_with_unusable_addresses_changes_nothing() -> None:
+    invalid = [
+        list_body(6, "s-2").replace(b":9000", port)
         for port in (":²".encode(), b":0", b":99999", b"", b":9x")
     ]
-    agent = Agent(listed(5, "s-1"), *spoilt, listed(7, "s-3")[:-9], listed(8, "s-4"))
-    async with followed(agent) as (discovery, told, _):
-        await agent.calls(9)
-        assert [names(list_) for list_ in told] == [
+    server = ScriptedDiscovery(
+        list_body(5, "s-1"), *invalid, list_body(7, "s-3")[:-9], list_body(8, "s-4")
+    )
+    async with watched_discovery(server) as (discovery, events, _):
+        await server.until_queried(9)
+        assert [worker_names(list_) for list_ in events] == [
             {"s-1"},
             {"s-4"},
         ] and discovery.addresses.keys() == {"s-4"}
