--- a/dunlinlug/platform/table_diff.py
+++ b/dunlinlug/platform/table_diff.py
@@ -6,8 +6,7 @@
 """
 
 from collections.abc import Mapping
-from dataclasses import dataclass, field
-from typing import NamedTuple
+from dataclasses import dataclass
 
 from dunlinlug.platform.known_workers import NO_WORKERS
 from dunlinlug.platform.messages import TableUpdate
@@ -16,6 +15,9 @@
 MAX_ENTRIES_PER_UPDATE = 4096
 Admission = tuple[float, int]  # the admitted fraction and the retry policy
 WeightEntry = tuple[str, float]  # a worker and its weight
+# whether the entries replace the table, and the entries; a plain tuple, as many are made
+WeightChange = tuple[bool, tuple[WeightEntry, ...]]
+NO_WEIGHT_CHANGE: WeightChange = (False, ())
 
 
 @dataclass(frozen=True, eq=False)
@@ -65,31 +67,14 @@
     entry_count: int
 
 
-class _WeightChange(NamedTuple):
-    """What goes out for a table; with `replaces_table` the entries are all of it."""
-
-    replaces_table: bool
-    entries: tuple[WeightEntry, ...]
-
-
 @dataclass
 class _TableChanges:
     """What differs by traffic class; classes with the same difference share an update."""
 
     tables_after: list[TableSnapshot | None]
     admissions_after: list[Admission | None]
-    classes_by_weights: dict[_WeightChange, list[int]] = field(default_factory=dict)
-    classes_by_admission: dict[Admission, list[int]] = field(default_factory=dict)
-
-
-class _EjectionChanges(NamedTuple):
-    """Workers to eject and to readmit at the proxy."""
-
-    eject: list[str]
-    readmit: list[str]
-
-
-NO_WEIGHT_CHANGE = _WeightChange(False, ())
+    classes_by_weights: dict[WeightChange, list[int]]
+    classes_by_admission: dict[Admission, list[int]]
 
 
 def build_update(
@@ -109,21 +94,20 @@
     updates = list[TableUpdate]()
     entry_count = _append_weights(updates, changes, class_names)
     entry_count += _append_admissions(updates, changes, class_names)
-    ejections = _compare_ejections(
+    eject, readmit = _compare_ejections(
         current, desired, changes.tables_after, max_entries - entry_count
     )
-    entry_count += len(ejections.eject) + len(ejections.readmit)
-    if ejections.eject or ejections.readmit:
+    entry_count += len(eject) + len(readmit)
+    ejected, possibly_ejected = current.ejected, current.possibly_ejected
+    if eject or readmit:
         if not updates:
             updates.append(TableUpdate())
-        updates[-1].eject = ejections.eject or None
-        updates[-1].readmit = ejections.readmit or None
-    changed_workers = {*ejections.eject, *ejections.readmit}
+        updates[-1].eject = eject or None
+        updates[-1].readmit = readmit or None
+        ejected = ejected.union(eject).difference(readmit)
+        possibly_ejected = possibly_ejected.difference(eject, readmit)
     tables_after = ProxyTables(
-        tuple(changes.tables_after),
-        tuple(changes.admissions_after),
-        (current.ejected | set(ejections.eject)) - set(ejections.readmit),
-        current.possibly_ejected - changed_workers,
+        tuple(changes.tables_after), tuple(changes.admissions_after), ejected, possibly_ejected
     )
     return ProxyUpdate(updates, tables_after, entry_count)
 
@@ -131,7 +115,7 @@
 def _compare_tables(
     current: ProxyTables, desired: DesiredTables, default_admission: Admission
 ) -> _TableChanges:
-    changes = _TableChanges(list(current.tables), list(current.admissions))
+    changes = _TableChanges(list(current.tables), list(current.admissions), {}, {})
     for class_index, desired_table in enumerate(desired.tables):
         if desired_table is None:
             continue
@@ -139,10 +123,11 @@
         weight_change = _compare_weights(
             current.tables[class_index], desired_table, desired_admission != default_admission
         )
-        if weight_change.replaces_table or weight_change.entries:
+        replaces_table, entries = weight_change
+        if replaces_table or entries:
             changes.classes_by_weights.setdefault(weight_change, []).append(class_index)
         admission_before: Admission | None = current.admissions[class_index]
-        if weight_change.replaces_table:
+        if replaces_table:
             admission_before = default_admission
         if desired_admission != admission_before:
             changes.classes_by_admission.setdefault(desired_admission, []).append(class_index)
@@ -153,7 +138,7 @@
 
 def _compare_weights(
     current: TableSnapshot | None, desired: TableSnapshot, has_admission_entry: bool
-) -> _WeightChange:
+) -> WeightChange:
     """Return the shorter of the changed entries and the whole table.
 
     A table that replaces another starts with the default admission, so that another admission
@@ -163,14 +148,14 @@
         return NO_WEIGHT_CHANGE
     all_entries = tuple(desired.weights.items())
     if current is None:
-        return _WeightChange(True, all_entries)
+        return True, all_entries
     changed = [
         (worker, weight) for worker, weight in all_entries if current.weights.get(worker) != weight
     ]
     changed += [(worker, 0.0) for worker in current.weights if worker not in desired.weights]
     if len(changed) > 1 + len(all_entries) + has_admission_entry:
-        return _WeightChange(True, all_entries)
-    return _WeightChange(False, tuple(changed))
+        return True, all_entries
+    return False, tuple(changed)
 
 
 def _append_weights(
@@ -178,17 +163,17 @@
 ) -> int:
     """Append the updates of weights, and return the entries that they count."""
     entry_count = 0
-    for change, class_indexes in changes.classes_by_weights.items():
+    for (replaces_table, entries), class_indexes in changes.classes_by_weights.items():
         traffic_classes = _wire_classes(class_indexes, class_names)
         updates.extend(
             TableUpdate(
                 traffic_classes=traffic_classes,
-                replaces_table=change.replaces_table and not start,
-                weights=list(change.entries[start : start + MAX_ENTRIES_PER_UPDATE]),
+                replaces_table=replaces_table and not start,
+                weights=list(entries[start : start + MAX_ENTRIES_PER_UPDATE]),
             )
-            for start in range(0, max(len(change.entries), 1), MAX_ENTRIES_PER_UPDATE)
+            for start in range(0, max(len(entries), 1), MAX_ENTRIES_PER_UPDATE)
         )
-        entry_count += change.replaces_table + len(change.entries)
+        entry_count += replaces_table + len(entries)
     return entry_count
 
 
@@ -228,7 +213,7 @@
     desired: DesiredTables,
     tables: list[TableSnapshot | None],
     spare_entries: float,
-) -> _EjectionChanges:
+) -> tuple[list[str], list[str]]:
     """Return the workers to eject and to readmit, given the tables that the proxy will have.
 
     `spare_entries` may go for all of it; what surely differs goes in any case.
@@ -254,4 +239,4 @@
     )
     suspected_count = sum(worker in desired.suspected_ejections for worker in possibly_ejected)
     readmit += possibly_ejected[: max(suspected_count, spare_count)]
-    return _EjectionChanges(eject, readmit)
+    return eject, readmit
