--- a/bench/hung.py
+++ b/bench/hung.py
@@ -114,7 +114,7 @@
                     self.out.pop(order.worker, None)
         self.answers = [
             Acknowledged(p, mark, 0.3)
-            for p, marks in self.module.budget.awaited_acks.items()
+            for p, marks in self.module.state.budget.awaited_acks.items()
             for mark in list(marks)[-1:]
         ]
 
--- a/bench/scale/slopes.py
+++ b/bench/scale/slopes.py
@@ -757,7 +757,7 @@
     whole = msgspec.json.encode({"generation": 2, "reset": True, "instances": rows})
     one = msgspec.json.encode({"generation": 3, "reset": False, "instances": rows[:1]})
     fleet, orders = (
-        Sized(sizes(workers=1, proxies=1)).module.fleet,
+        Sized(sizes(workers=1, proxies=1)).module.state.fleet,
         PlatformTableInstaller(("a",), 1, HEAD),
     )
     state = discovery_state.DiscoveryState(Random(1).uniform)
--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -316,7 +316,7 @@
         max_queued_entries = self.config.section(manager_config.ChannelConfig).waiting_most
         module = self.loop.module
         rates = (
-            [proxy.request_rate for proxy in module.assignments.proxies.values()]
+            [proxy.request_rate for proxy in module.state.assignments.proxies.values()]
             if isinstance(module, Balancer)
             else []
         )
@@ -334,7 +334,7 @@
         if self.validation is not None:
             validator = OrderValidator(self.settings, self.validation.enforced)
             workers = (
-                listed_workers(self.loop.module.fleet)
+                listed_workers(self.loop.module.state.fleet)
                 if isinstance(self.loop.module, Balancer)
                 else []
             )
--- a/dunlinlug/decision/desired_state.py
+++ b/dunlinlug/decision/desired_state.py
@@ -1,31 +1,16 @@
-"""The plain types of a manager's present and wanted state; `balance.py` decides what becomes of
-them.
-"""
+"""What the planner wants of the proxies' tables, for the reconciler to order the difference to it."""
 
 from dataclasses import dataclass
 
-from dunlinlug.decision.state.assignments import Table
-
-
-@dataclass(eq=False)
-class StagedUpdate:
-    """One product's staged change: laid and asked, ready once none is awaited, bound and asked,
-    cleared.
-    """
-
-    version: int
-    table: Table
-    old_table: Table
-    ack_number: int  # of the first asking
-    requested_at: float
-    awaited_proxies: set[int]
-    assigned: bool = False
-
 
 @dataclass
 class DesiredState:
-    """What should be: by product each ready worker's share, its part of its weight, levels by
-    product, who is out. Products that no pin sets apart have one and the same record of shares.
+    """Weights, admission and ejections as they should be now.
+
+    `weights` has by class the weight of each endpoint row; classes that no operator override sets
+    apart have one and the same dict. `weight_fractions` has for each ready row the part of its
+    listed weight that it gets, and `admission_levels` by class the admitted fraction and the retry
+    policy. The rows in `ejected` should be used by no proxy.
     """
 
     weights: list[dict[int, float]]
@@ -34,16 +19,20 @@
     ejected: set[int]
 
     def differs_by_class(self) -> bool:
+        """Whether some class has weights of its own."""
         return len({*map(id, self.weights)}) > 1
 
     def common_weights(self) -> dict[int, float]:
-        """Lines for all products, where they need not be the same: the first one's for workers of
-        all.
+        """Return weights that serve all classes, where one table has to.
+
+        They are those of the first class for the rows that all classes have, or those of the class
+        with most rows if there is no such row.
         """
-        first, *others = {id(weights): weights for weights in self.weights}.values()
-        shared_weights = (
-            {i: first[i] for i in first if all(i in weights for weights in others)}
-            if others
-            else first
-        )
+        distinct = {id(weights): weights for weights in self.weights}
+        first, *others = distinct.values()
+        if not others:
+            return first or max(self.weights, key=len)
+        shared_weights = {
+            row: first[row] for row in first if all(row in weights for weights in others)
+        }
         return shared_weights or max(self.weights, key=len)
--- /dev/null
+++ b/dunlinlug/decision/order_rejection.py
@@ -0,0 +1,84 @@
+"""An order that was rejected: the host, or its guard, judged it and did not carry it out.
+
+The state goes back to what is really installed, and the same order is not tried again for the time
+of a slow start step, so that a rejection does not come back with each batch.
+"""
+
+from dunlinlug.decision.decision_state import DecisionState
+from dunlinlug.decision.orders import (
+    AssignTable,
+    DeleteTable,
+    Order,
+    SetAdmission,
+    SetEjected,
+    SetWeight,
+)
+from dunlinlug.decision.slow_start import SLOW_START_INTERVAL
+from dunlinlug.decision.state.assignments import Table
+from dunlinlug.decision.timer import TICK_INTERVAL
+
+
+def handle_rejection(state: DecisionState, now: float, order: Order) -> None:
+    """Take in that this order was not carried out."""
+    match order:
+        case SetWeight():
+            _handle_rejected_weight(state, now, order)
+        case AssignTable():
+            _handle_rejected_assignment(state, now, order)
+        case SetEjected():
+            _handle_rejected_ejection(state, now, order)
+        case SetAdmission():
+            _handle_rejected_admission(state, now, order)
+        case DeleteTable():
+            # Without this, the number of a table that is still there would be given out again.
+            if order.table_id not in state.assignments.tables:
+                state.assignments.add_table(Table(order.table_id, {}, {}, []))
+
+
+def _handle_rejected_weight(state: DecisionState, now: float, order: SetWeight) -> None:
+    """The table has no entry for the endpoint."""
+    row = state.fleet.row_by_id.get(order.worker)
+    if row is None:
+        return
+    state.blocked.rows[row] = now + SLOW_START_INTERVAL
+    table = state.assignments.tables.get(order.table_id)
+    if table is not None:
+        state.assignments.set_entry(table, row, None)
+
+
+def _handle_rejected_assignment(state: DecisionState, now: float, order: AssignTable) -> None:
+    """The proxy does not use the table, and is assigned no other for a while."""
+    proxy = state.assignments.proxies.get(order.proxy)
+    if proxy is None:
+        return
+    # An empty table is rejected where a proxy came before the endpoint list. Without the shorter
+    # delay it would be left without endpoint for the time of a slow start step.
+    table = state.assignments.tables.get(order.table_id)
+    is_empty = table is not None and not table.weights
+    proxy.assign_after = now + (TICK_INTERVAL if is_empty else SLOW_START_INTERVAL)
+    state.assignments.unassign(order.proxy, order.traffic_classes, order.table_id)
+
+
+def _handle_rejected_ejection(state: DecisionState, now: float, order: SetEjected) -> None:
+    """The endpoint is ejected, or is not, as it was before."""
+    row = state.fleet.row_by_id.get(order.worker)
+    if row is None:
+        return
+    state.blocked.rows[row] = now + SLOW_START_INTERVAL
+    if order.ejected:
+        state.ejected_rows.discard(row)
+    else:
+        state.ejected_rows.add(row)
+
+
+def _handle_rejected_admission(state: DecisionState, now: float, order: SetAdmission) -> None:
+    """The class is admitted as it was before."""
+    if order.traffic_class >= state.parameters.class_count:
+        return
+    state.blocked.classes[order.traffic_class] = now + SLOW_START_INTERVAL
+    table = state.assignments.tables.get(order.table_id)
+    if table is not None:
+        default_level = (state.parameters.full_admission, state.parameters.default_retry_policy)
+        table.admission_levels[order.traffic_class] = table.previous_levels.get(
+            order.traffic_class, default_level
+        )
--- /dev/null
+++ b/dunlinlug/decision/table_update.py
@@ -0,0 +1,198 @@
+"""The two-phase update: how each traffic class moves from one table to the next.
+
+After CCU, the concurrent two-phase update (Sukapuram and Barua, "CCU: Algorithm for Concurrent
+Consistent Updates for a Software Defined Network"); `docs/design.md` says what is kept of it. A
+class is the paper's disjoint class, a proxy its ingress, a table number its version tag:
+
+1. `begin_updates` installs a new table and asks every proxy for an acknowledgement (*Ready to
+   Commit*).
+2. `switch_tables` assigns the proxies to it once all have acknowledged (*Commit OK*).
+3. `advance_updates` ends the update with the last acknowledgement of the assignments (*Ack Commit
+   OK*) and schedules the old table's deletion.
+
+While the channel is crowded, classes with the same weights share one table and only entries that
+differ are sent, into the table in place (the paper's section V-G).
+"""
+
+from math import inf
+
+from dunlinlug.decision.decision_state import DecisionState
+from dunlinlug.decision.desired_state import DesiredState
+from dunlinlug.decision.flow_control import BASE_DRAIN_TIME, OrderBatch, Priority
+from dunlinlug.decision.state.assignments import Table
+from dunlinlug.decision.state.desired_weights import Weights
+from dunlinlug.decision.state.table_versions import StagedUpdate
+from dunlinlug.decision.table_orders import (
+    amend_table,
+    assign_table,
+    assignment_cost,
+    create_table,
+)
+
+# Versions that may be under way before a ready update waits for the oldest: the paper's four
+# status bits.
+VERSION_WINDOW = 4
+# Seconds beyond the channel's delay after which a proxy that has not acknowledged is silent.
+ACK_TIMEOUT = 3.0
+# Seconds from the last acknowledgement to the deletion of the old table.
+TABLE_RETENTION = 2.0
+
+
+def advance_updates(state: DecisionState, now: float) -> None:
+    """Move each update on as far as acknowledgements and timeouts let it.
+
+    Here an acknowledgement is awaited, and given up after the timeout.
+    """
+    tables = state.tables
+    ack_timeout = (
+        ACK_TIMEOUT
+        + state.budget.queued_entries / state.budget.entries_per_second
+        + 2 * state.budget.channel.transit_time
+    )
+    tables.silent_since = now - ack_timeout
+    lagging_classes = state.assignments.lagging_classes(
+        {
+            traffic_class: (update.old_table, update.table)
+            for traffic_class, update in tables.staged_updates.items()
+            if update.assigned
+        },
+        tables.silent_since,
+    )
+    for traffic_class, update in list(tables.staged_updates.items()):
+        if update.requested_at <= tables.silent_since:
+            update.awaited_proxies.clear()  # silent proxies leave the awaited set
+        if update.assigned and traffic_class not in lagging_classes:
+            is_unused = update.old_table not in tables.current_tables.values()
+            delete_at = now + TABLE_RETENTION if is_unused else inf
+            state.assignments.schedule_deletion(update.old_table, delete_at)
+            del tables.staged_updates[traffic_class]
+
+
+def begin_updates(
+    state: DecisionState,
+    batch: OrderBatch,
+    desired: DesiredState,
+    class_order: list[int],
+    is_crowded: bool,
+) -> bool:
+    """Begin updates of these classes, in this order; return whether all proxies are awaited.
+
+    Where the channel is crowded, classes with the same weights go together. A class whose last
+    update has not ended is left out.
+    """
+    if batch.exceeds_drain(BASE_DRAIN_TIME):
+        return False
+    groups: dict[int, list[int]] = {}
+    for traffic_class in class_order:
+        if traffic_class not in state.tables.staged_updates:
+            key = id(desired.weights[traffic_class]) if is_crowded else traffic_class
+            groups.setdefault(key, []).append(traffic_class)
+    awaits_all = False
+    for group in groups.values():
+        old_tables = {each: state.tables.current_tables[each] for each in group}
+        table = state.tables.current_tables[group[0]]
+        weights = desired.weights[group[0]]
+        shares_table = is_crowded and len(set(old_tables.values())) == 1
+        if shares_table and not _needs_split(state, desired, table, weights):
+            if not amend_table(state, batch, desired, table, weights):
+                continue
+        elif batch.reserve(state.assignments.proxies, 0.0, Priority.BULK, BASE_DRAIN_TIME):
+            table = create_table(state, batch, desired, weights)
+            awaits_all = True
+        else:
+            continue
+        for traffic_class, old_table in old_tables.items():
+            _stage_update(state, batch, traffic_class, table, old_table)
+    return awaits_all
+
+
+def _needs_split(
+    state: DecisionState, desired: DesiredState, table: Table, weights: Weights
+) -> bool:
+    """Whether a class that uses this table needs other weights, so that it cannot change in place."""
+    return desired.differs_by_class() and any(
+        desired.weights[traffic_class] is not weights
+        for traffic_class, current_table in state.tables.current_tables.items()
+        if current_table is table
+    )
+
+
+def _stage_update(
+    state: DecisionState, batch: OrderBatch, traffic_class: int, table: Table, old_table: Table
+) -> None:
+    """Record that a class's update has begun; one in place awaits nobody before its assignment."""
+    state.tables.last_version += 1
+    is_in_place = table is old_table
+    state.tables.staged_updates[traffic_class] = StagedUpdate(
+        state.tables.last_version,
+        table,
+        old_table,
+        batch.ack_number,
+        batch.now,
+        set() if is_in_place else set(state.assignments.proxies),
+        is_in_place,
+    )
+
+
+def switch_tables(
+    state: DecisionState, batch: OrderBatch, class_order: list[int], is_crowded: bool
+) -> None:
+    """Make ready updates current, then assign the proxies that use another table.
+
+    New proxies come first, unless the channel is crowded: then they have small tables already.
+    """
+    for traffic_class, update in state.tables.staged_updates.items():
+        if not update.assigned and _is_ready(state, update):
+            update.assigned = True
+            state.tables.current_tables[traffic_class] = update.table
+    if state.is_channel_constrained:
+        return
+    if not is_crowded:
+        _assign_current_tables(state, batch, class_order, is_crowded, new_proxies=True)
+    _assign_current_tables(state, batch, class_order, is_crowded, new_proxies=False)
+
+
+def _is_ready(state: DecisionState, update: StagedUpdate) -> bool:
+    """Whether no proxy is awaited, also not by a version that lies outside the window."""
+    if update.awaited_proxies:
+        return False
+    oldest_version = update.version - VERSION_WINDOW
+    return not any(
+        other.awaited_proxies
+        for other in state.tables.staged_updates.values()
+        if other.version < oldest_version
+    )
+
+
+def _assign_current_tables(
+    state: DecisionState,
+    batch: OrderBatch,
+    class_order: list[int],
+    is_crowded: bool,
+    new_proxies: bool,
+) -> None:
+    """Assign the new proxies, or the others, to the current tables, as far as the channel allows."""
+    current_tables = state.tables.current_tables
+    if new_proxies:
+        priority, max_drain_time = Priority.HEALTH, 2 * BASE_DRAIN_TIME
+    else:
+        priority, max_drain_time = Priority.BULK, (3 if is_crowded else 2) * BASE_DRAIN_TIME
+    for table in dict.fromkeys(current_tables[each] for each in class_order):
+        cost = assignment_cost(state, table)
+        if not batch.fits(cost, priority):
+            continue
+        missing_classes = state.assignments.groups_to_assign(current_tables, table, new_proxies)
+        for proxy_id in state.assignments.by_join_order(
+            state.assignments.groups[assigned_tables] for assigned_tables in missing_classes
+        ):
+            proxy = state.assignments.proxies[proxy_id]
+            # It got a small table in this very reply.
+            has_subset = is_crowded and proxy.updated_at == batch.now
+            was_rejected = proxy.assign_after > batch.now
+            if not (has_subset or was_rejected or batch.exceeds_drain(max_drain_time, proxy_id)):
+                traffic_classes = missing_classes[proxy.assigned_tables]
+                assign_table(
+                    state, batch, proxy_id, traffic_classes, table, priority, max_drain_time
+                )
+            if not batch.fits(cost, priority):
+                break
--- a/dunlinlug/fleet/election/module_state.py
+++ b/dunlinlug/fleet/election/module_state.py
@@ -6,18 +6,23 @@
 module that has run.
 """
 
-from random import Random
+from collections.abc import Sequence
 from typing import Any
 
-from dunlinlug.balance import AdmissionController, Balancer, ChannelBudget, OutlierDetector
-from dunlinlug.decision.desired_state import StagedUpdate
+from dunlinlug.balance import Balancer
+from dunlinlug.decision.admission_control import AdmissionController
+from dunlinlug.decision.decision_state import BlockedOrders, DecisionState, ListPolling, Timers
 from dunlinlug.decision.events import OverrideChanged, PartitionLimitsChanged
+from dunlinlug.decision.flow_control import ChannelBudget
+from dunlinlug.decision.outlier_detection import OutlierDetector
+from dunlinlug.decision.parameters import DecisionParameters
 from dunlinlug.decision.settings import ChannelSettings, ManagerSettings
 from dunlinlug.decision.state.assignments import Assignments, Proxy, Table
 from dunlinlug.decision.state.coverage import Coverage
 from dunlinlug.decision.state.desired_weights import DesiredWeights
 from dunlinlug.decision.state.endpoints import Fleet
 from dunlinlug.decision.state.pending_acks import PendingReply
+from dunlinlug.decision.state.table_versions import StagedUpdate, TableVersions
 from dunlinlug.fleet.election.serialization import FieldFormError, SerializationError, WireForm
 
 CHANNEL = WireForm(
@@ -102,7 +107,7 @@
         "calm": "baseline_latency",
         "ceiling": "max_ejected_fraction",
     },
-    local=(*OutlierDetector.DERIVED, "random_uniform"),
+    local=(*OutlierDetector.DERIVED, "rng"),
 )
 
 GATE = WireForm(
@@ -243,51 +248,92 @@
     },
 )
 
-MODULE = WireForm(
-    Balancer,
+# Parts of the module's state that have no object of their own on the wire: their attributes are
+# written among the module's, as they were when the module was one class.
+INLINED_PARTS: dict[str, type] = {
+    "parameters": DecisionParameters,
+    "list_polling": ListPolling,
+    "blocked": BlockedOrders,
+    "tables": TableVersions,
+    "timers": Timers,
+}
+
+
+class ModuleForm(WireForm):
+    """The form of the module's state: `part.attribute` names an attribute of an inlined part."""
+
+    def taken_from(self, instance: Any) -> dict[str, Any]:
+        """Return the values by wire name, as of one object that has the attributes of all parts.
+
+        Raises FieldFormError for an attribute that is not declared, or is not there.
+        """
+        return super().taken_from(FlatAttributes(instance))
+
+    def set_attributes(self, state: DecisionState, values: dict[str, Any]) -> None:
+        """Set attributes, also those of inlined parts, to values by path."""
+        for path, value in values.items():
+            part_name, _, attribute = path.rpartition(".")
+            part = getattr(state, part_name) if part_name else state
+            setattr(part, attribute, value)
+
+
+class FlatAttributes:
+    """The attributes of a module's state, those of inlined parts by their path."""
+
+    def __init__(self, state: Any) -> None:
+        for name, value in vars(state).items():
+            if name not in INLINED_PARTS:
+                setattr(self, name, value)
+                continue
+            for attribute, inner_value in vars(value).items():
+                setattr(self, f"{name}.{attribute}", inner_value)
+
+
+MODULE = ModuleForm(
+    DecisionState,
     "Balancer",
     {
-        "products": "class_count",
-        "usual_retry": "default_retry_policy",
-        "ask_every": "list_poll_interval",
-        "warm_after": "warm_up_time",
-        "bears": "min_overload_multiple",
-        "may_probe": "can_check_health",
-        "sliced": "is_sharded",
-        "standing": "subset_size",
-        "home": "same_zone_classes",
-        "each": "entries_per_endpoint",
+        "products": "parameters.class_count",
+        "usual_retry": "parameters.default_retry_policy",
+        "ask_every": "parameters.list_poll_interval",
+        "warm_after": "parameters.warm_up_time",
+        "bears": "parameters.min_overload_multiple",
+        "may_probe": "parameters.can_check_health",
+        "sliced": "parameters.is_sharded",
+        "standing": "parameters.subset_size",
+        "home": "parameters.same_zone_classes",
+        "each": "parameters.entries_per_endpoint",
         "fleet": "fleet",
         "account": "budget",
         "lines": "desired_weights",
         "cold": "warming_rows",
         "health": "outlier_detector",
         "gate": "admission_controller",
-        "admits": "controls_admission",
-        "all_in": "full_admission",
+        "admits": "parameters.controls_admission",
+        "all_in": "parameters.full_admission",
         "seating": "assignments",
-        "current": "current_tables",
-        "changes": "staged_updates",
-        "armed": "armed_timers",
-        "versions": "last_version",
+        "current": "tables.current_tables",
+        "changes": "tables.staged_updates",
+        "armed": "timers.armed",
+        "versions": "tables.last_version",
         "last_mark": "last_ack_number",
-        "last_number": "last_table_id",
-        "last_token": "last_timer_token",
+        "last_number": "tables.last_table_id",
+        "last_token": "timers.last_token",
         "out": "ejected_rows",
-        "small": "subset_tables",
-        "since": "silent_since",
-        "ask_at": "list_retry_at",
-        "ask_wait": "list_retry_delay",
+        "small": "tables.subset_tables",
+        "since": "tables.silent_since",
+        "ask_at": "list_polling.retry_at",
+        "ask_wait": "list_polling.retry_delay",
         "noted": "logged_limits",
         "told": "sharding_logged",
         "scant": "is_channel_constrained",
-        "barred": "blocked_rows",
-        "kept": "blocked_classes",
+        "barred": "blocked.rows",
+        "kept": "blocked.classes",
         "pins": "overrides",
         "means": "partition_limits",
         "moved": "rows_to_plan",
     },
-    local=("random_uniform",),
+    local=("rng",),
 )
 
 FORMS = (
@@ -313,42 +359,49 @@
 RANDOM_STATE = "chance"  # the wire name of the state of the module's random numbers
 
 
-def _random(module: Balancer) -> Random:
-    found = module.random_uniform.__self__  # type: ignore[attr-defined]
-    assert isinstance(found, Random)
-    return found
-
-
 def fields_of(module: Balancer) -> dict[str, Any]:
-    """All that a module goes on from, by wire name. Raises FieldFault for an attribute that is not
-    declared.
+    """Return all that a module goes on from, by wire name.
+
+    Raises FieldFormError for an attribute that is not declared.
     """
-    return {**MODULE.taken_from(module), RANDOM_STATE: _random(module).getstate()}
+    fields = MODULE.taken_from(module.state)
+    fields[RANDOM_STATE] = module.state.rng.getstate()
+    return fields
 
 
-def restored(fields: dict[str, Any], trade: ManagerSettings) -> Balancer:
-    """A module that goes on from such fields. Raises PlainFault, also if they come of another
-    trade.
+def restored(fields: dict[str, Any], settings: ManagerSettings) -> Balancer:
+    """Return a module that goes on from such fields.
+
+    Nothing is taken of fields that are not whole. Raises SerializationError, also if they come of
+    a module with other settings.
     """
-    pairs = [(name, value) for name, value in fields.items() if name != RANDOM_STATE]
-    values = MODULE.attributes(pairs)
+    values = MODULE.attributes(_declared_pairs(fields))
     if RANDOM_STATE not in fields:
         raise FieldFormError(MODULE, RANDOM_STATE, "missing")
-    module = Balancer(trade)
-    own = {name: MODULE.fields[name] for name in OWN_PARTS}
-    for name, attribute in own.items():
-        if type(values[attribute]) is not type(getattr(module, attribute)):
+    module = Balancer(settings)
+    state = module.state
+    own_parts = {name: MODULE.fields[name] for name in OWN_PARTS}
+    for name, attribute in own_parts.items():
+        if type(values[attribute]) is not type(getattr(state, attribute)):
             raise FieldFormError(MODULE, name, "of another class")
-    if values[own["account"]].channel != trade.channel or len(
-        values[MODULE.fields["current"]]
-    ) not in (0, len(trade.traffic_classes)):
-        raise SerializationError("it was told another trade; all members need the same settings")
-    for attribute, value in values.items():
-        if attribute in own.values():
-            vars(getattr(module, attribute)).update(vars(value))
-        else:
-            setattr(module, attribute, value)
-    for part in (module.outlier_detector, module.assignments):
-        part.rebuild_derived()
-    _random(module).setstate(fields[RANDOM_STATE])
+    _check_settings(values, settings)
+    for attribute in own_parts.values():
+        vars(getattr(state, attribute)).update(vars(values.pop(attribute)))
+    MODULE.set_attributes(state, values)
+    state.outlier_detector.rebuild_derived()
+    state.assignments.rebuild_derived()
+    state.rng.setstate(fields[RANDOM_STATE])
     return module
+
+
+def _declared_pairs(fields: dict[str, Any]) -> Sequence[tuple[str, Any]]:
+    """Return what the form declares: all but the state of the random numbers."""
+    return [(name, value) for name, value in fields.items() if name != RANDOM_STATE]
+
+
+def _check_settings(values: dict[str, Any], settings: ManagerSettings) -> None:
+    """Raise SerializationError if a module with these values had other settings."""
+    channel = values[MODULE.fields["account"]].channel
+    table_count = len(values[MODULE.fields["current"]])
+    if channel != settings.channel or table_count not in (0, len(settings.traffic_classes)):
+        raise SerializationError("it was told another trade; all members need the same settings")
--- a/dunlinlug/fleet/election/replicated_state.py
+++ b/dunlinlug/fleet/election/replicated_state.py
@@ -105,7 +105,7 @@
     it stays away.
     """
     return (
-        [ProxyDisconnected(proxy) for proxy in module.assignments.proxies]
+        [ProxyDisconnected(proxy) for proxy in module.state.assignments.proxies]
         if isinstance(module, Balancer)
         else []
     )
--- a/tests/ads/test_state_of_the_world.py
+++ b/tests/ads/test_state_of_the_world.py
@@ -124,9 +124,10 @@
             module = run.manager.loop.module
             await until(
                 lambda: (
-                    bool(module.current_tables)
+                    bool(module.state.tables.current_tables)
                     and all(  # type: ignore[attr-defined]
-                        len(table.weights) == 4 for table in module.current_tables.values()
+                        len(table.weights) == 4
+                        for table in module.state.tables.current_tables.values()
                     )
                 )
             )  # type: ignore[attr-defined]
@@ -135,7 +136,7 @@
             assert set(met) == set(workers.ids), "all workers, and no failure"
             assert 0.4 < met[workers.ids[3]] / 800 < 0.6 and 0.07 < met[workers.ids[0]] / 800 < 0.18
             run.roster.tell(w3="draining")
-            await until(lambda: bool(run.manager.loop.module.ejected_rows))  # type: ignore[attr-defined]
+            await until(lambda: bool(run.manager.loop.module.state.ejected_rows))  # type: ignore[attr-defined]
             with trio.fail_after(5.0):
                 while workers.ids[3] in await client.ask(50):
                     pass
@@ -144,7 +145,7 @@
             await until(
                 lambda: all(
                     not mark
-                    for proxy in module.assignments.proxies.values()  # type: ignore[attr-defined]
+                    for proxy in module.state.assignments.proxies.values()  # type: ignore[attr-defined]
                     for tables in proxy.tables_in_use.values()
                     for _, mark in tables
                 )
@@ -179,7 +180,7 @@
             (await take(names.ENDPOINTS_TYPE, cluster)).resources[0].value
         )
         assert len(held.endpoints) == 6
-        proxies = run.manager.loop.module.assignments.proxies  # type: ignore[attr-defined]
+        proxies = run.manager.loop.module.state.assignments.proxies  # type: ignore[attr-defined]
         await until(
             lambda: (
                 len(proxies) == 1
--- a/tests/decision/histories.py
+++ b/tests/decision/histories.py
@@ -175,20 +175,20 @@
         self.balancer = balancer
 
     def owed_entries(self, ack_number: int) -> dict[int, float]:
-        return self.balancer.budget.pending_replies[ack_number].entries_by_proxy
+        return self.balancer.state.budget.pending_replies[ack_number].entries_by_proxy
 
     def is_channel_constrained(self) -> bool:
-        return self.balancer.is_channel_constrained
+        return self.balancer.state.is_channel_constrained
 
     def has_subsets_in_use(self) -> bool:
-        return bool(self.balancer.assignments.proxies) and any(
-            table.use_count for table in self.balancer.subset_tables
+        return bool(self.balancer.state.assignments.proxies) and any(
+            table.use_count for table in self.balancer.state.tables.subset_tables
         )
 
     def admitted_fractions(self) -> set[float]:
-        if not self.balancer.controls_admission:
+        if not self.balancer.state.parameters.controls_admission:
             return set()
-        tables = self.balancer.current_tables.values()
+        tables = self.balancer.state.tables.current_tables.values()
         return {fraction for table in tables for fraction, _ in table.admission_levels}
 
 
--- a/tests/decision/state/test_state_models.py
+++ b/tests/decision/state/test_state_models.py
@@ -269,9 +269,9 @@
     model = Model(manager_settings())
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(4)))])
     model.step(0.1, [ProxyConnected(1, "north", 5.0, True)])
-    health = model.module.outlier_detector
+    health = model.module.state.outlier_detector
     for n in range(4, 40):
-        row = model.module.fleet.row_by_id[endpoint(n - 4).id]
+        row = model.module.state.fleet.row_by_id[endpoint(n - 4).id]
         (
             health.weight_limits[row],
             health.recovery_limits[row],
@@ -285,7 +285,7 @@
         )
         health.update_indexes(row)
         model.step(0.1, [EndpointsUpdated("changes", (endpoint(n - 4, "gone"), endpoint(n)))])
-        row = model.module.fleet.row_by_id[endpoint(n).id]
+        row = model.module.state.fleet.row_by_id[endpoint(n).id]
         assert (
             health.weight_limits[row],
             health.recovery_limits[row],
@@ -312,5 +312,5 @@
         health.weight_limits,
         health.recovery_limits,
     )
-    assert {len(column) for column in columns} == {len(model.module.fleet.ids)}
-    assert len(model.module.fleet.ids) <= 16 and not model.broken
+    assert {len(column) for column in columns} == {len(model.module.state.fleet.ids)}
+    assert len(model.module.state.fleet.ids) <= 16 and not model.broken
--- a/tests/decision/test_order_rejection.py
+++ b/tests/decision/test_order_rejection.py
@@ -20,12 +20,14 @@
     SetEjected,
     SetWeight,
 )
+from dunlinlug.decision.planner import plan
 from dunlinlug.decision.settings import ManagerSettings
+from dunlinlug.decision.slow_start import SLOW_START_INTERVAL
 from dunlinlug.storage.store import read_rejections
 from tests.decision.rules_model import endpoint, manager_settings
 from tests.fixtures.manager_process import WORKERS, bound, peer, running, until
 
-RAISE = Balancer.SLOW_START_INTERVAL
+RAISE = SLOW_START_INTERVAL
 
 
 class Refusing:
@@ -51,7 +53,8 @@
                 self.events.append(OrderRejected(order, "said no"))
             if isinstance(order, RequestAcknowledgement):
                 self.events += [
-                    Acknowledged(p, order.ack_number, 0.1) for p in self.module.assignments.proxies
+                    Acknowledged(p, order.ack_number, 0.1)
+                    for p in self.module.state.assignments.proxies
                 ]
         return orders
 
@@ -70,14 +73,14 @@
     started(it)
     assert len(it.seen) == 1
     it.step()
-    assert not it.module.assignments.proxies[3].tables_in_use
+    assert not it.module.state.assignments.proxies[3].tables_in_use
     it.run(RAISE - 0.5)
     assert len(it.seen) == 1
     it.run(10 * RAISE)
     assert 9 <= len(it.seen) - 1 <= 11, "ten times in a row, once in each raise"
     it.on = False
     it.run(RAISE + 0.5)
-    assert set(it.module.assignments.proxies[3].tables_in_use) == {0, 1}
+    assert set(it.module.state.assignments.proxies[3].tables_in_use) == {0, 1}
 
 
 def test_a_proxy_that_joined_before_the_list_is_bound_as_soon_as_that_comes() -> None:
@@ -87,7 +90,7 @@
     it.on = False
     it.step(EndpointsUpdated("whole", tuple(endpoint(n) for n in range(6))))
     it.run(1.0)
-    assert len(it.seen) == 1 and set(it.module.assignments.proxies[3].tables_in_use) == {0, 1}
+    assert len(it.seen) == 1 and set(it.module.state.assignments.proxies[3].tables_in_use) == {0, 1}
 
 
 def test_a_refused_line_is_left_out_and_tried_again_after_a_raise() -> None:
@@ -95,14 +98,14 @@
     it = Refusing(SetWeight, lambda order: order.worker == bad)
     started(it)
     it.run(2.0)
-    i = it.module.fleet.row_by_id[bad]
-    assert all(i not in table.weights for table in it.module.current_tables.values())
+    i = it.module.state.fleet.row_by_id[bad]
+    assert all(i not in table.weights for table in it.module.state.tables.current_tables.values())
     first = len(it.seen)
     it.run(RAISE - 2.5)
     assert len(it.seen) == first
     it.on = False
     it.run(RAISE)
-    assert all(i in table.weights for table in it.module.current_tables.values())
+    assert all(i in table.weights for table in it.module.state.tables.current_tables.values())
 
 
 def test_a_refused_letting_in_leaves_the_worker_out_and_others_are_still_withdrawn() -> None:
@@ -111,8 +114,8 @@
     it.run(2.0)
     it.step(EndpointsUpdated("changes", (endpoint(0, "draining"),)))
     it.run(4.0)
-    gone = it.module.fleet.row_by_id[endpoint(0).id]
-    assert it.seen and gone in it.module.ejected_rows, (
+    gone = it.module.state.fleet.row_by_id[endpoint(0).id]
+    assert it.seen and gone in it.module.state.ejected_rows, (
         "it was let in, refused, and is known to be out"
     )
     orders = it.step(EndpointsUpdated("changes", (endpoint(1, "gone"),)))
@@ -124,17 +127,17 @@
     it = Refusing(SetAdmission)
     started(it)
     it.run(2.0)
-    usual = [(1.0, it.module.default_retry_policy)] * 2
+    usual = [(1.0, it.module.state.parameters.default_retry_policy)] * 2
     assert len(it.seen) == 2 and all(
-        table.admission_levels == usual for table in it.module.current_tables.values()
+        table.admission_levels == usual for table in it.module.state.tables.current_tables.values()
     )
     it.run(RAISE + 0.5)
-    assert 2 < len(it.seen) <= 2 + 2 * len(set(it.module.current_tables.values()))
+    assert 2 < len(it.seen) <= 2 + 2 * len(set(it.module.state.tables.current_tables.values()))
     it.on = False
     it.run(RAISE + 0.5)
     assert all(
-        table.admission_levels == it.module._plan(it.now).admission_levels
-        for table in it.module.current_tables.values()
+        table.admission_levels == plan(it.module.state, it.now).admission_levels
+        for table in it.module.state.tables.current_tables.values()
     )
 
 
@@ -145,8 +148,8 @@
         it.step(EndpointsUpdated("changes", (endpoint(0, "ready" if n % 2 else "draining"),)))
         it.run(4.0)
     refused = {order.table_id for _, order in it.seen}
-    laid = {table.table_id for table in it.module.current_tables.values()}
-    assert refused and not refused & laid and refused <= it.module.assignments.tables.keys()
+    laid = {table.table_id for table in it.module.state.tables.current_tables.values()}
+    assert refused and not refused & laid and refused <= it.module.state.assignments.tables.keys()
 
 
 class Bare:
--- a/tests/decision/test_reference_decisions.py
+++ b/tests/decision/test_reference_decisions.py
@@ -140,14 +140,17 @@
         "key=lambda row: (row not in desired.weight_fractions, row)",
     ),
     "a withdrawal refused": (
-        "(self.ejected_rows.discard if ejected else self.ejected_rows.add)(row)",
-        "self.ejected_rows.discard(row)",
+        "if order.ejected:",
+        "if True:",
     ),
     "an answer to another mark": (
-        "{proxy_id} if update.ack_number in acknowledged else set()",
-        "{proxy_id}",
+        "if update.ack_number in acknowledged:",
+        "if True:",
+    ),
+    "retries in calm": (
+        "min(state.parameters.default_retry_policy, 1)",
+        "state.parameters.default_retry_policy",
     ),
-    "retries in calm": ("min(self.default_retry_policy, 1)", "self.default_retry_policy"),
     "queues that tell a jam's end": (
         "median(self.queue_lengths) < 1.0",
         "median(self.queue_lengths) < 0.0",
@@ -159,13 +162,13 @@
         "return effective_weights",
     ),
     "probes of the barred": (
-        "(detector.due_at[row] <= now) and (row not in self.blocked_rows)",
-        "(detector.due_at[row] <= now)",
+        "is_due and (row not in state.blocked.rows)",
+        "is_due",
     ),
     "rows that pass on (the books)": ("reusable_rows.pop(0)", "reusable_rows.pop()"),
     "fails with a cause": (
-        "self.overrides[traffic_class] = event",
-        "self.overrides[traffic_class] = event[0]",
+        "state.overrides[event.traffic_class] = event",
+        "state.overrides[event.traffic_class] = event[0]",
     ),
 }
 
@@ -322,7 +325,7 @@
     histories: list[History],
 ) -> None:
     make = faulty(
-        "self.SLOW_START_STEP * (1 + max(0, age // self.SLOW_START_INTERVAL))",
-        "self.SLOW_START_STEP * 1.0000000000001 * (1 + max(0, age // 5))",
+        "SLOW_START_STEP * (1 + max(0, age // SLOW_START_INTERVAL))",
+        "SLOW_START_STEP * 1.0000000000001 * (1 + max(0, age // 5))",
     )
     assert any(replay(history, make).rounding for history in histories[9:])
--- a/tests/decision/test_regressions.py
+++ b/tests/decision/test_regressions.py
@@ -75,9 +75,9 @@
 def test_an_overfull_worker_keeps_half_its_share_and_goes_back_to_three_quarters() -> None:
     model = started()
     fleet(model, {n: (20, 12 if n == 4 else 0, 1.0 if n == 4 else 0.2) for n in range(9)}, 5.0)
-    assert not model.withdrawn and model.module.outlier_detector.weight_limits[4] == 0.5
+    assert not model.withdrawn and model.module.state.outlier_detector.weight_limits[4] == 0.5
     fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 8.0)
-    assert model.module.outlier_detector.weight_limits[4] == 0.75
+    assert model.module.state.outlier_detector.weight_limits[4] == 0.75
 
 
 def test_a_zone_in_reach_again_comes_back_without_trials() -> None:
@@ -86,7 +86,7 @@
     fleet(model, {n: (20, 20 if n % 3 == 1 else 0, 0.2) for n in range(9)}, 3.0)
     assert model.withdrawn == {endpoint(n).id for n in (1, 4, 7)}
     model.step(0.1, [ProxyConnected(1, "south", 5.0, False)])
-    assert [model.module.outlier_detector.weight_limits[n] for n in (1, 4, 7)] == [1.0] * 3
+    assert [model.module.state.outlier_detector.weight_limits[n] for n in (1, 4, 7)] == [1.0] * 3
 
 
 def test_overload_refuses_the_least_revenue_first_and_then_opens_again() -> None:
@@ -182,7 +182,7 @@
 
 def test_letting_in_again_is_not_held_back_by_the_messages_that_changes_leave() -> None:
     model = started()
-    for times in model.module.budget.sent_times.values():
+    for times in model.module.state.budget.sent_times.values():
         times.extend([model.now] * (15 - len(times)))
     model.step(0.1, [EndpointsUpdated("changes", tuple(endpoint(n, "draining") for n in range(9)))])
     assert len(model.withdrawn) == 9
@@ -220,7 +220,7 @@
 
 def test_a_mass_of_workers_gone_is_answered_with_small_tables() -> None:
     model = crowd()
-    model.module.budget.entries_per_second = (
+    model.module.state.budget.entries_per_second = (
         300.0  # a line for each worker and proxy would take two seconds
     )
     model.step(0.1, [EndpointsUpdated("changes", tuple(endpoint(n, "gone") for n in range(15)))])
@@ -267,11 +267,11 @@
 
 def test_what_others_met_is_evidence_on_workers_and_none_on_our_own_load() -> None:
     model = started()
-    before = model.module.admission_controller.succeeded
+    before = model.module.state.admission_controller.succeeded
     model.step(0.1, [EndpointReported("", endpoint(4).id, 40.0, 40.0, 0.0, 0.5, local=False)])
     assert (
-        model.module.admission_controller.succeeded == before
-        and model.module.outlier_detector.failed[4] >= 40.0
+        model.module.state.admission_controller.succeeded == before
+        and model.module.state.outlier_detector.failed[4] >= 40.0
     )
 
 
@@ -355,6 +355,6 @@
     model.step(0.1, [HealthCheckCompleted(endpoint(4).id, True, "ok", 0.1)])
     assert endpoint(4).id in model.withdrawn
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(4, "ready", model.now - 1.0),))])
-    cap = model.module.outlier_detector.weight_limits[4]
+    cap = model.module.state.outlier_detector.weight_limits[4]
     model.step(0.1, [HealthCheckCompleted(endpoint(4).id, False, "timeout", 0.4)])
-    assert model.module.outlier_detector.weight_limits[4] == cap == 1.0 and not model.broken
+    assert model.module.state.outlier_detector.weight_limits[4] == cap == 1.0 and not model.broken
--- a/tests/decision/test_safety_rules.py
+++ b/tests/decision/test_safety_rules.py
@@ -5,9 +5,13 @@
 
 import pytest
 
-from dunlinlug.balance import Balancer, ChannelBudget, OrderBatch
+from dunlinlug import balance
+from dunlinlug.decision import slow_start
+from dunlinlug.decision.decision_state import DecisionState
 from dunlinlug.decision.desired_state import DesiredState
 from dunlinlug.decision.events import EndpointReported, EndpointsUpdated, Event, ProxyConnected
+from dunlinlug.decision.flow_control import ChannelBudget, OrderBatch
+from dunlinlug.decision.planner import plan
 from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, SafetyLimits
 from tests.decision.rules_model import ZONES, Model, endpoint, manager_settings, run
 
@@ -105,35 +109,33 @@
 
 
 def broken_by(monkeypatch: pytest.MonkeyPatch, change: object, pace: float = 1.0) -> set[str]:
-    plan = Balancer._plan
-
-    def bad(self: Balancer, now: float) -> DesiredState:
-        desired = plan(self, now)
-        change(self, desired)
+    def bad(state: DecisionState, now: float) -> DesiredState:
+        desired = plan(state, now)
+        change(state, desired)
         return desired
 
-    monkeypatch.setattr(Balancer, "_plan", bad)
+    monkeypatch.setattr(balance, "plan", bad)
     return set().union(*(run(Model(manager_settings(), pace), seed).broken for seed in range(4)))
 
 
 @pytest.mark.parametrize(
     ("rule", "change"),
     [
-        ("bare", lambda module, desired: desired.ejected.update(range(len(module.fleet.ids)))),
+        ("bare", lambda state, desired: desired.ejected.update(range(len(state.fleet.ids)))),
         (
             "an effect twice",
-            lambda module, desired: setattr(
+            lambda state, desired: setattr(
                 desired, "admission_levels", [(1.0, 2)] * len(desired.admission_levels)
             ),
         ),
         (
             "drain",
-            lambda module, desired: (
+            lambda state, desired: (
                 desired.ejected.clear(),
                 setattr(
                     desired,
                     "weights",
-                    [{**desired.weights[0], **{i: 1.0 for i in range(len(module.fleet.ids))}}]
+                    [{**desired.weights[0], **{i: 1.0 for i in range(len(state.fleet.ids))}}]
                     * len(desired.weights),
                 ),
             ),
@@ -147,8 +149,8 @@
 
 
 def test_the_model_sees_a_cold_worker_pushed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "SLOW_START_STEP", 1.0)
-    assert "cold" in broken_by(monkeypatch, lambda module, desired: desired.ejected.clear())
+    monkeypatch.setattr(slow_start, "SLOW_START_STEP", 1.0)
+    assert "cold" in broken_by(monkeypatch, lambda state, desired: desired.ejected.clear())
 
 
 def test_the_model_sees_a_long_queue(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -170,8 +172,8 @@
     flip = iter(range(10**6))
     assert "messages" in broken_by(
         monkeypatch,
-        lambda module, desired: setattr(
-            desired, "ejected", {next(flip) % 2, 2 + next(flip) % 3} if module.fleet.ids else set()
+        lambda state, desired: setattr(
+            desired, "ejected", {next(flip) % 2, 2 + next(flip) % 3} if state.fleet.ids else set()
         ),
     )
 
@@ -191,10 +193,10 @@
     def step(self, span: float, events: list[Event]) -> None:
         self.waiting += events
         if (
-            self.module.fleet.ids and self.random.random() < 0.75
+            self.module.state.fleet.ids and self.random.random() < 0.75
         ):  # the list as kept comes first, as hosts tell it
             return super().step(span, [])
-        self.random.shuffle(self.waiting if self.module.fleet.ids else [])
+        self.random.shuffle(self.waiting if self.module.state.fleet.ids else [])
         events, self.waiting = self.waiting, []
         return super().step(span, events)
 
--- a/tests/decision/test_subsets.py
+++ b/tests/decision/test_subsets.py
@@ -208,7 +208,7 @@
                     *(DemandReported(1, name, 10 * WORKERS, 0, 0.5) for name in ("read", "book")),
                 ],
             )
-        shares.append(model.module.admission_controller.admitted_fraction)
+        shares.append(model.module.state.admission_controller.admitted_fraction)
     return shares[0], shares[1]
 
 
@@ -235,7 +235,7 @@
                 for n in range(WORKERS)
             ],
         )
-    assert model.module.admission_controller.admitted_fraction == 1.0
+    assert model.module.state.admission_controller.admitted_fraction == 1.0
 
 
 def test_in_fleets_whose_reports_are_young_queues_open_nothing() -> None:
@@ -245,4 +245,4 @@
     model.step(0.1, [ProxyConnected(p, ZONES[p % 3], 5.0, True) for p in range(6)])
     meet(model, 5.0)
     before, after = jam(model, queue=0.0)
-    assert not model.module.is_channel_constrained and after <= before
+    assert not model.module.state.is_channel_constrained and after <= before
--- a/tests/fleet/election/test_election.py
+++ b/tests/fleet/election/test_election.py
@@ -338,13 +338,14 @@
         )  # its datagrams are lost, its frames go on
         await until(
             lambda: all(
-                not m.loop.module.partition_limits.may_change_weights for m in run.managers.values()
+                not m.loop.module.state.partition_limits.may_change_weights
+                for m in run.managers.values()
             )
         )
         to = next(name for name in run.managers if name != first.leadership.self_id)
         await first.leadership.transfer_leadership(to)
         assert await run.led(but=first.leadership.self_id) is run.managers[to]
-        await until(lambda: run.managers[to].loop.module.partition_limits.may_change_weights)
+        await until(lambda: run.managers[to].loop.module.state.partition_limits.may_change_weights)
 
 
 async def test_a_successor_goes_by_what_its_own_roster_tells(tmp_path: Path) -> None:
--- a/tests/fleet/election/test_replicated_state.py
+++ b/tests/fleet/election/test_replicated_state.py
@@ -39,7 +39,7 @@
         now += 0.1
         marks = [
             Acknowledged(p, mark, 0.1)
-            for p, proxy in first.assignments.proxies.items()
+            for p, proxy in first.state.assignments.proxies.items()
             for mark in {mark for held in proxy.tables_in_use.values() for _, mark in held if mark}
         ]
         events = [
@@ -53,7 +53,7 @@
             p = chance.randrange(8)
             events.append(
                 ProxyDisconnected(p)
-                if p in first.assignments.proxies
+                if p in first.state.assignments.proxies
                 else ProxyConnected(p, "north", 5.0, True)
             )
         if chance.random() < 0.2:
@@ -66,7 +66,7 @@
         )
         assert batch.events == events and batch.rejected_indexes == [1]
         assert twin.decide(batch.now, batch.events) == first.decide(now, events)
-        agree(twin.assignments)
+        agree(twin.state.assignments)
 
 
 def test_who_was_joined_with_the_former_master_leaves_our_module() -> None:
@@ -75,9 +75,9 @@
     twin, _ = replicated_state.deserialize_snapshot(
         replicated_state.serialize_snapshot(model.module, standing(model.module)), what
     )
-    assert twin.assignments.proxies
+    assert twin.state.assignments.proxies
     twin.decide(model.now + 0.1, replicated_state.disconnect_all(twin))
-    assert not twin.assignments.proxies and not twin.budget.awaited_acks
+    assert not twin.state.assignments.proxies and not twin.state.budget.awaited_acks
     assert not replicated_state.disconnect_all(object())
 
 
--- a/tests/manager/test_manager.py
+++ b/tests/manager/test_manager.py
@@ -120,7 +120,7 @@
         assert WORKERS[1].id in proxy.holdings.ejected, (
             "a withdrawal does not fall with the tables beside it"
         )
-        held = run.manager.loop.module.assignments.proxies[0].tables_in_use  # type: ignore[attr-defined]
+        held = run.manager.loop.module.state.assignments.proxies[0].tables_in_use  # type: ignore[attr-defined]
         assert any(mark for tables in held.values() for _, mark in tables), (
             "the module was told of no answer"
         )
@@ -188,8 +188,8 @@
         )
         call.send(load_reports.encode_report(report, is_first=False))
         module = run.manager.loop.module
-        await until(lambda: bool(module.admission_controller.arrivals["ticket-read"]))  # type: ignore[attr-defined]
-        health, i = module.outlier_detector, module.fleet.row_by_id[WORKERS[0].id]  # type: ignore[attr-defined]
+        await until(lambda: bool(module.state.admission_controller.arrivals["ticket-read"]))  # type: ignore[attr-defined]
+        health, i = module.state.outlier_detector, module.state.fleet.row_by_id[WORKERS[0].id]  # type: ignore[attr-defined]
         await until(lambda: bool(health.attempts[i]))
         assert health.failure_rate(i) == pytest.approx(0.4) and "127.0.0.1:9" not in {
             w for _, w in run.manager.report_aggregator.endpoint_totals
@@ -215,7 +215,7 @@
         run.roster.workers[5] = replace(WORKERS[5], started_at=1000.0)
         run.roster.tell()
         await until(lambda: bool(run.manager.endpoint_watcher.start_times))
-        fleet = run.manager.loop.module.fleet  # type: ignore[attr-defined]
+        fleet = run.manager.loop.module.state.fleet  # type: ignore[attr-defined]
         await proxy.until(bound)
         run.manager.endpoint_watcher.clock_offset = lambda: (
             trio.current_time() - time.time() + 3600.0
@@ -300,7 +300,7 @@
 
 def settled(run: Running) -> bool:
     """Whether the module has heard an answer for all that it ordered for every proxy."""
-    proxies = run.manager.loop.module.assignments.proxies  # type: ignore[attr-defined]
+    proxies = run.manager.loop.module.state.assignments.proxies  # type: ignore[attr-defined]
     return bool(proxies) and all(
         proxy.tables_in_use and not mark
         for proxy in proxies.values()
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -299,7 +299,7 @@
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(60)))])
     orders = PlatformTableInstaller(NAMES, 1, model.trade.channel.message_overhead, (False, True))
     orders.handle_events([EndpointsUpdated("kept", tuple(endpoint(n) for n in range(60)))])
-    account, written = model.module.budget, 0.0
+    account, written = model.module.state.budget, 0.0
     for n in range(60):
         events: list[Event] = [ProxyConnected(n, ZONES[n % 3], 5.0, True)]
         if n % 7 == 6:
--- a/tests/recorded/test_wire_forms.py
+++ b/tests/recorded/test_wire_forms.py
@@ -51,13 +51,40 @@
 def instances() -> dict[type, Any]:
     found: dict[type, Any] = {}
     seen: set[int] = set()
-    for value in (lived(), record.standing(0.0), *examples.BATCHES.values()):
+    for value in (lived().state, record.standing(0.0), *examples.BATCHES.values()):
         walk(value, found, seen)
     return found
 
 
+def attributes_of(form: WireForm, instance: Any) -> set[str]:
+    """The attributes that a form has to declare: of the module's state also those of its inlined parts."""
+    if form is not module_state.MODULE:
+        return set(vars(instance))
+    parts = module_state.INLINED_PARTS
+    own = vars(instance).keys() - parts.keys()
+    return own.union(
+        *({f"{name}.{key}" for key in vars(getattr(instance, name))} for name in parts)
+    )
+
+
+def without(instance: Any, path: str) -> Any:
+    """A copy of an object that lacks the attribute of this path."""
+    lacking = copy(instance)
+    part_name, _, attribute = path.rpartition(".")
+    part = lacking
+    if part_name:
+        part = copy(getattr(lacking, part_name))
+        object.__setattr__(lacking, part_name, part)
+    del vars(part)[attribute]
+    return lacking
+
+
 def test_every_class_that_travels_has_one_form_and_every_form_its_class() -> None:
-    assert instances().keys() == {form.kind for form in FORMS.values()}
+    inlined = {*module_state.INLINED_PARTS.values()}
+    assert instances().keys() == {form.kind for form in FORMS.values()} | inlined
+    assert not inlined & {form.kind for form in FORMS.values()}
+    for name, kind in module_state.INLINED_PARTS.items():
+        assert type(getattr(lived().state, name)) is kind
     assert len(FORMS) == len(replicated_state.FORMS) + 1
 
 
@@ -71,7 +98,7 @@
     form = FORMS[name]
     attributes = [*form.fields.values(), *form.local]
     assert len(set(attributes)) == len(attributes)
-    assert set(attributes) == vars(instances()[form.kind]).keys()
+    assert set(attributes) == attributes_of(form, instances()[form.kind])
     if is_dataclass(form.kind):
         assert [*form.fields.values()] == [each.name for each in fields(form.kind)]
 
@@ -89,14 +116,29 @@
 @pytest.mark.parametrize("name", [name for name, form in FORMS.items() if form.fields])
 def test_a_declared_attribute_that_is_not_there_is_refused_when_written(name: str) -> None:
     form = FORMS[name]
-    instance = copy(instances()[form.kind])
     attribute = next(iter(form.fields.values()))
-    del vars(instance)[attribute]
+    instance = without(instances()[form.kind], attribute)
     with pytest.raises(FieldFormError) as caught:
         ObjectSerializer(*FORMS.values()).serialize(instance)
     assert (caught.value.class_name, caught.value.field) == (name, attribute)
 
 
+@pytest.mark.parametrize("name", module_state.INLINED_PARTS)
+def test_an_inlined_part_with_an_attribute_more_or_less_is_refused_when_written(name: str) -> None:
+    state = copy(lived().state)
+    part = copy(getattr(state, name))
+    setattr(state, name, part)
+    setattr(part, ANOTHER, 1)
+    with pytest.raises(FieldFormError, match="not declared") as caught:
+        module_state.MODULE.taken_from(state)
+    assert (caught.value.class_name, caught.value.field) == ("Balancer", f"{name}.{ANOTHER}")
+    delattr(part, ANOTHER)
+    attribute = next(iter(vars(part)))
+    with pytest.raises(FieldFormError, match="not an attribute") as caught:
+        module_state.MODULE.taken_from(without(state, f"{name}.{attribute}"))
+    assert caught.value.field == f"{name}.{attribute}"
+
+
 @pytest.mark.parametrize("name", FORMS)
 def test_fields_unknown_missing_or_twice_there_are_refused_when_read(name: str) -> None:
     reader = ObjectSerializer(*FORMS.values())
