--- a/bench/tapped.py
+++ b/bench/tapped.py
@@ -34,7 +34,8 @@
             continue
         batch = codec.read_batch(line)
         events: dict[str, list[Event]] = {}
-        for manager, verb, body in batch.events:
+        for event in batch.events:
+            manager, verb, body = event.manager, event.verb, event.body
             if verb == "Detach":
                 instances.pop(manager, None)
                 events.pop(manager, None)
--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -22,7 +22,7 @@
 from dunlinlug.balance import Balancer
 from dunlinlug.config import manager_config
 from dunlinlug.config.reader import ConfigError, ConfigFile
-from dunlinlug.decision.events import Endpoint, EndpointsUpdated, PartitionLimitsChanged
+from dunlinlug.decision.events import Endpoint, EndpointsUpdated, PartitionLimitsChanged, UpdateType
 from dunlinlug.decision.orders import CheckHealth, ListEndpoints, WatchEndpoints
 from dunlinlug.decision.settings import ManagerSettings
 from dunlinlug.discovery import entries
@@ -360,7 +360,7 @@
             self.nursery.start_soon(self._run_while_leading, self.endpoint_watcher.watch, True)
         elif not starts_empty:
             self.loop.submit(
-                EndpointsUpdated("failed")
+                EndpointsUpdated(UpdateType.FAILED)
             )  # what the former master asked for does not come to us
 
     def _on_leadership_lost(self) -> None:
@@ -541,7 +541,7 @@
                 )
             except entries.DiscoveryResponseError as error:
                 self.log_event("store.invalid_list", why=str(error))
-        self.loop.submit(EndpointsUpdated("kept", tuple(workers)))
+        self.loop.submit(EndpointsUpdated(UpdateType.RESTORED, tuple(workers)))
         self.log_event("store.list_loaded", workers=len(workers))
 
     async def _wait_for_stop(self, signals: SignalReceiver) -> None:
--- a/dunlinlug/config/manager_config.py
+++ b/dunlinlug/config/manager_config.py
@@ -7,7 +7,15 @@
 
 from dunlinlug.config.reader import ConfigError, ConfigFile, load_config
 from dunlinlug.config.units import Address, Count, Fraction, PerSecond, Seconds, WordList
-from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, SafetyLimits, TrafficClass
+from dunlinlug.decision.settings import (
+    AdmissionMode,
+    ChannelSettings,
+    Idempotency,
+    ManagerSettings,
+    ReportDelivery,
+    SafetyLimits,
+    TrafficClass,
+)
 
 
 @attrs.frozen
@@ -301,7 +309,7 @@
             traffic_class.deadline,
             traffic_class.revenue,
             traffic_class.late_share,
-            traffic_class.repeats,
+            Idempotency(traffic_class.repeats),
             traffic_class.group,
             traffic_class.window,
         )
@@ -333,9 +341,9 @@
         must_subscribe=discovery.mode == "asked",
         can_check_health=config.section(HealthCheckConfig).allowed,
         load_report_fields=reports.fields,
-        report_delivery="answers" if reports.fields else "none",
+        report_delivery=ReportDelivery.RESPONSES if reports.fields else ReportDelivery.NONE,
         report_interval=reports.cycle,
         default_retry_policy=server.usual_retry,
-        admission_mode=server.admits,
+        admission_mode=AdmissionMode(server.admits),
         initial_subset_size=server.standing,
     )
--- a/dunlinlug/config/settings_json.py
+++ b/dunlinlug/config/settings_json.py
@@ -9,16 +9,24 @@
 from math import inf
 from typing import Any
 
-from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, SafetyLimits, TrafficClass
+from dunlinlug.decision.settings import (
+    AdmissionMode,
+    ChannelSettings,
+    Idempotency,
+    ManagerSettings,
+    ReportDelivery,
+    SafetyLimits,
+    TrafficClass,
+)
 
 MICROSECONDS_PER_SECOND = 1e6
 MILLISECONDS_PER_SECOND = 1e3
 IDEMPOTENCY_BY_EFFECT = {
-    "pure": "idempotent",
-    "token": "referenced",
-    "side_effect": "non-idempotent",
+    "pure": Idempotency.IDEMPOTENT,
+    "token": Idempotency.KEYED,
+    "side_effect": Idempotency.NON_IDEMPOTENT,
 }
-ADMISSION_MODES = {"ratio": "share", "rps": "rate"}
+ADMISSION_MODES = {"ratio": AdmissionMode.FRACTION, "rps": AdmissionMode.RATE}
 LOAD_FIELD_NAMES = {
     "depth": "queue",
     "mean_ms": "service_s",
@@ -117,10 +125,10 @@
         load_report_fields=tuple(
             LOAD_FIELD_NAMES.get(name, name) for name in reporting.get("fields") or ()
         ),
-        report_delivery=reporting.get("how") or "none",
+        report_delivery=reporting.get("how") or ReportDelivery.NONE,
         report_interval=seconds(specifics.get("cycleUs") or MICROSECONDS_PER_SECOND),
         default_retry_policy=int(specifics.get("usualHow") or 0),
-        admission_mode=ADMISSION_MODES.get(specifics.get("admit"), "none"),
+        admission_mode=ADMISSION_MODES.get(specifics.get("admit"), AdmissionMode.NONE),
         shard_count=int(specifics.get("keyRanges") or 0),
         initial_subset_size=max(1, int(specifics.get("initialSet") or 1)),
     )
--- a/dunlinlug/decision/event_handling.py
+++ b/dunlinlug/decision/event_handling.py
@@ -16,6 +16,7 @@
     PartitionLimitsChanged,
     ProxyConnected,
     ProxyDisconnected,
+    UpdateType,
 )
 from dunlinlug.decision.order_rejection import handle_rejection
 from dunlinlug.decision.outlier_detection import OutlierDetector
@@ -24,7 +25,9 @@
 QUEUE_LENGTH = "queue"
 
 
-def handle_event(state: DecisionState, now: float, event: Event) -> None:
+def handle_event(  # noqa: C901 - one case for each kind of event
+    state: DecisionState, now: float, event: Event
+) -> None:
     """Take in one event; kinds that no decision goes by are disregarded."""
     match event:
         case EndpointsUpdated():
@@ -52,7 +55,7 @@
 
 def _handle_endpoints_update(state: DecisionState, now: float, event: EndpointsUpdated) -> None:
     """Take in the endpoint list or a change of it, or that it could not be had."""
-    if event.update_type == "failed":
+    if event.update_type == UpdateType.FAILED:
         _schedule_list_retry(state, now)
         return
     state.list_polling.retry_delay = MIN_LIST_RETRY_DELAY
--- a/dunlinlug/decision/flow_control.py
+++ b/dunlinlug/decision/flow_control.py
@@ -7,6 +7,7 @@
 """
 
 from collections.abc import Collection
+from dataclasses import dataclass
 from enum import IntEnum
 from math import inf
 
@@ -28,6 +29,25 @@
     BULK = 3  # table changes and switches
 
 
+@dataclass(frozen=True)
+class Urgency:
+    """What an order may find in the channel when it goes.
+
+    `max_drain_time` is how many seconds of drain may wait in the channel.
+    """
+
+    priority: Priority
+    max_drain_time: float = inf
+
+
+# What the safety rules demand goes whatever waits.
+MANDATORY = Urgency(Priority.MANDATORY)
+# Health and admission orders, and table changes that are to begin.
+HEALTH = Urgency(Priority.HEALTH, 4 * BASE_DRAIN_TIME)
+ADMISSION = Urgency(Priority.ADMISSION, 4 * BASE_DRAIN_TIME)
+TABLE_CHANGE = Urgency(Priority.BULK, BASE_DRAIN_TIME)
+
+
 class ChannelBudget(PendingAcks):
     """Estimates what waits in the channel, from what was ordered and what was acknowledged.
 
@@ -131,21 +151,21 @@
         self,
         proxy_ids: Collection[int],
         entries_each: float,
-        priority: int,
-        max_drain_time: float = inf,
+        urgency: Urgency,
     ) -> float | None:
         """Return what so many entries for each of these proxies cost; None if they may not go.
 
-        They may not go where the queue is too long or too full for this priority, or where a
+        They may not go where the queue is too long or too full for this urgency, or where a
         proxy was sent too many messages.
         """
-        if self.exceeds_drain(max_drain_time):
+        priority = urgency.priority
+        if self.exceeds_drain(urgency.max_drain_time):
             return None
         if not self.fits(entries_each * len(proxy_ids), priority):
             return None
         new_proxy_ids = [p for p in proxy_ids if p not in self.entries_by_proxy]
         entries = entries_each * len(proxy_ids) + self.message_overhead * len(new_proxy_ids)
-        if new_proxy_ids and self.exceeds_drain(max_drain_time, new_proxy_ids[0]):
+        if new_proxy_ids and self.exceeds_drain(urgency.max_drain_time, new_proxy_ids[0]):
             return None
         if not self.fits(entries, priority):
             return None
@@ -158,11 +178,10 @@
         self,
         proxy_ids: Collection[int],
         entries_each: float,
-        priority: int,
-        max_drain_time: float = inf,
+        urgency: Urgency,
     ) -> bool:
         """Charge so many entries to each of these proxies; False, and nothing, if they may not go."""
-        entries = self.cost(proxy_ids, entries_each, priority, max_drain_time)
+        entries = self.cost(proxy_ids, entries_each, urgency)
         if entries is None:
             return False
         for proxy_id in proxy_ids:
--- a/dunlinlug/decision/order_rejection.py
+++ b/dunlinlug/decision/order_rejection.py
@@ -14,7 +14,7 @@
     SetWeight,
 )
 from dunlinlug.decision.slow_start import SLOW_START_INTERVAL
-from dunlinlug.decision.state.assignments import Table
+from dunlinlug.decision.state.tables import Table
 from dunlinlug.decision.timer import TICK_INTERVAL
 
 
--- a/dunlinlug/decision/outlier_detection.py
+++ b/dunlinlug/decision/outlier_detection.py
@@ -10,7 +10,11 @@
 from math import inf
 from random import Random
 
-from dunlinlug.decision.state.outlier_statistics import OutlierStatistics, sorted_median
+from dunlinlug.decision.state.outlier_statistics import (
+    OutlierStatistics,
+    OutlierThresholds,
+    sorted_median,
+)
 
 
 @dataclass(frozen=True)
@@ -76,10 +80,9 @@
         super().__init__(
             self.HALF_LIFE,
             self.BASE_EJECTION_TIME,
-            self.OVERLOADED_LIMIT,
-            1.0,
-            self.MIN_FAILED,
-            self.FAILURE_RATE_THRESHOLD,
+            OutlierThresholds(
+                self.OVERLOADED_LIMIT, 1.0, self.MIN_FAILED, self.FAILURE_RATE_THRESHOLD
+            ),
         )
         self.rng = rng
         # Seconds without overload that make the baseline valid, and the time at which it is.
--- a/dunlinlug/decision/parameters.py
+++ b/dunlinlug/decision/parameters.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from dunlinlug.decision.settings import ManagerSettings
+from dunlinlug.decision.settings import AdmissionMode, ManagerSettings
 from dunlinlug.decision.slow_start import min_overload_multiple, warm_up_time
 
 # The admitted fraction of a class where levels are rates: a fraction of 1 would shut a proxy.
@@ -41,7 +41,7 @@
             if class_settings.same_zone_only
         ]
         has_both_kinds = 0 < len(same_zone_classes) < class_count
-        controls_admission = settings.admission_mode == "share"
+        controls_admission = settings.admission_mode == AdmissionMode.FRACTION
         return cls(
             class_count=class_count,
             default_retry_policy=settings.default_retry_policy,
--- a/dunlinlug/decision/planner.py
+++ b/dunlinlug/decision/planner.py
@@ -15,9 +15,9 @@
 from dunlinlug.decision.outlier_detection import OutlierDetector
 from dunlinlug.decision.overrides import overridden_weights
 from dunlinlug.decision.slow_start import slow_start_fraction
-from dunlinlug.decision.state.assignments import Table, admission_level
 from dunlinlug.decision.state.desired_weights import Weights
 from dunlinlug.decision.state.outlier_statistics import sorted_median
+from dunlinlug.decision.state.tables import Table, admission_level
 from dunlinlug.decision.table_update import advance_updates
 
 # Median failure rate of a retry storm, for each time of its weight that an endpoint that warms up
@@ -121,17 +121,13 @@
         state.desired_weights.set_weight(row, weight_fraction, weight)
 
 
-def _slow_start_fraction(state: DecisionState, row: int, now: float) -> float:
-    """Return the fraction that slow start gives a row now."""
-    return slow_start_fraction(now - state.fleet.started_at[row], state.parameters.warm_up_time)
-
-
 def _weight_fraction(state: DecisionState, row: int, now: float) -> float:
     """Return the fraction of its weight that a row should get, by slow start and weight limit.
 
     A manager on the lesser side of a partition may not raise it, or not change it at all.
     """
-    fraction = _slow_start_fraction(state, row, now)
+    age = now - state.fleet.started_at[row]
+    fraction = slow_start_fraction(age, state.parameters.warm_up_time)
     # An ejected endpoint is entered at its limit on probation, so that its entry needs no change
     # when the ejection ends.
     weight_limit = state.outlier_detector.weight_limits[row] or OutlierDetector.PROBATION_LIMIT
@@ -162,7 +158,8 @@
             must_wait = row in state.ejected_rows or not any(
                 row in table.weight_fractions for table in tables
             )
-        fraction = 0.0 if must_wait else _slow_start_fraction(state, row, now)
+        age = now - state.fleet.started_at[row]
+        fraction = 0.0 if must_wait else slow_start_fraction(age, state.parameters.warm_up_time)
         limits[row] = min(limits.get(row, inf), fraction)
     return limits
 
--- a/dunlinlug/decision/reconciler.py
+++ b/dunlinlug/decision/reconciler.py
@@ -12,7 +12,13 @@
 
 from dunlinlug.decision.decision_state import DecisionState
 from dunlinlug.decision.desired_state import DesiredState
-from dunlinlug.decision.flow_control import BASE_DRAIN_TIME, OrderBatch, Priority
+from dunlinlug.decision.flow_control import (
+    ADMISSION,
+    BASE_DRAIN_TIME,
+    HEALTH,
+    MANDATORY,
+    OrderBatch,
+)
 from dunlinlug.decision.orders import (
     CheckHealth,
     DeleteTable,
@@ -29,9 +35,6 @@
 from dunlinlug.decision.table_update import begin_updates, switch_tables
 from dunlinlug.decision.timer import set_timer
 
-# Seconds of drain that may wait in the channel when health and admission orders go.
-URGENT_DRAIN_TIME = 4 * BASE_DRAIN_TIME
-
 
 @dataclass(frozen=True)
 class ChannelConditions:
@@ -157,12 +160,11 @@
         is_mandatory = is_ejected and (
             not is_ready or state.outlier_detector.weight_limits[row] > 0.0
         )
-        priority = Priority.MANDATORY if is_mandatory else Priority.HEALTH
-        max_drain_time = inf if is_mandatory else URGENT_DRAIN_TIME
+        urgency = MANDATORY if is_mandatory else HEALTH
         groups = groups_by_row[row]
-        if not batch.fits(sum(map(len, groups)), priority):
+        if not batch.fits(sum(map(len, groups)), urgency.priority):
             continue
-        if batch.reserve([*chain.from_iterable(groups)], 1.0, priority, max_drain_time):
+        if batch.reserve([*chain.from_iterable(groups)], 1.0, urgency):
             batch.orders.append(SetEjected(state.fleet.ids[row], is_ejected))
             if is_ejected:
                 state.ejected_rows.add(row)
@@ -172,13 +174,12 @@
 
 def update_admission(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> None:
     """Order the admitted fraction and retry policy of each table and class that differs."""
-    for traffic_class, table, groups in state.assignments.differing_admission(
-        desired.admission_levels
-    ):
+    for difference in state.assignments.differing_admission(desired.admission_levels):
+        table, traffic_class = difference.table, difference.traffic_class
         if batch.now < state.blocked.classes.get(traffic_class, 0.0):
             continue
-        proxy_ids = [*chain.from_iterable(groups)]
-        if batch.reserve(proxy_ids, 1.0, Priority.ADMISSION, URGENT_DRAIN_TIME):
+        proxy_ids = [*chain.from_iterable(difference.groups)]
+        if batch.reserve(proxy_ids, 1.0, ADMISSION):
             level = desired.admission_levels[traffic_class]
             table.previous_levels[traffic_class] = table.admission_levels[traffic_class]
             table.admission_levels[traffic_class] = level
--- a/dunlinlug/decision/settings.py
+++ b/dunlinlug/decision/settings.py
@@ -1,22 +1,51 @@
-"""What the decision module is given at its start: traffic classes, its channel, the limits it
-keeps.
+"""What the decision module is given at its start.
 
-Times are float seconds, weights and fractions are plain floats, zones and kinds are names.
+Times are float seconds, weights and fractions are plain floats, zones and host classes are names.
 """
 
 from dataclasses import dataclass
+from enum import StrEnum
+
+
+class Idempotency(StrEnum):
+    """Whether a request of a class may be sent again after a failure."""
+
+    IDEMPOTENT = "idempotent"
+    KEYED = "referenced"  # it bears an idempotency key, by which a duplicate is recognised
+    NON_IDEMPOTENT = "non-idempotent"
+
+
+class AdmissionMode(StrEnum):
+    """What an admission level is."""
+
+    FRACTION = "share"  # the fraction of requests that is admitted
+    RATE = "rate"  # requests a second
+    NONE = "none"  # the host admits all
+
+
+class ReportDelivery(StrEnum):
+    """How endpoints report their load."""
+
+    RESPONSES = "answers"  # with each response
+    HEALTH_CHECKS = "probe"  # with the response to a health check
+    NONE = "none"
 
 
 @dataclass(frozen=True)
 class TrafficClass:
-    """A kind of txn. `repeats` is 'idempotent', 'referenced' or 'non-idempotent'."""
+    """A kind of request.
+
+    `latency_objective` and `deadline` are seconds; `priority_weight` is what a request in time is
+    worth beside others, `late_value_fraction` the part of it that a late one keeps. Within
+    `deduplication_window` seconds a duplicate of a keyed request is recognised.
+    """
 
     name: str
     latency_objective: float
     deadline: float
     priority_weight: float
     late_value_fraction: float = 0.0
-    idempotency: str = "non-idempotent"
+    idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
     group: str = "all"
     deduplication_window: float = 0.0
     same_zone_only: bool = False
@@ -24,7 +53,11 @@
 
 @dataclass(frozen=True)
 class ChannelSettings:
-    """What a manager's channel to its proxies carries, and what may wait in it."""
+    """What a manager's channel to its proxies carries, and what may wait in it.
+
+    Sizes are table entries, of which a message costs `message_overhead` in itself. A proxy may be
+    sent `max_messages` in `message_window` seconds (0: any number).
+    """
 
     entries_per_second: float
     message_overhead: float
@@ -37,7 +70,12 @@
 
 @dataclass(frozen=True)
 class SafetyLimits:
-    """The figures of the rules that a manager keeps."""
+    """The figures of the safety rules that a manager keeps.
+
+    `initial_capacity_fraction` is what an endpoint bears at its start, of what it bears after
+    `warm_up_time`. An endpoint that gets `overload_multiple` times what it bears for
+    `overload_duration` seconds fails.
+    """
 
     max_time_without_endpoint: float
     drain_grace_period: float
@@ -50,7 +88,11 @@
 
 @dataclass(frozen=True)
 class ManagerSettings:
-    """What a manager is told when it starts."""
+    """What a manager is told when it starts.
+
+    `load_report_fields` names the values of a load report in their order. `initial_subset_size` is
+    how many endpoints a proxy's first table has, for which the channel has room.
+    """
 
     seed: int
     zone: str
@@ -60,11 +102,9 @@
     must_subscribe: bool = False
     can_check_health: bool = False
     load_report_fields: tuple[str, ...] = ()
-    report_delivery: str = "none"
+    report_delivery: str = ReportDelivery.NONE  # a `ReportDelivery`, or another that was told
     report_interval: float = 1.0
     default_retry_policy: int = 1
-    admission_mode: str = "none"
+    admission_mode: AdmissionMode = AdmissionMode.NONE
     shard_count: int = 0
-    initial_subset_size: int = (
-        1  # workers that a proxy's table holds at its start, for which the channel has room
-    )
+    initial_subset_size: int = 1
--- a/dunlinlug/decision/state/__init__.py
+++ b/dunlinlug/decision/state/__init__.py
@@ -1,6 +1,6 @@
-"""The books of the decision module: what is, kept up change by change. Nothing here is decided,
-read or timed.
+"""The state that the decisions go by, kept up change by change.
 
-Thresholds and shares come from `dunlinlug/balance.py`; each book stands beside a slow plain model
-in its tests.
+Nothing is decided here, nothing is read from outside and no clock is asked: thresholds, weights
+and the order of steps are those of the modules in `dunlinlug/decision/`. Each class stands beside a
+slow plain model in its tests.
 """
--- a/dunlinlug/decision/state/coverage.py
+++ b/dunlinlug/decision/state/coverage.py
@@ -1,22 +1,25 @@
-"""Which workers have a line in any of some tables, and which have none. Bookkeeping alone: nothing
-here is decided.
+"""Which rows have an entry in any of some tables, and which have none.
+
+State alone: nothing is decided here.
 """
 
 from bisect import bisect_left, insort
 
 
 class Coverage:
+    """Owns by row the number of tables with an entry for it, and the rows that are in none."""
+
     def __init__(self) -> None:
-        self.table_counts: dict[int, int] = {}  # by row, in how many tables it is
-        self.changed_rows = set[
-            int
-        ]()  # rows that came into the first or went out of the last since `free` was asked
-        # rows wanted and in no table, in order
+        self.table_counts: dict[int, int] = {}  # by row
+        # Rows that came into a first table or went out of the last since `find_uncovered`.
+        self.changed_rows = set[int]()
+        # Rows that have a weight and are in no table, in order.
         self.uncovered_rows = list[int]()
-        # how far the log was read
+        # How far the log was read.
         self.log_position = 0
 
     def adjust_count(self, row: int, delta: int) -> None:
+        """Count that so many more tables have an entry for the row."""
         self.table_counts[row] = self.table_counts.get(row, 0) + delta
         if not self.table_counts[row]:
             del self.table_counts[row]
@@ -25,23 +28,25 @@
     def find_uncovered(
         self, weights: dict[int, float], log: list[int], truncated: int
     ) -> list[int]:
-        """Rows that are wanted and in no table, in order; `log` tells which were wanted anew or are
-        so no more, but for its first `cut` entries. Not to be changed.
+        """Return the rows that have a weight and are in no table, in order; not to be changed.
+
+        `log` has the rows whose weight came or went, without its first `truncated` entries.
         """
         if self.log_position < truncated:
             self.uncovered_rows = sorted(weights.keys() - self.table_counts.keys())
-        for row in (
-            {*log[max(self.log_position - truncated, 0) :], *self.changed_rows}
-            if self.log_position >= truncated
-            else ()
-        ):
-            position = bisect_left(self.uncovered_rows, row)
-            present = position < len(self.uncovered_rows) and self.uncovered_rows[position] == row
-            if present != (row in weights and row not in self.table_counts):
-                if present:
-                    del self.uncovered_rows[position]
-                else:
-                    insort(self.uncovered_rows, row)
+        else:
+            new_entries = log[max(self.log_position - truncated, 0) :]
+            for row in {*new_entries, *self.changed_rows}:
+                self._update_row(row, row in weights and row not in self.table_counts)
         self.changed_rows.clear()
         self.log_position = truncated + len(log)
         return self.uncovered_rows
+
+    def _update_row(self, row: int, is_uncovered: bool) -> None:
+        """Put a row into the sorted list of uncovered ones, or take it out."""
+        position = bisect_left(self.uncovered_rows, row)
+        is_present = position < len(self.uncovered_rows) and self.uncovered_rows[position] == row
+        if is_present and not is_uncovered:
+            del self.uncovered_rows[position]
+        elif is_uncovered and not is_present:
+            insort(self.uncovered_rows, row)
--- a/dunlinlug/decision/state/desired_weights.py
+++ b/dunlinlug/decision/state/desired_weights.py
@@ -1,49 +1,58 @@
-"""The lines wanted, and where tables differ from them. Bookkeeping alone: nothing here is decided.
+"""The desired weights, and where tables differ from them.
 
-What changed is logged; a table catches up on the log when it is asked about, so that it costs what
-changed since it was asked last, and a table that nobody asks about costs nothing. A slow plain
-model stands in `tests/decision/state/test_incremental_state.py`.
+State alone: nothing is decided here. What changed is logged; a table catches up on the log when it
+is asked about, so that it costs what changed since it was asked last, and a table that nobody asks
+about costs nothing. A slow plain model stands in `tests/decision/state/test_incremental_state.py`.
 """
 
 from collections.abc import Iterable
+from itertools import pairwise
 
-from dunlinlug.decision.state.assignments import Table
 from dunlinlug.decision.state.coverage import Coverage
 from dunlinlug.decision.state.outlier_statistics import ROUNDING_TOLERANCE
+from dunlinlug.decision.state.tables import Table
 
 Weights = dict[int, float]
 
 
 class DesiredWeights:
-    """By row of each ready worker `parts`, its part of its weight, and `plain`, its share, where it
-    has one.
+    """Owns by ready row its weight fraction, and its default weight where it has one.
+
+    Default weights are those without an operator override; other weights are given to the
+    methods, which then walk through them.
     """
 
-    MIN_CAPACITY = 1e-6  # divides
+    MIN_CAPACITY = 1e-6  # of a table without available endpoint; divides
     MIN_LOG_LENGTH = 1000  # entries of the log that are kept in any case
 
     def __init__(self) -> None:
         self.weight_fractions = Weights()
         self.default_weights = Weights()
-        # rows whose share changed, and how many were cut off before them
+        # Rows whose weight changed or that were ejected or readmitted, and how many entries were
+        # cut off before them.
         self.change_log = list[int]()
         self.truncated = 0
         self.ejected = set[int]()
-        # of the shares of who is in, and how long the log was then
+        # Sum of the weights that are not ejected, and how long the log was then.
         self.available_sum = 0.0
         self.summed_position = -1
-        # the greatest row of `plain` so far, and whether its order is another
+        # The highest row that had a weight, and whether the weights are out of the order of rows.
         self.highest_row = -1
         self.unordered = False
 
+    @property
+    def log_end(self) -> int:
+        """How many entries the log has had so far."""
+        return self.truncated + len(self.change_log)
+
     def remove(self, rows: Iterable[int]) -> None:
-        """They are not ready."""
+        """Take out rows that are not ready."""
         for row in rows:
             self.set_weight(row, 0.0, None)
             del self.weight_fractions[row]
 
     def set_weight(self, row: int, weight_fraction: float, weight: float | None) -> None:
-        """A worker's part of its weight and its share; None where it has none."""
+        """Set a row's weight fraction and its weight; None where it has none."""
         self.weight_fractions[row] = weight_fraction
         if self.default_weights.get(row) == weight:
             return
@@ -51,27 +60,27 @@
         if weight is None:
             del self.default_weights[row]
         else:
-            self.unordered = (
-                self.unordered or row not in self.default_weights and row < self.highest_row
-            )
+            if row not in self.default_weights and row < self.highest_row:
+                self.unordered = True
             self.highest_row = max(self.highest_row, row)
             self.default_weights[row] = weight
         self._truncate_log()
 
     def set_ejected(self, ejected: set[int]) -> None:
-        """Who is out now."""
+        """Take in which rows are ejected now."""
         self.change_log.extend(ejected ^ self.ejected)
         self.ejected = set(ejected)
         self._truncate_log()
 
     def _truncate_log(self) -> None:
+        """Cut off the older half of a log that is long beside the number of rows."""
         if len(self.change_log) > self.MIN_LOG_LENGTH + 2 * len(self.default_weights):
             removed = len(self.change_log) // 2
             del self.change_log[:removed]
             self.truncated += removed
 
     def ordered_weights(self) -> Weights:
-        """The shares in the order of rows."""
+        """Return the default weights, in the order of rows."""
         if self.unordered:
             entries = sorted(self.default_weights.items())
             self.default_weights.clear()
@@ -82,78 +91,84 @@
     def differing_rows(
         self, table: Table, desired: Weights, include_missing: bool = True
     ) -> set[int]:
-        """Rows whose line in the table is not the one wanted; those that it lacks count if
-        `lacking`.
+        """Return the rows whose entry in the table is not the desired one; not to be changed.
+
+        Rows that the table lacks count if `include_missing`.
         """
         installed = table.weights
         if desired is not self.default_weights:
             rows: Iterable[int] = {**installed, **desired} if include_missing else installed
             return {row for row in rows if installed.get(row) != desired.get(row)}
-        if table.log_position < self.truncated or table.missing_included != include_missing:
-            rows = {**installed, **desired} if include_missing else installed
-            table.missing_included = include_missing
-            table.differing_rows = set()
-        else:
-            rows = {*self.change_log[table.log_position - self.truncated :], *table.changed_rows}
-        for row in rows:
+        for row in self._rows_to_compare(table, include_missing):
             installed_weight = installed.get(row)
-            desired_weight = desired.get(row)
-            (
-                table.differing_rows.add
-                if installed_weight != desired_weight
-                and (include_missing or installed_weight is not None)
-                else table.differing_rows.discard
-            )(row)
+            is_counted = include_missing or installed_weight is not None
+            if is_counted and installed_weight != desired.get(row):
+                table.differing_rows.add(row)
+            else:
+                table.differing_rows.discard(row)
         table.changed_rows.clear()
-        table.log_position = self.truncated + len(self.change_log)
+        table.log_position = self.log_end
         return table.differing_rows
 
+    def _rows_to_compare(self, table: Table, include_missing: bool) -> Iterable[int]:
+        """Return the rows that changed since the table was compared, or all if that is not known."""
+        if table.log_position >= self.truncated and table.missing_included == include_missing:
+            new_entries = self.change_log[table.log_position - self.truncated :]
+            return {*new_entries, *table.changed_rows}
+        table.missing_included = include_missing
+        table.differing_rows = set()
+        return {**table.weights, **self.default_weights} if include_missing else table.weights
+
     def capacity(self, table: Table, desired: Weights) -> float:
-        """What a table's workers that are not out take, in weight; a little where there is nobody."""
-        if (
-            desired is self.default_weights
-            and table.cached_capacity is not None
-            and table.capacity_position >= self.truncated
-            and table.weights.keys().isdisjoint(
-                self.change_log[table.capacity_position - self.truncated :]
-            )
-        ):
-            table.capacity_position = self.truncated + len(self.change_log)
+        """Return the weight of a table's available endpoints, `MIN_CAPACITY` if there is none."""
+        is_default = desired is self.default_weights
+        if is_default and table.cached_capacity is not None and self._is_cache_valid(table):
+            table.capacity_position = self.log_end
             return table.cached_capacity
         available = (
-            sum(desired.get(i, 0.0) for i in table.weights if i not in self.ejected)
+            sum(desired.get(row, 0.0) for row in table.weights if row not in self.ejected)
             or self.MIN_CAPACITY
         )
-        if desired is self.default_weights:
+        if is_default:
             table.cached_capacity = available
-            table.capacity_position = self.truncated + len(self.change_log)
+            table.capacity_position = self.log_end
         return available
 
+    def _is_cache_valid(self, table: Table) -> bool:
+        """Whether no row of the table changed since its capacity was added up."""
+        if table.capacity_position < self.truncated:
+            return False
+        new_entries = self.change_log[table.capacity_position - self.truncated :]
+        return table.weights.keys().isdisjoint(new_entries)
+
     def capacities(self, tables: Iterable[Table], desired: Weights) -> dict[Table, float]:
+        """Return the capacity of each of these tables."""
         return {table: self.capacity(table, desired) for table in tables}
 
     def available_uncovered_rows(self, coverage: Coverage, desired: Weights) -> Iterable[int]:
-        """Rows that are in, that have a share and no line in the tables covered, in order."""
-        rows = (
-            coverage.find_uncovered(self.default_weights, self.change_log, self.truncated)
-            if desired is self.default_weights
-            else sorted(desired.keys() - coverage.table_counts.keys())
-        )
-        return (i for i in rows if i not in self.ejected)
+        """Return the rows that have a weight, are not ejected and not covered, in order."""
+        if desired is self.default_weights:
+            rows = coverage.find_uncovered(self.default_weights, self.change_log, self.truncated)
+        else:
+            rows = sorted(desired.keys() - coverage.table_counts.keys())
+        return (row for row in rows if row not in self.ejected)
 
     def available_weight(self, desired: Weights) -> float:
-        """The shares of all that are in, added up in order; a walk where something changed since."""
+        """Return the sum of the weights that are not ejected, added up in order.
+
+        It is added up anew only where something changed since.
+        """
         if desired is not self.default_weights:
-            return sum(weight for i, weight in desired.items() if i not in self.ejected)
-        if self.summed_position != self.truncated + len(self.change_log):
+            return sum(weight for row, weight in desired.items() if row not in self.ejected)
+        if self.summed_position != self.log_end:
             self.available_sum = sum(
-                weight for i, weight in self.ordered_weights().items() if i not in self.ejected
+                weight for row, weight in self.ordered_weights().items() if row not in self.ejected
             )
-            self.summed_position = self.truncated + len(self.change_log)
+            self.summed_position = self.log_end
         return self.available_sum
 
     def rows_by_demand(self, desired: Weights, demand_ratios: dict[Table, float]) -> list[int]:
-        """Rows that are in, by what these tables together ask of each, the least first."""
+        """Return the rows that are not ejected, those of which these tables ask least first."""
         demands = dict.fromkeys((row for row in sorted(desired) if row not in self.ejected), 0.0)
         for table, demand_ratio in demand_ratios.items():
             for row in table.weights:
@@ -162,34 +177,32 @@
         return sorted(demands, key=demands.__getitem__)
 
     def distances(self, tables: Iterable[Table], desired_weights: list[Weights]) -> list[float]:
-        """How far each of these tables is from what is wanted of it: the sum over its lines."""
+        """Return how far each table is from its desired weights: the sum over its entries."""
         pairs = [*zip(tables, map(id, desired_weights), strict=True)]
         differing = {
-            pair: (pair[0], want, self.differing_rows(pair[0], want))
-            for pair, want in dict(zip(pairs, desired_weights, strict=True)).items()
+            pair: (pair[0], desired, self.differing_rows(pair[0], desired))
+            for pair, desired in dict(zip(pairs, desired_weights, strict=True)).items()
         }
         distance_by_pair = {
-            pair: self._distance(table, want, sorted(rows))
-            for pair, (table, want, rows) in differing.items()
+            pair: self._distance(table, desired, sorted(rows))
+            for pair, (table, desired, rows) in differing.items()
             if rows
         }
+        if not distance_by_pair:
+            return [0.0] * len(pairs)
         sums = sorted(distance_by_pair.values())
-        if any(b - a < ROUNDING_TOLERANCE * b for a, b in zip(sums, sums[1:], strict=False)):
-            # Danger: equal ones told apart by rounding. Added up in the order of lines, they are
-            # alike as tables are.
+        if any(after - before < ROUNDING_TOLERANCE * after for before, after in pairwise(sums)):
+            # Without this, rounding would tell equal ones apart. Added up in the order of
+            # entries, they are as alike as their tables.
             self.ordered_weights()
-            distance_by_pair = {
-                pair: self._distance(
-                    *differing[pair][:2], [*{**pair[0].weights, **differing[pair][1]}]
+            for pair in distance_by_pair:
+                table, desired, _ = differing[pair]
+                distance_by_pair[pair] = self._distance(
+                    table, desired, [*{**table.weights, **desired}]
                 )
-                for pair in distance_by_pair
-            }
-        return (
-            [distance_by_pair.get(pair, 0.0) for pair in pairs]
-            if distance_by_pair
-            else [0.0] * len(pairs)
-        )
+        return [distance_by_pair.get(pair, 0.0) for pair in pairs]
 
     @staticmethod
     def _distance(table: Table, desired: Weights, rows: list[int]) -> float:
-        return sum(abs(desired.get(i, 0.0) - table.weights.get(i, 0.0)) for i in rows)
+        """Return the sum of the differences in these rows, added up in their order."""
+        return sum(abs(desired.get(row, 0.0) - table.weights.get(row, 0.0)) for row in rows)
--- a/dunlinlug/decision/state/endpoints.py
+++ b/dunlinlug/decision/state/endpoints.py
@@ -1,16 +1,24 @@
-"""The list as known. Bookkeeping alone: nothing here is decided."""
+"""The endpoint list as known.
+
+State alone: nothing is decided here.
+"""
 
 from bisect import bisect_left, insort
 from collections.abc import Callable, Iterable
 from math import inf
 
-from dunlinlug.decision.events import EndpointsUpdated
+from dunlinlug.decision.events import Endpoint, EndpointState, EndpointsUpdated, UpdateType
+
+# Update types that hold the whole list.
+SNAPSHOT_TYPES = (UpdateType.SNAPSHOT, UpdateType.RESTORED)
 
 
 class Fleet:
-    """The listed workers, in parallel arrays under an index that each keeps while listed or in use.
-    `weights` are those of the ready; whoever has none told has what `usual` makes of those told.
-    `turned` are rows that the last news made ready or ended.
+    """Owns the listed endpoints, in parallel arrays by row.
+
+    An endpoint keeps its row while it is listed or in use. `base_weights` are the weights of the
+    ready ones; one without a listed weight has what `default_weight` makes of the listed ones.
+    `readiness_changes` are the rows that the last update made ready or not ready.
     """
 
     def __init__(self, default_weight: Callable[[list[float]], float]) -> None:
@@ -19,86 +27,85 @@
         self.zones: list[str] = []
         self.ready: list[bool] = []
         self.listed_weights: list[float | None] = []
-        self.started_at: list[float] = []
+        self.started_at: list[float] = []  # seconds; -inf where it is long ago
         self.default_weight = default_weight
         self.changed_rows = set[int]()
         self.readiness_changes = set[int]()
         self.base_weights = dict[int, float]()
-        self.unweighted_rows = set[int]()
-        # the ready ones in order
-        self.ready_rows = list[int]()
-        # of their weights, negative: to be made anew
-        self.weight_sum = 0.0
+        self.unweighted_rows = set[int]()  # ready ones without a listed weight
+        self.ready_rows = list[int]()  # sorted
+        self.weight_sum = 0.0  # of the ready ones; negative: to be added up anew
 
     def apply_update(
         self, update: EndpointsUpdated, rows_in_use: Callable[[], set[int]]
     ) -> list[tuple[int, bool]]:
-        """Take in news of the list; tells who has a new start, and whether it is new itself. The
-        row of one that went passes on once over half of all are of such, `held` excepted: it may
-        come back.
+        """Take in an update; return the rows that have started anew, and whether they are new.
+
+        The row of an endpoint that went is given to another once over half of all rows are of
+        such, but not while it is in use: the endpoint may come back.
         """
-        listed_ids = {endpoint.id for endpoint in update.endpoints}
         restarted = list[tuple[int, bool]]()
-        reusable_rows = None
-        is_snapshot = update.update_type in ("whole", "kept")
         changed = set[int]()
+        reusable_rows: list[int] | None = None
+        is_snapshot = update.update_type in SNAPSHOT_TYPES
         may_reuse_rows = 2 * (0 if is_snapshot else len(self.ready_rows)) < len(self.ids)
         if is_snapshot:
-            self.ready = [False] * len(self.ids)  # whoever a whole list does not name is gone
+            # Whoever a snapshot does not name is gone.
+            self.ready = [False] * len(self.ids)
         for endpoint in update.endpoints:
-            started_at = -inf if endpoint.started_at is None else endpoint.started_at
             is_new = endpoint.id not in self.row_by_id
             if is_new:
-                reusable_rows = (
-                    (self._reusable_rows(rows_in_use(), listed_ids) if may_reuse_rows else [])
-                    if reusable_rows is None
-                    else reusable_rows
-                )
-                row = self.row_by_id[endpoint.id] = (
-                    reusable_rows.pop(0) if reusable_rows else len(self.ids)
-                )
-                self.row_by_id.pop(self.ids[row] if row < len(self.ids) else "", None)
-                self.ids[row : row + 1], self.zones[row : row + 1] = [endpoint.id], [endpoint.zone]
-                (
-                    self.ready[row : row + 1],
-                    self.listed_weights[row : row + 1],
-                    self.started_at[row : row + 1],
-                ) = (
-                    [False],
-                    [None],
-                    [started_at],
-                )
+                if reusable_rows is None:
+                    reusable_rows = []
+                    if may_reuse_rows:
+                        listed_ids = {endpoint.id for endpoint in update.endpoints}
+                        reusable_rows = self._reusable_rows(rows_in_use(), listed_ids)
+                self._add_row(endpoint, reusable_rows.pop(0) if reusable_rows else len(self.ids))
             row = self.row_by_id[endpoint.id]
-            if is_new or started_at > self.started_at[row]:
+            has_restarted = is_new or _started_at(endpoint) > self.started_at[row]
+            if has_restarted:
                 restarted.append((row, is_new))
-            if (
-                is_new
-                or started_at > self.started_at[row]
-                or (endpoint.zone, endpoint.weight) != (self.zones[row], self.listed_weights[row])
-            ):
+            if has_restarted or self._is_listed_otherwise(row, endpoint):
                 changed.add(row)
-            self.zones[row], self.listed_weights[row], self.ready[row] = (
-                endpoint.zone,
-                endpoint.weight,
-                endpoint.state == "ready",
-            )
-            self.started_at[row] = max(started_at, self.started_at[row])
-        self._update_weights(
-            changed,
-            range(len(self.ids))
-            if is_snapshot
-            else {self.row_by_id[endpoint.id] for endpoint in update.endpoints},
-        )
+            self._update_row(row, endpoint)
+        updated_rows: Iterable[int] = range(len(self.ids))
+        if not is_snapshot:
+            updated_rows = {self.row_by_id[endpoint.id] for endpoint in update.endpoints}
+        self._update_weights(changed, updated_rows)
         return restarted
 
     def _reusable_rows(self, rows_in_use: set[int], listed_ids: set[str]) -> list[int]:
+        """Return the rows of endpoints that are not ready, not in use and not in the update."""
         return [
-            i
-            for i, ready in enumerate(self.ready)
-            if not (ready or i in rows_in_use or self.ids[i] in listed_ids)
+            row
+            for row, ready in enumerate(self.ready)
+            if not (ready or row in rows_in_use or self.ids[row] in listed_ids)
         ]
 
+    def _add_row(self, endpoint: Endpoint, row: int) -> None:
+        """Give an endpoint this row: one behind the last, or that of an endpoint that went."""
+        self.row_by_id[endpoint.id] = row
+        if row < len(self.ids):
+            self.row_by_id.pop(self.ids[row], None)
+        self.ids[row : row + 1] = [endpoint.id]
+        self.zones[row : row + 1] = [endpoint.zone]
+        self.ready[row : row + 1] = [False]
+        self.listed_weights[row : row + 1] = [None]
+        self.started_at[row : row + 1] = [_started_at(endpoint)]
+
+    def _is_listed_otherwise(self, row: int, endpoint: Endpoint) -> bool:
+        """Whether the list had the endpoint in another zone or with another weight."""
+        return endpoint.zone != self.zones[row] or endpoint.weight != self.listed_weights[row]
+
+    def _update_row(self, row: int, endpoint: Endpoint) -> None:
+        """Take in an endpoint's entry; its start time does not go back."""
+        self.zones[row] = endpoint.zone
+        self.listed_weights[row] = endpoint.weight
+        self.ready[row] = endpoint.state == EndpointState.READY
+        self.started_at[row] = max(_started_at(endpoint), self.started_at[row])
+
     def _update_weights(self, changed: set[int], updated_rows: Iterable[int]) -> None:
+        """Bring the weights of the ready rows in line with the updated rows."""
         self.readiness_changes = {
             row for row in updated_rows if self.ready[row] != (row in self.base_weights)
         }
@@ -106,56 +113,61 @@
             if self.ready[row]:
                 insort(self.ready_rows, row)
             else:
-                del self.ready_rows[bisect_left(self.ready_rows, row)], self.base_weights[row]
+                del self.ready_rows[bisect_left(self.ready_rows, row)]
+                del self.base_weights[row]
                 self.unweighted_rows.discard(row)
-        for row in (changed := changed | self.readiness_changes):
+        all_changed = changed | self.readiness_changes
+        for row in all_changed:
             if self.ready[row]:
-                self.base_weights[row] = self.listed_weights[row] or 1.0
-                (
-                    self.unweighted_rows.discard
-                    if self.listed_weights[row]
-                    else self.unweighted_rows.add
-                )(row)
+                listed_weight = self.listed_weights[row]
+                self.base_weights[row] = listed_weight or 1.0
+                if listed_weight:
+                    self.unweighted_rows.discard(row)
+                else:
+                    self.unweighted_rows.add(row)
         if self.unweighted_rows:
-            listed = [w for w in map(self.listed_weights.__getitem__, self.ready_rows) if w] or [
-                1.0
-            ]
+            weights = (self.listed_weights[row] for row in self.ready_rows)
+            listed_weights = [weight for weight in weights if weight] or [1.0]
             self.base_weights.update(
-                dict.fromkeys(self.unweighted_rows, self.default_weight(listed))
+                dict.fromkeys(self.unweighted_rows, self.default_weight(listed_weights))
             )
         self.weight_sum = -1.0
-        self.changed_rows |= changed | self.unweighted_rows
+        self.changed_rows |= all_changed | self.unweighted_rows
 
     def take_changed_rows(self) -> set[int]:
-        """Rows with news since this was asked."""
+        """Return the rows that changed since this was asked last."""
         changed = self.changed_rows
         self.changed_rows = set()
         return changed
 
     def total_weight(self) -> float:
-        """All ready ones' weight, added up by row."""
+        """Return the weight of all ready rows, added up by row."""
         if self.weight_sum < 0.0:
             self.weight_sum = sum(map(self.base_weights.__getitem__, self.ready_rows))
         return self.weight_sum
 
     def available_fraction(self, ejected: set[int], exact_below: float) -> float:
-        """The part of the weight that these leave. Danger: a level tips by the last digit, so a
-        part below `doubt` is added up worker by worker.
+        """Return the part of the weight that is not ejected.
+
+        Below `exact_below` it is added up row by row, as an admission level can go by its last
+        digit.
         """
-        fraction = (
-            self.total_weight()
-            - sum(self.base_weights[i] for i in ejected if i in self.base_weights)
-        ) / self.total_weight()
-        return (
-            fraction
-            if fraction >= exact_below
-            else sum(self.base_weights[i] for i in dict.fromkeys(self.ready_rows).keys() - ejected)
-            / self.total_weight()
-        )
+        total_weight = self.total_weight()
+        ejected_weight = sum(self.base_weights[row] for row in ejected if row in self.base_weights)
+        fraction = (total_weight - ejected_weight) / total_weight
+        if fraction >= exact_below:
+            return fraction
+        available_rows = dict.fromkeys(self.ready_rows).keys() - ejected
+        return sum(self.base_weights[row] for row in available_rows) / total_weight
 
     def by_zone(self, rows: Iterable[int]) -> dict[str, set[int]]:
-        """These workers parted by zone."""
+        """Return these rows by zone."""
         rows_by_zone: dict[str, set[int]] = {}
         for row in rows:
             rows_by_zone.setdefault(self.zones[row], set()).add(row)
         return rows_by_zone
+
+
+def _started_at(endpoint: Endpoint) -> float:
+    """Return when an endpoint started, in seconds."""
+    return -inf if endpoint.started_at is None else endpoint.started_at
--- a/dunlinlug/decision/state/pending_acks.py
+++ b/dunlinlug/decision/state/pending_acks.py
@@ -1,29 +1,31 @@
-"""What was ordered on a channel and may still wait there. Bookkeeping alone: nothing here is
-decided.
+"""What was ordered on a channel and may still wait there.
 
-The channel keeps the order of replies, so that an answer to one shows that all before it have left.
-A proxy that has left takes its own lines out and shows nothing of the others'. Marks are kept by
-proxy too: an answer costs what that proxy still owes, not all that is under way.
+State alone: nothing is decided here. The channel keeps the order of replies, so that an
+acknowledgement of one shows that all before it have left. A proxy that has left takes its own
+entries out and shows nothing of the others'. Acknowledgement numbers are kept by proxy too: an
+acknowledgement costs what that proxy still owes, not all that is under way.
 """
 
 from collections import deque
 from collections.abc import Container, Iterable
 from dataclasses import dataclass
 
-MAX_NUMBER = 65000  # table and mark numbers in turn, below the wire's bound
+# Table and acknowledgement numbers go round below this bound, which the wire sets.
+MAX_NUMBER = 65000
 
 
 def next_free_number(last_number: int, taken: Container[int]) -> int:
-    """The number after the last one given that is not taken."""
-    return next(
-        n for n in ((last_number + k) % MAX_NUMBER + 1 for k in range(MAX_NUMBER)) if n not in taken
-    )
+    """Return the first number after the last one given that is not taken, going round."""
+    candidates = ((last_number + offset) % MAX_NUMBER + 1 for offset in range(MAX_NUMBER))
+    return next(number for number in candidates if number not in taken)
 
 
 @dataclass(eq=False)
 class PendingReply:
-    """One reply's lines by proxy that has yet to answer; `ahead` is what waited once it was
-    ordered, `waiting` whether its lines may still wait.
+    """One reply's entries by proxy that has yet to acknowledge it.
+
+    `queued_before` is what waited in the channel once the reply was ordered, in entries; `queued`
+    is whether its entries may still wait.
     """
 
     entries_by_proxy: dict[int, float]
@@ -32,24 +34,25 @@
 
 
 class PendingAcks:
-    """`waits` is the most that may wait, in lines. Times are seconds."""
+    """Owns the replies that are not acknowledged, and how many entries may wait at most.
+
+    Times are seconds. Of each proxy the times of its last messages are kept, as many as the
+    message history is long.
+    """
 
     def __init__(self, message_history_length: int) -> None:
         self.message_history_length = message_history_length
         self.queued_entries = 0.0
-        self.pending_replies: dict[int, PendingReply] = {}  # by mark, oldest first
-        self.queued_acks: deque[int] = (
-            deque()
-        )  # marks whose lines may wait, oldest first, and some settled since
-        self.awaited_acks: dict[
-            int, dict[int, None]
-        ] = {}  # by joined proxy, the marks it has yet to answer, oldest first
-        self.sent_times: dict[
-            int, deque[float]
-        ] = {}  # by proxy, joined or not, when it was written its last messages
+        self.pending_replies: dict[int, PendingReply] = {}  # by number, oldest first
+        # Numbers whose entries may wait, oldest first, and some that were acknowledged since.
+        self.queued_acks: deque[int] = deque()
+        # By connected proxy the numbers that it has yet to acknowledge, oldest first.
+        self.awaited_acks: dict[int, dict[int, None]] = {}
+        # By proxy, connected or not, when it was sent its last messages.
+        self.sent_times: dict[int, deque[float]] = {}
 
     def record(self, ack_number: int, now: float, entries_by_proxy: dict[int, float]) -> None:
-        """One reply's lines by proxy, under its mark."""
+        """Record one reply's entries by proxy, under its acknowledgement number."""
         while self.queued_acks and self.queued_acks[0] not in self.pending_replies:
             self.queued_acks.popleft()
         self.queued_entries += sum(entries_by_proxy.values())
@@ -57,12 +60,15 @@
         self.queued_acks.append(ack_number)
         for proxy_id in entries_by_proxy:
             self.awaited_acks.setdefault(proxy_id, {})[ack_number] = None
-            self.sent_times.setdefault(proxy_id, deque(maxlen=self.message_history_length)).append(
-                now
-            )
+            if proxy_id not in self.sent_times:
+                self.sent_times[proxy_id] = deque(maxlen=self.message_history_length)
+            self.sent_times[proxy_id].append(now)
 
     def acknowledge(self, proxy_id: int, ack_number: int) -> list[int]:
-        """Settle this mark and all before it for the proxy; tells which."""
+        """Acknowledge this number and all before it for the proxy; return which.
+
+        Raises ValueError for a number that the proxy does not owe.
+        """
         awaited = list(self.awaited_acks[proxy_id])
         acknowledged = awaited[: awaited.index(ack_number) + 1]
         while self.pending_replies[ack_number].queued and self.queued_acks[0] != ack_number:
@@ -74,6 +80,7 @@
         return acknowledged
 
     def _remove(self, proxy_id: int, ack_numbers: Iterable[int]) -> None:
+        """Take a proxy's entries out of these replies."""
         for ack_number in ack_numbers:
             del self.awaited_acks[proxy_id][ack_number]
             pending = self.pending_replies[ack_number]
@@ -84,11 +91,9 @@
                 del self.pending_replies[ack_number]
 
     def forget_proxy(self, proxy_id: int) -> None:
-        """It has left or joined anew: what waits for it is lost, and no answer comes for what it
-        was sent.
-        """
+        """Drop what waits for a proxy that has left or connected anew: it will not acknowledge it."""
         self._remove(proxy_id, list(self.awaited_acks.get(proxy_id, ())))
         self.awaited_acks.pop(proxy_id, None)
-        # Danger: what it was written still counts. Forgotten with its stream, one that breaks off
-        # and comes back would be written twice what the bound allows. It is some times for each
-        # proxy there is, no more.
+        # What it was sent still counts. If it were forgotten with the connection, a proxy that
+        # breaks off and comes back would be sent twice what the limit allows. It costs a few times
+        # for each proxy that there ever was.
--- a/dunlinlug/decision/state/table_versions.py
+++ b/dunlinlug/decision/state/table_versions.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from dunlinlug.decision.state.assignments import Table
+from dunlinlug.decision.state.tables import Table
 
 
 @dataclass(eq=False)
--- a/dunlinlug/decision/subsets.py
+++ b/dunlinlug/decision/subsets.py
@@ -13,10 +13,18 @@
 
 from dunlinlug.decision.decision_state import DecisionState
 from dunlinlug.decision.desired_state import DesiredState
-from dunlinlug.decision.flow_control import BASE_DRAIN_TIME, OrderBatch, Priority
-from dunlinlug.decision.state.assignments import AssignedTables, Table
+from dunlinlug.decision.flow_control import (
+    BASE_DRAIN_TIME,
+    MANDATORY,
+    TABLE_CHANGE,
+    OrderBatch,
+    Priority,
+    Urgency,
+)
 from dunlinlug.decision.state.desired_weights import Weights
+from dunlinlug.decision.state.tables import AssignedTables, Table
 from dunlinlug.decision.table_orders import (
+    Assignment,
     amend_table,
     assign_table,
     assignment_cost,
@@ -26,6 +34,8 @@
 # Times the usual request rate of an endpoint from which a small table gets one more: a slow start
 # step.
 HOT_SUBSET_RATIO = 1.25
+# A new proxy gets the full table at once where the queue is short.
+FULL_TABLE = Urgency(Priority.HEALTH, BASE_DRAIN_TIME)
 
 
 class AvailableEndpoints:
@@ -109,7 +119,7 @@
         # One that the proxy has already is kept up in place (`update_subsets`).
         if not available.rows_by_zone or table is not assigned_table:
             all_classes = tuple(range(state.parameters.class_count))
-            assign_table(state, batch, proxy_id, all_classes, table, Priority.MANDATORY)
+            assign_table(state, batch, Assignment(proxy_id, all_classes, table), MANDATORY)
 
 
 def _full_table(state: DecisionState) -> Table | None:
@@ -128,9 +138,8 @@
     if batch.exceeds_drain(BASE_DRAIN_TIME, proxy_id):
         return False
     all_classes = tuple(state.tables.current_tables)
-    return assign_table(
-        state, batch, proxy_id, all_classes, full_table, Priority.HEALTH, BASE_DRAIN_TIME
-    )
+    assignment = Assignment(proxy_id, all_classes, full_table)
+    return assign_table(state, batch, assignment, FULL_TABLE)
 
 
 def _least_loaded(
@@ -178,7 +187,7 @@
             create_table(state, batch, desired, subset_weights)
             for subset_weights in _deal(state, best_rows, zones, weights)
         ]
-        state.tables.subset_tables = state.assignments.mark_subsets(used_subsets + new_subsets)
+        state.tables.subset_tables = state.assignments.set_subsets(used_subsets + new_subsets)
     return state.desired_weights.capacities(state.tables.subset_tables, desired.weights[0])
 
 
@@ -297,8 +306,7 @@
     cost = batch.cost(
         state.assignments.assigned_proxies(table),
         state.parameters.entries_per_endpoint,
-        Priority.BULK,
-        BASE_DRAIN_TIME,
+        TABLE_CHANGE,
     )
     return cost is not None
 
--- a/dunlinlug/decision/table_orders.py
+++ b/dunlinlug/decision/table_orders.py
@@ -4,15 +4,15 @@
 two-phase update (`table_update.py`) and by the subsets (`subsets.py`).
 """
 
-from math import inf
+from dataclasses import dataclass
 
 from dunlinlug.decision.decision_state import DecisionState
 from dunlinlug.decision.desired_state import DesiredState
-from dunlinlug.decision.flow_control import BASE_DRAIN_TIME, OrderBatch, Priority
+from dunlinlug.decision.flow_control import BASE_DRAIN_TIME, TABLE_CHANGE, OrderBatch, Urgency
 from dunlinlug.decision.orders import AssignTable, SetAdmission, SetWeight
-from dunlinlug.decision.state.assignments import Table
 from dunlinlug.decision.state.desired_weights import Weights
 from dunlinlug.decision.state.pending_acks import next_free_number
+from dunlinlug.decision.state.tables import Table
 
 
 def create_table(
@@ -61,7 +61,7 @@
     if not changed_rows or _can_wait(state, batch, weights, changed_rows, proxy_ids):
         return False
     entries_each = entries_per_endpoint * len(changed_rows)
-    if not batch.reserve(proxy_ids, entries_each, Priority.BULK, BASE_DRAIN_TIME):
+    if not batch.reserve(proxy_ids, entries_each, TABLE_CHANGE):
         return False
     for row in changed_rows:
         batch.orders.append(SetWeight(table.table_id, state.fleet.ids[row], weights.get(row, 0.0)))
@@ -133,18 +133,23 @@
     )
 
 
+@dataclass(frozen=True)
+class Assignment:
+    """A table that a proxy is to use for some classes."""
+
+    proxy_id: int
+    traffic_classes: tuple[int, ...]
+    table: Table
+
+
 def assign_table(
-    state: DecisionState,
-    batch: OrderBatch,
-    proxy_id: int,
-    traffic_classes: tuple[int, ...],
-    table: Table,
-    priority: Priority,
-    max_drain_time: float = inf,
+    state: DecisionState, batch: OrderBatch, assignment: Assignment, urgency: Urgency
 ) -> bool:
-    """Assign a proxy to a table for these classes; False if the channel does not allow it."""
-    cost = assignment_cost(state, table)
-    if not batch.reserve((proxy_id,), cost, priority, max_drain_time):
+    """Send a proxy its table; False if the channel does not allow it now."""
+    proxy_id = assignment.proxy_id
+    traffic_classes = assignment.traffic_classes
+    table = assignment.table
+    if not batch.reserve((proxy_id,), assignment_cost(state, table), urgency):
         return False
     batch.orders.append(AssignTable(proxy_id, traffic_classes, table.table_id))
     state.assignments.assign(proxy_id, traffic_classes, table, batch.ack_number, batch.now)
--- a/dunlinlug/decision/table_update.py
+++ b/dunlinlug/decision/table_update.py
@@ -18,11 +18,18 @@
 
 from dunlinlug.decision.decision_state import DecisionState
 from dunlinlug.decision.desired_state import DesiredState
-from dunlinlug.decision.flow_control import BASE_DRAIN_TIME, OrderBatch, Priority
-from dunlinlug.decision.state.assignments import Table
+from dunlinlug.decision.flow_control import (
+    BASE_DRAIN_TIME,
+    TABLE_CHANGE,
+    OrderBatch,
+    Priority,
+    Urgency,
+)
 from dunlinlug.decision.state.desired_weights import Weights
 from dunlinlug.decision.state.table_versions import StagedUpdate
+from dunlinlug.decision.state.tables import Table
 from dunlinlug.decision.table_orders import (
+    Assignment,
     amend_table,
     assign_table,
     assignment_cost,
@@ -36,6 +43,10 @@
 ACK_TIMEOUT = 3.0
 # Seconds from the last acknowledgement to the deletion of the old table.
 TABLE_RETENTION = 2.0
+# How long the queue may be when proxies are assigned to a current table.
+NEW_PROXY = Urgency(Priority.HEALTH, 2 * BASE_DRAIN_TIME)
+SWITCH = Urgency(Priority.BULK, 2 * BASE_DRAIN_TIME)
+CROWDED_SWITCH = Urgency(Priority.BULK, 3 * BASE_DRAIN_TIME)
 
 
 def advance_updates(state: DecisionState, now: float) -> None:
@@ -96,7 +107,7 @@
         if shares_table and not _needs_split(state, desired, table, weights):
             if not amend_table(state, batch, desired, table, weights):
                 continue
-        elif batch.reserve(state.assignments.proxies, 0.0, Priority.BULK, BASE_DRAIN_TIME):
+        elif batch.reserve(state.assignments.proxies, 0.0, TABLE_CHANGE):
             table = create_table(state, batch, desired, weights)
             awaits_all = True
         else:
@@ -173,13 +184,12 @@
 ) -> None:
     """Assign the new proxies, or the others, to the current tables, as far as the channel allows."""
     current_tables = state.tables.current_tables
-    if new_proxies:
-        priority, max_drain_time = Priority.HEALTH, 2 * BASE_DRAIN_TIME
-    else:
-        priority, max_drain_time = Priority.BULK, (3 if is_crowded else 2) * BASE_DRAIN_TIME
+    urgency = NEW_PROXY
+    if not new_proxies:
+        urgency = CROWDED_SWITCH if is_crowded else SWITCH
     for table in dict.fromkeys(current_tables[each] for each in class_order):
         cost = assignment_cost(state, table)
-        if not batch.fits(cost, priority):
+        if not batch.fits(cost, urgency.priority):
             continue
         missing_classes = state.assignments.groups_to_assign(current_tables, table, new_proxies)
         for proxy_id in state.assignments.by_join_order(
@@ -189,10 +199,9 @@
             # It got a small table in this very reply.
             has_subset = is_crowded and proxy.updated_at == batch.now
             was_rejected = proxy.assign_after > batch.now
-            if not (has_subset or was_rejected or batch.exceeds_drain(max_drain_time, proxy_id)):
+            is_queue_long = batch.exceeds_drain(urgency.max_drain_time, proxy_id)
+            if not (has_subset or was_rejected or is_queue_long):
                 traffic_classes = missing_classes[proxy.assigned_tables]
-                assign_table(
-                    state, batch, proxy_id, traffic_classes, table, priority, max_drain_time
-                )
-            if not batch.fits(cost, priority):
+                assign_table(state, batch, Assignment(proxy_id, traffic_classes, table), urgency)
+            if not batch.fits(cost, urgency.priority):
                 break
--- a/dunlinlug/discovery/entries.py
+++ b/dunlinlug/discovery/entries.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from dunlinlug.decision.events import Endpoint
+from dunlinlug.decision.events import Endpoint, EndpointState
 from dunlinlug.errors import DunlinlugError
 
 
@@ -50,12 +50,13 @@
         statuses = [check["Status"] for check in entry.get("Checks") or ()]
         weight = (service.get("Weights") or {}).get("Passing")
         started = metadata.get("started")
+        is_passing = all(status == "passing" for status in statuses)
         return Endpoint(
             id=f"{service['Address']}:{int(service['Port'])}",
             zone=metadata.get("zone") or entry["Node"]["Datacenter"],
             host_class=metadata.get("kind") or "",
             cell=int(metadata.get("cell") or 0),
-            state="ready" if all(status == "passing" for status in statuses) else "draining",
+            state=EndpointState.READY if is_passing else EndpointState.DRAINING,
             weight=None if weight is None else float(weight) / WEIGHT_SCALE,
             started_at=None if started is None else float(started) + clock_offset,
         )
--- a/dunlinlug/drill/__init__.py
+++ b/dunlinlug/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: hosts decision modules on the wire of standard input and output."""
+"""The simulator's adapter, under the name that the deploy page spells out; see `simulator`."""
--- a/dunlinlug/drill/__main__.py
+++ b/dunlinlug/drill/__main__.py
@@ -1,4 +1,4 @@
-"""Run the adapter until the end of input."""
+"""Run the adapter until the end of input; a line that is not understood ends it with status 1."""
 
 import sys
 
@@ -8,5 +8,5 @@
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as fault:
-        sys.exit(f"dunlinlug.drill: {fault}")
+    except WireError as error:
+        sys.exit(f"dunlinlug.drill: {error}")
--- a/dunlinlug/fleet/election/module_state.py
+++ b/dunlinlug/fleet/election/module_state.py
@@ -17,12 +17,13 @@
 from dunlinlug.decision.outlier_detection import OutlierDetector
 from dunlinlug.decision.parameters import DecisionParameters
 from dunlinlug.decision.settings import ChannelSettings, ManagerSettings
-from dunlinlug.decision.state.assignments import Assignments, Proxy, Table
+from dunlinlug.decision.state.assignments import Assignments
 from dunlinlug.decision.state.coverage import Coverage
 from dunlinlug.decision.state.desired_weights import DesiredWeights
 from dunlinlug.decision.state.endpoints import Fleet
 from dunlinlug.decision.state.pending_acks import PendingReply
 from dunlinlug.decision.state.table_versions import StagedUpdate, TableVersions
+from dunlinlug.decision.state.tables import Proxy, Table
 from dunlinlug.fleet.election.serialization import FieldFormError, SerializationError, WireForm
 
 CHANNEL = WireForm(
--- a/dunlinlug/fleet/election/replicated_state.py
+++ b/dunlinlug/fleet/election/replicated_state.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from dunlinlug.balance import Balancer
-from dunlinlug.decision.events import Endpoint, ProxyDisconnected
+from dunlinlug.decision.events import Endpoint, EndpointState, ProxyDisconnected
 from dunlinlug.decision.settings import ManagerSettings
 from dunlinlug.decision.state import endpoints
 from dunlinlug.fleet.election import event_forms, module_state
@@ -94,7 +94,9 @@
         fleet.ids, fleet.zones, fleet.ready, fleet.listed_weights, fleet.started_at, strict=True
     )
     return [
-        Endpoint(key, zone, "", 0, "ready" if ready else "gone", weight, since)
+        Endpoint(
+            key, zone, "", 0, EndpointState.READY if ready else EndpointState.GONE, weight, since
+        )
         for key, zone, ready, weight, since in columns
     ]
 
--- a/dunlinlug/guard/order_validator.py
+++ b/dunlinlug/guard/order_validator.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from math import inf, isfinite
 
-from dunlinlug.decision.events import Endpoint, EndpointsUpdated, Event
+from dunlinlug.decision.events import Endpoint, EndpointState, EndpointsUpdated, Event, UpdateType
 from dunlinlug.decision.orders import (
     AssignTable,
     DeleteTable,
@@ -78,7 +78,8 @@
                     event.update_type != "changes"
                 ):  # Danger: one that a whole list does not name is gone, not unknown
                     self.workers = {
-                        key: replace(worker, state="gone") for key, worker in self.workers.items()
+                        key: replace(worker, state=EndpointState.GONE)
+                        for key, worker in self.workers.items()
                     }
                 for worker in event.endpoints:
                     self.workers[worker.id] = worker
@@ -98,7 +99,7 @@
         """Go on where another manager stood: its list, its tables by number (lines and levels), who
         is out.
         """
-        self.handle(now, [EndpointsUpdated("whole", tuple(workers))])
+        self.handle(now, [EndpointsUpdated(UpdateType.SNAPSHOT, tuple(workers))])
         self.usage.tables = {
             table_id: TableContents(dict(weights), dict(admission))
             for table_id, (weights, admission) in tables.items()
--- a/dunlinlug/manager/endpoint_watcher.py
+++ b/dunlinlug/manager/endpoint_watcher.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from dunlinlug.decision.events import Endpoint, EndpointsUpdated, Event
+from dunlinlug.decision.events import Endpoint, EndpointState, EndpointsUpdated, Event, UpdateType
 from dunlinlug.discovery import entries
 from dunlinlug.discovery.blocking_query import INDEX_HEADER, MIN_QUERY_INTERVAL, BlockingQuery
 from dunlinlug.errors import DunlinlugError
@@ -54,7 +54,7 @@
                 self.failing = True
                 pause = self.state.next_backoff()
                 if not retry_failures:
-                    self.submit(EndpointsUpdated("failed"))
+                    self.submit(EndpointsUpdated(UpdateType.FAILED))
                     return
                 await trio.sleep(pause)
 
@@ -65,7 +65,7 @@
             await self._query_once()
         except DiscoveryError as error:
             self.log_event("discovery.failed", why=str(error))
-            self.submit(EndpointsUpdated("failed"))
+            self.submit(EndpointsUpdated(UpdateType.FAILED))
 
     async def _query_once(self) -> None:
         reply: http.Response | None = None
@@ -102,16 +102,16 @@
         ]
         current = {worker.id: worker for worker in workers}
         if self.last_list is None:
-            self.submit(EndpointsUpdated("whole", tuple(workers)))
+            self.submit(EndpointsUpdated(UpdateType.SNAPSHOT, tuple(workers)))
         else:
             changed = [worker for worker in workers if worker != self.last_list.get(worker.id)]
             removed = [
-                replace(worker, state="gone")
+                replace(worker, state=EndpointState.GONE)
                 for key, worker in self.last_list.items()
                 if key not in current
             ]
             if changed or removed:
-                self.submit(EndpointsUpdated("changes", (*changed, *removed)))
+                self.submit(EndpointsUpdated(UpdateType.CHANGES, (*changed, *removed)))
                 self.log_event(
                     "discovery.endpoints_changed",
                     changed=[f"{worker.id} {worker.state}" for worker in (*changed, *removed)],
--- a/dunlinlug/platform/discovery_state.py
+++ b/dunlinlug/platform/discovery_state.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from dunlinlug.decision.events import Endpoint, EndpointsUpdated
+from dunlinlug.decision.events import Endpoint, EndpointState, EndpointsUpdated, UpdateType
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.platform.messages import Name
 
@@ -62,7 +62,7 @@
             self.zone,
             self.machine_type,
             self.cell,
-            self.lifecycle,
+            EndpointState(self.lifecycle),
             self.weight,
             self.started_at_ms / 1000.0 if self.started_at_ms else None,
         )
@@ -136,7 +136,7 @@
         if response.reset:
             self.generation = response.generation
             return EndpointsUpdated(
-                "whole",
+                UpdateType.SNAPSHOT,
                 tuple(
                     instance.worker()
                     for instance in response.instances
@@ -151,7 +151,9 @@
             return None
         self.generation = response.generation
         return (
-            EndpointsUpdated("changes", tuple(instance.worker() for instance in response.instances))
+            EndpointsUpdated(
+                UpdateType.CHANGES, tuple(instance.worker() for instance in response.instances)
+            )
             if response.instances
             else None
         )
--- a/dunlinlug/platform/main.py
+++ b/dunlinlug/platform/main.py
@@ -17,7 +17,7 @@
 import trio
 
 from dunlinlug.balance import Balancer
-from dunlinlug.decision.events import EndpointsUpdated, Event
+from dunlinlug.decision.events import EndpointsUpdated, Event, UpdateType
 from dunlinlug.decision.orders import CheckHealth
 from dunlinlug.decision.settings import ManagerSettings
 from dunlinlug.manager.decision_loop import DecisionLoop, DecisionModule
@@ -163,7 +163,7 @@
             self.discovery.update_addresses(self.config.initial_list.instances, True)
             self.discovery.publish(
                 EndpointsUpdated(
-                    "kept",
+                    UpdateType.RESTORED,
                     tuple(
                         instance.worker()
                         for instance in self.config.initial_list.instances
--- a/dunlinlug/simulator/__init__.py
+++ b/dunlinlug/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The simulator's wire: decision modules hosted on JSON lines."""
--- a/dunlinlug/simulator/codec.py
+++ b/dunlinlug/simulator/codec.py
@@ -1,9 +1,13 @@
-"""The wire's JSON to the interface's types and back; units and words change here and nowhere else."""
+"""The simulator's JSON lines to the decision module's records and back.
+
+Units and names change here and nowhere else: the simulator has microseconds and names of its own.
+A body is a JSON object as read; `WireError` tells what of it is not as the wire's page has it.
+"""
 
 import json
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, TypeVar
 
 from dunlinlug.config.settings_json import (
     MICROSECONDS_PER_SECOND,
@@ -17,6 +21,7 @@
     DemandReported,
     Endpoint,
     EndpointReported,
+    EndpointState,
     EndpointsUpdated,
     Event,
     HealthCheckCompleted,
@@ -26,6 +31,7 @@
     ShardAssigned,
     ShardRestored,
     TimerFired,
+    UpdateType,
 )
 from dunlinlug.decision.orders import (
     AssignTable,
@@ -45,27 +51,47 @@
 from dunlinlug.decision.settings import ManagerSettings
 from dunlinlug.errors import DunlinlugError
 
-ENDPOINT_STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
+ENDPOINT_STATES = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
+}
 UPDATE_TYPES = {
-    "update": "changes",
-    "replace": "whole",
-    "restored": "kept",
-    "unavailable": "failed",
+    "update": UpdateType.CHANGES,
+    "replace": UpdateType.SNAPSHOT,
+    "restored": UpdateType.RESTORED,
+    "unavailable": UpdateType.FAILED,
 }
 
 
+# A JSON object as read or to be written: values are of any JSON type.
+JsonObject = dict[str, Any]
+
+
 class WireError(DunlinlugError):
     """A line that is not what the wire's page allows."""
 
 
+@dataclass(frozen=True)
+class RawEvent:
+    """One event of a batch: the manager that it is for, what it is, and its JSON object."""
+
+    manager: str
+    verb: str
+    body: JsonObject
+
+
 @dataclass(frozen=True)
 class EventBatch:
+    """One line of the simulator: the clock in seconds, its number if it has one, and the events."""
+
     now: float
     number: int | None
-    events: list[tuple[str, str, dict[str, Any]]]
+    events: list[RawEvent]
 
 
 def read_batch(line: bytes) -> EventBatch:
+    """Read one line; events that this version does not know are left out. Raises WireError."""
     try:
         message = json.loads(line)
     except (ValueError, RecursionError) as error:
@@ -78,26 +104,33 @@
         raise WireError("'nowUs' is missing or not a whole number")
     if not isinstance(raw_events, list):
         raise WireError("'happened' is missing or not an array")
-    events = []
-    for body in raw_events:
-        if not isinstance(body, dict):
-            raise WireError("an event is an object")
-        verb = body.get("verb")
-        manager = body.get("manager")
-        if not isinstance(verb, str):
-            raise WireError("an event has no 'verb'")
-        if verb not in KNOWN_VERBS:
-            continue
-        if not isinstance(manager, str):
-            raise WireError(f"'{verb}' has no 'manager'")
-        events.append((manager, verb, body))
+    events = [event for event in map(_read_raw_event, raw_events) if event is not None]
     number = message.get("n")
     if number is not None and not isinstance(number, int):
         raise WireError("'n' is not a whole number")
     return EventBatch(now / MICROSECONDS_PER_SECOND, number, events)
 
 
-def _read_guarded(verb: str, read: Callable[[], Any]) -> Any:
+def _read_raw_event(body: Any) -> RawEvent | None:
+    """Read what every event has; None for one that this version does not know."""
+    if not isinstance(body, dict):
+        raise WireError("an event is an object")
+    verb = body.get("verb")
+    manager = body.get("manager")
+    if not isinstance(verb, str):
+        raise WireError("an event has no 'verb'")
+    if verb not in KNOWN_VERBS:
+        return None
+    if not isinstance(manager, str):
+        raise WireError(f"'{verb}' has no 'manager'")
+    return RawEvent(manager, verb, body)
+
+
+Read = TypeVar("Read")
+
+
+def _read_guarded(verb: str, read: Callable[[], Read]) -> Read:
+    """Read a body; raises WireError, which names the event, for a field that is not as it must be."""
     try:
         return read()
     except KeyError as error:
@@ -106,19 +139,18 @@
         raise WireError(f"'{verb}' has a field of the wrong kind: {error}") from None
 
 
-def read_event(verb: str, body: dict[str, Any], load_fields: tuple[str, ...]) -> Event:
-    """The event in our words; `fields` names the values of this instance's load reports."""
-    return _read_guarded(
-        verb,
-        lambda: (
-            LOAD_EVENT_READERS[verb](body, load_fields)
-            if verb in LOAD_EVENT_READERS
-            else EVENT_READERS[verb](body)
-        ),
-    )
+def read_event(verb: str, body: JsonObject, load_fields: tuple[str, ...]) -> Event:
+    """Return the event as a record; `load_fields` names the values of the load reports.
+
+    Raises WireError.
+    """
+    if verb in LOAD_EVENT_READERS:
+        return _read_guarded(verb, lambda: LOAD_EVENT_READERS[verb](body, load_fields))
+    return _read_guarded(verb, lambda: EVENT_READERS[verb](body))
 
 
-def _read_load(body: dict[str, Any], field_names: tuple[str, ...]) -> dict[str, float]:
+def _read_load(body: JsonObject, field_names: tuple[str, ...]) -> dict[str, float]:
+    """Return a load report's values by name, times in seconds."""
     values = zip(field_names, body.get("usage") or (), strict=False)
     return {
         name: float(value) / (MILLISECONDS_PER_SECOND if name in MILLISECOND_FIELDS else 1.0)
@@ -126,11 +158,13 @@
     }
 
 
-def read_settings_event(body: dict[str, Any]) -> ManagerSettings:
+def read_settings_event(body: JsonObject) -> ManagerSettings:
+    """Return the settings of a manager that starts. Raises WireError."""
     return _read_guarded("NewInstance", lambda: read_settings(body["nonce64"], body["info"]))
 
 
-def _read_endpoint(entry: dict[str, Any]) -> Endpoint:
+def _read_endpoint(entry: JsonObject) -> Endpoint:
+    """Return an entry of the endpoint list."""
     weight = entry.get("weight")
     started_at = entry.get("sinceUs")
     return Endpoint(
@@ -144,14 +178,15 @@
     )
 
 
-def _read_endpoints_updated(body: dict[str, Any]) -> EndpointsUpdated:
+def _read_endpoints_updated(body: JsonObject) -> EndpointsUpdated:
+    """Return the endpoint list, or what changed of it."""
     return EndpointsUpdated(
         UPDATE_TYPES[body["form"]],
         tuple(_read_endpoint(row) for row in body.get("membersList") or ()),
     )
 
 
-EVENT_READERS: dict[str, Callable[[dict[str, Any]], Event]] = {
+EVENT_READERS: dict[str, Callable[[JsonObject], Event]] = {
     "Discovery": _read_endpoints_updated,
     "Bell": lambda b: TimerFired(b["token"]),
     "Heard": lambda b: PeerMessageReceived(b["originPeer"], b.get("payload") or ""),
@@ -170,7 +205,7 @@
     "Receipt": lambda b: Acknowledged(b["proxy"], b["gen"], _s(b.get("costTimeUs") or 0)),
 }
 
-LOAD_EVENT_READERS: dict[str, Callable[[dict[str, Any], tuple[str, ...]], Event]] = {
+LOAD_EVENT_READERS: dict[str, Callable[[JsonObject, tuple[str, ...]], Event]] = {
     "ProbeResult": lambda b, f: HealthCheckCompleted(
         b["worker"], b["rc"] == "ok", b["rc"], _s(b.get("costTimeUs") or 0), _read_load(b, f)
     ),
@@ -186,7 +221,7 @@
 }
 KNOWN_VERBS = {"NewInstance", "Detach"} | EVENT_READERS.keys() | LOAD_EVENT_READERS.keys()
 
-ORDER_WRITERS: dict[type, Callable[[Any], dict[str, Any]]] = {
+ORDER_WRITERS: dict[type, Callable[[Any], JsonObject]] = {
     SetWeight: lambda o: {
         "verb": "Upsert",
         "setId": o.table_id,
@@ -210,7 +245,7 @@
     },
     RequestAcknowledgement: lambda o: {"verb": "Seal", "gen": o.ack_number, "yes": o.all_proxies},
     WatchEndpoints: lambda o: {"verb": "Watch", "yes": o.enabled},
-    ListEndpoints: lambda o: {"verb": "Pull"},
+    ListEndpoints: lambda _: {"verb": "Pull"},
     CheckHealth: lambda o: {"verb": "Poll", "worker": o.worker},
     SetTimer: lambda o: {
         "verb": "Arm",
@@ -222,5 +257,6 @@
 }
 
 
-def write_order(manager: str, order: Order) -> dict[str, Any]:
+def write_order(manager: str, order: Order) -> JsonObject:
+    """Return the simulator's JSON object for a manager's order."""
     return {**ORDER_WRITERS[type(order)](order), "manager": manager}
--- a/dunlinlug/simulator/host.py
+++ b/dunlinlug/simulator/host.py
@@ -1,13 +1,17 @@
-"""Hosts one module for each manager on the wire; the instances share nothing."""
+"""Hosts one decision module for each manager on the simulator's wire; they share nothing."""
 
 import json
 from dataclasses import dataclass
-from typing import Any, BinaryIO
+from typing import BinaryIO
 
 from dunlinlug.balance import Balancer
 from dunlinlug.decision.events import Event
 from dunlinlug.simulator import codec
 
+# The events that start and stop a manager.
+START_VERB = "NewInstance"
+STOP_VERB = "Detach"
+
 
 @dataclass(frozen=True)
 class HostedModule:
@@ -18,7 +22,10 @@
 
 
 def serve(input_stream: BinaryIO, output_stream: BinaryIO) -> None:
-    """Answer each batch with one flushed line until the input ends."""
+    """Answer each batch with one flushed line until the input ends.
+
+    Raises WireError, which names the line, for a line that is not as the wire's page has it.
+    """
     instances: dict[str, HostedModule] = {}
     for line_number, line in enumerate(input_stream, 1):
         try:
@@ -26,7 +33,7 @@
             decisions = _decide_batch(instances, batch)
         except codec.WireError as error:
             raise codec.WireError(f"line {line_number}: {error}") from None
-        reply: dict[str, Any] = {} if batch.number is None else {"n": batch.number}
+        reply: codec.JsonObject = {} if batch.number is None else {"n": batch.number}
         reply["decisions"] = decisions
         output_stream.write(json.dumps(reply, separators=(",", ":")).encode() + b"\n")
         output_stream.flush()
@@ -34,26 +41,36 @@
 
 def _decide_batch(
     instances: dict[str, HostedModule], batch: codec.EventBatch
-) -> list[dict[str, Any]]:
-    pending: dict[str, list[Event]] = {}
-    for manager, verb, body in batch.events:
-        if verb == "Detach":
-            pending.pop(manager, None)
+) -> list[codec.JsonObject]:
+    """Give each manager its events, start and stop managers, and return what they order."""
+    events_by_manager: dict[str, list[Event]] = {}
+    for event in batch.events:
+        manager = event.manager
+        if event.verb == STOP_VERB:
+            events_by_manager.pop(manager, None)
             instances.pop(manager, None)
-        elif verb == "NewInstance":
-            pending[manager] = []
-            settings = codec.read_settings_event(body)
+        elif event.verb == START_VERB:
+            events_by_manager[manager] = []
+            settings = codec.read_settings_event(event.body)
             instances[manager] = HostedModule(Balancer(settings), settings.load_report_fields)
         elif manager in instances:
-            pending.setdefault(manager, []).append(
-                codec.read_event(verb, body, instances[manager].load_fields)
-            )
-    decisions: list[dict[str, Any]] = []
-    for manager, events in pending.items():
-        try:
-            orders = instances[manager].module.decide(batch.now, events)
-            decisions.extend(codec.write_order(manager, order) for order in orders)
-        except Exception as error:
-            text = f"{type(error).__name__}: {error}"
-            decisions.append({"verb": "Broken", "manager": manager, "text": text})
+            read = codec.read_event(event.verb, event.body, instances[manager].load_fields)
+            events_by_manager.setdefault(manager, []).append(read)
+    decisions: list[codec.JsonObject] = []
+    for manager, events in events_by_manager.items():
+        decisions.extend(_decide(manager, instances[manager].module, batch.now, events))
     return decisions
+
+
+def _decide(
+    manager: str, module: Balancer, now: float, events: list[Event]
+) -> list[codec.JsonObject]:
+    """Return a manager's orders; a module that raises is told to the simulator as broken.
+
+    Any error counts: one manager's must not end the play of the others.
+    """
+    try:
+        return [codec.write_order(manager, order) for order in module.decide(now, events)]
+    except Exception as error:
+        text = f"{type(error).__name__}: {error}"
+        return [{"verb": "Broken", "manager": manager, "text": text}]
--- a/dunlinlug/standins/discovery.py
+++ b/dunlinlug/standins/discovery.py
@@ -10,7 +10,7 @@
 
 from dunlinlug.config import manager_config as manager_terms
 from dunlinlug.config.reader import ConfigFile
-from dunlinlug.decision.events import Endpoint
+from dunlinlug.decision.events import Endpoint, EndpointState
 from dunlinlug.discovery import entries
 from dunlinlug.net import http
 from dunlinlug.scenarios import schema
@@ -30,7 +30,9 @@
         self.duplicate_entry = False
         self.address = config.section(manager_terms.DiscoveryConfig).address
         self.workers = {
-            name: Endpoint(name, worker_config.zone, "", 0, "ready", worker_config.weight, None)
+            name: Endpoint(
+                name, worker_config.zone, "", 0, EndpointState.READY, worker_config.weight, None
+            )
             for name, worker_config in config.sections(schema.WorkerConfig).items()
         }
         self.visible_workers = dict(self.workers)
@@ -76,7 +78,7 @@
         """The same address under a second, older entry."""
         return (
             [
-                replace(worker, state="draining", started_at=None)
+                replace(worker, state=EndpointState.DRAINING, started_at=None)
                 for worker in list(self.visible_workers.values())[:1]
             ]
             if self.duplicate_entry
--- a/tests/decision/state/test_incremental_state.py
+++ b/tests/decision/state/test_incremental_state.py
@@ -8,11 +8,16 @@
 import pytest
 
 from dunlinlug.decision.events import Endpoint, EndpointsUpdated
-from dunlinlug.decision.state.assignments import Assignments, Table, admission_level
+from dunlinlug.decision.state.assignments import Assignments
 from dunlinlug.decision.state.coverage import Coverage
 from dunlinlug.decision.state.desired_weights import DesiredWeights
 from dunlinlug.decision.state.endpoints import Fleet
-from dunlinlug.decision.state.outlier_statistics import OutlierStatistics, sorted_median
+from dunlinlug.decision.state.outlier_statistics import (
+    OutlierStatistics,
+    OutlierThresholds,
+    sorted_median,
+)
+from dunlinlug.decision.state.tables import Table, admission_level
 
 CAP, LEAST, ENOUGH, MOST = 0.5, 1.0, 3.0, 0.35
 FIGURES = [0.0, 0.25, 0.5, 0.75, 1.0]
@@ -64,7 +69,10 @@
 
 def play_evidence(seed: int) -> None:
     chance, now = Random(seed), 0.0
-    book, before = OutlierStatistics(0.8, 4.0, CAP, LEAST, ENOUGH, MOST), dict[int, float]()
+    book, before = (
+        OutlierStatistics(0.8, 4.0, OutlierThresholds(CAP, LEAST, ENOUGH, MOST)),
+        dict[int, float](),
+    )
     for i in range(12):
         book.add_endpoint(i)
     ready = [False] * 12
@@ -105,7 +113,9 @@
             and not book.take_changed_rows()
         )
         before = after
-    anew = OutlierStatistics(0.8, 4.0, CAP, LEAST, ENOUGH, MOST)  # as a standby reads it
+    anew = OutlierStatistics(
+        0.8, 4.0, OutlierThresholds(CAP, LEAST, ENOUGH, MOST)
+    )  # as a standby reads it
     vars(anew).update(
         {key: value for key, value in vars(book).items() if key not in OutlierStatistics.DERIVED}
     )
@@ -247,7 +257,7 @@
                 table = seating.add_table(
                     Table(mark, dict.fromkeys(rows, 1.0), dict.fromkeys(rows, 1.0), [])
                 )
-                seating.mark_subsets([table][mark % 2 :])
+                seating.set_subsets([table][mark % 2 :])
             case 5 if tables:
                 seating.set_entry(chance.choice(tables), i, chance.choice([None, 0.5, 1.0]))
             case 6 if tables:
@@ -341,8 +351,10 @@
         }
         wanted = [admission_level(1.0, 1)] * 5
         assert {
-            (k, t.table_id): sorted(p for group in groups for p in group)
-            for k, t, groups in seating.differing_admission(wanted)
+            (each.traffic_class, each.table.table_id): sorted(
+                proxy_id for group in each.groups for proxy_id in group
+            )
+            for each in seating.differing_admission(wanted)
         } == {
             (k, t.table_id): users
             for t in tables
--- a/tests/decision/state/test_state_models.py
+++ b/tests/decision/state/test_state_models.py
@@ -7,9 +7,10 @@
 
 from dunlinlug.decision.events import Endpoint, EndpointsUpdated, ProxyConnected
 from dunlinlug.decision.orders import AssignTable, Order, SetAdmission, SetEjected, SetWeight
-from dunlinlug.decision.state.assignments import Assignments, Table
+from dunlinlug.decision.state.assignments import Assignments
 from dunlinlug.decision.state.endpoints import Fleet
 from dunlinlug.decision.state.pending_acks import PendingAcks
+from dunlinlug.decision.state.tables import Table
 from dunlinlug.manager.installed_tables import ProxyAssignment, TableInstaller
 from tests.decision.rules_model import Model, endpoint, manager_settings
 
--- a/tests/decision/test_turn_costs.py
+++ b/tests/decision/test_turn_costs.py
@@ -28,11 +28,12 @@
 )
 from dunlinlug.decision.orders import RequestAcknowledgement, SetTimer
 from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, SafetyLimits, TrafficClass
-from dunlinlug.decision.state.assignments import Assignments, Table
+from dunlinlug.decision.state.assignments import Assignments
 from dunlinlug.decision.state.coverage import Coverage
 from dunlinlug.decision.state.desired_weights import DesiredWeights
 from dunlinlug.decision.state.endpoints import Fleet
 from dunlinlug.decision.state.outlier_statistics import OutlierStatistics
+from dunlinlug.decision.state.tables import Table
 from tests import reference_model
 from tests.reference_model.balance import Balancer as Former
 
