--- a/dunlinlug/decision/state/outlier_statistics.py
+++ b/dunlinlug/decision/state/outlier_statistics.py
@@ -41,7 +41,7 @@
 
 
 # A row's weight limit, recovery limit, due time, attempts, failed attempts and sum of latencies.
-Columns = tuple[float, float, float, float, float, float]
+Columns = tuple[float, ...]
 
 
 class OutlierStatistics:
--- a/dunlinlug/decision/subsets.py
+++ b/dunlinlug/decision/subsets.py
@@ -185,7 +185,7 @@
         state.assignments.retire_unused(state.tables.subset_tables, batch.now)
         new_subsets = [
             create_table(state, batch, desired, subset_weights)
-            for subset_weights in _deal(state, best_rows, zones, weights)
+            for subset_weights in _distribute(state, best_rows, zones, weights)
         ]
         state.tables.subset_tables = state.assignments.set_subsets(used_subsets + new_subsets)
     return state.desired_weights.capacities(state.tables.subset_tables, desired.weights[0])
@@ -217,7 +217,7 @@
     )
 
 
-def _deal(
+def _distribute(
     state: DecisionState, rows: list[int], zones: Collection[set[int]], weights: Weights
 ) -> Iterator[Weights]:
     """Deal these rows, shuffled in place, over as many small tables as their size asks for."""
--- a/dunlinlug/decision/table_update.py
+++ b/dunlinlug/decision/table_update.py
@@ -113,7 +113,7 @@
         else:
             continue
         for traffic_class, old_table in old_tables.items():
-            _stage_update(state, batch, traffic_class, table, old_table)
+            _record_begin(state, batch, traffic_class, table, old_table)
     return awaits_all
 
 
@@ -128,7 +128,7 @@
     )
 
 
-def _stage_update(
+def _record_begin(
     state: DecisionState, batch: OrderBatch, traffic_class: int, table: Table, old_table: Table
 ) -> None:
     """Record that a class's update has begun; one in place awaits nobody before its assignment."""
--- a/dunlinlug/fleet/election/replicated_state.py
+++ b/dunlinlug/fleet/election/replicated_state.py
@@ -12,7 +12,7 @@
 from dunlinlug.decision.events import Endpoint, EndpointState, ProxyDisconnected
 from dunlinlug.decision.settings import ManagerSettings
 from dunlinlug.decision.state import endpoints
-from dunlinlug.fleet.election import event_forms, module_state
+from dunlinlug.fleet.election import event_forms, module_forms, module_state
 from dunlinlug.fleet.election.serialization import ObjectSerializer, SerializationError, WireForm
 from dunlinlug.manager.installed_tables import InstalledTable
 
@@ -84,7 +84,7 @@
         "levels": "admissions",
     },
 )
-FORMS = (BATCH, STANDING, LAID, *module_state.FORMS, *event_forms.FORMS)
+FORMS = (BATCH, STANDING, LAID, *module_forms.FORMS, *event_forms.FORMS)
 SERIALIZER = ObjectSerializer(*FORMS)
 
 
--- a/tests/admin/test_overrides.py
+++ b/tests/admin/test_overrides.py
@@ -47,7 +47,7 @@
 
 def lines(model: Model, product: int) -> list[dict[str, float]]:
     """Each proxy's table for a product, as applied."""
-    return [held[product][1] for held in model.holds.values()]
+    return [held[product][1] for held in model.applied.values()]
 
 
 @pytest.mark.parametrize("channel", [manager_settings().channel, NARROW])
@@ -116,9 +116,9 @@
     model.step(0.1, [ProxyConnected(7, "south", 5.0, True)])
     for _ in range(100):
         model.step(0.1, [])
-        held = model.holds[7].get(1)
+        held = model.applied[7].get(1)
         assert held is None or FLEET[2].id not in held[1]
-    assert 1 in model.holds[7]
+    assert 1 in model.applied[7]
 
 
 # The guard.
--- a/tests/decision/state/test_incremental_state.py
+++ b/tests/decision/state/test_incremental_state.py
@@ -1,4 +1,4 @@
-"""Books kept up change by change, each beside a slow, plain model that walks all; with a guard out it is seen."""
+"""State kept up change by change, each part beside a slow, plain model that walks all of it; a fault in it is seen."""
 
 from collections.abc import Callable
 from fractions import Fraction
@@ -19,118 +19,160 @@
 )
 from dunlinlug.decision.state.tables import Table, admission_level
 
-CAP, LEAST, ENOUGH, MOST = 0.5, 1.0, 3.0, 0.35
-FIGURES = [0.0, 0.25, 0.5, 0.75, 1.0]
+PEER_LIMIT, MIN_ATTEMPTS, MIN_FAILED, MIN_FAILURE_RATE = 0.5, 1.0, 3.0, 0.35
+WEIGHT_LIMITS = [0.0, 0.25, 0.5, 0.75, 1.0]
 
 
-def compare_evidence(book: OutlierStatistics, now: float) -> None:
-    """All that the books say of the columns, as one would find it anew."""
-    rows = sorted(book.ready_rows)
-    heard = [i for i in rows if book.weight_limits[i] and book.attempts[i] >= LEAST]
-    peers = [i for i in heard if book.weight_limits[i] >= CAP]
-    idle = [i for i in rows if not book.weight_limits[i]]
-    assert book.failure_rates == sorted(
-        map(book.failure_rate, heard)
-    ) and book.mean_latencies == sorted(map(book.mean_latency, heard))
-    assert book.peer_failure_rates == sorted(map(book.failure_rate, peers))
-    assert book.peer_latencies == sorted((book.mean_latency(i), i) for i in peers)
-    if heard:
-        assert sorted_median(book.failure_rates) == median(map(book.failure_rate, heard))
-        assert sorted_median(book.mean_latencies) == median(map(book.mean_latency, heard))
+def compare_statistics(statistics: OutlierStatistics, now: float) -> None:
+    """All that the indexes say of the columns, as one would find it anew."""
+    rows = sorted(statistics.ready_rows)
+    counted_rows = [
+        row
+        for row in rows
+        if statistics.weight_limits[row] and statistics.attempts[row] >= MIN_ATTEMPTS
+    ]
+    peers = [row for row in counted_rows if statistics.weight_limits[row] >= PEER_LIMIT]
+    ejected_rows = [row for row in rows if not statistics.weight_limits[row]]
+    assert statistics.failure_rates == sorted(
+        map(statistics.failure_rate, counted_rows)
+    ) and statistics.mean_latencies == sorted(map(statistics.mean_latency, counted_rows))
+    assert statistics.peer_failure_rates == sorted(map(statistics.failure_rate, peers))
+    assert statistics.peer_latencies == sorted((statistics.mean_latency(row), row) for row in peers)
+    if counted_rows:
+        assert sorted_median(statistics.failure_rates) == median(
+            map(statistics.failure_rate, counted_rows)
+        )
+        assert sorted_median(statistics.mean_latencies) == median(
+            map(statistics.mean_latency, counted_rows)
+        )
     if peers:
-        assert book.median_peer_latency() == median(map(book.mean_latency, peers))
-    assert book.suspect_rows == {
-        i
-        for i in rows
-        if book.weight_limits[i] and book.failed[i] >= ENOUGH and book.failure_rate(i) >= MOST
+        assert statistics.median_peer_latency() == median(map(statistics.mean_latency, peers))
+    assert statistics.suspect_rows == {
+        row
+        for row in rows
+        if statistics.weight_limits[row]
+        and statistics.failed[row] >= MIN_FAILED
+        and statistics.failure_rate(row) >= MIN_FAILURE_RATE
     }
-    assert book.limited_rows == {i for i in rows if book.weight_limits[i] != 1.0}
-    assert book.probation_rows == {
-        i for i in rows if 0.0 < book.weight_limits[i] < CAP
-    } and book.ejected_rows == set(idle)
-    assert book.ejection_deadlines == sorted((book.due_at[i], i) for i in idle)
-    assert book.due_ejections(now) == [i for i in idle if book.due_at[i] <= now]
-    assert sorted(book.due_recoveries(now)) == [
-        i
-        for i in rows
-        if book.weight_limits[i]
-        and (book.weight_limits[i], book.recovery_limits[i]) != (1.0, 1.0)
-        and book.due_at[i] <= now
+    assert statistics.limited_rows == {row for row in rows if statistics.weight_limits[row] != 1.0}
+    assert statistics.probation_rows == {
+        row for row in rows if 0.0 < statistics.weight_limits[row] < PEER_LIMIT
+    } and statistics.ejected_rows == set(ejected_rows)
+    assert statistics.ejection_deadlines == sorted(
+        (statistics.due_at[row], row) for row in ejected_rows
+    )
+    assert statistics.due_ejections(now) == [
+        row for row in ejected_rows if statistics.due_at[row] <= now
     ]
-    pace = now % 0.5
-    assert sorted(book.slow_peers(pace)) == sorted(i for i in peers if book.mean_latency(i) >= pace)
-    tie = sum(book.failed[i] for i in heard) / (sum(book.attempts[i] for i in heard) or 1.0)
-    plain = sum(book.attempts[i] for i in heard), sum(book.failed[i] for i in heard)
-    assert book.attempt_totals(tie) == plain, "to the last digit"
-    for found, column in zip(book.attempt_totals(2.0), (book.attempts, book.failed), strict=True):
-        exact = sum((Fraction(column[i]) for i in heard), Fraction(0))
+    assert sorted(statistics.due_recoveries(now)) == [
+        row
+        for row in rows
+        if statistics.weight_limits[row]
+        and (statistics.weight_limits[row], statistics.recovery_limits[row]) != (1.0, 1.0)
+        and statistics.due_at[row] <= now
+    ]
+    slow_latency = now % 0.5
+    assert sorted(statistics.slow_peers(slow_latency)) == sorted(
+        row for row in peers if statistics.mean_latency(row) >= slow_latency
+    )
+    exact_failure_rate = sum(statistics.failed[row] for row in counted_rows) / (
+        sum(statistics.attempts[row] for row in counted_rows) or 1.0
+    )
+    expected = (
+        sum(statistics.attempts[row] for row in counted_rows),
+        sum(statistics.failed[row] for row in counted_rows),
+    )
+    assert statistics.attempt_totals(exact_failure_rate) == expected, "to the last digit"
+    for found, column in zip(
+        statistics.attempt_totals(2.0), (statistics.attempts, statistics.failed), strict=True
+    ):
+        exact = sum((Fraction(column[row]) for row in counted_rows), Fraction(0))
         assert found == pytest.approx(float(exact), rel=1e-15, abs=1e-20)
 
 
-def play_evidence(seed: int) -> None:
-    chance, now = Random(seed), 0.0
-    book, before = (
-        OutlierStatistics(0.8, 4.0, OutlierThresholds(CAP, LEAST, ENOUGH, MOST)),
+def play_statistics(seed: int) -> None:
+    rng, now = Random(seed), 0.0
+    statistics, before = (
+        OutlierStatistics(
+            0.8, 4.0, OutlierThresholds(PEER_LIMIT, MIN_ATTEMPTS, MIN_FAILED, MIN_FAILURE_RATE)
+        ),
         dict[int, float](),
     )
-    for i in range(12):
-        book.add_endpoint(i)
+    for row in range(12):
+        statistics.add_endpoint(row)
     ready = [False] * 12
     for _ in range(300):
-        now += chance.random()
-        i = chance.randrange(12)
-        match chance.randrange(6):
+        now += rng.random()
+        row = rng.randrange(12)
+        match rng.randrange(6):
             case 0:
-                ready[i] = not ready[i]
-                book.set_ready([i], ready)
+                ready[row] = not ready[row]
+                statistics.set_ready([row], ready)
             case 1:
-                book.reset(i, chance.choice(FIGURES), now + chance.random())
+                statistics.reset(row, rng.choice(WEIGHT_LIMITS), now + rng.random())
             case 2:
-                book.weight_limits[i], book.recovery_limits[i], book.due_at[i] = (
-                    chance.choice(FIGURES),
-                    chance.choice(FIGURES),
+                (
+                    statistics.weight_limits[row],
+                    statistics.recovery_limits[row],
+                    statistics.due_at[row],
+                ) = (
+                    rng.choice(WEIGHT_LIMITS),
+                    rng.choice(WEIGHT_LIMITS),
                     now,
                 )
-                book.update_indexes(i)
-            case 3 if not book.weight_limits[i]:
-                book.postpone(i)
-            case 4 if chance.random() < 0.2:
-                book.add_endpoint(i)
-                assert (book.attempts[i], book.weight_limits[i], book.ejection_times[i]) == (
+                statistics.update_indexes(row)
+            case 3 if not statistics.weight_limits[row]:
+                statistics.postpone(row)
+            case 4 if rng.random() < 0.2:
+                statistics.add_endpoint(row)
+                assert (
+                    statistics.attempts[row],
+                    statistics.weight_limits[row],
+                    statistics.ejection_times[row],
+                ) == (
                     0.0,
                     1.0,
                     4.0,
                 )
             case _:
-                tries = chance.randrange(1, 20)
-                book.record(
-                    i, now, tries, chance.choice([0, tries, tries // 2]), chance.choice([0.2, 0.3])
+                attempts_reported = rng.randrange(1, 20)
+                statistics.record(
+                    row,
+                    now,
+                    attempts_reported,
+                    rng.choice([0, attempts_reported, attempts_reported // 2]),
+                    rng.choice([0.2, 0.3]),
                 )
-        compare_evidence(book, now)
-        after = {i: book.weight_limits[i] for i in book.ready_rows}
+        compare_statistics(statistics, now)
+        after = {row: statistics.weight_limits[row] for row in statistics.ready_rows}
         assert (
-            book.take_changed_rows() == {i for i in range(12) if before.get(i) != after.get(i)}
-            and not book.take_changed_rows()
+            statistics.take_changed_rows()
+            == {row for row in range(12) if before.get(row) != after.get(row)}
+            and not statistics.take_changed_rows()
         )
         before = after
-    anew = OutlierStatistics(
-        0.8, 4.0, OutlierThresholds(CAP, LEAST, ENOUGH, MOST)
+    rebuilt = OutlierStatistics(
+        0.8, 4.0, OutlierThresholds(PEER_LIMIT, MIN_ATTEMPTS, MIN_FAILED, MIN_FAILURE_RATE)
     )  # as a standby reads it
-    vars(anew).update(
-        {key: value for key, value in vars(book).items() if key not in OutlierStatistics.DERIVED}
+    vars(rebuilt).update(
+        {
+            key: value
+            for key, value in vars(statistics).items()
+            if key not in OutlierStatistics.DERIVED
+        }
     )
-    anew.rebuild_derived()
-    assert vars(anew) == vars(book) and not anew.take_changed_rows()
+    rebuilt.rebuild_derived()
+    assert vars(rebuilt) == vars(statistics) and not rebuilt.take_changed_rows()
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_evidence_stands_as_a_walk_over_all_rows_finds_it(seed: int) -> None:
-    play_evidence(seed)
+def test_statistics_are_what_a_walk_over_all_rows_gives(seed: int) -> None:
+    play_statistics(seed)
 
 
 def play_fleet(seed: int) -> None:
-    chance, fleet = Random(seed), Fleet(fmean)
-    known: dict[int, tuple[float, float]] = {}
+    rng, fleet = Random(seed), Fleet(fmean)
+    known_before: dict[int, tuple[float, float]] = {}
     for n in range(200):
         rows = [
             Endpoint(
@@ -138,41 +180,47 @@
                 "abc"[k % 3],
                 "",
                 0,
-                chance.choice(["ready", "ready", "draining", "gone"]),
-                chance.choice([1.0, 1.0, 0.5, 1.3, None, 0.0]) if seed % 2 else 1.0,
-                chance.choice([None, float(n)]),
+                rng.choice(["ready", "ready", "draining", "gone"]),
+                rng.choice([1.0, 1.0, 0.5, 1.3, None, 0.0]) if seed % 2 else 1.0,
+                rng.choice([None, float(n)]),
             )
-            for k in chance.sample(range(14), chance.choice([1, 9]))
+            for k in rng.sample(range(14), rng.choice([1, 9]))
         ]
-        was = {i for i, ready in enumerate(fleet.ready) if ready}
+        ready_before = {row for row, ready in enumerate(fleet.ready) if ready}
         fleet.apply_update(
             EndpointsUpdated(
-                chance.choice(["changes", "changes", "changes", "whole", "kept"]), tuple(rows)
+                rng.choice(["changes", "changes", "changes", "whole", "kept"]), tuple(rows)
             ),
             set,
         )
-        now = [i for i, ready in enumerate(fleet.ready) if ready]
-        told = [w for w in (fleet.listed_weights[i] for i in now) if w] or [1.0]
-        assert fleet.ready_rows == now and fleet.readiness_changes == was ^ set(now)
-        assert fleet.base_weights == {i: fleet.listed_weights[i] or fmean(told) for i in now}
-        assert fleet.total_weight() == sum(fleet.base_weights[i] for i in now)
-        out = set(chance.sample(range(len(fleet.ids)), len(fleet.ids) // 2))
-        left = {i: fleet.base_weights[i] for i in now}
-        exact = sum(left[i] for i in left.keys() - out) / (sum(left.values()) or 1.0)
+        now = [row for row, ready in enumerate(fleet.ready) if ready]
+        listed = [w for w in (fleet.listed_weights[row] for row in now) if w] or [1.0]
+        assert fleet.ready_rows == now and fleet.readiness_changes == ready_before ^ set(now)
+        assert fleet.base_weights == {
+            row: fleet.listed_weights[row] or fmean(listed) for row in now
+        }
+        assert fleet.total_weight() == sum(fleet.base_weights[row] for row in now)
+        ejected_now = set(rng.sample(range(len(fleet.ids)), len(fleet.ids) // 2))
+        left = {row: fleet.base_weights[row] for row in now}
+        exact = sum(left[row] for row in left.keys() - ejected_now) / (sum(left.values()) or 1.0)
         assert not now or (
-            fleet.available_fraction(out, 2.0),
-            fleet.available_fraction(out, 0.0),
+            fleet.available_fraction(ejected_now, 2.0),
+            fleet.available_fraction(ejected_now, 0.0),
         ) == (
             exact,
             pytest.approx(exact),
         )
-        anew = {i: (fleet.base_weights[i], fleet.started_at[i]) for i in now}
+        rebuilt = {row: (fleet.base_weights[row], fleet.started_at[row]) for row in now}
         assert (
             fleet.take_changed_rows()
-            >= {i for i in known.keys() | anew if known.get(i) != anew.get(i)}
+            >= {
+                row
+                for row in known_before.keys() | rebuilt
+                if known_before.get(row) != rebuilt.get(row)
+            }
             and not fleet.take_changed_rows()
         )
-        known = anew
+        known_before = rebuilt
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -180,211 +228,252 @@
     play_fleet(seed)
 
 
-def compare_lines(
-    lines: DesiredWeights, seating: Assignments, out: set[int], chance: Random
+def compare_weights(
+    desired_weights: DesiredWeights, assignments: Assignments, ejected_now: set[int], rng: Random
 ) -> None:
-    plain = dict(sorted(lines.default_weights.items()))
+    expected = dict(sorted(desired_weights.default_weights.items()))
     other = {
-        i: share for i, share in plain.items() if i % 3
-    }  # not the record that is kept up: as a pin's
-    for table in seating.tables.values():
-        for want in (lines.default_weights, other):
-            have = table.weights
-            every = {i for i in have.keys() | want.keys() if have.get(i) != want.get(i)}
-            assert lines.differing_rows(table, want, not table.is_subset) == (
-                every & have.keys() if table.is_subset else every
+        row: share for row, share in expected.items() if row % 3
+    }  # not the default weights: as an override's
+    for table in assignments.tables.values():
+        for desired in (desired_weights.default_weights, other):
+            installed = table.weights
+            differing = {
+                row
+                for row in installed.keys() | desired.keys()
+                if installed.get(row) != desired.get(row)
+            }
+            assert desired_weights.differing_rows(table, desired, not table.is_subset) == (
+                differing & installed.keys() if table.is_subset else differing
             )
-            assert lines.capacity(table, want) == (
-                sum(want.get(i, 0.0) for i in have if i not in out) or DesiredWeights.MIN_CAPACITY
+            assert desired_weights.capacity(table, desired) == (
+                sum(desired.get(row, 0.0) for row in installed if row not in ejected_now)
+                or DesiredWeights.MIN_CAPACITY
             )
-    small = [
+    covering_subsets = [
         table
-        for table in seating.tables.values()
+        for table in assignments.tables.values()
         if table.is_subset and table.use_count and table.request_rate
     ]
-    assert seating.subsets_in_use() == [
-        table for table in seating.tables.values() if table.is_subset and table.use_count
+    assert assignments.subsets_in_use() == [
+        table for table in assignments.tables.values() if table.is_subset and table.use_count
     ]
-    named = {i for table in small for i in table.weights}
-    for want in (lines.default_weights, other):
-        assert [*lines.available_uncovered_rows(seating.subset_coverage, want)] == [
-            i for i in sorted(want) if i not in named and i not in out
-        ]
-        assert lines.available_weight(want) == sum(want[i] for i in sorted(want) if i not in out)
-        asks = {table: chance.random() for table in small}
-        asked = {
-            i: sum(more for table, more in asks.items() if i in table.weights) for i in sorted(want)
+    covered_rows = {row for table in covering_subsets for row in table.weights}
+    for desired in (desired_weights.default_weights, other):
+        assert [
+            *desired_weights.available_uncovered_rows(assignments.subset_coverage, desired)
+        ] == [row for row in sorted(desired) if row not in covered_rows and row not in ejected_now]
+        assert desired_weights.available_weight(desired) == sum(
+            desired[row] for row in sorted(desired) if row not in ejected_now
+        )
+        demand_ratios = {table: rng.random() for table in covering_subsets}
+        demand_by_row = {
+            row: sum(more for table, more in demand_ratios.items() if row in table.weights)
+            for row in sorted(desired)
         }
-        order = lines.rows_by_demand(want, asks)
-        assert [asked[i] for i in order] == pytest.approx(
-            sorted(asked[i] for i in asked if i not in out)
+        order = desired_weights.rows_by_demand(desired, demand_ratios)
+        assert [demand_by_row[row] for row in order] == pytest.approx(
+            sorted(demand_by_row[row] for row in demand_by_row if row not in ejected_now)
         )
-    whole = [table for table in seating.tables.values() if not table.is_subset]
-    if chance.random() < 0.5:
-        assert [*lines.ordered_weights().items()] == [*plain.items()] and not lines.unordered
-    far = lines.distances(whole * 2, [lines.default_weights] * len(whole) + [other] * len(whole))
-    assert far == pytest.approx(
+    full_tables = [table for table in assignments.tables.values() if not table.is_subset]
+    if rng.random() < 0.5:
+        assert [*desired_weights.ordered_weights().items()] == [
+            *expected.items()
+        ] and not desired_weights.unordered
+    distances = desired_weights.distances(
+        full_tables * 2,
+        [desired_weights.default_weights] * len(full_tables) + [other] * len(full_tables),
+    )
+    assert distances == pytest.approx(
         [
-            sum(abs(want.get(i, 0.0) - table.weights.get(i, 0.0)) for i in range(20))
-            for want in (lines.default_weights, other)
-            for table in whole
+            sum(abs(desired.get(row, 0.0) - table.weights.get(row, 0.0)) for row in range(20))
+            for desired in (desired_weights.default_weights, other)
+            for table in full_tables
         ]
     )
 
 
-def play_lines(seed: int) -> None:
-    chance, lines, seating, ready = Random(seed), DesiredWeights(), Assignments(2), [False] * 20
-    known, out = set[int](), set[int]()  # who was ready once; who is out
-    lines.MIN_LOG_LENGTH = 20  # so that the log is cut, and tables fall behind it
-    for p in range(4):
-        seating.add_proxy(p, "a", 0.0 if p == 3 else 5.0)
-    for mark in range(1, 250):
-        i, tables = chance.randrange(20), [*seating.tables.values()]
-        match chance.randrange(8):
+def play_weights(seed: int) -> None:
+    rng, desired_weights, assignments, ready = (
+        Random(seed),
+        DesiredWeights(),
+        Assignments(2),
+        [False] * 20,
+    )
+    known_before, ejected_now = set[int](), set[int]()  # rows that were ready once; ejected rows
+    desired_weights.MIN_LOG_LENGTH = 20  # so that the log is cut, and tables fall behind it
+    for proxy_id in range(4):
+        assignments.add_proxy(proxy_id, "a", 0.0 if proxy_id == 3 else 5.0)
+    for ack_number in range(1, 250):
+        row, tables = rng.randrange(20), [*assignments.tables.values()]
+        match rng.randrange(8):
             case 0 | 1:
-                ready[i] = True
-                known.add(i)
-                lines.set_weight(i, 0.5, chance.choice([None, 0.5, 1.0, 0.325]))
-                seating.set_ready([i], ready)
-            case 2 if i in lines.weight_fractions:
-                ready[i] = False
-                lines.remove([i])
-                seating.set_ready([i], ready)
+                ready[row] = True
+                known_before.add(row)
+                desired_weights.set_weight(row, 0.5, rng.choice([None, 0.5, 1.0, 0.325]))
+                assignments.set_ready([row], ready)
+            case 2 if row in desired_weights.weight_fractions:
+                ready[row] = False
+                desired_weights.remove([row])
+                assignments.set_ready([row], ready)
             case 3:
-                lines.set_ejected(out := {i for i in range(20) if chance.random() < 0.2})
+                desired_weights.set_ejected(
+                    ejected_now := {row for row in range(20) if rng.random() < 0.2}
+                )
             case 4 if len(tables) < 6:
-                rows = chance.sample(range(20), 5)
-                table = seating.add_table(
-                    Table(mark, dict.fromkeys(rows, 1.0), dict.fromkeys(rows, 1.0), [])
+                rows = rng.sample(range(20), 5)
+                table = assignments.add_table(
+                    Table(ack_number, dict.fromkeys(rows, 1.0), dict.fromkeys(rows, 1.0), [])
                 )
-                seating.set_subsets([table][mark % 2 :])
+                assignments.set_subsets([table][ack_number % 2 :])
             case 5 if tables:
-                seating.set_entry(chance.choice(tables), i, chance.choice([None, 0.5, 1.0]))
+                assignments.set_entry(rng.choice(tables), row, rng.choice([None, 0.5, 1.0]))
             case 6 if tables:
-                seating.assign(
-                    chance.randrange(4),
-                    chance.choice([(0,), (0, 1)]),
-                    chance.choice(tables),
-                    mark,
-                    mark,
+                assignments.assign(
+                    rng.randrange(4),
+                    rng.choice([(0,), (0, 1)]),
+                    rng.choice(tables),
+                    ack_number,
+                    ack_number,
                 )
             case 7:
-                seating.acknowledge(chance.randrange(4), [*range(mark)])
-        if chance.random() < 0.5:
-            compare_lines(lines, seating, out, chance)
-        gone = {i for i in known if not ready[i]}
+                assignments.acknowledge(rng.randrange(4), [*range(ack_number)])
+        if rng.random() < 0.5:
+            compare_weights(desired_weights, assignments, ejected_now, rng)
+        unready = {row for row in known_before if not ready[row]}
         for table in tables:
             if table.use_count or not table.is_subset:
-                assert table.unready_rows == table.weight_fractions.keys() & gone
-                assert sorted(seating.assigned_proxies(table)) == [
-                    p
-                    for p, proxy in sorted(seating.proxies.items())
+                assert table.unready_rows == table.weight_fractions.keys() & unready
+                assert sorted(assignments.assigned_proxies(table)) == [
+                    proxy_id
+                    for proxy_id, proxy in sorted(assignments.proxies.items())
                     if table in proxy.assigned_tables
                 ]
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_lines_and_tables_differ_as_a_walk_over_all_finds_it(seed: int) -> None:
-    play_lines(seed)
+def test_weights_and_tables_differ_as_a_walk_over_all_finds(seed: int) -> None:
+    play_weights(seed)
 
 
-def play_seating(seed: int) -> None:
-    """Products that hold the same go on as one; lateness, levels and lacks beside a walk by proxy and product."""
-    chance, seating = Random(seed), Assignments(5)
+def play_assignments(seed: int) -> None:
+    """Classes that share a list go on with one; lagging, levels and missing tables beside a walk by proxy and class."""
+    rng, assignments = Random(seed), Assignments(5)
     tables = [
-        seating.add_table(Table(n, {1: 1.0}, {1: 1.0}, [admission_level(1.0, 1)] * 5))
+        assignments.add_table(Table(n, {1: 1.0}, {1: 1.0}, [admission_level(1.0, 1)] * 5))
         for n in range(1, 5)
     ]
-    for p in range(5):
-        seating.add_proxy(p, "a")
-    plain: dict[int, dict[int, list[tuple[int, int]]]] = {p: {} for p in range(5)}
-    for mark in range(1, 200):
-        p, table = chance.randrange(5), chance.choice(tables)
-        match chance.randrange(5):
+    for proxy_id in range(5):
+        assignments.add_proxy(proxy_id, "a")
+    expected: dict[int, dict[int, list[tuple[int, int]]]] = {proxy_id: {} for proxy_id in range(5)}
+    for ack_number in range(1, 200):
+        proxy_id, table = rng.randrange(5), rng.choice(tables)
+        match rng.randrange(5):
             case 0 | 1:
-                products = chance.choice([(0, 1, 2, 3, 4), (1, 2), (4,)])
-                seating.assign(p, products, table, mark, mark)
+                products = rng.choice([(0, 1, 2, 3, 4), (1, 2), (4,)])
+                assignments.assign(proxy_id, products, table, ack_number, ack_number)
                 for k in products:
-                    plain[p].setdefault(k, []).append((table.table_id, mark))
+                    expected[proxy_id].setdefault(k, []).append((table.table_id, ack_number))
             case 2:
-                seating.acknowledge(p, passed := [m for m in range(mark) if chance.random() < 0.8])
-                for k, held in plain[p].items():
+                assignments.acknowledge(
+                    proxy_id, acknowledged := [m for m in range(ack_number) if rng.random() < 0.8]
+                )
+                for k, entries in expected[proxy_id].items():
                     last = max(
-                        (n for n, (_, m) in enumerate(held) if not m or m in passed), default=None
+                        (n for n, (_, m) in enumerate(entries) if not m or m in acknowledged),
+                        default=None,
+                    )
+                    expected[proxy_id][k] = (
+                        entries if last is None else [(entries[last][0], 0), *entries[last + 1 :]]
                     )
-                    plain[p][k] = held if last is None else [(held[last][0], 0), *held[last + 1 :]]
             case 3:
-                seating.record_update(table, users := seating.assigned_proxies(table), mark, mark)
-                for user in users:
-                    for held in plain[user].values():
-                        held[-1:] = (
-                            [(table.table_id, mark)] if held[-1][0] == table.table_id else held[-1:]
+                assignments.record_update(
+                    table, proxy_ids := assignments.assigned_proxies(table), ack_number, ack_number
+                )
+                for user_id in proxy_ids:
+                    for entries in expected[user_id].values():
+                        entries[-1:] = (
+                            [(table.table_id, ack_number)]
+                            if entries[-1][0] == table.table_id
+                            else entries[-1:]
                         )
             case 4:
-                seating.unassign(p, (0, 1), table.table_id)
+                assignments.unassign(proxy_id, (0, 1), table.table_id)
                 for k in (0, 1):
-                    plain[p][k] = [
-                        entry for entry in plain[p].get(k, ()) if entry[0] != table.table_id
+                    expected[proxy_id][k] = [
+                        entry
+                        for entry in expected[proxy_id].get(k, ())
+                        if entry[0] != table.table_id
                     ]
-                plain[p] = {k: held for k, held in plain[p].items() if held}
+                expected[proxy_id] = {
+                    k: entries for k, entries in expected[proxy_id].items() if entries
+                }
                 table.admission_levels = [
-                    admission_level(chance.choice([1.0, 0.5]), 1) for _ in range(5)
+                    admission_level(rng.choice([1.0, 0.5]), 1) for _ in range(5)
                 ]
-        for q, proxy in seating.proxies.items():
+        for other_id, proxy in assignments.proxies.items():
             assert {
-                k: [(t.table_id, m) for t, m in held] for k, held in proxy.tables_in_use.items()
-            } == plain[q]
-        moves = {k: (chance.choice(tables), table) for k in range(5)}
-        since = mark - chance.randrange(20)
-        assert seating.lagging_classes(moves, since) == {
+                k: [(t.table_id, m) for t, m in entries]
+                for k, entries in proxy.tables_in_use.items()
+            } == expected[other_id]
+        updates = {k: (rng.choice(tables), table) for k in range(5)}
+        since = ack_number - rng.randrange(20)
+        assert assignments.lagging_classes(updates, since) == {
             k
-            for k, (old, new) in moves.items()
+            for k, (old, new) in updates.items()
             if any(
                 proxy.updated_at > since
                 and proxy.tables_in_use.get(k) != [(new, 0)]
                 and (old is not new or new in proxy.assigned_tables)
-                for proxy in seating.proxies.values()
+                for proxy in assignments.proxies.values()
             )
         }
-        assert seating.lagging_classes(moves, since) == {
-            k for k, move in moves.items() if seating.has_lagging_proxy(k, *move, since)
+        assert assignments.lagging_classes(updates, since) == {
+            k for k, move in updates.items() if assignments.has_lagging_proxy(k, *move, since)
         }
-        wanted = [admission_level(1.0, 1)] * 5
+        desired_levels = [admission_level(1.0, 1)] * 5
         assert {
             (each.traffic_class, each.table.table_id): sorted(
                 proxy_id for group in each.groups for proxy_id in group
             )
-            for each in seating.differing_admission(wanted)
+            for each in assignments.differing_admission(desired_levels)
         } == {
-            (k, t.table_id): users
+            (k, t.table_id): proxy_ids
             for t in tables
             for k in range(5)
-            if t.admission_levels[k] != wanted[k]
+            if t.admission_levels[k] != desired_levels[k]
             and (
-                users := [
-                    p for p, proxy in seating.proxies.items() if proxy.assigned_tables[k] is t
+                proxy_ids := [
+                    proxy_id
+                    for proxy_id, proxy in assignments.proxies.items()
+                    if proxy.assigned_tables[k] is t
                 ]
             )
         }
         current = {k: tables[k % 2] for k in range(5)}
-        for joiners in (True, False):
-            lack = {
-                p: tuple(
+        for new_proxies in (True, False):
+            missing_classes = {
+                proxy_id: tuple(
                     k for k in range(5) if current[k] is tables[0] is not proxy.assigned_tables[k]
                 )
-                for p, proxy in seating.proxies.items()
+                for proxy_id, proxy in assignments.proxies.items()
             }
-            found = seating.groups_to_assign(current, tables[0], joiners)
-            assert {p: other for tops, other in found.items() for p in seating.groups[tops]} == {
-                p: other
-                for p, other in lack.items()
-                if other and joiners == (seating.proxies[p].assigned_tables[other[0]] is None)
+            found = assignments.groups_to_assign(current, tables[0], new_proxies)
+            assert {
+                proxy_id: other
+                for tops, other in found.items()
+                for proxy_id in assignments.groups[tops]
+            } == {
+                proxy_id: other
+                for proxy_id, other in missing_classes.items()
+                if other
+                and new_proxies == (assignments.proxies[proxy_id].assigned_tables[other[0]] is None)
             }
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_what_proxies_hold_is_what_each_product_apart_would_hold(seed: int) -> None:
-    play_seating(seed)
+def test_tables_in_use_are_what_each_class_by_itself_would_have(seed: int) -> None:
+    play_assignments(seed)
 
 
 def nothing(*_: object, **__: object) -> None:
@@ -392,15 +481,20 @@
 
 
 FAULTS: dict[str, tuple[Callable[[int], None], type, str, Callable[..., object]]] = {
-    "rows are not struck out": (play_evidence, OutlierStatistics, "_remove_from_indexes", nothing),
-    "a start is not booked": (
-        play_evidence,
+    "rows stay in the indexes": (
+        play_statistics,
+        OutlierStatistics,
+        "_remove_from_indexes",
+        nothing,
+    ),
+    "a reset does not reach the indexes": (
+        play_statistics,
         OutlierStatistics,
         "reset",
         lambda self, row, weight_limit, due_at: self.weight_limits.__setitem__(row, weight_limit),
     ),
-    "news is told again": (
-        play_evidence,
+    "changed rows are reported again": (
+        play_statistics,
         OutlierStatistics,
         "take_changed_rows",
         lambda self: self.changed_rows,
@@ -414,64 +508,64 @@
         ),
     ),
     "weights are left as they were": (play_fleet, Fleet, "_update_weights", nothing),
-    "who is out is not followed": (play_lines, DesiredWeights, "set_ejected", nothing),
+    "ejections are not logged": (play_weights, DesiredWeights, "set_ejected", nothing),
     "a table does not follow": (
-        play_lines,
+        play_weights,
         DesiredWeights,
         "differing_rows",
         lambda self, table, desired, include_missing=True: table.differing_rows,
     ),
     "order is not kept": (
-        play_lines,
+        play_weights,
         DesiredWeights,
         "ordered_weights",
         lambda self: self.default_weights,
     ),
     "the log is cut and not counted": (
-        play_lines,
+        play_weights,
         DesiredWeights,
         "_truncate_log",
         lambda self: self.change_log.clear(),
     ),
-    "what a table bears is kept": (
-        play_lines,
+    "a capacity is kept too long": (
+        play_weights,
         DesiredWeights,
         "capacity",
         lambda self, table, desired: (
             table.cached_capacity or setattr(table, "cached_capacity", 1.0) or 1.0
         ),
     ),
-    "cover does not count": (play_lines, Coverage, "adjust_count", nothing),
-    "cover forgets what turned": (
-        play_lines,
+    "coverage does not count": (play_weights, Coverage, "adjust_count", nothing),
+    "coverage forgets changed rows": (
+        play_weights,
         Coverage,
         "adjust_count",
         lambda self, row, delta: self.table_counts.__setitem__(
             row, self.table_counts.get(row, 0) + delta
         ),
     ),
-    "who goes is not told to tables": (play_lines, Assignments, "set_ready", nothing),
+    "tables do not hear of readiness": (play_weights, Assignments, "set_ready", nothing),
     "a table used again is not brought up to date": (
-        play_lines,
+        play_weights,
         Assignments,
         "_retain",
         lambda self, table: self.retained_tables.__setitem__(table.sequence, table),
     ),
-    "nobody is late": (
-        play_seating,
+    "no class lags": (
+        play_assignments,
         Assignments,
         "lagging_classes",
         lambda self, updates, since: set(),
     ),
-    "an answer settles nothing": (play_seating, Assignments, "acknowledge", nothing),
-    "levels are alike": (
-        play_seating,
+    "an acknowledgement confirms nothing": (play_assignments, Assignments, "acknowledge", nothing),
+    "levels never differ": (
+        play_assignments,
         Assignments,
         "differing_admission",
         lambda self, admission_levels: [],
     ),
     "nobody lacks a table": (
-        play_seating,
+        play_assignments,
         Assignments,
         "groups_to_assign",
         lambda self, current, table, new_proxies: {},
@@ -480,9 +574,9 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_guard_taken_out_is_seen(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    play, book, method, fault = FAULTS[name]
-    monkeypatch.setattr(book, method, fault)
+def test_a_fault_in_the_bookkeeping_is_seen(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    play, statistics, method, fault = FAULTS[name]
+    monkeypatch.setattr(statistics, method, fault)
     with pytest.raises(AssertionError):
         for seed in range(4):
             play(seed)
--- a/tests/decision/test_order_rejection.py
+++ b/tests/decision/test_order_rejection.py
@@ -1,4 +1,4 @@
-"""The module after a refusal: it goes by what is, and does not order the same again each turn."""
+"""The module after a rejection: it goes by what is installed, and does not order the same with each batch."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -27,20 +27,20 @@
 from tests.decision.rules_model import endpoint, manager_settings
 from tests.fixtures.manager_process import WORKERS, bound, peer, running, until
 
-RAISE = SLOW_START_INTERVAL
+BLOCKED_SECONDS = SLOW_START_INTERVAL
 
 
-class Refusing:
-    """A module whose orders of one kind are refused for as long as `refuse` says so; counts them by time."""
+class RejectingHost:
+    """Runs a module and rejects its orders of one kind while `is_rejecting`; records them with their time."""
 
-    def __init__(self, refuse: type, when: object = lambda order: True) -> None:
-        self.module, self.refuse, self.when, self.on = (
+    def __init__(self, rejected_kind: type, is_rejected: object = lambda order: True) -> None:
+        self.module, self.rejected_kind, self.is_rejected, self.is_rejecting = (
             Balancer(manager_settings()),
-            refuse,
-            when,
+            rejected_kind,
+            is_rejected,
             True,
         )
-        self.seen: list[tuple[float, Order]] = []
+        self.rejections: list[tuple[float, Order]] = []
         self.now, self.events = 0.0, list[Event]()
 
     def step(self, *events: Event, span: float = 0.1) -> list[Order]:
@@ -48,8 +48,12 @@
         orders = self.module.decide(self.now, [*self.events, *events])
         self.events = []
         for order in orders:
-            if self.on and isinstance(order, self.refuse) and self.when(order):  # type: ignore[operator]
-                self.seen.append((self.now, order))
+            if (
+                self.is_rejecting
+                and isinstance(order, self.rejected_kind)
+                and self.is_rejected(order)
+            ):  # type: ignore[operator]
+                self.rejections.append((self.now, order))
                 self.events.append(OrderRejected(order, "said no"))
             if isinstance(order, RequestAcknowledgement):
                 self.events += [
@@ -63,131 +67,146 @@
             self.step()
 
 
-def started(it: Refusing) -> None:
-    it.step(EndpointsUpdated("kept", tuple(endpoint(n) for n in range(6))))
-    it.step(ProxyConnected(3, "north", 10.0, True))
-
-
-def test_a_refused_bind_is_not_believed_and_waits_for_a_raise() -> None:
-    it = Refusing(AssignTable)
-    started(it)
-    assert len(it.seen) == 1
-    it.step()
-    assert not it.module.state.assignments.proxies[3].tables_in_use
-    it.run(RAISE - 0.5)
-    assert len(it.seen) == 1
-    it.run(10 * RAISE)
-    assert 9 <= len(it.seen) - 1 <= 11, "ten times in a row, once in each raise"
-    it.on = False
-    it.run(RAISE + 0.5)
-    assert set(it.module.state.assignments.proxies[3].tables_in_use) == {0, 1}
-
-
-def test_a_proxy_that_joined_before_the_list_is_bound_as_soon_as_that_comes() -> None:
-    it = Refusing(AssignTable)
-    it.step(EndpointsUpdated("kept", ()), ProxyConnected(3, "north", 10.0, True))
-    it.step()
-    it.on = False
-    it.step(EndpointsUpdated("whole", tuple(endpoint(n) for n in range(6))))
-    it.run(1.0)
-    assert len(it.seen) == 1 and set(it.module.state.assignments.proxies[3].tables_in_use) == {0, 1}
-
-
-def test_a_refused_line_is_left_out_and_tried_again_after_a_raise() -> None:
-    bad = endpoint(5).id
-    it = Refusing(SetWeight, lambda order: order.worker == bad)
-    started(it)
-    it.run(2.0)
-    i = it.module.state.fleet.row_by_id[bad]
-    assert all(i not in table.weights for table in it.module.state.tables.current_tables.values())
-    first = len(it.seen)
-    it.run(RAISE - 2.5)
-    assert len(it.seen) == first
-    it.on = False
-    it.run(RAISE)
-    assert all(i in table.weights for table in it.module.state.tables.current_tables.values())
-
-
-def test_a_refused_letting_in_leaves_the_worker_out_and_others_are_still_withdrawn() -> None:
-    it = Refusing(SetEjected, lambda order: not order.ejected)
-    started(it)
-    it.run(2.0)
-    it.step(EndpointsUpdated("changes", (endpoint(0, "draining"),)))
-    it.run(4.0)
-    gone = it.module.state.fleet.row_by_id[endpoint(0).id]
-    assert it.seen and gone in it.module.state.ejected_rows, (
-        "it was let in, refused, and is known to be out"
+def start(host: RejectingHost) -> None:
+    host.step(EndpointsUpdated("kept", tuple(endpoint(n) for n in range(6))))
+    host.step(ProxyConnected(3, "north", 10.0, True))
+
+
+def test_a_rejected_assignment_is_undone_and_retried_after_a_slow_start_step() -> None:
+    host = RejectingHost(AssignTable)
+    start(host)
+    assert len(host.rejections) == 1
+    host.step()
+    assert not host.module.state.assignments.proxies[3].tables_in_use
+    host.run(BLOCKED_SECONDS - 0.5)
+    assert len(host.rejections) == 1
+    host.run(10 * BLOCKED_SECONDS)
+    assert 9 <= len(host.rejections) - 1 <= 11, "ten times in a row, once in each step"
+    host.is_rejecting = False
+    host.run(BLOCKED_SECONDS + 0.5)
+    assert set(host.module.state.assignments.proxies[3].tables_in_use) == {0, 1}
+
+
+def test_a_proxy_that_connected_before_the_endpoint_list_is_assigned_as_soon_as_that_comes() -> (
+    None
+):
+    host = RejectingHost(AssignTable)
+    host.step(EndpointsUpdated("kept", ()), ProxyConnected(3, "north", 10.0, True))
+    host.step()
+    host.is_rejecting = False
+    host.step(EndpointsUpdated("whole", tuple(endpoint(n) for n in range(6))))
+    host.run(1.0)
+    assert len(host.rejections) == 1 and set(
+        host.module.state.assignments.proxies[3].tables_in_use
+    ) == {0, 1}
+
+
+def test_a_rejected_entry_is_left_out_and_retried_after_a_slow_start_step() -> None:
+    rejected_worker = endpoint(5).id
+    host = RejectingHost(SetWeight, lambda order: order.worker == rejected_worker)
+    start(host)
+    host.run(2.0)
+    row = host.module.state.fleet.row_by_id[rejected_worker]
+    assert all(
+        row not in table.weights for table in host.module.state.tables.current_tables.values()
+    )
+    rejections_before = len(host.rejections)
+    host.run(BLOCKED_SECONDS - 2.5)
+    assert len(host.rejections) == rejections_before
+    host.is_rejecting = False
+    host.run(BLOCKED_SECONDS)
+    assert all(row in table.weights for table in host.module.state.tables.current_tables.values())
+
+
+def test_a_rejected_readmission_leaves_the_endpoint_ejected_and_delays_no_other_ejection() -> None:
+    host = RejectingHost(SetEjected, lambda order: not order.ejected)
+    start(host)
+    host.run(2.0)
+    host.step(EndpointsUpdated("changes", (endpoint(0, "draining"),)))
+    host.run(4.0)
+    drained = host.module.state.fleet.row_by_id[endpoint(0).id]
+    assert host.rejections and drained in host.module.state.ejected_rows, (
+        "its readmission was rejected, and it is known to be ejected"
     )
-    orders = it.step(EndpointsUpdated("changes", (endpoint(1, "gone"),)))
-    assert SetEjected(endpoint(1).id, True) in orders, "a refusal delays no drain"
-    assert len(it.seen) <= 2
-
-
-def test_a_refused_level_is_not_believed_and_waits_for_a_raise() -> None:
-    it = Refusing(SetAdmission)
-    started(it)
-    it.run(2.0)
-    usual = [(1.0, it.module.state.parameters.default_retry_policy)] * 2
-    assert len(it.seen) == 2 and all(
-        table.admission_levels == usual for table in it.module.state.tables.current_tables.values()
+    orders = host.step(EndpointsUpdated("changes", (endpoint(1, "gone"),)))
+    assert SetEjected(endpoint(1).id, True) in orders, "a rejection delays no drain"
+    assert len(host.rejections) <= 2
+
+
+def test_a_rejected_admission_level_is_undone_and_retried_after_a_slow_start_step() -> None:
+    host = RejectingHost(SetAdmission)
+    start(host)
+    host.run(2.0)
+    default_levels = [(1.0, host.module.state.parameters.default_retry_policy)] * 2
+    assert len(host.rejections) == 2 and all(
+        table.admission_levels == default_levels
+        for table in host.module.state.tables.current_tables.values()
     )
-    it.run(RAISE + 0.5)
-    assert 2 < len(it.seen) <= 2 + 2 * len(set(it.module.state.tables.current_tables.values()))
-    it.on = False
-    it.run(RAISE + 0.5)
+    host.run(BLOCKED_SECONDS + 0.5)
+    assert (
+        2
+        < len(host.rejections)
+        <= 2 + 2 * len(set(host.module.state.tables.current_tables.values()))
+    )
+    host.is_rejecting = False
+    host.run(BLOCKED_SECONDS + 0.5)
     assert all(
-        table.admission_levels == plan(it.module.state, it.now).admission_levels
-        for table in it.module.state.tables.current_tables.values()
+        table.admission_levels == plan(host.module.state, host.now).admission_levels
+        for table in host.module.state.tables.current_tables.values()
     )
 
 
-def test_a_refused_clear_keeps_its_number_out_of_use() -> None:
-    it = Refusing(DeleteTable)
-    started(it)
+def test_a_rejected_deletion_keeps_the_table_number_out_of_use() -> None:
+    host = RejectingHost(DeleteTable)
+    start(host)
     for n in range(8):
-        it.step(EndpointsUpdated("changes", (endpoint(0, "ready" if n % 2 else "draining"),)))
-        it.run(4.0)
-    refused = {order.table_id for _, order in it.seen}
-    laid = {table.table_id for table in it.module.state.tables.current_tables.values()}
-    assert refused and not refused & laid and refused <= it.module.state.assignments.tables.keys()
+        host.step(EndpointsUpdated("changes", (endpoint(0, "ready" if n % 2 else "draining"),)))
+        host.run(4.0)
+    rejected = {order.table_id for _, order in host.rejections}
+    current = {table.table_id for table in host.module.state.tables.current_tables.values()}
+    assert (
+        rejected
+        and not rejected & current
+        and rejected <= host.module.state.assignments.tables.keys()
+    )
 
 
-class Bare:
-    """The module, whose tables have no lines once `on`."""
+class EmptyTableModule:
+    """The module, whose tables have no entries while `is_rejecting`."""
 
-    on = False
+    is_rejecting = False
 
-    def __init__(self, trade: ManagerSettings) -> None:
-        self.module = Balancer(trade)
+    def __init__(self, settings: ManagerSettings) -> None:
+        self.module = Balancer(settings)
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
         orders = self.module.decide(now, events)
-        return [o for o in orders if not (self.on and isinstance(o, SetWeight))]
+        return [o for o in orders if not (self.is_rejecting and isinstance(o, SetWeight))]
 
 
-async def test_a_manager_restarted_while_a_refused_table_is_outstanding_starts_clean(
+async def test_a_manager_restarted_while_a_rejected_table_is_outstanding_starts_clean(
     tmp_path: Path,
 ) -> None:
-    """The drain that caused the change is not delayed by the refusal, nor forgotten over the restart."""
-    gone = WORKERS[3].id
-    async with running(tmp_path, make=Bare) as run, peer(run, "p0") as proxy:
+    """The drain that caused the update is not delayed by the rejection, nor forgotten over the restart."""
+    drained = WORKERS[3].id
+    async with running(tmp_path, make=EmptyTableModule) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
-        run.manager.loop.module.on = True  # type: ignore[attr-defined]
+        run.manager.loop.module.is_rejecting = True  # type: ignore[attr-defined]
         run.roster.tell(w3="draining")
-        await proxy.until(lambda h: gone in h.ejected)
+        await proxy.until(lambda h: drained in h.ejected)
         await until(lambda: bool(run.said("guard.order_rejected")))
         assert len(proxy.holdings.usable_weights("press-book")) == len(WORKERS) - 1, (
-            "the table before goes on, less the drained"
+            "the table before stays in use, without the drained endpoint"
         )
-        held = proxy.holdings
+        proxy_state = proxy.holdings
     assert {refusal["rule"] for refusal in read_rejections(tmp_path / "store")} == {"bare"}
     async with running(tmp_path) as run:
         run.roster.tell(w3="draining")
-        async with peer(run, "p0", held) as proxy:
+        async with peer(run, "p0", proxy_state) as proxy:
             await proxy.until(
                 lambda h: (
-                    set(h.usable_weights("press-book")) == {w.id for w in WORKERS} - {gone}
-                    and all(gone not in h.tables[t].weights for t, _ in h.routes.values())
+                    set(h.usable_weights("press-book")) == {w.id for w in WORKERS} - {drained}
+                    and all(drained not in h.tables[t].weights for t, _ in h.routes.values())
                 )
             )
             assert not run.said("guard.order_rejected")
--- a/tests/decision/test_regressions.py
+++ b/tests/decision/test_regressions.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found on the bench or in an incident."""
+"""One small test for each failure that was found on the bench or in an incident."""
 
 from dunlinlug.decision.events import (
     Acknowledged,
@@ -16,12 +16,15 @@
 FLEET = tuple(endpoint(n) for n in range(9))
 
 
-def fleet(model: Model, met: dict[int, tuple[int, int, float]], seconds: float) -> list[Order]:
-    """Let proxies report each half second: by worker tries, voided ones, and the others' pace."""
+def report(
+    model: Model, observations: dict[int, tuple[int, int, float]], seconds: float
+) -> list[Order]:
+    """Let proxies report each half second: by endpoint the attempts, the failed ones, and the latency."""
     orders: list[Order] = []
     for _ in range(round(seconds / 0.5)):
         reports = [
-            EndpointReported(ZONES[n % 3], endpoint(n).id, *seen, 0.5) for n, seen in met.items()
+            EndpointReported(ZONES[n % 3], endpoint(n).id, *seen, 0.5)
+            for n, seen in observations.items()
         ]
         model.step(
             0.5, [*reports, *(DemandReported(1, name, 100, 0, 0.5) for name in ("read", "book"))]
@@ -30,20 +33,22 @@
     return orders
 
 
-def joined(workers: int = 9, proxies: int = 6, **changes: object) -> Model:
+def connected_model(workers: int = 9, proxies: int = 6, **changes: object) -> Model:
     model = Model(manager_settings(**changes))
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(workers)))])
     model.step(0.1, [ProxyConnected(p, ZONES[p % 3], 5.0, True) for p in range(proxies)])
     return model
 
 
-def started(seconds: float = 5.0, pace: float = 0.2, voided: int = 0, **changes: object) -> Model:
-    model = joined(**changes)
-    fleet(model, {n: (20, voided, pace) for n in range(9)}, seconds)
+def reported_model(
+    seconds: float = 5.0, latency: float = 0.2, failed: int = 0, **changes: object
+) -> Model:
+    model = connected_model(**changes)
+    report(model, {n: (20, failed, latency) for n in range(9)}, seconds)
     return model
 
 
-def levels(orders: list[Order], product: int) -> list[float]:
+def admitted_fractions(orders: list[Order], product: int) -> list[float]:
     return [
         order.admitted_fraction
         for order in orders
@@ -52,89 +57,98 @@
 
 
 def test_overload_condemns_nobody() -> None:
-    model = started()
-    fleet(model, {n: (20, 12 + n % 3, 1.5) for n in range(9)}, 6.0)
-    assert not model.withdrawn
-
-
-def test_a_silent_worker_is_withdrawn_and_comes_back_by_trial() -> None:
-    model = started()
-    fleet(model, {n: (20, 20 if n == 4 else 0, 0.2) for n in range(9)}, 2.0)
-    assert model.withdrawn == {endpoint(4).id}
-    fleet(model, {n: (20, 0, 0.2) for n in range(9) if n != 4}, 6.0)
-    held = [model.tables[number] for tables in model.bound.values() for number in tables.values()]
-    assert not model.withdrawn and {table[endpoint(4).id] for table in held} == {0.25}
+    model = reported_model()
+    report(model, {n: (20, 12 + n % 3, 1.5) for n in range(9)}, 6.0)
+    assert not model.ejected
+
+
+def test_an_unresponsive_endpoint_is_ejected_and_returns_through_probation() -> None:
+    model = reported_model()
+    report(model, {n: (20, 20 if n == 4 else 0, 0.2) for n in range(9)}, 2.0)
+    assert model.ejected == {endpoint(4).id}
+    report(model, {n: (20, 0, 0.2) for n in range(9) if n != 4}, 6.0)
+    entries_in_use = [
+        model.tables[number] for tables in model.assigned.values() for number in tables.values()
+    ]
+    assert not model.ejected and {table[endpoint(4).id] for table in entries_in_use} == {0.25}
 
 
-def test_health_never_takes_the_whole_fleet() -> None:
-    model = started()
-    fleet(model, {n: (20, 20 if n < 6 else 0, 0.2) for n in range(9)}, 5.0)
-    assert 0 < len(model.withdrawn) <= 7
+def test_outlier_detection_never_ejects_all_endpoints() -> None:
+    model = reported_model()
+    report(model, {n: (20, 20 if n < 6 else 0, 0.2) for n in range(9)}, 5.0)
+    assert 0 < len(model.ejected) <= 7
 
 
-def test_an_overfull_worker_keeps_half_its_share_and_goes_back_to_three_quarters() -> None:
-    model = started()
-    fleet(model, {n: (20, 12 if n == 4 else 0, 1.0 if n == 4 else 0.2) for n in range(9)}, 5.0)
-    assert not model.withdrawn and model.module.state.outlier_detector.weight_limits[4] == 0.5
-    fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 8.0)
+def test_an_overloaded_endpoint_keeps_half_its_weight_and_returns_to_three_quarters() -> None:
+    model = reported_model()
+    report(model, {n: (20, 12 if n == 4 else 0, 1.0 if n == 4 else 0.2) for n in range(9)}, 5.0)
+    assert not model.ejected and model.module.state.outlier_detector.weight_limits[4] == 0.5
+    report(model, {n: (20, 0, 0.2) for n in range(9)}, 8.0)
     assert model.module.state.outlier_detector.weight_limits[4] == 0.75
 
 
-def test_a_zone_in_reach_again_comes_back_without_trials() -> None:
-    model = started()
+def test_a_zone_that_reconnects_returns_without_probation() -> None:
+    model = reported_model()
     model.step(0.1, [ProxyDisconnected(p) for p in (1, 4)])  # the south's proxies
-    fleet(model, {n: (20, 20 if n % 3 == 1 else 0, 0.2) for n in range(9)}, 3.0)
-    assert model.withdrawn == {endpoint(n).id for n in (1, 4, 7)}
+    report(model, {n: (20, 20 if n % 3 == 1 else 0, 0.2) for n in range(9)}, 3.0)
+    assert model.ejected == {endpoint(n).id for n in (1, 4, 7)}
     model.step(0.1, [ProxyConnected(1, "south", 5.0, False)])
     assert [model.module.state.outlier_detector.weight_limits[n] for n in (1, 4, 7)] == [1.0] * 3
 
 
-def test_overload_refuses_the_least_revenue_first_and_then_opens_again() -> None:
-    model = started()
-    orders = fleet(model, {n: (20, 8, 1.2) for n in range(9)}, 2.0)
-    assert levels(orders, 0)[-1] <= 0.1 < 0.5 < levels(orders, 1)[-1]
+def test_overload_sheds_the_lowest_priority_first_and_admits_all_again_afterwards() -> None:
+    model = reported_model()
+    orders = report(model, {n: (20, 8, 1.2) for n in range(9)}, 2.0)
+    assert admitted_fractions(orders, 0)[-1] <= 0.1 < 0.5 < admitted_fractions(orders, 1)[-1]
     assert all(order.retry_policy == 0 for order in orders if isinstance(order, SetAdmission))
-    orders = fleet(model, {n: (20, 0, 0.1) for n in range(9)}, 30.0)
-    assert levels(orders, 0)[-1] == 1.0
+    orders = report(model, {n: (20, 0, 0.1) for n in range(9)}, 30.0)
+    assert admitted_fractions(orders, 0)[-1] == 1.0
 
 
-def test_a_manager_that_starts_in_a_jam_withdraws_nobody_and_lets_nobody_try_twice() -> None:
-    model = started(4.0, 1.5, 15)
-    orders = fleet(model, {n: (20, 20 if n < 4 else 15, 1.5) for n in range(9)}, 3.0)
-    assert not model.withdrawn and not [
+def test_a_manager_that_starts_during_an_overload_ejects_nobody_and_allows_no_retries() -> None:
+    model = reported_model(4.0, 1.5, 15)
+    orders = report(model, {n: (20, 20 if n < 4 else 15, 1.5) for n in range(9)}, 3.0)
+    assert not model.ejected and not [
         o for o in orders if isinstance(o, SetAdmission) and o.retry_policy
     ]
 
 
-def test_a_worker_that_restarts_in_place_is_out_until_its_first_share_is_bound() -> None:
-    model = started()
+def test_an_endpoint_that_restarts_in_place_is_ejected_until_its_slow_start_weight_is_installed() -> (
+    None
+):
+    model = reported_model()
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(4, "ready", model.now - 1.0),))])
-    assert model.withdrawn == {endpoint(4).id}
-    fleet(model, {}, 8.0)
-    assert not model.withdrawn and not model.broken
+    assert model.ejected == {endpoint(4).id}
+    report(model, {}, 8.0)
+    assert not model.ejected and not model.broken
 
 
-def test_levels_that_are_rates_never_shut_a_proxy() -> None:
-    orders = fleet(started(admission_mode="rate"), {n: (20, 0, 0.2) for n in range(9)}, 1.0)
+def test_admission_rates_never_shut_a_proxy() -> None:
+    orders = report(reported_model(admission_mode="rate"), {n: (20, 0, 0.2) for n in range(9)}, 1.0)
     model = Model(manager_settings(admission_mode="rate", default_retry_policy=2))
     model.step(0.1, [EndpointsUpdated("kept", FLEET)])
-    assert levels(model.orders, 0) and min(levels(orders + model.orders, 0)) > 1000
+    assert (
+        admitted_fractions(model.orders, 0)
+        and min(admitted_fractions(orders + model.orders, 0)) > 1000
+    )
 
 
-def test_a_failed_call_for_the_list_is_made_again_in_time() -> None:
+def test_a_failed_list_request_is_retried_in_time() -> None:
     model = Model(manager_settings(must_subscribe=True))
     model.step(0.1, [EndpointsUpdated("kept", FLEET)])
     assert WatchEndpoints() in model.orders
-    asked = [0.0]
+    requested_at = [0.0]
     for _ in range(200):
         model.step(0.1, [EndpointsUpdated("failed")] if WatchEndpoints() in model.orders else [])
         if WatchEndpoints() in model.orders:
-            assert model.now - asked[-1] < model.trade.safety_limits.list_poll_interval / 2
-            asked.append(model.now)
-    assert len(asked) > 6
+            assert (
+                model.now - requested_at[-1] < model.settings.safety_limits.list_poll_interval / 2
+            )
+            requested_at.append(model.now)
+    assert len(requested_at) > 6
 
 
-def test_a_list_of_one_worker_none_and_gaps_is_borne() -> None:
+def test_lists_of_none_or_one_endpoint_and_unknown_events_do_no_harm() -> None:
     model = Model(manager_settings())
     model.step(0.1, [EndpointsUpdated("kept", ())])
     model.step(0.1, [ProxyConnected(1, "north", 5.0, True)])
@@ -146,82 +160,86 @@
             ProxyDisconnected(7),
         ],
     )
-    fleet(model, {}, 6.0)
-    assert {name for _, t in model.holds[1].values() for name in t} == {
+    report(model, {}, 6.0)
+    assert {name for _, t in model.applied[1].values() for name in t} == {
         endpoint(1).id
     } and not model.broken
 
 
-def test_cold_workers_stay_out_in_a_storm_and_before_a_calm_fleet_was_seen() -> None:
-    model = joined()
+def test_warming_endpoints_stay_ejected_in_a_retry_storm_and_before_a_baseline_exists() -> None:
+    model = connected_model()
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(9, "ready", -2.0),))])
-    assert model.withdrawn == {endpoint(9).id}  # nothing is known yet
-    fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 3.0)
-    assert model.withdrawn == {
+    assert model.ejected == {endpoint(9).id}  # there is no baseline yet
+    report(model, {n: (20, 0, 0.2) for n in range(9)}, 3.0)
+    assert model.ejected == {
         endpoint(9).id
-    }  # quick first answers are no proof: voids are reported late
-    fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 3.0)
-    assert not model.withdrawn
-    fleet(model, {n: (20, 12, 1.5) for n in range(9)}, 3.0)
-    assert model.withdrawn == {endpoint(9).id}  # a storm of repeats
+    }  # quick first answers prove nothing: failures are reported late
+    report(model, {n: (20, 0, 0.2) for n in range(9)}, 3.0)
+    assert not model.ejected
+    report(model, {n: (20, 12, 1.5) for n in range(9)}, 3.0)
+    assert model.ejected == {endpoint(9).id}  # a storm of retries
 
 
-def test_a_cold_worker_in_a_laid_table_is_out_before_the_table_is_bound() -> None:
-    model = started(1.0)  # no calm fleet was proven yet, so that a storm must be reckoned with
-    cold = endpoint(10, "ready", model.now - 1.0)
-    model.step(0.1, [EndpointsUpdated("changes", (cold,))])
+def test_a_warming_endpoint_in_a_new_table_is_ejected_before_the_table_is_assigned() -> None:
+    model = reported_model(1.0)  # without a baseline a retry storm must be assumed
+    warming = endpoint(10, "ready", model.now - 1.0)
+    model.step(0.1, [EndpointsUpdated("changes", (warming,))])
     reached = set()
     for _ in range(25):
         model.step(0.1, [])
         reached |= {
-            p for p, holds in model.holds.items() if any(cold.id in h for _, h in holds.values())
+            p
+            for p, applied in model.applied.items()
+            if any(warming.id in h for _, h in applied.values())
         }
-        assert all(cold.id in model.shut[p] for p in reached)
+        assert all(warming.id in model.ejected_by_proxy[p] for p in reached)
     assert reached == set(range(6))
 
 
-def test_letting_in_again_is_not_held_back_by_the_messages_that_changes_leave() -> None:
-    model = started()
+def test_readmission_is_not_delayed_by_the_messages_that_table_changes_used() -> None:
+    model = reported_model()
     for times in model.module.state.budget.sent_times.values():
         times.extend([model.now] * (15 - len(times)))
     model.step(0.1, [EndpointsUpdated("changes", tuple(endpoint(n, "draining") for n in range(9)))])
-    assert len(model.withdrawn) == 9
+    assert len(model.ejected) == 9
     model.step(0.1, [EndpointsUpdated("changes", FLEET)])
-    assert not model.withdrawn and not model.broken
+    assert not model.ejected and not model.broken
 
 
-def crowd() -> Model:
-    model = joined(30, 40)
-    fleet(model, {n: (20, 0, 0.2) for n in range(30)}, 12.0)
+def crowded_model() -> Model:
+    model = connected_model(30, 40)
+    report(model, {n: (20, 0, 0.2) for n in range(30)}, 12.0)
     return model
 
 
-def test_a_crowd_of_joiners_soon_has_a_table() -> None:
-    model = joined(60, 60, initial_subset_size=3)
-    fleet(model, {}, 1.5)
-    assert all(number for tables in model.holds.values() for number, _ in tables.values())
-    lost = set(model.tables[model.bound[59][0]])
-    gone = [endpoint(n, "gone") for n in range(60) if endpoint(n).id in lost]
+def test_many_new_proxies_at_once_soon_have_a_table() -> None:
+    model = connected_model(60, 60, initial_subset_size=3)
+    report(model, {}, 1.5)
+    assert all(number for tables in model.applied.values() for number, _ in tables.values())
+    lost_workers = set(model.tables[model.assigned[59][0]])
+    gone = [endpoint(n, "gone") for n in range(60) if endpoint(n).id in lost_workers]
     model.step(0.1, [EndpointsUpdated("changes", tuple(gone))])
     assert (
-        lost and not lost & model.tables[model.bound[59][0]].keys()
-    )  # not left with those who are gone
+        lost_workers and not lost_workers & model.tables[model.assigned[59][0]].keys()
+    )  # not left with endpoints that are gone
 
 
-def test_in_a_crowded_channel_a_change_sends_differences_alone() -> None:
-    model = crowd()
+def test_in_a_crowded_channel_an_update_sends_only_the_entries_that_differ() -> None:
+    model = crowded_model()
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(31), endpoint(4, "gone")))])
-    orders = fleet(model, {n: (20, 0, 0.2) for n in range(5, 30)}, 4.0)
+    orders = report(model, {n: (20, 0, 0.2) for n in range(5, 30)}, 4.0)
     assert not [order for order in orders if isinstance(order, AssignTable)] and not model.broken
     assert all(
-        endpoint(31).id in held for tables in model.holds.values() for _, held in tables.values()
+        endpoint(31).id in entries_in_use
+        for tables in model.applied.values()
+        for _, entries_in_use in tables.values()
     )
 
 
-def test_a_mass_of_workers_gone_is_answered_with_small_tables() -> None:
-    model = crowd()
+def test_a_mass_loss_of_endpoints_is_answered_with_small_tables() -> None:
+    model = crowded_model()
     model.module.state.budget.entries_per_second = (
-        300.0  # a line for each worker and proxy would take two seconds
+        300.0  # an entry for each endpoint and proxy would take two seconds
     )
     model.step(0.1, [EndpointsUpdated("changes", tuple(endpoint(n, "gone") for n in range(15)))])
     assert {order.proxy for order in model.orders if isinstance(order, AssignTable)} == set(
@@ -229,44 +247,42 @@
     )
 
 
-def test_a_drain_passes_in_a_slow_channel_whatever_health_and_levels_want() -> None:
-    model = crowd()
-    model.pace = 0.1
-    fleet(model, {n: (20, 20 if n % 5 == 0 else 9, 1.2) for n in range(30)}, 8.0)
+def test_a_drain_passes_in_a_slow_channel_ahead_of_outlier_ejections_and_admission() -> None:
+    model = crowded_model()
+    model.latency = 0.1
+    report(model, {n: (20, 20 if n % 5 == 0 else 9, 1.2) for n in range(30)}, 8.0)
     assert sum(lines for _, lines, _ in model.queue) <= 600  # rather than all that the limit allows
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(7, "draining"),))])
-    assert endpoint(7).id in model.withdrawn
+    assert endpoint(7).id in model.ejected
 
 
-def test_voids_at_the_usual_pace_refuse_nothing_but_mass_voids_do() -> None:
-    model = started()
-    assert not levels(fleet(model, {n: (20, 5, 0.2) for n in range(9)}, 6.0), 0)
-    assert levels(fleet(model, {n: (20, 20, 0.0) for n in range(9)}, 3.0), 0)[-1] < 1.0
+def test_failures_at_the_usual_latency_shed_nothing_but_mass_failures_do() -> None:
+    model = reported_model()
+    assert not admitted_fractions(report(model, {n: (20, 5, 0.2) for n in range(9)}, 6.0), 0)
+    assert admitted_fractions(report(model, {n: (20, 20, 0.0) for n in range(9)}, 3.0), 0)[-1] < 1.0
 
 
-def test_a_cold_worker_waits_outside_while_a_tenth_of_all_tries_is_voided() -> None:
-    model = started(12.0)
-    fleet(model, {n: (20, 20 if n < 4 else 0, 0.2) for n in range(9)}, 0.5)
+def test_a_warming_endpoint_waits_while_a_tenth_of_all_attempts_fail() -> None:
+    model = reported_model(12.0)
+    report(model, {n: (20, 20 if n < 4 else 0, 0.2) for n in range(9)}, 0.5)
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(10, "ready", model.now - 1.0),))])
-    assert endpoint(10).id in model.withdrawn
+    assert endpoint(10).id in model.ejected
 
 
-def test_evidence_of_a_side_that_is_cut_off_condemns_few_but_what_is_silent_to_our_proxies_goes() -> (
-    None
-):
-    for share, out in ((0.2, {endpoint(4).id}), (0.05, set())):
-        model = started()
-        model.step(0.1, [PartitionLimitsChanged(share)])
-        fleet(model, {n: (20, 12 if n == 4 else 0, 0.2) for n in range(9)}, 4.0)
-        assert model.withdrawn == out
-    model = started()
+def test_a_partitioned_manager_ejects_few_endpoints_but_all_that_are_unresponsive() -> None:
+    for max_ejected_fraction, expected in ((0.2, {endpoint(4).id}), (0.05, set())):
+        model = reported_model()
+        model.step(0.1, [PartitionLimitsChanged(max_ejected_fraction)])
+        report(model, {n: (20, 12 if n == 4 else 0, 0.2) for n in range(9)}, 4.0)
+        assert model.ejected == expected
+    model = reported_model()
     model.step(0.1, [PartitionLimitsChanged(0.05)])
-    fleet(model, {n: (20, 20 if n == 4 else 0, 0.2) for n in range(9)}, 4.0)
-    assert model.withdrawn == {endpoint(4).id}
+    report(model, {n: (20, 20 if n == 4 else 0, 0.2) for n in range(9)}, 4.0)
+    assert model.ejected == {endpoint(4).id}
 
 
-def test_what_others_met_is_evidence_on_workers_and_none_on_our_own_load() -> None:
-    model = started()
+def test_remote_observations_count_for_outlier_detection_but_not_as_own_successes() -> None:
+    model = reported_model()
     before = model.module.state.admission_controller.succeeded
     model.step(0.1, [EndpointReported("", endpoint(4).id, 40.0, 40.0, 0.0, 0.5, local=False)])
     assert (
@@ -275,61 +291,69 @@
     )
 
 
-def shares(model: Model, n: int) -> set[float]:
-    held = [model.tables[number] for tables in model.bound.values() for number in tables.values()]
-    return {table[endpoint(n).id] for table in held if endpoint(n).id in table}
+def installed_weights(model: Model, n: int) -> set[float]:
+    entries_in_use = [
+        model.tables[number] for tables in model.assigned.values() for number in tables.values()
+    ]
+    return {table[endpoint(n).id] for table in entries_in_use if endpoint(n).id in table}
 
 
-def test_half_of_a_set_steps_no_ramp_and_goes_on_once_more_are_in_touch() -> None:
-    for raises in (True, False):
-        model = started(12.0)
+def test_a_manager_with_half_of_its_set_raises_no_slow_start_until_more_are_connected() -> None:
+    for may_raise in (True, False):
+        model = reported_model(12.0)
         model.step(0.1, [EndpointsUpdated("changes", (endpoint(10, "ready", model.now - 0.5),))])
-        model.step(0.1, [PartitionLimitsChanged(0.1, True, raises)])
-        fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 9.0)
-        assert shares(model, 10) == ({0.5} if raises else {0.25})
+        model.step(0.1, [PartitionLimitsChanged(0.1, True, may_raise)])
+        report(model, {n: (20, 0, 0.2) for n in range(9)}, 9.0)
+        assert installed_weights(model, 10) == ({0.5} if may_raise else {0.25})
         model.step(0.1, [PartitionLimitsChanged(0.2)])
-        fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 4.0)
-        assert shares(model, 10) == {0.75}, "as its age says, by which the rules go as well"
+        report(model, {n: (20, 0, 0.2) for n in range(9)}, 4.0)
+        assert installed_weights(model, 10) == {0.75}, "by its age, as the safety rules have it"
 
 
-def test_few_of_a_set_move_tables_by_the_list_alone_and_drains_and_joiners_as_ever() -> None:
+def test_a_minority_partition_changes_weights_by_the_endpoint_list_alone() -> None:
     slow = {n: (20, 12 if n == 4 else 0, 1.0 if n == 4 else 0.2) for n in range(9)}
-    for begin in (True, False):
-        model = started()
-        model.step(0.1, [PartitionLimitsChanged(0.2, begin, begin)])
-        fleet(model, slow, 5.0)
-        assert shares(model, 4) == {0.5 if begin else 1.0}
+    for may_change in (True, False):
+        model = reported_model()
+        model.step(0.1, [PartitionLimitsChanged(0.2, may_change, may_change)])
+        report(model, slow, 5.0)
+        assert installed_weights(model, 4) == {0.5 if may_change else 1.0}
         model.step(0.1, [EndpointsUpdated("changes", (endpoint(10), endpoint(2, "draining")))])
         model.step(0.1, [ProxyConnected(9, ZONES[0], 5.0, True)])
-        fleet(model, slow, 5.0)
-        assert endpoint(2).id in model.withdrawn or not shares(model, 2)
-        assert shares(model, 10) == {1.0} and 9 in model.bound
+        report(model, slow, 5.0)
+        assert endpoint(2).id in model.ejected or not installed_weights(model, 2)
+        assert installed_weights(model, 10) == {1.0} and 9 in model.assigned
 
 
-def test_five_managers_that_ramp_the_same_worker_give_it_together_what_one_would() -> None:
-    """Each steers a fifth of the proxies, and raises by the worker's age: parts of the traffic add up to the share."""
-    models = [started(12.0, seed=n) for n in range(6)]
+def test_five_managers_together_give_a_warming_endpoint_what_one_would() -> None:
+    """Each serves a fifth of the proxies and raises by the endpoint's age: their parts add up to its weight."""
+    models = [reported_model(12.0, seed=n) for n in range(6)]
     for model in models:
         model.step(0.1, [EndpointsUpdated("changes", (endpoint(10, "ready", model.now - 0.5),))])
     for _ in range(24):
         for model in models:
-            fleet(model, {n: (20, 0, 0.2) for n in range(9)}, 1.0)
-        given = []
+            report(model, {n: (20, 0, 0.2) for n in range(9)}, 1.0)
+        fractions_by_manager = []
         for model in models:
             tables = [
-                model.tables[number] for held in model.bound.values() for number in held.values()
+                model.tables[number]
+                for entries_in_use in model.assigned.values()
+                for number in entries_in_use.values()
             ]
-            parts = [table.get(endpoint(10).id, 0.0) / sum(table.values()) for table in tables]
-            given.append(sum(parts) / len(parts))
-        one, five = given[0], given[1:]
-        assert sum(part / 5 for part in five) <= one + 1e-9
-    assert one > 0.05, "and it is whole in the end"
+            weight_fractions = [
+                table.get(endpoint(10).id, 0.0) / sum(table.values()) for table in tables
+            ]
+            fractions_by_manager.append(sum(weight_fractions) / len(weight_fractions))
+        one, five = fractions_by_manager[0], fractions_by_manager[1:]
+        assert sum(weight_fraction / 5 for weight_fraction in five) <= one + 1e-9
+    assert one > 0.05, "and it has its full weight in the end"
 
 
-def test_once_over_a_third_is_out_what_is_let_in_follows_what_serves_ahead_of_the_jam() -> None:
+def test_admission_follows_the_available_weight_once_a_third_is_ejected() -> None:
     for replaced, least in ((3, 1.0), (6, 0.1)):
-        model = started(12.0)
-        fleet(model, {n: (20, 3, 0.2) for n in range(9)}, 0.5)  # rough: the cold wait outside
+        model = reported_model(12.0)
+        report(
+            model, {n: (20, 3, 0.2) for n in range(9)}, 0.5
+        )  # attempts fail: warming endpoints wait
         model.step(
             0.1,
             [
@@ -338,23 +362,26 @@
                 )
             ],
         )
-        orders = fleet(model, {n: (20, 3, 0.2) for n in range(replaced, 9)}, 2.0)
-        assert len(model.withdrawn) == replaced
+        orders = report(model, {n: (20, 3, 0.2) for n in range(replaced, 9)}, 2.0)
+        assert len(model.ejected) == replaced
         assert (
-            min(levels(orders, 0), default=1.0) <= least
-            and min(levels(orders, 1), default=1.0) >= 0.8
+            min(admitted_fractions(orders, 0), default=1.0) <= least
+            and min(admitted_fractions(orders, 1), default=1.0) >= 0.8
         )
-        assert bool(levels(orders, 0)) == (replaced == 6)
+        assert bool(admitted_fractions(orders, 0)) == (replaced == 6)
 
 
-def test_a_probe_of_a_worker_that_went_or_started_again_meanwhile_says_nothing_of_it() -> None:
-    model = started(can_check_health=True)
-    fleet(model, {n: (20, 20 if n == 4 else 0, 0.2) for n in range(9)}, 2.0)
-    assert model.withdrawn == {endpoint(4).id}
+def test_a_late_health_check_of_an_endpoint_that_went_or_restarted_is_ignored() -> None:
+    model = reported_model(can_check_health=True)
+    report(model, {n: (20, 20 if n == 4 else 0, 0.2) for n in range(9)}, 2.0)
+    assert model.ejected == {endpoint(4).id}
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(4, "gone"),))])
     model.step(0.1, [HealthCheckCompleted(endpoint(4).id, True, "ok", 0.1)])
-    assert endpoint(4).id in model.withdrawn
+    assert endpoint(4).id in model.ejected
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(4, "ready", model.now - 1.0),))])
-    cap = model.module.state.outlier_detector.weight_limits[4]
+    weight_limit = model.module.state.outlier_detector.weight_limits[4]
     model.step(0.1, [HealthCheckCompleted(endpoint(4).id, False, "timeout", 0.4)])
-    assert model.module.state.outlier_detector.weight_limits[4] == cap == 1.0 and not model.broken
+    assert (
+        model.module.state.outlier_detector.weight_limits[4] == weight_limit == 1.0
+        and not model.broken
+    )
--- a/tests/decision/test_safety_rules.py
+++ b/tests/decision/test_safety_rules.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_ten_messages_in_ten_seconds_are_kept_to_by_proxies_that_break_off_and_come_back(
+def test_the_message_limit_holds_for_proxies_that_reconnect(
     seed: int,
 ) -> None:
     model = run(
@@ -33,13 +33,13 @@
     assert "messages" not in model.broken
 
 
-def test_workers_that_are_never_cold_have_no_ramp() -> None:
+def test_endpoints_without_warm_up_time_have_no_slow_start() -> None:
     model = Model(manager_settings(safety_limits=SafetyLimits(5.0, 3.0, 10.0, 0.0, 1.0, 3.0, 2.0)))
     assert not run(model, 2).broken
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_product_for_its_own_zone_leaves_nobody_without_a_worker(seed: int) -> None:
+def test_a_same_zone_class_leaves_no_proxy_without_endpoint(seed: int) -> None:
     products = (
         manager_settings().traffic_classes[0],
         replace(manager_settings().traffic_classes[1], same_zone_only=True),
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_small_tables_have_somebody_of_each_zone_for_a_product_that_keeps_to_it(seed: int) -> None:
+def test_small_tables_have_an_endpoint_of_each_zone_for_a_same_zone_class(seed: int) -> None:
     products = (
         manager_settings().traffic_classes[0],
         replace(manager_settings().traffic_classes[1], same_zone_only=True),
@@ -60,17 +60,25 @@
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(60)))])
     model.step(0.1, [ProxyConnected(p, ZONES[p % 3], 5.0, True) for p in range(90)])
 
-    def near() -> list[int]:
-        return [p for p in model.joined if model.holds[p][1][1].keys() - model.shut[p]]
+    def proxies_with_local_endpoint() -> list[int]:
+        return [
+            p for p in model.joined if model.applied[p][1][1].keys() - model.ejected_by_proxy[p]
+        ]
 
-    for lost in (range(0), range(0, 54, 3), range(1, 54, 3)):  # the rest of a zone is left with two
+    for lost in (
+        range(0),
+        range(0, 54, 3),
+        range(1, 54, 3),
+    ):  # the rest of a zone has two endpoints left
         model.step(0.1, [EndpointsUpdated("changes", tuple(endpoint(n, "gone") for n in lost))])
         for _ in range(20):
             model.step(0.1, [])
-        assert len(near()) == 90 and not model.broken
+        assert len(proxies_with_local_endpoint()) == 90 and not model.broken
 
 
-def test_a_zone_whose_workers_are_all_out_gets_a_warm_one_back_for_its_own_products() -> None:
+def test_a_zone_whose_endpoints_are_all_ejected_gets_a_warm_one_back_for_same_zone_classes() -> (
+    None
+):
     products = (
         manager_settings().traffic_classes[0],
         replace(manager_settings().traffic_classes[1], same_zone_only=True),
@@ -88,16 +96,16 @@
                 for n in range(9)
             ],
         )
-    assert len(model.withdrawn) == 2 and not model.broken
+    assert len(model.ejected) == 2 and not model.broken
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_generated_runs_with_pins_keep_the_rules(seed: int) -> None:
+def test_generated_runs_with_overrides_keep_the_rules(seed: int) -> None:
     narrow = {"channel": ChannelSettings(300.0, 4.0, 900.0, 0.2, 0.5, 30, 10.0)} if seed % 2 else {}
-    assert not run(Model(manager_settings(**narrow)), seed, pins=0.03).broken
+    assert not run(Model(manager_settings(**narrow)), seed, overrides=0.03).broken
 
 
-def test_the_list_followed_by_asking_keeps_the_rules() -> None:
+def test_a_subscribed_endpoint_list_keeps_the_rules() -> None:
     assert not run(Model(manager_settings(must_subscribe=True, can_check_health=True)), 3).broken
 
 
@@ -108,7 +116,7 @@
     )
 
 
-def broken_by(monkeypatch: pytest.MonkeyPatch, change: object, pace: float = 1.0) -> set[str]:
+def rules_broken_by(monkeypatch: pytest.MonkeyPatch, change: object, pace: float = 1.0) -> set[str]:
     def bad(state: DecisionState, now: float) -> DesiredState:
         desired = plan(state, now)
         change(state, desired)
@@ -121,9 +129,12 @@
 @pytest.mark.parametrize(
     ("rule", "change"),
     [
-        ("bare", lambda state, desired: desired.ejected.update(range(len(state.fleet.ids)))),
         (
-            "an effect twice",
+            "without endpoint",
+            lambda state, desired: desired.ejected.update(range(len(state.fleet.ids))),
+        ),
+        (
+            "duplicate effect",
             lambda state, desired: setattr(
                 desired, "admission_levels", [(1.0, 2)] * len(desired.admission_levels)
             ),
@@ -145,12 +156,14 @@
 def test_the_model_sees_a_broken_rule(
     rule: str, change: object, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert rule in broken_by(monkeypatch, change)
+    assert rule in rules_broken_by(monkeypatch, change)
 
 
-def test_the_model_sees_a_cold_worker_pushed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_model_sees_a_warming_endpoint_overloaded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(slow_start, "SLOW_START_STEP", 1.0)
-    assert "cold" in broken_by(monkeypatch, lambda state, desired: desired.ejected.clear())
+    assert "slow start" in rules_broken_by(
+        monkeypatch, lambda state, desired: desired.ejected.clear()
+    )
 
 
 def test_the_model_sees_a_long_queue(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -170,7 +183,7 @@
         ChannelBudget, "exceeds_message_limit", lambda self, proxy_id, now, priority: False
     )
     flip = iter(range(10**6))
-    assert "messages" in broken_by(
+    assert "messages" in rules_broken_by(
         monkeypatch,
         lambda state, desired: setattr(
             desired, "ejected", {next(flip) % 2, 2 + next(flip) % 3} if state.fleet.ids else set()
@@ -178,13 +191,13 @@
     )
 
 
-class Bunched(Model):
-    """What comes in four steps comes in one instant, in an order that is drawn: a join ahead of the leave that it
-    follows, gone and ready, a mark and the reset behind it."""
+class BunchedEvents(Model):
+    """What comes in four steps comes in one instant, in a random order: a connection ahead of the disconnection that it
+    follows, gone and ready, an acknowledgement and the reset behind it."""
 
-    def __init__(self, what: ManagerSettings, seed: int) -> None:
+    def __init__(self, settings: ManagerSettings, seed: int) -> None:
         self.random = Random(f"{seed} order")
-        super().__init__(what)
+        super().__init__(settings)
 
     def restart(self) -> None:
         super().restart()
@@ -204,4 +217,4 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_events_of_one_instant_keep_the_rules_in_any_order(seed: int) -> None:
     narrow = {"channel": ChannelSettings(300.0, 4.0, 900.0, 0.2, 0.5, 30, 10.0)} if seed % 2 else {}
-    assert not run(Bunched(manager_settings(**narrow), seed), seed).broken
+    assert not run(BunchedEvents(manager_settings(**narrow), seed), seed).broken
--- a/tests/decision/test_subsets.py
+++ b/tests/decision/test_subsets.py
@@ -1,4 +1,4 @@
-"""Where the channel can't carry one table to all within a ramp: small tables that stay, and are kept up."""
+"""Small tables that stay and are updated, where the channel cannot carry one table to all within a slow start."""
 
 from random import Random
 
@@ -17,66 +17,70 @@
 from tests.decision.rules_model import ZONES, Model, endpoint, manager_settings
 
 WORKERS, PROXIES = 60, 200
-SCANT = {
+CONSTRAINED_CHANNEL = {
     "channel": ChannelSettings(400.0, 4.0, 6000.0, 0.2, 0.5, 30, 10.0),
     "initial_subset_size": 6,
     "safety_limits": SafetyLimits(30.0, 20.0, 10.0, 16.0, 0.2, 3.0, 2.0),
 }
 
 
-def scant(rates: list[float] | None = None, workers: int = WORKERS) -> Model:
-    """All have joined and hold a small table."""
-    model = Model(manager_settings(**SCANT))
+def constrained_model(rates: list[float] | None = None, workers: int = WORKERS) -> Model:
+    """A model in which all proxies are connected and have a small table."""
+    model = Model(manager_settings(**CONSTRAINED_CHANNEL))
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(workers)))])
     model.step(
         0.1,
         [ProxyConnected(p, ZONES[p % 3], rates[p] if rates else 5.0, True) for p in range(PROXIES)],
     )
-    meet(model, 12.0)
-    assert all(number for tables in model.holds.values() for number, _ in tables.values())
+    report(model, 12.0)
+    assert all(number for tables in model.applied.values() for number, _ in tables.values())
     return model
 
 
-def meet(model: Model, seconds: float, voiding: frozenset[int] = frozenset()) -> list[Order]:
+def report(model: Model, seconds: float, failing: frozenset[int] = frozenset()) -> list[Order]:
     orders: list[Order] = []
     for _ in range(round(seconds / 0.5)):
-        heard = [endpoint(n) for n in range(120) if endpoint(n).id in model.listed]
+        reporting = [endpoint(n) for n in range(120) if endpoint(n).id in model.listed]
         model.step(
             0.5,
             [
                 EndpointReported(
-                    w.zone, w.id, 20, 20 if int(w.id[7:-3]) in voiding else 0, 0.2, 0.5
+                    w.zone, w.id, 20, 20 if int(w.id[7:-3]) in failing else 0, 0.2, 0.5
                 )
-                for w in heard
+                for w in reporting
             ],
         )
         orders += model.orders
     return orders
 
 
-def used(model: Model) -> dict[str, float]:
-    """By worker, the weight that it has in tables that proxies hold."""
+def installed_weights(model: Model) -> dict[str, float]:
+    """By endpoint, the weight that it has in the tables that proxies have applied."""
     found: dict[str, float] = {}
     for p in model.joined:
-        for name, weight in model.holds[p][0][1].items():
+        for name, weight in model.applied[p][0][1].items():
             found[name] = found.get(name, 0.0) + weight
     return found
 
 
-def sizes(model: Model) -> set[int]:
-    return {len(lines) for p in model.joined for _, lines in model.holds[p].values()}
+def table_sizes(model: Model) -> set[int]:
+    return {len(lines) for p in model.joined for _, lines in model.applied[p].values()}
 
 
-def test_nobody_is_sent_the_whole_table_and_every_worker_is_in_use() -> None:
-    model = scant()
-    orders = meet(model, 20.0)
-    assert not any(isinstance(order, AssignTable) for order in orders)  # each was bound once
-    assert max(sizes(model)) <= 7 and len(used(model)) == WORKERS and not model.broken
+def test_no_proxy_is_sent_a_full_table_and_every_endpoint_is_in_use() -> None:
+    model = constrained_model()
+    orders = report(model, 20.0)
+    assert not any(isinstance(order, AssignTable) for order in orders)  # each was assigned once
+    assert (
+        max(table_sizes(model)) <= 7
+        and len(installed_weights(model)) == WORKERS
+        and not model.broken
+    )
 
 
-def test_a_release_passes_through_the_small_tables_at_a_fraction_of_the_whole_ones_lines() -> None:
-    model = scant()
-    before, most = set(used(model)), 0.0
+def test_a_release_passes_through_the_small_tables_at_a_fraction_of_a_full_tables_entries() -> None:
+    model = constrained_model()
+    before, max_queued = set(installed_weights(model)), 0.0
     for n in range(30):
         model.step(
             0.1,
@@ -86,116 +90,126 @@
                 )
             ],
         )
-        meet(model, 0.5)
+        report(model, 0.5)
     for n in range(30):
         model.step(0.1, [EndpointsUpdated("changes", (endpoint(n, "gone"),))])
     began = model.now
     while model.now < began + 30.0:
-        meet(model, 0.5)
-        most = max(most, sum(lines for _, lines, _ in model.queue))
-    now = set(used(model))
-    assert {endpoint(n).id for n in range(60, 90)} <= now, "a new worker is used by nobody"
+        report(model, 0.5)
+        max_queued = max(max_queued, sum(lines for _, lines, _ in model.queue))
+    now = set(installed_weights(model))
+    assert {endpoint(n).id for n in range(60, 90)} <= now, "a new endpoint is used by nobody"
     assert not any(
-        usable <= model.withdrawn
-        for usable in (set(held) for tables in model.holds.values() for _, held in tables.values())
+        usable <= model.ejected
+        for usable in (
+            set(entries) for tables in model.applied.values() for _, entries in tables.values()
+        )
     )
     assert before - now <= {endpoint(n).id for n in range(30)} and not model.broken
-    assert most < PROXIES * WORKERS / 4
-
-
-def test_a_table_that_has_lost_most_of_its_workers_is_filled_up() -> None:
-    model = scant()
-    table = model.bound[0][0]
-    lost = sorted(model.tables[table])[:4]
-    numbers = frozenset(int(name[7:-3]) for name in lost)
-    meet(model, 8.0, numbers)
-    left = set(model.holds[0][0][1]) - model.shut[0]
-    assert set(lost) <= model.withdrawn and len(left) >= 5, "two were left with the work of six"
+    assert max_queued < PROXIES * WORKERS / 4
+
+
+def test_a_small_table_that_lost_endpoints_is_filled_up() -> None:
+    model = constrained_model()
+    table = model.assigned[0][0]
+    lost_workers = sorted(model.tables[table])[:4]
+    numbers = frozenset(int(name[7:-3]) for name in lost_workers)
+    report(model, 8.0, numbers)
+    available = set(model.applied[0][0][1]) - model.ejected_by_proxy[0]
+    assert set(lost_workers) <= model.ejected and len(available) >= 5, (
+        "two endpoints were left with the work of six"
+    )
     assert not model.broken
 
 
-def test_heavy_proxies_are_spread() -> None:
-    chance = Random(3)
-    rates = [chance.expovariate(0.2) for _ in range(PROXIES)]
-    model = scant(rates)
-    asked: dict[int, float] = {}
-    for p, tables in model.bound.items():
-        asked[tables[0]] = asked.get(tables[0], 0.0) + rates[p]
-    bears = {table: sum(model.tables[table].values()) for table in asked}
-    asks = sorted(asked[table] / bears[table] for table in asked)
-    assert asks[-1] < 1.4 * sum(rates) / WORKERS
+def test_proxies_with_high_request_rates_are_spread() -> None:
+    rng = Random(3)
+    rates = [rng.expovariate(0.2) for _ in range(PROXIES)]
+    model = constrained_model(rates)
+    rate_by_table: dict[int, float] = {}
+    for p, tables in model.assigned.items():
+        rate_by_table[tables[0]] = rate_by_table.get(tables[0], 0.0) + rates[p]
+    capacity_by_table = {table: sum(model.tables[table].values()) for table in rate_by_table}
+    demand_ratios = sorted(
+        rate_by_table[table] / capacity_by_table[table] for table in rate_by_table
+    )
+    assert demand_ratios[-1] < 1.4 * sum(rates) / WORKERS
 
 
-def test_managers_deal_apart() -> None:
-    dealt = []
+def test_managers_distribute_endpoints_differently() -> None:
+    subsets_by_manager = []
     for seed in (1, 2):
-        model = Model(manager_settings(**SCANT, seed=seed))
+        model = Model(manager_settings(**CONSTRAINED_CHANNEL, seed=seed))
         model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(WORKERS)))])
         model.step(0.1, [ProxyConnected(p, "north", 5.0, True) for p in range(PROXIES)])
-        dealt.append({frozenset(table) for table in model.tables.values()})
-    assert len(dealt[0] & dealt[1]) <= 1  # the whole one, which is laid and not sent
-
-
-def test_a_fleet_replaced_at_once_is_dealt_anew() -> None:
-    model = scant()
-    news = [endpoint(n, "gone") for n in range(50)] + [endpoint(n) for n in range(60, 110)]
-    model.step(0.1, [EndpointsUpdated("changes", tuple(news))])
-    meet(model, 25.0)
-    for tables in model.holds.values():
-        usable = set(tables[0][1]) - model.withdrawn
+        subsets_by_manager.append({frozenset(table) for table in model.tables.values()})
+    assert (
+        len(subsets_by_manager[0] & subsets_by_manager[1]) <= 1
+    )  # the full table, which is created and not sent
+
+
+def test_endpoints_replaced_at_once_are_distributed_anew() -> None:
+    model = constrained_model()
+    replaced = [endpoint(n, "gone") for n in range(50)] + [endpoint(n) for n in range(60, 110)]
+    model.step(0.1, [EndpointsUpdated("changes", tuple(replaced))])
+    report(model, 25.0)
+    for tables in model.applied.values():
+        usable = set(tables[0][1]) - model.ejected
         assert usable and usable <= {w.id for w in model.listed.values() if w.state == "ready"}
-    assert len(set(used(model)) - model.withdrawn) == 60 and not model.broken
+    assert len(set(installed_weights(model)) - model.ejected) == 60 and not model.broken
 
 
-def test_who_stays_when_others_leave_gets_the_whole_table() -> None:
-    model = scant()
+def test_remaining_proxies_get_the_full_table_when_others_leave() -> None:
+    model = constrained_model()
     model.step(0.1, [ProxyDisconnected(p) for p in range(20, PROXIES)])
-    meet(model, 20.0)
-    assert sizes(model) == {WORKERS} and not model.broken
+    report(model, 20.0)
+    assert table_sizes(model) == {WORKERS} and not model.broken
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_rules_are_kept_while_all_comes_and_goes(seed: int) -> None:
-    chance, model = Random(seed), scant()
+def test_the_safety_rules_hold_while_endpoints_and_proxies_change(seed: int) -> None:
+    rng, model = Random(seed), constrained_model()
     ready = set(range(WORKERS))
     for _ in range(150):
         events: list[Event] = []
-        turn = chance.random()
+        turn = rng.random()
         if turn < 0.2:
             events = (
-                [ProxyDisconnected(p) for p in chance.sample(sorted(model.joined), 20)]
+                [ProxyDisconnected(p) for p in rng.sample(sorted(model.joined), 20)]
                 if len(model.joined) > 40
                 else []
             )
         elif turn < 0.4:
             away = sorted(set(range(PROXIES)) - model.joined.keys())
             events = [
-                ProxyConnected(p, ZONES[p % 3], 5.0, False) for p in away[: chance.randrange(1, 60)]
+                ProxyConnected(p, ZONES[p % 3], 5.0, False) for p in away[: rng.randrange(1, 60)]
             ]
         elif turn < 0.6:
-            n = chance.randrange(90)
-            state = "ready" if n not in ready else chance.choice(["draining", "gone"])
+            n = rng.randrange(90)
+            state = "ready" if n not in ready else rng.choice(["draining", "gone"])
             if state == "ready" or len(ready) > 20:
                 (ready.add if state == "ready" else ready.discard)(n)
                 events = [EndpointsUpdated("changes", (endpoint(n, state, model.now - 1.0),))]
-        bad = frozenset(chance.sample(range(90), 6))
+        failing_workers = frozenset(rng.sample(range(90), 6))
         model.step(
             0.2,
             [
                 *events,
                 *(
-                    EndpointReported(endpoint(n).zone, endpoint(n).id, 9, 9 * (n in bad), 0.2, 0.5)
-                    for n in chance.sample(sorted(ready), 15)
+                    EndpointReported(
+                        endpoint(n).zone, endpoint(n).id, 9, 9 * (n in failing_workers), 0.2, 0.5
+                    )
+                    for n in rng.sample(sorted(ready), 15)
                 ),
             ],
         )
     assert not model.broken
 
 
-def jam(model: Model, **queue: float) -> tuple[float, float]:
-    """A jam of 4 s, then 6 s in which late voids are still reported, with the queue that workers tell of beside them;
-    gives the share let in at the end of each."""
-    shares = []
+def overload(model: Model, **queue: float) -> tuple[float, float]:
+    """An overload of 4 s, then 6 s in which late failures are still reported, beside the queues that endpoints report;
+    gives the admitted fraction at the end of each."""
+    admitted_fractions = []
     for seconds, load in ((4.0, {}), (6.0, queue)):
         for _ in range(round(2 * seconds)):
             model.step(
@@ -208,25 +222,25 @@
                     *(DemandReported(1, name, 10 * WORKERS, 0, 0.5) for name in ("read", "book")),
                 ],
             )
-        shares.append(model.module.state.admission_controller.admitted_fraction)
-    return shares[0], shares[1]
+        admitted_fractions.append(model.module.state.admission_controller.admitted_fraction)
+    return admitted_fractions[0], admitted_fractions[1]
 
 
-def test_voids_told_late_keep_nobody_out_once_nothing_waits_at_the_workers() -> None:
-    before, after = jam(scant(), queue=0.0)
+def test_late_failure_reports_shed_nothing_once_endpoint_queues_are_empty() -> None:
+    before, after = overload(constrained_model(), queue=0.0)
     assert before < 0.6 and after > 0.9
 
 
 @pytest.mark.parametrize("queue", [{}, {"queue": 7.0}, {"held": 0.0}])
-def test_without_word_of_queues_or_with_full_ones_the_gate_goes_by_voids(
+def test_without_queue_reports_or_with_full_queues_admission_goes_by_failures(
     queue: dict[str, float],
 ) -> None:
-    before, after = jam(scant(), **queue)
+    before, after = overload(constrained_model(), **queue)
     assert after <= before
 
 
-def test_empty_queues_shut_nobody_out() -> None:
-    model = scant()
+def test_empty_queues_shed_nothing() -> None:
+    model = constrained_model()
     for _ in range(12):
         model.step(
             0.5,
@@ -238,11 +252,11 @@
     assert model.module.state.admission_controller.admitted_fraction == 1.0
 
 
-def test_in_fleets_whose_reports_are_young_queues_open_nothing() -> None:
-    """Danger: what is refused empties the queues, and the gate would swing open and shut."""
+def test_queues_do_not_raise_admission_where_reports_are_recent() -> None:
+    """What is shed empties the queues, so that the admitted fraction would swing."""
     model = Model(manager_settings())
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(9)))])
     model.step(0.1, [ProxyConnected(p, ZONES[p % 3], 5.0, True) for p in range(6)])
-    meet(model, 5.0)
-    before, after = jam(model, queue=0.0)
+    report(model, 5.0)
+    before, after = overload(model, queue=0.0)
     assert not model.module.state.is_channel_constrained and after <= before
--- a/tests/fleet/election/test_replicated_state.py
+++ b/tests/fleet/election/test_replicated_state.py
@@ -29,7 +29,7 @@
     what = manager_settings(
         **({"channel": ChannelSettings(300.0, 4.0, 900.0, 0.2, 0.5, 30, 10.0)} if seed % 2 else {})
     )
-    model = run(Model(what), seed, 200, pins=0.02)
+    model = run(Model(what), seed, 200, overrides=0.02)
     twin, found = replicated_state.deserialize_snapshot(
         replicated_state.serialize_snapshot(model.module, standing(model.module)), what
     )
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -297,7 +297,9 @@
     )
     model = Model(manager_settings(traffic_classes=products, initial_subset_size=3, seed=seed))
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(60)))])
-    orders = PlatformTableInstaller(NAMES, 1, model.trade.channel.message_overhead, (False, True))
+    orders = PlatformTableInstaller(
+        NAMES, 1, model.settings.channel.message_overhead, (False, True)
+    )
     orders.handle_events([EndpointsUpdated("kept", tuple(endpoint(n) for n in range(60)))])
     account, written = model.module.state.budget, 0.0
     for n in range(60):
--- a/tests/race_conditions/test_many_managers.py
+++ b/tests/race_conditions/test_many_managers.py
@@ -268,8 +268,8 @@
         model.step(0.2, [EndpointReported("north", one.id, 20, 0, 0.05, 0.2) for one in fleet])
         lines = {
             name: weight
-            for name, weight in model.holds[0][0][1].items()
-            if name not in model.shut[0]
+            for name, weight in model.applied[0][0][1].items()
+            if name not in model.ejected_by_proxy[0]
         }
         given = BUSY * WARM * lines.get(fleet[-1].id, 0.0) / sum(lines.values())
         parts.append(given / (multiple * min(0.2 + 0.8 * model.now / cold, 1.0)))
--- a/tests/recorded/test_wire_forms.py
+++ b/tests/recorded/test_wire_forms.py
@@ -60,7 +60,7 @@
     """The attributes that a form has to declare: of the module's state also those of its inlined parts."""
     if form is not module_state.MODULE:
         return set(vars(instance))
-    parts = module_state.INLINED_PARTS
+    parts = module_state.INLINED_OBJECTS
     own = vars(instance).keys() - parts.keys()
     return own.union(
         *({f"{name}.{key}" for key in vars(getattr(instance, name))} for name in parts)
@@ -80,10 +80,10 @@
 
 
 def test_every_class_that_travels_has_one_form_and_every_form_its_class() -> None:
-    inlined = {*module_state.INLINED_PARTS.values()}
+    inlined = {*module_state.INLINED_OBJECTS.values()}
     assert instances().keys() == {form.kind for form in FORMS.values()} | inlined
     assert not inlined & {form.kind for form in FORMS.values()}
-    for name, kind in module_state.INLINED_PARTS.items():
+    for name, kind in module_state.INLINED_OBJECTS.items():
         assert type(getattr(lived().state, name)) is kind
     assert len(FORMS) == len(replicated_state.FORMS) + 1
 
@@ -123,7 +123,7 @@
     assert (caught.value.class_name, caught.value.field) == (name, attribute)
 
 
-@pytest.mark.parametrize("name", module_state.INLINED_PARTS)
+@pytest.mark.parametrize("name", module_state.INLINED_OBJECTS)
 def test_an_inlined_part_with_an_attribute_more_or_less_is_refused_when_written(name: str) -> None:
     state = copy(lived().state)
     part = copy(getattr(state, name))
@@ -161,7 +161,7 @@
         assert (caught.value.class_name, caught.value.field) == ("Balancer", name)
     with pytest.raises(FieldFormError, match="unknown here"):
         module_state.restored({**found, "surplus": 1}, trade)
-    for name in module_state.OWN_PARTS:
+    for name in module_state.OWN_OBJECTS:
         with pytest.raises(FieldFormError, match="of another class"):
             module_state.restored({**found, name: 1}, trade)
 
