--- a/tests/decision/state/test_state_models.py
+++ b/tests/decision/state/test_state_models.py
@@ -1,4 +1,4 @@
-"""The bookkeeping beneath the decisions, each part beside a slow, plain model on generated inputs."""
+"""The state beneath the decisions, each part beside a slow, plain model on generated inputs."""
 
 from random import Random
 from statistics import fmean
@@ -19,246 +19,304 @@
     return Table(number, {1: 1.0}, {1: 1.0}, [])
 
 
-def agree(seating: Assignments) -> None:
-    """Groups, uses and orders as one would count them anew, proxy by proxy."""
-    for p, proxy in seating.proxies.items():
-        tops = tuple(
-            proxy.tables_in_use[k][-1][0] if k in proxy.tables_in_use else None for k in range(2)
+def check_groups(assignments: Assignments) -> None:
+    """Groups and use counts are what one would count anew, proxy by proxy."""
+    for proxy_id, proxy in assignments.proxies.items():
+        assigned_tables = tuple(
+            proxy.tables_in_use[traffic_class][-1][0]
+            if traffic_class in proxy.tables_in_use
+            else None
+            for traffic_class in range(2)
         )
-        assert proxy.assigned_tables == tops and p in seating.groups[tops]
-    assert sum(map(len, seating.groups.values())) == len(seating.proxies) and all(
-        seating.groups.values()
+        assert (
+            proxy.assigned_tables == assigned_tables
+            and proxy_id in assignments.groups[assigned_tables]
+        )
+    assert sum(map(len, assignments.groups.values())) == len(assignments.proxies) and all(
+        assignments.groups.values()
     )
-    for tbl in seating.tables.values():
+    for each_table in assignments.tables.values():
         entries = [
             t
-            for proxy in seating.proxies.values()
-            for held in proxy.tables_in_use.values()
-            for t, _ in held
+            for proxy in assignments.proxies.values()
+            for entries in proxy.tables_in_use.values()
+            for t, _ in entries
         ]
-        assert tbl.use_count == entries.count(tbl) and (tbl in seating.list_tables_in_use()) == (
-            tbl.use_count > 0
-        )
-        assert sorted(seating.assigned_proxies(tbl)) == sorted(
-            p for p, x in seating.proxies.items() if tbl in x.assigned_tables
+        assert each_table.use_count == entries.count(each_table) and (
+            each_table in assignments.list_tables_in_use()
+        ) == (each_table.use_count > 0)
+        assert sorted(assignments.assigned_proxies(each_table)) == sorted(
+            proxy_id
+            for proxy_id, x in assignments.proxies.items()
+            if each_table in x.assigned_tables
         )
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_groups_and_uses_are_what_counting_anew_gives(seed: int) -> None:
-    chance, seating = Random(seed), Assignments(2)
+def test_groups_and_use_counts_are_what_counting_anew_gives(seed: int) -> None:
+    rng, assignments = Random(seed), Assignments(2)
     for n in range(5):
-        seating.add_table(table(n))
-    marks: dict[int, list[int]] = {}
-    for mark in range(1, 400):
-        p = chance.randrange(12)
-        if p not in seating.proxies or chance.random() < 0.1:
-            seating.remove_proxy(p)
-            seating.add_proxy(p, "a")
-            marks[p] = []
-        elif chance.random() < 0.5:
-            seating.assign(
-                p,
-                chance.choice([(0,), (1,), (0, 1)]),
-                seating.tables[chance.randrange(5)],
-                mark,
-                mark,
+        assignments.add_table(table(n))
+    awaited_numbers: dict[int, list[int]] = {}
+    for ack_number in range(1, 400):
+        proxy_id = rng.randrange(12)
+        if proxy_id not in assignments.proxies or rng.random() < 0.1:
+            assignments.remove_proxy(proxy_id)
+            assignments.add_proxy(proxy_id, "a")
+            awaited_numbers[proxy_id] = []
+        elif rng.random() < 0.5:
+            assignments.assign(
+                proxy_id,
+                rng.choice([(0,), (1,), (0, 1)]),
+                assignments.tables[rng.randrange(5)],
+                ack_number,
+                ack_number,
+            )
+            awaited_numbers[proxy_id].append(ack_number)
+        elif rng.random() < 0.5 and awaited_numbers[proxy_id]:
+            acknowledged, awaited_numbers[proxy_id] = (
+                awaited_numbers[proxy_id][:2],
+                awaited_numbers[proxy_id][2:],
             )
-            marks[p].append(mark)
-        elif chance.random() < 0.5 and marks[p]:
-            passed, marks[p] = marks[p][:2], marks[p][2:]
-            before = {k: list(held) for k, held in seating.proxies[p].tables_in_use.items()}
-            seating.acknowledge(p, passed)
-            for k, held in before.items():
-                last = max(
-                    (n for n, (_, m) in enumerate(held) if not m or m in passed), default=None
+            before = {
+                traffic_class: list(entries)
+                for traffic_class, entries in assignments.proxies[proxy_id].tables_in_use.items()
+            }
+            assignments.acknowledge(proxy_id, acknowledged)
+            for traffic_class, entries in before.items():
+                newest = max(
+                    (n for n, (_, m) in enumerate(entries) if not m or m in acknowledged),
+                    default=None,
+                )
+                expected = (
+                    entries if newest is None else [(entries[newest][0], 0), *entries[newest + 1 :]]
                 )
-                plain = held if last is None else [(held[last][0], 0), *held[last + 1 :]]
-                assert seating.proxies[p].tables_in_use[k] == plain
-        elif chance.random() < 0.3:
-            tbl = seating.tables[chance.randrange(5)]
-            seating.record_update(tbl, seating.assigned_proxies(tbl), mark, mark)
-            for q in seating.assigned_proxies(tbl):
-                marks[q].append(mark)
+                assert assignments.proxies[proxy_id].tables_in_use[traffic_class] == expected
+        elif rng.random() < 0.3:
+            each_table = assignments.tables[rng.randrange(5)]
+            assignments.record_update(
+                each_table, assignments.assigned_proxies(each_table), ack_number, ack_number
+            )
+            for other_id in assignments.assigned_proxies(each_table):
+                awaited_numbers[other_id].append(ack_number)
         else:
-            seating.remove_proxy(p)
-        agree(seating)
-        order = [p for p in seating.proxies if seating.proxies[p].assigned_tables[0] is not None]
-        groups = [members for tops, members in seating.groups.items() if tops[0] is not None]
-        assert seating.by_join_order(groups) == order  # the dict keeps the order of joining
-        since, tbl = mark - 5, seating.tables[0]
-        assert seating.has_lagging_proxy(0, seating.tables[1], tbl, since) == any(
-            x.updated_at > since and x.tables_in_use.get(0) != [(tbl, 0)]
-            for x in seating.proxies.values()
+            assignments.remove_proxy(proxy_id)
+        check_groups(assignments)
+        order = [
+            proxy_id
+            for proxy_id in assignments.proxies
+            if assignments.proxies[proxy_id].assigned_tables[0] is not None
+        ]
+        groups = [
+            members
+            for assigned_tables, members in assignments.groups.items()
+            if assigned_tables[0] is not None
+        ]
+        assert assignments.by_join_order(groups) == order  # the dict keeps the order of connecting
+        since, each_table = ack_number - 5, assignments.tables[0]
+        assert assignments.has_lagging_proxy(0, assignments.tables[1], each_table, since) == any(
+            x.updated_at > since and x.tables_in_use.get(0) != [(each_table, 0)]
+            for x in assignments.proxies.values()
         )
 
 
-def test_a_table_is_cleared_at_its_time_and_only_once_nobody_uses_it() -> None:
-    seating = Assignments(1)
-    used, unused, standing = (seating.add_table(table(n)) for n in (1, 2, 3))
-    seating.add_proxy(7, "a")
-    seating.assign(7, (0,), used, 1, 0.0)
-    seating.retire_unused((used, unused), 5.0)
-    assert seating.has_retiring_tables() and not seating.take_deletable(4.9)
+def test_a_table_is_deleted_when_due_and_only_once_no_proxy_uses_it() -> None:
+    assignments = Assignments(1)
+    used, unused, current = (assignments.add_table(table(n)) for n in (1, 2, 3))
+    assignments.add_proxy(7, "a")
+    assignments.assign(7, (0,), used, 1, 0.0)
+    assignments.retire_unused((used, unused), 5.0)
+    assert assignments.has_retiring_tables() and not assignments.take_deletable(4.9)
     assert (
-        seating.take_deletable(5.0) == [2]
-        and not seating.has_retiring_tables()
+        assignments.take_deletable(5.0) == [2]
+        and not assignments.has_retiring_tables()
         and used.delete_at > 1e9
-    ), "used: it stays"
-    seating.schedule_deletion(used, 6.0)
-    assert not seating.take_deletable(6.0)
-    seating.remove_proxy(7)
-    assert seating.take_deletable(6.0) == [1] and list(seating.tables.values()) == [standing]
-    seating.schedule_deletion(used, 7.0)
-    assert not seating.has_retiring_tables() and not seating.take_deletable(8.0), (
-        "one cleared stays so"
+    ), "it is in use and stays"
+    assignments.schedule_deletion(used, 6.0)
+    assert not assignments.take_deletable(6.0)
+    assignments.remove_proxy(7)
+    assert assignments.take_deletable(6.0) == [1] and list(assignments.tables.values()) == [current]
+    assignments.schedule_deletion(used, 7.0)
+    assert not assignments.has_retiring_tables() and not assignments.take_deletable(8.0), (
+        "a deleted table stays so"
     )
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_what_may_wait_is_what_a_walk_through_all_messages_gives(seed: int) -> None:
-    """Beside it a channel that keeps the order, and loses what waits for a proxy that leaves."""
-    chance, ours = Random(seed), PendingAcks(4)
-    plain: list[tuple[int, int, float]] = []  # messages not known to have left: mark, proxy, lines
+def test_queued_entries_are_what_a_walk_through_all_messages_gives(seed: int) -> None:
+    """Beside it a channel that keeps the order, and loses what waits for a proxy that disconnects."""
+    rng, pending = Random(seed), PendingAcks(4)
+    expected: list[
+        tuple[int, int, float]
+    ] = []  # messages not known to have left: number, proxy, entries
     channel: list[tuple[int, int, float]] = []
-    owed: dict[int, list[int]] = {p: [] for p in range(8)}
-    for mark in range(1, 400):
-        turn = chance.random()
-        if turn < 0.4:
-            lines = {
-                p: float(chance.randrange(1, 9))
-                for p in chance.sample(range(8), chance.randrange(1, 6))
+    awaited: dict[int, list[int]] = {proxy_id: [] for proxy_id in range(8)}
+    for ack_number in range(1, 400):
+        step = rng.random()
+        if step < 0.4:
+            entries_by_proxy = {
+                proxy_id: float(rng.randrange(1, 9))
+                for proxy_id in rng.sample(range(8), rng.randrange(1, 6))
             }
-            ours.record(mark, mark, lines)
-            for p, n in lines.items():
-                plain.append((mark, p, n))
-                channel.append((mark, p, n))
-                owed[p].append(mark)
-        elif turn < 0.5:
-            p = chance.randrange(8)
-            ours.forget_proxy(p)
-            owed[p] = []
-            plain, channel = (
-                [entry for entry in kept if entry[1] != p] for kept in (plain, channel)
+            pending.record(ack_number, ack_number, entries_by_proxy)
+            for proxy_id, n in entries_by_proxy.items():
+                expected.append((ack_number, proxy_id, n))
+                channel.append((ack_number, proxy_id, n))
+                awaited[proxy_id].append(ack_number)
+        elif step < 0.5:
+            proxy_id = rng.randrange(8)
+            pending.forget_proxy(proxy_id)
+            awaited[proxy_id] = []
+            expected, channel = (
+                [entry for entry in messages if entry[1] != proxy_id]
+                for messages in (expected, channel)
             )
-        elif turn < 0.8:
-            del channel[: chance.randrange(6)]
+        elif step < 0.8:
+            del channel[: rng.randrange(6)]
         else:
-            p = chance.randrange(8)
-            gone = [m for m in owed[p] if (m, p) not in {entry[:2] for entry in channel}]
-            if gone:
-                assert ours.acknowledge(p, gone[-1]) == gone
-                owed[p] = owed[p][len(gone) :]
-                plain = [
-                    entry for entry in plain if entry[0] >= gone[-1] and entry[:2] != (gone[-1], p)
+            proxy_id = rng.randrange(8)
+            arrived = [
+                m
+                for m in awaited[proxy_id]
+                if (m, proxy_id) not in {entry[:2] for entry in channel}
+            ]
+            if arrived:
+                assert pending.acknowledge(proxy_id, arrived[-1]) == arrived
+                awaited[proxy_id] = awaited[proxy_id][len(arrived) :]
+                expected = [
+                    entry
+                    for entry in expected
+                    if entry[0] >= arrived[-1] and entry[:2] != (arrived[-1], proxy_id)
                 ]
-        assert ours.queued_entries == sum(n for _, _, n in plain) >= sum(n for _, _, n in channel)
-        assert {m for marks in owed.values() for m in marks} == ours.pending_replies.keys()
-        assert len(ours.queued_acks) <= 400
+        assert (
+            pending.queued_entries
+            == sum(n for _, _, n in expected)
+            >= sum(n for _, _, n in channel)
+        )
+        assert {
+            m for awaited_numbers in awaited.values() for m in awaited_numbers
+        } == pending.pending_replies.keys()
+        assert len(pending.queued_acks) <= 400
 
 
-def test_who_leaves_takes_no_line_of_others_out_of_the_channel() -> None:
-    ours = PendingAcks(4)
-    ours.record(1, 0.0, {1: 50.0, 2: 50.0})
-    ours.record(2, 0.0, {3: 10.0})
-    ours.forget_proxy(3)
-    assert ours.queued_entries == 100.0
-    assert ours.acknowledge(1, 1) == [1] and ours.queued_entries == 50.0
+def test_a_proxy_that_disconnects_takes_out_no_entries_of_others() -> None:
+    pending = PendingAcks(4)
+    pending.record(1, 0.0, {1: 50.0, 2: 50.0})
+    pending.record(2, 0.0, {3: 10.0})
+    pending.forget_proxy(3)
+    assert pending.queued_entries == 100.0
+    assert pending.acknowledge(1, 1) == [1] and pending.queued_entries == 50.0
 
 
-class Plain(TableInstaller[ProxyAssignment]):
-    """Counts what each proxy would be told, order by order."""
+class ReferenceInstaller(TableInstaller[ProxyAssignment]):
+    """Counts the entries that each proxy would be sent, order by order."""
 
     def count(self, orders: list[Order]) -> dict[int, float]:
-        told: dict[int, float] = {}
-        tables = {tbl: dict(laid.weights) for tbl, laid in self.tables.items()}
-        levels = {tbl: dict(laid.admissions) for tbl, laid in self.tables.items()}
-        bound, out = (
-            {p: dict(seat.table_by_class) for p, seat in self.proxies.items()},
-            set(self.ejected),
-        )
+        entries_sent: dict[int, float] = {}
+        tables = {table_id: dict(installed.weights) for table_id, installed in self.tables.items()}
+        levels = {
+            table_id: dict(installed.admissions) for table_id, installed in self.tables.items()
+        }
+        assigned = {
+            proxy_id: dict(proxy_state.table_by_class)
+            for proxy_id, proxy_state in self.proxies.items()
+        }
+        ejected_workers = set(self.ejected)
 
-        def tell(p: int, lines: float) -> None:
-            told[p] = told.get(p, 0.0) + lines
+        def send(proxy_id: int, entries: float) -> None:
+            entries_sent[proxy_id] = entries_sent.get(proxy_id, 0.0) + entries
 
         for order in orders:
             match order:
-                case SetWeight(tbl, who, weight):
-                    tables.setdefault(tbl, {})[who] = weight
-                    levels.setdefault(tbl, {})
+                case SetWeight(table_id, worker, weight):
+                    tables.setdefault(table_id, {})[worker] = weight
+                    levels.setdefault(table_id, {})
                     if not weight:
-                        del tables[tbl][who]
-                case SetAdmission(tbl, k, retry, share):
-                    tables.setdefault(tbl, {})
-                    levels.setdefault(tbl, {})[k] = (retry, share)
-                case SetEjected(who, shut):
-                    (out.add if shut else out.discard)(who)
-                    for p, uses in bound.items():
-                        if len(uses) < self.traffic_class_count or any(
-                            who in tables[tbl] for tbl in uses.values()
+                        del tables[table_id][worker]
+                case SetAdmission(table_id, traffic_class, retry_policy, admitted_fraction):
+                    tables.setdefault(table_id, {})
+                    levels.setdefault(table_id, {})[traffic_class] = (
+                        retry_policy,
+                        admitted_fraction,
+                    )
+                case SetEjected(worker, ejected):
+                    (ejected_workers.add if ejected else ejected_workers.discard)(worker)
+                    for proxy_id, table_ids in assigned.items():
+                        if len(table_ids) < self.traffic_class_count or any(
+                            worker in tables[table_id] for table_id in table_ids.values()
                         ):
-                            tell(p, 1.0)
+                            send(proxy_id, 1.0)
                     continue
-                case AssignTable(p, products, tbl):
-                    bound[p].update(dict.fromkeys(products, tbl))
-                    tell(
-                        p, 1.0 + len(tables[tbl]) + len(levels[tbl]) + len(out & tables[tbl].keys())
+                case AssignTable(proxy_id, traffic_classes, table_id):
+                    assigned[proxy_id].update(dict.fromkeys(traffic_classes, table_id))
+                    send(
+                        proxy_id,
+                        1.0
+                        + len(tables[table_id])
+                        + len(levels[table_id])
+                        + len(ejected_workers & tables[table_id].keys()),
                     )
                     continue
-            for p, uses in bound.items():
-                if order.table_id in uses.values():  # type: ignore[union-attr]
-                    tell(p, 1.0)
-        return told
+            for proxy_id, table_ids in assigned.items():
+                if order.table_id in table_ids.values():  # type: ignore[union-attr]
+                    send(proxy_id, 1.0)
+        return entries_sent
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_lines_told_together_are_those_told_one_by_one(seed: int) -> None:
-    chance, laying = Random(seed), Plain(2)
-    laying.install_orders(
-        [SetWeight(tbl, f"w{n}", 1.0) for tbl in range(3) for n in range(tbl, 8, 2)]
+def test_entries_counted_for_a_batch_are_those_of_its_orders_one_by_one(seed: int) -> None:
+    rng, installer = Random(seed), ReferenceInstaller(2)
+    installer.install_orders(
+        [
+            SetWeight(each_table, f"w{n}", 1.0)
+            for each_table in range(3)
+            for n in range(each_table, 8, 2)
+        ]
     )
-    for turn in range(60):
-        if chance.random() < 0.3 or not laying.proxies:
-            laying.remove_proxy(turn % 9)
-            laying.proxies[turn % 9] = ProxyAssignment()
-        shut = {f"w{n}" for n in range(8)} & laying.ejected
+    for step in range(60):
+        if rng.random() < 0.3 or not installer.proxies:
+            installer.remove_proxy(step % 9)
+            installer.proxies[step % 9] = ProxyAssignment()
+        ejected = {f"w{n}" for n in range(8)} & installer.ejected
         orders: list[Order] = []
-        for _ in range(chance.randrange(8)):
-            tbl, who = chance.randrange(3), f"w{chance.randrange(8)}"
-            kind = chance.randrange(4)
+        for _ in range(rng.randrange(8)):
+            each_table, worker = rng.randrange(3), f"w{rng.randrange(8)}"
+            kind = rng.randrange(4)
             if kind == 0:
-                orders.append(SetWeight(tbl, who, chance.choice([0.0, 0.5, 1.0])))
+                orders.append(SetWeight(each_table, worker, rng.choice([0.0, 0.5, 1.0])))
             elif kind == 1:
-                orders.append(SetAdmission(tbl, chance.randrange(2), 1, chance.random()))
+                orders.append(SetAdmission(each_table, rng.randrange(2), 1, rng.random()))
             elif kind == 2:
                 orders.append(
                     AssignTable(
-                        chance.choice([*laying.proxies]), chance.choice([(0,), (0, 1)]), tbl
+                        rng.choice([*installer.proxies]), rng.choice([(0,), (0, 1)]), each_table
                     )
                 )
-            elif who not in {o.worker for o in orders if isinstance(o, SetEjected)}:
-                shut ^= {who}
-                orders.append(SetEjected(who, who in shut))
-        plain = laying.count(orders)
-        laying.install_orders(orders)
-        assert laying.entries_by_proxy == plain
+            elif worker not in {o.worker for o in orders if isinstance(o, SetEjected)}:
+                ejected ^= {worker}
+                orders.append(SetEjected(worker, worker in ejected))
+        expected = installer.count(orders)
+        installer.install_orders(orders)
+        assert installer.entries_by_proxy == expected
 
 
-def test_rows_of_workers_that_went_are_used_again() -> None:
-    """A day of replacements, a worker at a time: rows stay level, nobody loses a row that is in use."""
-    fleet, chance = Fleet(fmean), Random(3)
+def test_rows_of_endpoints_that_went_are_reused() -> None:
+    """A day of replacements, one endpoint at a time: rows do not grow, and no row in use is given away."""
+    fleet, rng = Fleet(fmean), Random(3)
     present = [endpoint(n) for n in range(20)]
     fleet.apply_update(EndpointsUpdated("whole", tuple(present)), set)
     for n in range(20, 2000):
-        gone = present.pop(chance.randrange(20))
+        arrived = present.pop(rng.randrange(20))
         present.append(endpoint(n))
-        held = {fleet.row_by_id[gone.id]}.copy  # still in a table
+        entries = {fleet.row_by_id[arrived.id]}.copy  # still in a table
         fleet.apply_update(
-            EndpointsUpdated("changes", (Endpoint(gone.id, gone.zone, "", 0, "gone", 1.0, None),)),
-            held,
+            EndpointsUpdated(
+                "changes", (Endpoint(arrived.id, arrived.zone, "", 0, "gone", 1.0, None),)
+            ),
+            entries,
         )
-        fleet.apply_update(EndpointsUpdated("changes", (present[-1],)), held)
-        assert fleet.row_by_id[gone.id] in held()
+        fleet.apply_update(EndpointsUpdated("changes", (present[-1],)), entries)
+        assert fleet.row_by_id[arrived.id] in entries()
         assert all(
             fleet.ids[fleet.row_by_id[w.id]] == w.id and fleet.ready[fleet.row_by_id[w.id]]
             for w in present
@@ -266,32 +324,32 @@
     assert len(fleet.ids) <= 2 * 20 + 2 and len(fleet.row_by_id) == len(fleet.ids)
 
 
-def test_a_new_worker_in_a_former_ones_row_has_no_history() -> None:
+def test_a_new_endpoint_in_a_reused_row_has_no_history() -> None:
     model = Model(manager_settings())
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(4)))])
     model.step(0.1, [ProxyConnected(1, "north", 5.0, True)])
-    health = model.module.state.outlier_detector
+    detector = model.module.state.outlier_detector
     for n in range(4, 40):
         row = model.module.state.fleet.row_by_id[endpoint(n - 4).id]
         (
-            health.weight_limits[row],
-            health.recovery_limits[row],
-            health.ejection_times[row],
-            health.attempts[row],
+            detector.weight_limits[row],
+            detector.recovery_limits[row],
+            detector.ejection_times[row],
+            detector.attempts[row],
         ) = (
             0.0,
             0.75,
             16.0,
             9.0,
         )
-        health.update_indexes(row)
+        detector.update_indexes(row)
         model.step(0.1, [EndpointsUpdated("changes", (endpoint(n - 4, "gone"), endpoint(n)))])
         row = model.module.state.fleet.row_by_id[endpoint(n).id]
         assert (
-            health.weight_limits[row],
-            health.recovery_limits[row],
-            health.ejection_times[row],
-            health.attempts[row],
+            detector.weight_limits[row],
+            detector.recovery_limits[row],
+            detector.ejection_times[row],
+            detector.attempts[row],
         ) == (
             1.0,
             1.0,
@@ -299,19 +357,22 @@
             0.0,
         )
         assert not {row} & (
-            health.ejected_rows | health.limited_rows | health.suspect_rows | health.probation_rows
+            detector.ejected_rows
+            | detector.limited_rows
+            | detector.suspect_rows
+            | detector.probation_rows
         )
         for _ in range(30):
             model.step(0.1, [])
     columns = (
-        health.attempts,
-        health.failed,
-        health.latency_sums,
-        health.reported_at,
-        health.ejection_times,
-        health.due_at,
-        health.weight_limits,
-        health.recovery_limits,
+        detector.attempts,
+        detector.failed,
+        detector.latency_sums,
+        detector.reported_at,
+        detector.ejection_times,
+        detector.due_at,
+        detector.weight_limits,
+        detector.recovery_limits,
     )
     assert {len(column) for column in columns} == {len(model.module.state.fleet.ids)}
     assert len(model.module.state.fleet.ids) <= 16 and not model.broken
--- a/tests/decision/test_reference_decisions.py
+++ b/tests/decision/test_reference_decisions.py
@@ -1,4 +1,4 @@
-"""The present decision module orders what the former one did, over generated histories: see `reference_decisions.py`."""
+"""The decision module orders what the reference model does, over generated histories: see `reference_decisions.py`."""
 
 import ast
 import gc
@@ -22,7 +22,7 @@
 from dunlinlug.decision.orders import LogMessage, SetEjected, SetWeight
 from tests.decision import reference_decisions
 from tests.decision.reference_decisions import Decides, History, alike, record, replay, shrink
-from tests.reference_model.balance import Balancer as Former
+from tests.reference_model.balance import Balancer as ReferenceBalancer
 
 # Chosen so that among them they hold what is rare: the first show all the faults below, two have 1,000 workers and
 # more, the last four a tie that the last bit of a sum decides.
@@ -59,7 +59,7 @@
 ROUNDING = 0  # turns whose orders may differ by rounding
 
 # Of these at least so many over all seeds, else the histories leave out what is to be compared.
-LEAST = {
+MIN_COUNTS = {
     "turns": 10000,
     "order SetWeight set": 50000,
     "order SetWeight taken away": 200,
@@ -126,46 +126,46 @@
     "turns with a level of 0.90": 100,
 }
 
-# The present text with one small fault each: what stands there once, and what is put for it. Both are written as
+# The module's text with one small fault each: what stands there once, and what is put for it. Both are written as
 # `ast.unparse` lays a text out, so that formatting doesn't matter.
 FAULTS = {
-    "a constant of evidence": ("HALF_LIFE = 0.8", "HALF_LIFE = 0.81"),
+    "a constant of outlier statistics": ("HALF_LIFE = 0.8", "HALF_LIFE = 0.81"),
     "a constant of contrast": ("MIN_FAILURE_CONTRAST = 3.0", "MIN_FAILURE_CONTRAST = 2.5"),
-    "a constant of rests": ("MAX_EJECTION_TIME = 16.0", "MAX_EJECTION_TIME = 10.0"),
-    "a constant of letting in": ("DECREASE_FACTOR = 0.7", "DECREASE_FACTOR = 0.69"),
-    "a constant of clearing": ("TABLE_RETENTION = 2.0", "TABLE_RETENTION = 2.1"),
+    "a constant of ejection times": ("MAX_EJECTION_TIME = 16.0", "MAX_EJECTION_TIME = 10.0"),
+    "a constant of admission": ("DECREASE_FACTOR = 0.7", "DECREASE_FACTOR = 0.69"),
+    "a constant of deletion": ("TABLE_RETENTION = 2.0", "TABLE_RETENTION = 2.1"),
     "a constant of small tables": ("HOT_SUBSET_RATIO = 1.25", "HOT_SUBSET_RATIO = 1.3"),
-    "the order of withdrawals": (
+    "the order of ejections": (
         "key=lambda row: (row in desired.weight_fractions, row)",
         "key=lambda row: (row not in desired.weight_fractions, row)",
     ),
-    "a withdrawal refused": (
+    "a rejected ejection": (
         "if order.ejected:",
         "if True:",
     ),
-    "an answer to another mark": (
+    "an acknowledgement of another reply": (
         "if update.ack_number in acknowledged:",
         "if True:",
     ),
-    "retries in calm": (
+    "retries without overload": (
         "min(state.parameters.default_retry_policy, 1)",
         "state.parameters.default_retry_policy",
     ),
-    "queues that tell a jam's end": (
+    "queues that end an overload": (
         "median(self.queue_lengths) < 1.0",
         "median(self.queue_lengths) < 0.0",
     ),
     "the first proxy back": ("all((other.zone != event.zone", "any((other.zone != event.zone"),
-    "new lines of who is out": ("- (ejected - installed.keys())", ""),
-    "a pin of all": (
+    "new entries of ejected rows": ("- (ejected - installed.keys())", ""),
+    "an override that leaves nobody": (
         "return default_weights if ejected >= effective_weights.keys() else effective_weights",
         "return effective_weights",
     ),
-    "probes of the barred": (
+    "health checks of blocked rows": (
         "is_due and (row not in state.blocked.rows)",
         "is_due",
     ),
-    "rows that pass on (the books)": ("reusable_rows.pop(0)", "reusable_rows.pop()"),
+    "rows that are reused": ("reusable_rows.pop(0)", "reusable_rows.pop()"),
     "fails with a cause": (
         "state.overrides[event.traffic_class] = event",
         "state.overrides[event.traffic_class] = event[0]",
@@ -253,7 +253,7 @@
         return importlib.import_module(balance.__name__).Balancer
 
 
-def test_the_present_text_gives_the_former_ones_orders(histories: list[History]) -> None:
+def test_the_module_gives_the_reference_models_orders(histories: list[History]) -> None:
     rounding = list[str]()
     for history in histories:
         verdict = replay(history)
@@ -265,12 +265,16 @@
 
 def test_the_histories_hold_every_kind_of_order_and_event(histories: list[History]) -> None:
     counts = sum((history.counts for history in histories), Counter[str]())
-    few = {name: (counts[name], least) for name, least in LEAST.items() if counts[name] < least}
-    assert not few, f"too few (counted, least): {few}"
-    assert {f"event {kind.__name__}" for kind in Event.__args__} <= LEAST.keys()
+    too_few = {
+        name: (counts[name], minimum)
+        for name, minimum in MIN_COUNTS.items()
+        if counts[name] < minimum
+    }
+    assert not too_few, f"too few (counted, least): {too_few}"
+    assert {f"event {kind.__name__}" for kind in Event.__args__} <= MIN_COUNTS.keys()
 
 
-def test_every_block_of_the_former_text_ran(histories: list[History]) -> None:
+def test_every_block_of_the_reference_model_ran(histories: list[History]) -> None:
     _, blocks, _ = reference_decisions.counted()
     counts = sum((history.counts for history in histories), Counter[str]())
     assert len(blocks) > 180
@@ -279,11 +283,11 @@
 
 def test_counting_blocks_changes_no_decision(histories: list[History]) -> None:
     for history in histories[5:8]:
-        assert replay(history, Former) == reference_decisions.Verdict(len(history.turns))
+        assert replay(history, ReferenceBalancer) == reference_decisions.Verdict(len(history.turns))
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_small_fault_of_the_present_text_is_seen(histories: list[History], name: str) -> None:
+def test_a_small_fault_of_the_module_is_seen(histories: list[History], name: str) -> None:
     make = faulty(*FAULTS[name])
     difference = next(
         filter(None, (replay(history, make).difference for history in histories)), None
@@ -297,7 +301,7 @@
 
 
 def test_a_history_is_cut_to_what_shows_the_difference(histories: list[History]) -> None:
-    make = faulty(*FAULTS["the order of withdrawals"])
+    make = faulty(*FAULTS["the order of ejections"])
     difference = next(filter(None, (replay(history, make).difference for history in histories)))
     cut = shrink(difference, make, tries=60)
     assert len(cut.history.turns) < difference.place / 2
@@ -306,10 +310,10 @@
         < sum(len(turn.events) for turn in difference.history.turns[: difference.place]) / 2
     )
     assert replay(cut.history, make).difference is not None
-    assert replay(cut.history, Former).difference is None
+    assert replay(cut.history, ReferenceBalancer).difference is None
 
 
-def test_rounding_is_told_from_another_order() -> None:
+def test_rounding_is_distinguished_from_another_order() -> None:
     share, other = SetWeight(1, "w", 0.3), SetWeight(1, "w", 0.1 + 0.2)
     assert share != other and alike(share, other)
     assert not alike(share, SetWeight(1, "w", 0.30001)) and not alike(share, SetWeight(2, "w", 0.3))
@@ -321,7 +325,7 @@
     assert not alike(LogMessage("a out"), LogMessage("b out"))
 
 
-def test_a_text_that_rounds_otherwise_is_listed_and_not_taken_for_another(
+def test_other_rounding_is_listed_and_is_no_difference(
     histories: list[History],
 ) -> None:
     make = faulty(
--- a/tests/decision/test_turn_costs.py
+++ b/tests/decision/test_turn_costs.py
@@ -1,8 +1,8 @@
-"""What a turn costs goes with what changed, not with what there is: counted in bytecode instructions
-run, never in time, nor in lines, whose number goes with the formatting.
+"""The cost of a batch goes with what changed, not with what there is: counted in bytecode instructions run, never in
+time, nor in lines, whose number goes with the formatting.
 
-The same events come to a small deployment and to a large one. The former text, and the present one with a shortcut
-taken out, must be seen to cost more.
+The same events come to a small deployment and to a large one. The reference model, and the module with a shortcut taken
+out, must be seen to cost more.
 """
 
 import sys
@@ -50,11 +50,11 @@
     return Endpoint(f"10.0.{n // 250}.{n % 250}:80", "abc"[n % 3], "", 0, state, 1.0, since)
 
 
-def manager_settings(products: int) -> ManagerSettings:
+def manager_settings(class_count: int) -> ManagerSettings:
     return ManagerSettings(
         seed=1,
         zone="a",
-        traffic_classes=tuple(TrafficClass(f"p{k}", 0.8, 2.0, 1.0 + k) for k in range(products)),
+        traffic_classes=tuple(TrafficClass(f"p{k}", 0.8, 2.0, 1.0 + k) for k in range(class_count)),
         admission_mode="share",
         can_check_health=True,
         initial_subset_size=6,
@@ -89,11 +89,11 @@
             sys.settrace(before)
 
 
-class Played:
-    """One manager; every mark is answered by all a while later."""
+class RunningModule:
+    """One manager; every proxy acknowledges each request a while later."""
 
-    def __init__(self, workers: int, products: int = 2, module: Any = Balancer) -> None:
-        self.module, self.now, self.counter = module(manager_settings(products)), 0.0, Counter()
+    def __init__(self, workers: int, class_count: int = 2, module: Any = Balancer) -> None:
+        self.module, self.now, self.counter = module(manager_settings(class_count)), 0.0, Counter()
         self.due: list[tuple[float, Event]] = []
         self.turn([EndpointsUpdated("kept", tuple(worker(n) for n in range(workers)))])
         self.turn([ProxyConnected(p, "abc"[p % 3], 5.0, True) for p in range(PROXIES)])
@@ -123,8 +123,8 @@
         rows = [(7 * n + m) % 200 for m in range(6)]
         yield [
             *(
-                EndpointReported("a", worker(i).id, 12, 8 if i % 8 == 0 else 0, 0.2, 0.5)
-                for i in rows
+                EndpointReported("a", worker(row).id, 12, 8 if row % 8 == 0 else 0, 0.2, 0.5)
+                for row in rows
             ),
             DemandReported(n % PROXIES, "p0", 4, 0, 0.5),
         ]
@@ -139,33 +139,33 @@
 
 def cost(events: History, *size: int, module: Any = Balancer, turns: int = 60) -> float:
     """Instructions a turn, on the mean of so many at most."""
-    played = Played(*size, module=module)
-    counts = [played.turn(batch, counted=True) for batch in islice(events(), turns)]
+    running = RunningModule(*size, module=module)
+    counts = [running.turn(batch, counted=True) for batch in islice(events(), turns)]
     return sum(counts) / len(counts)
 
 
-def grows(events: History, few: int, many: int, module: Any = Balancer, turns: int = 60) -> float:
+def growth(events: History, few: int, many: int, module: Any = Balancer, turns: int = 60) -> float:
     return cost(events, many, 2, module=module, turns=turns) / cost(
         events, few, 2, module=module, turns=turns
     )
 
 
 @pytest.mark.parametrize("events", [reports, release])
-def test_a_turn_does_not_go_with_the_workers(events: History) -> None:
-    assert grows(events, 1500, 5000) <= 1.05  # small tables are tended at both
+def test_the_cost_of_a_batch_does_not_grow_with_the_endpoints(events: History) -> None:
+    assert growth(events, 1500, 5000) <= 1.05  # small tables are updated at both
     assert (
-        grows(events, 200, 1500) <= 3.0
-    )  # at 200 one table goes to all, so that there is nothing to tend
+        growth(events, 200, 1500) <= 3.0
+    )  # at 200 one table goes to all, so that there is no small table to update
 
 
-@pytest.mark.parametrize(("events", "each"), [(reports, 510), (release, 770)])
-def test_a_product_costs_a_turn_few_instructions(events: History, each: int) -> None:
-    """Not the workers of its table: that were 200 for each."""
-    assert cost(events, 200, 270) - cost(events, 200, 2) <= 268 * each
+@pytest.mark.parametrize(("events", "max_instructions"), [(reports, 510), (release, 770)])
+def test_a_class_costs_a_batch_few_instructions(events: History, max_instructions: int) -> None:
+    """Not the endpoints of its table: that would be 200 for each."""
+    assert cost(events, 200, 270) - cost(events, 200, 2) <= 268 * max_instructions
 
 
-def test_the_former_text_goes_with_the_workers() -> None:
-    assert grows(reports, 200, 800, Former, 10) > 3.0
+def test_the_reference_models_cost_grows_with_the_endpoints() -> None:
+    assert growth(reports, 200, 800, Former, 10) > 3.0
     assert (
         cost(reports, 200, 20, module=Former, turns=10)
         - cost(reports, 200, 2, module=Former, turns=10)
@@ -173,39 +173,39 @@
     )
 
 
-def walks_all(
+def compare_all_rows(
     self: DesiredWeights, table: Table, desired: dict[int, float], include_missing: bool = True
 ) -> set[int]:
     rows = {**table.weights, **desired} if include_missing else table.weights
-    return {i for i in rows if table.weights.get(i) != desired.get(i)}
+    return {row for row in rows if table.weights.get(row) != desired.get(row)}
 
 
-def tells_all(self: Assignments, rows: set[int], ready: list[bool]) -> None:
-    for i in rows:
+def update_all_tables(self: Assignments, rows: set[int], ready: list[bool]) -> None:
+    for row in rows:
         for table in self.tables.values():
             (
                 table.unready_rows.add
-                if i in table.weight_fractions and not ready[i]
+                if row in table.weight_fractions and not ready[row]
                 else table.unready_rows.discard
-            )(i)
+            )(row)
 
 
 FAULTS: dict[str, tuple[History, type, str, Callable[..., object]]] = {
-    "differences are walked": (reports, DesiredWeights, "differing_rows", walks_all),
+    "differences are walked": (reports, DesiredWeights, "differing_rows", compare_all_rows),
     "all are judged": (
         reports,
         OutlierStatistics,
         "due_recoveries",
-        lambda self, now: [i for i in self.ready_rows if self.weight_limits[i]],
+        lambda self, now: [row for row in self.ready_rows if self.weight_limits[row]],
     ),
-    "who is out is walked": (
+    "ejected rows are walked": (
         reports,
         OutlierStatistics,
         "due_ejections",
         lambda self, now: [
-            i
-            for i in sorted(self.ready_rows)
-            if not self.weight_limits[i] and self.due_at[i] <= now
+            row
+            for row in sorted(self.ready_rows)
+            if not self.weight_limits[row] and self.due_at[row] <= now
         ],
     ),
     "all are planned anew": (
@@ -214,22 +214,22 @@
         "take_changed_rows",
         lambda self: set(self.ready_rows),
     ),
-    "who is in no table is walked": (
+    "uncovered rows are walked": (
         reports,
         Coverage,
         "find_uncovered",
         lambda self, weights, log, truncated: [
-            i for i in sorted(weights) if i not in self.table_counts
+            row for row in sorted(weights) if row not in self.table_counts
         ],
     ),
-    "who goes is told to all tables": (release, Assignments, "set_ready", tells_all),
+    "readiness is updated in all tables": (release, Assignments, "set_ready", update_all_tables),
 }
 
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_a_shortcut_taken_out_is_seen(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    events, book, method, fault = FAULTS[name]
-    monkeypatch.setattr(book, method, fault)
+    events, state_class, method, fault = FAULTS[name]
+    monkeypatch.setattr(state_class, method, fault)
     text = Path(__file__)  # the fault's own instructions count
     monkeypatch.setattr("tests.decision.test_turn_costs.TEXT", (*TEXT, text))
-    assert grows(events, 1500, 3000, turns=10) > 1.05
+    assert growth(events, 1500, 3000, turns=10) > 1.05
--- a/tests/fleet/election/test_replicated_state.py
+++ b/tests/fleet/election/test_replicated_state.py
@@ -17,7 +17,7 @@
 from dunlinlug.fleet.election import replicated_state
 from dunlinlug.fleet.election.serialization import ObjectSerializer, SerializationError, WireForm
 from tests.decision.rules_model import Model, endpoint, manager_settings, run
-from tests.decision.state.test_state_models import agree
+from tests.decision.state.test_state_models import check_groups
 
 
 def standing(module: Balancer) -> replicated_state.ReplicaSnapshot:
@@ -66,7 +66,7 @@
         )
         assert batch.events == events and batch.rejected_indexes == [1]
         assert twin.decide(batch.now, batch.events) == first.decide(now, events)
-        agree(twin.state.assignments)
+        check_groups(twin.state.assignments)
 
 
 def test_who_was_joined_with_the_former_master_leaves_our_module() -> None:
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The adapter's wire, from the outside."""
+"""The simulator's wire, from the outside."""
 
 import io
 import json
@@ -66,7 +66,7 @@
     ]
 
 
-def talk(*batches: list[dict]) -> list[dict]:
+def exchange(*batches: list[dict]) -> list[dict]:
     lines = [
         json.dumps({"nowUs": 10**6 * (n + 1), "n": n, "happened": batch}).encode()
         for n, batch in enumerate(batches)
@@ -90,19 +90,19 @@
 }
 
 
-def test_a_joiner_is_bound_to_every_product_and_marked() -> None:
-    replies = talk(start("manager/0"), [JOIN], [])
+def test_a_new_proxy_is_assigned_for_every_class_and_asked_to_acknowledge() -> None:
+    replies = exchange(start("manager/0"), [JOIN], [])
     assert "Watch" in verbs(replies[0], "manager/0")
     assert [d.get("classes", d["verb"]) for d in replies[1]["decisions"][:2]] == [3, "Seal"]
     assert replies[2] == {"n": 2, "decisions": []}
 
 
-def test_instances_share_nothing_and_a_dropped_one_says_nothing() -> None:
-    alone = talk(start("manager/0"), [JOIN])
-    both = talk([*start("manager/1"), *start("manager/0")], [JOIN])
+def test_instances_share_nothing_and_a_detached_one_is_silent() -> None:
+    alone = exchange(start("manager/0"), [JOIN])
+    both = exchange([*start("manager/1"), *start("manager/0")], [JOIN])
     assert [d for d in both[1]["decisions"] if d["manager"] == "manager/0"] == alone[1]["decisions"]
     end = {"verb": "Detach", "manager": "manager/0"}
-    gone = talk(start("manager/0"), [end, JOIN], [JOIN])
+    gone = exchange(start("manager/0"), [end, JOIN], [JOIN])
     assert gone[1]["decisions"] == gone[2]["decisions"] == []
 
 
@@ -123,22 +123,22 @@
             "usage": None,
         },
     ]
-    assert talk(start("manager/0"), odd)[1]["decisions"] == []
+    assert exchange(start("manager/0"), odd)[1]["decisions"] == []
 
 
-def test_sites_with_slices_get_one_line_and_no_order() -> None:
-    replies = talk(start("manager/0", keyRanges=64), [JOIN])
+def test_sites_with_shards_get_one_log_line_and_no_order() -> None:
+    replies = exchange(start("manager/0", keyRanges=64), [JOIN])
     assert verbs(replies[0], "manager/0") == ["JournalLine"] and replies[1]["decisions"] == []
 
 
-def test_a_fault_in_the_module_becomes_broken(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_error_in_the_module_is_reported_as_broken(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Balancer, "decide", lambda self, now, events: 1 // 0)
-    decision = talk(start("manager/0"))[0]["decisions"][0]
+    decision = exchange(start("manager/0"))[0]["decisions"][0]
     assert decision["verb"] == "Broken" and "ZeroDivisionError" in decision["text"]
 
 
-def test_units_and_words_are_ours_inside() -> None:
-    met = codec.read_event(
+def test_units_and_names_become_those_of_the_records() -> None:
+    report = codec.read_event(
         "TrafficReport",
         {
             "locality": "north",
@@ -151,7 +151,11 @@
         },
         ("queue", "service_s"),
     )
-    assert (met.latency, met.window, met.load) == (0.25, 0.5, {"queue": 3.0, "service_s": 0.0145})
+    assert (report.latency, report.window, report.load) == (
+        0.25,
+        0.5,
+        {"queue": 3.0, "service_s": 0.0145},
+    )
     assert (
         codec.read_settings_event(start("manager/0")[0]).traffic_classes[1].idempotency
         == "referenced"
@@ -159,7 +163,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "fault"),
+    ("line", "problem"),
     [
         (b"{", "not JSON"),
         (b"[]", "object"),
@@ -168,12 +172,12 @@
         (b'{"nowUs":1,"happened":[{"verb":"NewInstance","manager":"m"}]}', "NewInstance"),
     ],
 )
-def test_a_malformed_line_is_named_without_a_traceback(line: bytes, fault: str) -> None:
+def test_a_malformed_line_is_named_without_a_traceback(line: bytes, problem: str) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "dunlinlug.drill"], input=line + b"\n", capture_output=True
     )
     assert (
         done.returncode
-        and fault in done.stderr.decode()
+        and problem in done.stderr.decode()
         and "Traceback" not in done.stderr.decode()
     )
