--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -75,12 +75,12 @@
     def restart(self) -> None:
         super().restart()
         self.orders_out = PlatformTableInstaller(
-            NAMES, self.trade.default_retry_policy, self.trade.channel.message_overhead
+            NAMES, self.settings.default_retry_policy, self.settings.channel.message_overhead
         )
         self.plain: dict[int, PlainProxy] = {}
 
-    def _meet(self, event: Event) -> None:
-        super()._meet(event)
+    def _handle_event(self, event: Event) -> None:
+        super()._handle_event(event)
         self.came.append(event)
         if isinstance(event, ProxyConnected):
             proxy = self.plain.setdefault(event.proxy, PlainProxy())
@@ -89,8 +89,8 @@
             else:  # another manager had it, and let nobody back
                 proxy.shut |= {endpoint(n).id for n in range(9) if n % 3 == event.proxy % 3}
 
-    def _obey(self) -> None:
-        super()._obey()
+    def _apply_orders(self) -> None:
+        super()._apply_orders()
         came, self.came = self.came, []
         self.orders_out.handle_events(came)
         bare = {
@@ -105,7 +105,7 @@
         for proxy, parcel in parcels.items():
             lines, mark = self.plain[proxy].read(parcel.data)
             assert [mark] == marks or not marks
-            assert parcel.lines == lines + self.trade.channel.message_overhead
+            assert parcel.lines == lines + self.settings.channel.message_overhead
             reckoned = self.orders_out.entries_by_proxy[proxy] + (mark is not None)
             # Only who may have come with workers shut out costs more, and only at its first table.
             self.over += lines > reckoned and proxy not in bare
@@ -118,8 +118,8 @@
             for k, tbl in seat.table_by_class.items():
                 name, laid, plain = NAMES[k], orders.tables[tbl], self.plain[p]
                 assert plain.held[name] == laid.weights
-                level = plain.level[name] or (1.0, self.trade.default_retry_policy)
-                retry, share = laid.admissions.get(k, (self.trade.default_retry_policy, 1.0))
+                level = plain.level[name] or (1.0, self.settings.default_retry_policy)
+                retry, share = laid.admissions.get(k, (self.settings.default_retry_policy, 1.0))
                 assert level == (share, retry)
                 assert orders.ejected & laid.weights.keys() <= plain.shut, "sent to while withdrawn"
                 sure = laid.weights.keys() - orders.ejected - seat.sent_tables.possibly_ejected
