--- a/dunlinlug/decision/reconciler.py
+++ b/dunlinlug/decision/reconciler.py
@@ -174,11 +174,11 @@
 
 def update_admission(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> None:
     """Order the admitted fraction and retry policy of each table and class that differs."""
-    for difference in state.assignments.differing_admission(desired.admission_levels):
-        table, traffic_class = difference.table, difference.traffic_class
+    differences = state.assignments.differing_admission(desired.admission_levels)
+    for (traffic_class, table), groups in differences.items():
         if batch.now < state.blocked.classes.get(traffic_class, 0.0):
             continue
-        proxy_ids = [*chain.from_iterable(difference.groups)]
+        proxy_ids = [*chain.from_iterable(groups)]
         if batch.reserve(proxy_ids, 1.0, ADMISSION):
             level = desired.admission_levels[traffic_class]
             table.previous_levels[traffic_class] = table.admission_levels[traffic_class]
--- a/dunlinlug/decision/state/assignments.py
+++ b/dunlinlug/decision/state/assignments.py
@@ -6,7 +6,6 @@
 """
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
 from itertools import chain
 
 from dunlinlug.decision.state.table_registry import TableRegistry
@@ -25,15 +24,6 @@
 NO_TABLES: list[TableInUse] = []
 
 
-@dataclass(frozen=True)
-class AdmissionDifference:
-    """A table with another level of a class than is desired, and the groups assigned to it."""
-
-    traffic_class: int
-    table: Table
-    groups: list[Group]
-
-
 class Assignments(TableRegistry):
     """Owns the connected proxies, the tables that each may be using, and their groups."""
 
@@ -268,8 +258,11 @@
 
     def differing_admission(
         self, admission_levels: list[AdmissionLevel]
-    ) -> list[AdmissionDifference]:
-        """Return where tables in use have another level of a class than this (by class)."""
+    ) -> dict[tuple[int, Table], list[Group]]:
+        """Return by class and table where a table in use has another level, with its groups.
+
+        The groups are those that are assigned to the table for the class.
+        """
         groups_by_table: dict[tuple[int, Table], list[Group]] = {}
         differing_tables = {
             table
@@ -277,7 +270,7 @@
             if table.admission_levels != admission_levels
         }
         if not differing_tables:
-            return []
+            return groups_by_table
         for assigned_tables, group in self.groups.items():
             for traffic_class, table in enumerate(assigned_tables):
                 if (
@@ -286,10 +279,7 @@
                     and table.admission_levels[traffic_class] != admission_levels[traffic_class]
                 ):
                     groups_by_table.setdefault((traffic_class, table), []).append(group)
-        return [
-            AdmissionDifference(traffic_class, table, groups)
-            for (traffic_class, table), groups in groups_by_table.items()
-        ]
+        return groups_by_table
 
     def groups_to_assign(
         self, current: Mapping[int, Table], table: Table, new_proxies: bool
--- a/dunlinlug/decision/state/desired_weights.py
+++ b/dunlinlug/decision/state/desired_weights.py
@@ -122,8 +122,16 @@
     def capacity(self, table: Table, desired: Weights) -> float:
         """Return the weight of a table's available endpoints, `MIN_CAPACITY` if there is none."""
         is_default = desired is self.default_weights
-        if is_default and table.cached_capacity is not None and self._is_cache_valid(table):
-            table.capacity_position = self.log_end
+        if (
+            is_default
+            and table.cached_capacity is not None
+            and table.capacity_position >= self.truncated
+            and table.weights.keys().isdisjoint(
+                self.change_log[table.capacity_position - self.truncated :]
+            )
+        ):
+            # No row of the table changed since its capacity was added up.
+            table.capacity_position = self.truncated + len(self.change_log)
             return table.cached_capacity
         available = (
             sum(desired.get(row, 0.0) for row in table.weights if row not in self.ejected)
@@ -131,16 +139,9 @@
         )
         if is_default:
             table.cached_capacity = available
-            table.capacity_position = self.log_end
+            table.capacity_position = self.truncated + len(self.change_log)
         return available
 
-    def _is_cache_valid(self, table: Table) -> bool:
-        """Whether no row of the table changed since its capacity was added up."""
-        if table.capacity_position < self.truncated:
-            return False
-        new_entries = self.change_log[table.capacity_position - self.truncated :]
-        return table.weights.keys().isdisjoint(new_entries)
-
     def capacities(self, tables: Iterable[Table], desired: Weights) -> dict[Table, float]:
         """Return the capacity of each of these tables."""
         return {table: self.capacity(table, desired) for table in tables}
--- a/tests/decision/state/test_incremental_state.py
+++ b/tests/decision/state/test_incremental_state.py
@@ -433,10 +433,12 @@
         }
         desired_levels = [admission_level(1.0, 1)] * 5
         assert {
-            (each.traffic_class, each.table.table_id): sorted(
-                proxy_id for group in each.groups for proxy_id in group
+            (traffic_class, table.table_id): sorted(
+                proxy_id for group in groups for proxy_id in group
             )
-            for each in assignments.differing_admission(desired_levels)
+            for (traffic_class, table), groups in assignments.differing_admission(
+                desired_levels
+            ).items()
         } == {
             (k, t.table_id): proxy_ids
             for t in tables
@@ -562,7 +564,7 @@
         play_assignments,
         Assignments,
         "differing_admission",
-        lambda self, admission_levels: [],
+        lambda self, admission_levels: {},
     ),
     "nobody lacks a table": (
         play_assignments,
