--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -33,16 +33,18 @@
 from dunlinlug.fleet.membership.messages import MemberStateChanged
 from dunlinlug.fleet.membership.service import Membership
 from dunlinlug.fleet.ownership.lease_exercise import run_exercise
-from dunlinlug.fleet.ownership.service import Ownership
+from dunlinlug.fleet.ownership.options import LeaseTiming
+from dunlinlug.fleet.ownership.service import Ownership, OwnershipConfig
 from dunlinlug.fleet.ownership.shared_health_checks import HealthCheckCoordinator
 from dunlinlug.fleet.ownership.shared_overrides import SharedOverrides
 from dunlinlug.fleet.shared_keys import KeyFileError, read_keys
 from dunlinlug.guard import OrderValidator, OverrideError, Overrides
 from dunlinlug.manager import structured_logging
 from dunlinlug.manager.channel import PacedChannel
-from dunlinlug.manager.decision_loop import DecisionLoop, DecisionModule
+from dunlinlug.manager.decision_loop import DecisionLoop
 from dunlinlug.manager.endpoint_watcher import EndpointWatcher
 from dunlinlug.manager.health_checks import HealthChecker
+from dunlinlug.manager.interfaces import DecisionModule
 from dunlinlug.manager.order_validation import RecordingOrderValidation
 from dunlinlug.manager.report_aggregator import ReportAggregator
 from dunlinlug.manager.signals import STOP_SIGNALS, SignalReceiver
@@ -250,17 +252,9 @@
         config = self.config.section(manager_config.LeaseConfig)
         if not config.on:
             return None
-        timing = {
-            "lease": config.lease,
-            "heartbeat_interval": config.beat,
-            "drift": config.drift,
-            "recovery_timeout": config.forgets,
-        }
+        timing = LeaseTiming(config.lease, config.beat, config.drift, config.forgets)
         ownership = Ownership(
-            self_id,
-            addresses,
-            self.member_keys,
-            timing,
+            OwnershipConfig(self_id, addresses, self.member_keys, timing),
             self.store,
             Random(
                 f"{self.config.section(manager_config.ServerConfig).seed} owners {self_id} {self.epoch}"
@@ -396,7 +390,7 @@
             self.store.put_overrides,
             validation.record_rejections,
         )
-        validation.on_validated = registry.end_invalid
+        validation.set_validated_callback(registry.end_invalid)
         return AdminApi(
             read_token(Path(self.admin_config.token_file)),
             self.settings.traffic_classes,
