--- a/tests/decision/test_order_rejection.py
+++ b/tests/decision/test_order_rejection.py
@@ -199,7 +199,7 @@
             "the table before stays in use, without the drained endpoint"
         )
         proxy_state = proxy.holdings
-    assert {refusal["rule"] for refusal in read_rejections(tmp_path / "store")} == {"bare"}
+    assert {rejection.rule for rejection in read_rejections(tmp_path / "store")} == {"bare"}
     async with running(tmp_path) as run:
         run.roster.tell(w3="draining")
         async with peer(run, "p0", proxy_state) as proxy:
--- a/tests/fleet/ownership/test_shared_overrides.py
+++ b/tests/fleet/ownership/test_shared_overrides.py
@@ -50,7 +50,7 @@
     )
     await until(
         lambda: all(
-            manager.validation and len(manager.validation.validator.workers) == len(WORKERS)
+            manager.validation and len(manager.validation.validator.endpoints.by_id) == len(WORKERS)
             for manager in managers.managers.values()
         )
     )
