--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -22,7 +22,7 @@
 from dunlinlug.balance import Balancer
 from dunlinlug.config import manager_config
 from dunlinlug.config.reader import ConfigError, ConfigFile
-from dunlinlug.decision.events import Endpoint, EndpointsUpdated, PartitionLimitsChanged
+from dunlinlug.decision.events import Endpoint, EndpointsUpdated, PartitionLimitsChanged, UpdateType
 from dunlinlug.decision.orders import CheckHealth, ListEndpoints, WatchEndpoints
 from dunlinlug.decision.settings import ManagerSettings
 from dunlinlug.discovery import entries
@@ -310,7 +310,7 @@
         max_queued_entries = self.config.section(manager_config.ChannelConfig).waiting_most
         module = self.loop.module
         rates = (
-            [proxy.request_rate for proxy in module.assignments.proxies.values()]
+            [proxy.request_rate for proxy in module.state.assignments.proxies.values()]
             if isinstance(module, Balancer)
             else []
         )
@@ -328,7 +328,7 @@
         if self.validation is not None:
             validator = OrderValidator(self.settings, self.validation.enforced)
             workers = (
-                listed_workers(self.loop.module.fleet)
+                listed_workers(self.loop.module.state.fleet)
                 if isinstance(self.loop.module, Balancer)
                 else []
             )
@@ -354,7 +354,7 @@
             self.nursery.start_soon(self._run_while_leading, self.endpoint_watcher.watch, True)
         elif not starts_empty:
             self.loop.submit(
-                EndpointsUpdated("failed")
+                EndpointsUpdated(UpdateType.FAILED)
             )  # what the former master asked for does not come to us
 
     def _on_leadership_lost(self) -> None:
@@ -535,7 +535,7 @@
                 )
             except entries.DiscoveryResponseError as error:
                 self.log_event("store.invalid_list", why=str(error))
-        self.loop.submit(EndpointsUpdated("kept", tuple(workers)))
+        self.loop.submit(EndpointsUpdated(UpdateType.RESTORED, tuple(workers)))
         self.log_event("store.list_loaded", workers=len(workers))
 
     async def _wait_for_stop(self, signals: SignalReceiver) -> None:
--- a/dunlinlug/config/manager_config.py
+++ b/dunlinlug/config/manager_config.py
@@ -26,7 +26,15 @@
     validate_lease_timing,
 )
 from dunlinlug.config.reader import ConfigError, ConfigFile, load_config
-from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, SafetyLimits, TrafficClass
+from dunlinlug.decision.settings import (
+    AdmissionMode,
+    ChannelSettings,
+    Idempotency,
+    ManagerSettings,
+    ReportDelivery,
+    SafetyLimits,
+    TrafficClass,
+)
 
 __all__ = [
     "NAMED_SECTIONS",
@@ -158,10 +166,10 @@
         must_subscribe=config.section(DiscoveryConfig).mode == "asked",
         can_check_health=config.section(HealthCheckConfig).allowed,
         load_report_fields=reports.fields,
-        report_delivery="answers" if reports.fields else "none",
+        report_delivery=ReportDelivery.RESPONSES if reports.fields else ReportDelivery.NONE,
         report_interval=reports.cycle,
         default_retry_policy=server.usual_retry,
-        admission_mode=server.admits,
+        admission_mode=AdmissionMode(server.admits),
         initial_subset_size=server.standing,
     )
 
@@ -173,7 +181,7 @@
         deadline=config.deadline,
         priority_weight=config.revenue,
         late_value_fraction=config.late_share,
-        idempotency=config.repeats,
+        idempotency=Idempotency(config.repeats),
         group=config.group,
         deduplication_window=config.window,
     )
--- a/dunlinlug/fleet/election/replicated_state.py
+++ b/dunlinlug/fleet/election/replicated_state.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from dunlinlug.balance import Balancer
-from dunlinlug.decision.events import Endpoint, ProxyDisconnected
+from dunlinlug.decision.events import Endpoint, EndpointState, ProxyDisconnected
 from dunlinlug.decision.settings import ManagerSettings
 from dunlinlug.decision.state import endpoints
-from dunlinlug.fleet.election import event_forms, module_state
+from dunlinlug.fleet.election import event_forms, module_forms, module_state
 from dunlinlug.fleet.election.serialization import ObjectSerializer, SerializationError, WireForm
 from dunlinlug.manager.installed_tables import InstalledTable
 
@@ -84,7 +84,7 @@
         "levels": "admissions",
     },
 )
-FORMS = (BATCH, STANDING, LAID, *module_state.FORMS, *event_forms.FORMS)
+FORMS = (BATCH, STANDING, LAID, *module_forms.FORMS, *event_forms.FORMS)
 SERIALIZER = ObjectSerializer(*FORMS)
 
 
@@ -94,7 +94,9 @@
         fleet.ids, fleet.zones, fleet.ready, fleet.listed_weights, fleet.started_at, strict=True
     )
     return [
-        Endpoint(key, zone, "", 0, "ready" if ready else "gone", weight, since)
+        Endpoint(
+            key, zone, "", 0, EndpointState.READY if ready else EndpointState.GONE, weight, since
+        )
         for key, zone, ready, weight, since in columns
     ]
 
@@ -105,7 +107,7 @@
     it stays away.
     """
     return (
-        [ProxyDisconnected(proxy) for proxy in module.assignments.proxies]
+        [ProxyDisconnected(proxy) for proxy in module.state.assignments.proxies]
         if isinstance(module, Balancer)
         else []
     )
--- a/dunlinlug/platform/discovery.py
+++ b/dunlinlug/platform/discovery.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from dunlinlug.decision.events import EndpointsUpdated, Event
+from dunlinlug.decision.events import EndpointsUpdated, Event, UpdateType
 from dunlinlug.manager.start_times import StartTimes
 from dunlinlug.net import http
 from dunlinlug.platform import discovery_state
@@ -46,7 +46,9 @@
     def publish_stored_list(self, instances: list[discovery_state.Instance]) -> None:
         """Take the list that was known before this process started."""
         self._update_addresses(instances, is_snapshot=True)
-        self._publish(EndpointsUpdated("kept", discovery_state.present_workers(instances)))
+        self._publish(
+            EndpointsUpdated(UpdateType.RESTORED, discovery_state.present_workers(instances))
+        )
 
     async def run(self) -> None:
         """Query again and again until cancelled."""
--- a/dunlinlug/standins/discovery.py
+++ b/dunlinlug/standins/discovery.py
@@ -8,7 +8,7 @@
 
 from dunlinlug.config import manager_config
 from dunlinlug.config.reader import ConfigFile
-from dunlinlug.decision.events import Endpoint
+from dunlinlug.decision.events import Endpoint, EndpointState
 from dunlinlug.discovery import entries
 from dunlinlug.net import http
 from dunlinlug.scenarios import schema
@@ -35,7 +35,9 @@
         self.duplicate_entry = False
         self.address = config.section(manager_config.DiscoveryConfig).address
         self.workers = {
-            name: Endpoint(name, worker_config.zone, "", 0, "ready", worker_config.weight, None)
+            name: Endpoint(
+                name, worker_config.zone, "", 0, EndpointState.READY, worker_config.weight, None
+            )
             for name, worker_config in config.sections(schema.WorkerConfig).items()
         }
         self.visible_workers = dict(self.workers)
@@ -84,7 +86,10 @@
         if not self.duplicate_entry:
             return []
         first_workers = list(self.visible_workers.values())[:1]
-        return [replace(worker, state="draining", started_at=None) for worker in first_workers]
+        return [
+            replace(worker, state=EndpointState.DRAINING, started_at=None)
+            for worker in first_workers
+        ]
 
     async def execute(self, command: Command) -> None:
         """Change the list, or begin or end a fault."""
