--- a/bench/members.py
+++ b/bench/members.py
@@ -10,15 +10,19 @@
 
 import argparse
 import multiprocessing
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from functools import partial
 from random import Random
+from types import ModuleType
 from typing import Any
 
-from dunlinlug.fleet.membership import protocol
+from dunlinlug.fleet.membership import claims, clock, merging, suspicions
 from dunlinlug.fleet.membership.messages import (
     ALIVE,
     MemberState,
     MemberStateChanged,
+    Message,
     Order,
     Ping,
     Send,
@@ -30,25 +34,49 @@
 LOSSES = (0.0, 0.01, 0.05, 0.2)
 
 
+# What plain SWIM does in place of Lifeguard's rules and of ours: module, function, replacement.
+PLAIN_SWIM: tuple[tuple[ModuleType, str, Callable[..., Any]], ...] = (
+    (clock, "detect_pause", lambda member: []),
+    (
+        suspicions,
+        "deadline",
+        lambda member, name: (
+            member.suspicions[name].started_at
+            + suspicions.MAX_SUSPICION_INTERVALS / 2 * member.probe_interval
+        ),
+    ),
+    (claims, "merge_claim", lambda member, item: merging.merge_state(member, item, "")),
+)
+
+
+@contextmanager
+def plain_swim() -> Iterator[None]:
+    """The rules of the first paper in force, for one call."""
+    usual = [getattr(module, name) for module, name, _ in PLAIN_SWIM]
+    for module, name, replacement in PLAIN_SWIM:
+        setattr(module, name, replacement)
+    try:
+        yield
+    finally:
+        for (module, name, _), rule in zip(PLAIN_SWIM, usual, strict=True):
+            setattr(module, name, rule)
+
+
 class PlainSwim(MembershipProtocol):
     """As the first paper has it, with a suspicion half as long as ours is without witnesses."""
 
-    def _detect_pause(self, now: float) -> list[Order]:
-        self.local_health = 0
-        return []
-
-    def _suspicion_deadline(self, name: str) -> float:
-        return (
-            self.suspicions[name].started_at
-            + protocol.MAX_SUSPICION_INTERVALS / 2 * self.probe_interval
-        )
+    def next_deadline(self) -> float:
+        with plain_swim():
+            return super().next_deadline()
 
-    def _merge_claim(self, now: float, item: MemberState) -> list[Order]:
-        return self._merge_state(now, item, "")
+    def receive(self, host_time: float, message: Message) -> list[Order]:
+        with plain_swim():
+            return super().receive(host_time, message)
 
     def tick(self, host_time: float) -> list[Order]:
         self.local_health = 0
-        return super().tick(host_time)
+        with plain_swim():
+            return super().tick(host_time)
 
 
 class Heartbeats:
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -24,8 +24,9 @@
 from dunlinlug.discovery.blocking_query import INDEX_HEADER, MIN_QUERY_INTERVAL, BlockingQuery
 from dunlinlug.fleet.membership.list_digests import BROADCAST_INTERVAL, ListDigest, ListDigests
 from dunlinlug.fleet.membership.load import ManagerLoad
+from dunlinlug.fleet.membership.local_member import Lifecycle, PeerState
 from dunlinlug.fleet.membership.messages import ALIVE, Broadcast, MemberState, MemberStateChanged
-from dunlinlug.fleet.membership.protocol import MembershipProtocol, PeerState
+from dunlinlug.fleet.membership.protocol import MembershipProtocol
 from dunlinlug.fleet.membership.service import Membership
 from dunlinlug.net import http
 
@@ -123,7 +124,7 @@
                 machine.table.members[told.name] = told
                 machine.peers[told.name] = PeerState(now)
         machine.table.pending_broadcasts.clear()
-        machine.state = "alive"
+        machine.state = Lifecycle.ALIVE
 
     def _begin(self, machine: MembershipProtocol) -> None:
         """From now on, each at its own time within a beat. Danger: made some seconds ago, it would count that as time
--- a/bench/scale/slopes.py
+++ b/bench/scale/slopes.py
@@ -54,9 +54,10 @@
 from dunlinlug.fleet.election import codec as log_codec
 from dunlinlug.fleet.election import replicated_state
 from dunlinlug.fleet.membership import codec as member_codec
-from dunlinlug.fleet.membership import protocol as members
+from dunlinlug.fleet.membership import reconnects, state_sync
 from dunlinlug.fleet.membership.list_digests import ListDigest, ListDigests
 from dunlinlug.fleet.membership.load import ManagerLoad, ManagerLoads
+from dunlinlug.fleet.membership.local_member import Lifecycle, PeerState
 from dunlinlug.fleet.membership.messages import (
     ALIVE,
     Broadcast,
@@ -66,6 +67,7 @@
     MemberStateChanged,
     StateSync,
 )
+from dunlinlug.fleet.membership.protocol import MembershipProtocol
 from dunlinlug.fleet.membership.service import Membership
 from dunlinlug.fleet.membership.simulated_network import Node, SimulatedNetwork
 from dunlinlug.fleet.ownership.simulated_network import SimulatedNetwork as Owners
@@ -348,7 +350,7 @@
     def settled(self, size: int) -> None:
         """So many who have long known each other, as after hours: nothing waits to be told."""
         for n in range(size):
-            self.start(name_of(n), seeds=SEEDS).protocol.state = "alive"
+            self.start(name_of(n), seeds=SEEDS).protocol.state = Lifecycle.ALIVE
         told = {node.name: node.protocol.local_state for node in self.nodes.values()}
         for node in self.nodes.values():
             machine = node.protocol
@@ -356,13 +358,13 @@
             machine.table.pending_broadcasts.clear()
             machine.table._digest = b""
             machine.peers = {
-                name: members.PeerState(self.now, self.now) for name in told if name != node.name
+                name: PeerState(self.now, self.now) for name in told if name != node.name
             }
             machine.next_probe_at = self.now + self.rng.uniform(0, BEAT)
             machine.next_sync_at = (
-                self.now + self.rng.uniform(0, 1.0) * members.SYNC_INTERVALS * BEAT
+                self.now + self.rng.uniform(0, 1.0) * state_sync.SYNC_INTERVALS * BEAT
             )
-            machine.next_reconnect_at = self.now + members.RECONNECT_INTERVALS * BEAT
+            machine.next_reconnect_at = self.now + reconnects.RECONNECT_INTERVALS * BEAT
             self._arm_timer(node)
         gc.freeze()  # a manager holds one such table, not all: going through them all would be counted as its work
 
@@ -676,7 +678,7 @@
         clock=clock,
     )
     host.protocol.table.members = told
-    host.protocol.peers = {name: members.PeerState(0.0, 0.0) for name in told if name != me}
+    host.protocol.peers = {name: PeerState(0.0, 0.0) for name in told if name != me}
     return host
 
 
@@ -944,7 +946,7 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     me = name_of(0)
-    machine = members.MembershipProtocol(me, 1, (me, 1), [], 0.0, BEAT, Random(1))
+    machine = MembershipProtocol(me, 1, (me, 1), [], 0.0, BEAT, Random(1))
     burdens, lists = ManagerLoads(me, 1), ListDigests(me, 1)
     opener = member_codec.DatagramOpener([KEY])
     for n in range(size):
--- a/bench/scale/truth.py
+++ b/bench/scale/truth.py
@@ -9,7 +9,7 @@
 from math import inf, log2, log10
 from typing import Any
 
-from dunlinlug.fleet.membership.protocol import MAX_SUSPICION_INTERVALS
+from dunlinlug.fleet.membership.suspicions import MAX_SUSPICION_INTERVALS
 
 SHOWN = 10  # false verdicts that a result shows in full
 
--- /dev/null
+++ b/dunlinlug/fleet/membership/failure_detection.py
@@ -0,0 +1,165 @@
+"""Failure detection: the round of probes, indirect probes, and what follows on timeouts and acks.
+
+Source: SWIM (Das, Gupta, Motivala 2002): members are probed in rounds of random order (section
+4.3), one in each interval, directly and then through others (section 3.1); who answers nobody is
+suspected (section 4.2). From Lifeguard (Dadgar, Phillips, Currey 2018): nacks and the local health
+multiplier (section IV-A). Departures, each for a case that the tests play: a member that is heard
+while it leaves a probe unanswered is not suspected, and a member that hears nobody suspects nobody
+for a while.
+"""
+
+from math import inf
+
+from dunlinlug.fleet.membership import (
+    local_health,
+    merging,
+    probes,
+    reachability,
+    suspicions,
+)
+from dunlinlug.fleet.membership.local_member import LocalMember, Probe
+from dunlinlug.fleet.membership.messages import (
+    FAILED,
+    STATE_NAMES,
+    SUSPECTED,
+    Ack,
+    MemberStateChanged,
+    Nack,
+    Order,
+    PingRequest,
+)
+
+INDIRECT_PROBES = 3  # SWIM's k: members that are asked to probe for us
+# Probe intervals until a failed or departed member is forgotten: far beyond what any message takes.
+RETENTION_INTERVALS = 600.0
+
+
+def run_probe_interval(member: LocalMember) -> list[Order]:
+    """Begin a probe interval: forget who departed long ago, and probe the next of the round."""
+    member.next_probe_at = member.now + member.probe_interval * local_health.multiplier(member)
+    orders = _forget_departed(member)
+    name = _next_in_round(member)
+    if name is not None:
+        orders += probes.start(member, name)
+    reachability.update_report(member)
+    return orders
+
+
+def _forget_departed(member: LocalMember) -> list[Order]:
+    retention = RETENTION_INTERVALS * member.probe_interval
+    orders: list[Order] = []
+    for name in list(member.table.departed_members()):
+        if name == member.self_id or member.now < member.peers[name].since + retention:
+            continue
+        before = STATE_NAMES[member.table.members[name].state]
+        orders.append(MemberStateChanged(name, before, "gone", "failed or left long ago"))
+        member.table.forget(name)
+        del member.peers[name]
+    return orders
+
+
+def _next_in_round(member: LocalMember) -> str | None:
+    """The next member in random order; each is probed once before any is probed twice."""
+    known = set(member.other_live_members())
+    while member.probe_order and member.probe_order[-1] not in known:
+        member.probe_order.pop()
+    if not member.probe_order:
+        member.probe_order = sorted(known)
+        member.rng.shuffle(member.probe_order)
+    return member.probe_order.pop() if member.probe_order else None
+
+
+def handle_timeouts(member: LocalMember) -> list[Order]:
+    """Carry on with every probe that has waited long enough for its next step."""
+    orders: list[Order] = []
+    for sequence in [n for n, probe in member.probes.items() if probe.indirect_at <= member.now]:
+        orders += request_indirect_probes(member, sequence)
+    for sequence in [n for n, probe in member.probes.items() if probe.deadline <= member.now]:
+        orders += handle_probe_timeout(member, member.probes.pop(sequence))
+    return orders
+
+
+def request_indirect_probes(member: LocalMember, sequence: int) -> list[Order]:
+    """Ask some others to probe a member that has not answered us directly."""
+    probe = member.probes[sequence]
+    probe.indirect_at = inf
+    others = [name for name in member.other_live_members() if name != probe.name]
+    helpers = member.rng.sample(others, min(INDIRECT_PROBES, len(others)))
+    probe.indirect_count = len(helpers)
+    subject = member.table.members[probe.name]
+    orders: list[Order] = []
+    for name in helpers:
+        gossip = member.table.take_gossip()
+        request = PingRequest(member.local_state, name, sequence, subject, gossip)
+        orders.append(member.send(name, request))
+    return orders
+
+
+def handle_probe_timeout(member: LocalMember, probe: Probe) -> list[Order]:
+    """Nobody had an answer of the member probed: suspect it, unless the fault may be ours."""
+    known = member.table.members.get(probe.name)
+    peer = member.peers.get(probe.name)
+    if known is None or peer is None or known.state > SUSPECTED:
+        return []
+    if known.incarnation[0] != probe.start_epoch:
+        return []
+    if probe.claim is not None:
+        reason = f"{probe.claim.reporter} says so, and it does not answer us"
+        return merging.merge_state(member, probe.claim, reason)
+    peer.directly_reachable = False
+    peer.unresponsive = True
+    if peer.last_heard_at >= probe.started_at:
+        # It is alive, since we hear it: what is lost are our own messages.
+        local_health.degrade(member)
+        reachability.update_report(member)
+        return []
+    isolated = member.last_heard_at < probe.started_at
+    if probe.nacks < probe.indirect_count or isolated:
+        # Helpers are silent as well, so it may be we who hear nothing.
+        local_health.degrade(member)
+    if isolated and member.local_health <= local_health.ISOLATED_LOCAL_HEALTH:
+        return []
+    reason = (
+        f"no answer in {member.now - probe.started_at:.2f} s, nor to {probe.indirect_count} others "
+        f"({probe.nacks} said so)"
+    )
+    return merging.merge_state(member, merging.with_state(member, probe.name, SUSPECTED), reason)
+
+
+def handle_ack(member: LocalMember, ack: Ack) -> None:
+    """A probe of ours was answered, by the member probed or by one that probed it for us."""
+    probe = member.probes.get(ack.sequence)
+    if probe is None or probe.name != ack.subject:
+        return
+    if probe.start_epoch != ack.subject_start_epoch:
+        return
+    del member.probes[ack.sequence]
+    direct = ack.subject == ack.sender.name
+    peer = member.peers[probe.name]
+    peer.unresponsive = False
+    peer.directly_reachable = direct
+    if direct and not probe.unscheduled:
+        local_health.improve(member)
+    if not direct or reachability.is_reported_silent(member, probe.name):
+        reachability.update_report(member)
+
+
+def handle_nack(member: LocalMember, nack: Nack) -> None:
+    """A helper is well and has no answer yet: the fault is not in hearing helpers."""
+    if nack.sequence in member.probes:
+        member.probes[nack.sequence].nacks += 1
+
+
+def expire_suspicions(member: LocalMember) -> list[Order]:
+    """Members suspected for their full time without a refutation have failed."""
+    expired = [
+        name for name in member.suspicions if suspicions.deadline(member, name) <= member.now
+    ]
+    orders: list[Order] = []
+    for name in expired:
+        suspicion = member.suspicions[name]
+        duration = member.now - suspicion.started_at
+        reporters = ", ".join(sorted(suspicion.confirmed_by))
+        reason = f"suspected for {duration:.2f} s, witnesses: {reporters}"
+        orders += merging.merge_state(member, merging.with_state(member, name, FAILED), reason)
+    return orders
--- a/dunlinlug/fleet/membership/member_table.py
+++ b/dunlinlug/fleet/membership/member_table.py
@@ -1,14 +1,15 @@
-"""What one member knows of all: merged from what is told, and told on a bounded number of times.
-Free of I/O and time.
+"""What one member knows of all others: merging, the digest, and the queue of gossip.
 
-Merging is commutative, associative and idempotent: each name keeps its highest rank, each bar its
-highest count, each row its highest version. What is new here is told on, the least told first,
-`TELLS` times for each tenfold size.
+Merging is commutative, associative and idempotent: each name keeps its highest precedence, each ban
+and each reachability report its highest version. What is new is sent on with other messages, the
+least sent first, a number of times that grows with the logarithm of the cluster's size (SWIM: Das,
+Gupta, Motivala 2002, section 4.1). Free of I/O and time.
 """
 
 from collections.abc import Iterable, Iterator
 from hashlib import blake2b
 from math import ceil, log2
+from typing import NamedTuple
 
 import msgspec
 
@@ -19,104 +20,138 @@
     MAX_MEMBERS,
     SUSPECTED,
     GossipItem,
+    Incarnation,
     MemberBan,
     MemberState,
     ReachabilityReport,
 )
 
-# times log2 of the size that each item is told: all hear of it but one in a thousand, as SWIM's
-# paper shows
+# SWIM's lambda: each item is sent so many times log2 of the size, by which all members but one in
+# a thousand receive it.
 RETRANSMIT_MULTIPLIER = 3
-# bytes of items in one datagram: with head and seal below the 1,280 that every path carries
+# Bytes of items in one datagram: with header and seal below the 1,280 that every path carries.
 MAX_GOSSIP_BYTES = 1000
-# of names forgotten, kept by rank: as many as fail in the time in which all forget one
-MAX_TOMBSTONES = 256
-LOWEST_PRECEDENCE = ((-1, 0), 0)  # a rank below all
-MAX_GOSSIP_ITEMS = 48  # in one datagram: what its reader takes at least
+MAX_GOSSIP_ITEMS = 48  # items in one datagram, fewer than a receiver takes
+MAX_TOMBSTONES = 256  # forgotten names that are remembered: as many as fail in a retention time
+LOWEST_PRECEDENCE: tuple[Incarnation, int] = ((-1, 0), 0)  # below that of every statement
+
+MergeableItem = MemberState | MemberBan | ReachabilityReport
+# Kind of item, member and, of a suspicion, its reporter: newer items of a key replace older ones.
 BroadcastKey = tuple[str, ...]
+STATE_KEY = "t"
+BAN_KEY = "b"
+REPORT_KEY = "r"
+
+
+class PendingBroadcast(NamedTuple):
+    """An item to be sent on: how often it was sent, and its size in bytes."""
+
+    transmissions: int
+    item: GossipItem
+    size: int
 
 
 class MembershipTable:
-    """`told` by name; one in it that is FAILED or LEFT stays until it is forgotten."""
+    """Members, bans and reachability reports by name, and what of them is to be sent on.
+
+    A failed or departed member stays in the table until it is forgotten; its precedence is then
+    kept as a tombstone.
+    """
 
     def __init__(self) -> None:
         self.members: dict[str, MemberState] = {}
         self.bans: dict[str, MemberBan] = {}
         self.reachability_reports: dict[str, ReachabilityReport] = {}
-        self.pending_broadcasts: dict[
-            BroadcastKey, tuple[int, GossipItem, int]
-        ] = {}  # by key how often told, what, and its size
-        self.tombstones: dict[str, tuple[tuple[int, int], int]] = {}  # rank of those forgotten last
-        self._digest = b""
+        self.pending_broadcasts: dict[BroadcastKey, PendingBroadcast] = {}
+        self.tombstones: dict[str, tuple[Incarnation, int]] = {}
+        self._digest = b""  # empty once the table has changed
 
-    # Merging.
-
-    def merge(self, item: MemberState | MemberBan | ReachabilityReport) -> bool:
-        """Merge; tells whether it was news."""
+    def merge(self, item: MergeableItem) -> bool:
+        """Merge one item and queue it for sending if it is news; gives whether it is."""
         match item:
-            case MemberState(name=name):
-                previous = self.members.get(name)
-                lowest_accepted = (
-                    previous.precedence()
-                    if previous is not None
-                    else self.tombstones.get(name, LOWEST_PRECEDENCE)
-                )
-                if (
-                    lowest_accepted >= item.precedence()
-                    or previous is None
-                    and len(self.members) >= MAX_MEMBERS
-                ):
-                    return False
-                self.members[name] = item
-                self.tombstones.pop(name, None)
-            case MemberBan(name=name):
-                previous_ban = self.bans.get(name)
-                if (
-                    len(self.bans) >= MAX_MEMBERS
-                    if previous_ban is None
-                    else (previous_ban.version, previous_ban.banned) >= (item.version, item.banned)
-                ):
-                    return False
-                self.bans[name] = item
-            case ReachabilityReport(name=name):
-                previous_report = self.reachability_reports.get(name)
-                if (
-                    len(self.reachability_reports) >= MAX_MEMBERS or name in self.tombstones
-                    if previous_report is None
-                    else previous_report.version >= item.version
-                ):
-                    return False
-                self.reachability_reports[name] = item
-        self._digest = b""
-        self.queue_broadcast(item)
+            case MemberState():
+                is_news = self._merge_state(item)
+            case MemberBan():
+                is_news = self._merge_ban(item)
+            case ReachabilityReport():
+                is_news = self._merge_report(item)
+        if is_news:
+            self._digest = b""
+            self.queue_broadcast(item)
+        return is_news
+
+    def _merge_state(self, item: MemberState) -> bool:
+        previous = self.members.get(item.name)
+        if previous is None:
+            if len(self.members) >= MAX_MEMBERS:
+                return False
+            known_precedence = self.tombstones.get(item.name, LOWEST_PRECEDENCE)
+        else:
+            known_precedence = previous.precedence()
+        if known_precedence >= item.precedence():
+            return False
+        self.members[item.name] = item
+        self.tombstones.pop(item.name, None)
+        return True
+
+    def _merge_ban(self, item: MemberBan) -> bool:
+        previous = self.bans.get(item.name)
+        if previous is None:
+            if len(self.bans) >= MAX_MEMBERS:
+                return False
+        elif (previous.version, previous.banned) >= (item.version, item.banned):
+            return False
+        self.bans[item.name] = item
+        return True
+
+    def _merge_report(self, item: ReachabilityReport) -> bool:
+        previous = self.reachability_reports.get(item.name)
+        if previous is None:
+            if len(self.reachability_reports) >= MAX_MEMBERS or item.name in self.tombstones:
+                return False
+        elif previous.version >= item.version:
+            return False
+        self.reachability_reports[item.name] = item
         return True
 
     def forget(self, name: str) -> None:
-        """Danger: who forgets a little later would tell of it again, and so on without end; so the
-        rank is kept for a while, by number and not by time.
+        """Remove a member and what it reported, and keep a tombstone of it.
+
+        Without the tombstone, a member that forgets a little later would make us learn the name
+        again, and so on without end. Tombstones are bounded by number and not by time.
         """
         while len(self.tombstones) >= MAX_TOMBSTONES:
-            del self.tombstones[next(iter(self.tombstones))]
+            oldest = next(iter(self.tombstones))
+            del self.tombstones[oldest]
         self.tombstones[name] = self.members.pop(name).precedence()
         self.reachability_reports.pop(name, None)
         self.pending_broadcasts = {
-            key: value for key, value in self.pending_broadcasts.items() if key[1] != name
+            key: pending for key, pending in self.pending_broadcasts.items() if key[1] != name
         }
         self._digest = b""
 
     def is_banned(self, name: str) -> bool:
+        """Whether an operator has banned this member."""
         return name in self.bans and self.bans[name].banned
 
     def live_members(self) -> list[str]:
-        """Alive or suspected, and not barred."""
+        """Names of members that are alive or suspected and not banned, ours among them."""
         return [
             name
             for name, member_state in self.members.items()
             if member_state.state <= SUSPECTED and not self.is_banned(name)
         ]
 
+    def departed_members(self) -> Iterator[str]:
+        """Names of members that failed or left and are not forgotten yet."""
+        return (
+            name
+            for name, member_state in self.members.items()
+            if member_state.state in {FAILED, LEFT}
+        )
+
     def digest(self) -> bytes:
-        """Eight bytes, the same wherever the same is known. A suspicion is not yet a view."""
+        """Eight bytes that are equal wherever the same is known; a suspicion counts as alive."""
         if not self._digest:
             states = [
                 (
@@ -131,64 +166,55 @@
         return self._digest
 
     def full_state(self) -> tuple[GossipItem, ...]:
+        """All items that the table holds, for a synchronisation."""
         return (*self.members.values(), *self.bans.values(), *self.reachability_reports.values())
 
-    # Telling on.
-
-    def queue_broadcast(self, item: MemberState | MemberBan | ReachabilityReport) -> None:
-        """Let it ride on what is sent next. What it outdoes is not told any more."""
+    def queue_broadcast(self, item: MergeableItem) -> None:
+        """Send an item on with the next messages, in place of what it overrides."""
         match item:
-            case MemberState(name=name, state=state, reporter=by):
-                for pending_key in [
-                    pending_key
-                    for pending_key in self.pending_broadcasts
-                    if pending_key[:2] == ("t", name)
-                ]:
-                    if (
-                        state != SUSPECTED
-                        or self._pending_state(pending_key).precedence() < item.precedence()
-                    ):
-                        del self.pending_broadcasts[pending_key]
-                key: BroadcastKey = ("t", name, by if state == SUSPECTED else "")
-            case MemberBan(name=name):
-                key = ("b", name)
-            case ReachabilityReport(name=name):
-                key = ("r", name)
+            case MemberState():
+                self._drop_overridden(item)
+                reporter = item.reporter if item.state == SUSPECTED else ""
+                key: BroadcastKey = (STATE_KEY, item.name, reporter)
+            case MemberBan():
+                key = (BAN_KEY, item.name)
+            case ReachabilityReport():
+                key = (REPORT_KEY, item.name)
         self.pending_broadcasts.pop(key, None)
-        self.pending_broadcasts[key] = (0, item, len(msgspec.msgpack.encode(item)))
-
-    def _pending_state(self, key: BroadcastKey) -> MemberState:
-        item = self.pending_broadcasts[key][1]
-        assert isinstance(item, MemberState)
-        return item
+        size = len(msgspec.msgpack.encode(item))
+        self.pending_broadcasts[key] = PendingBroadcast(0, item, size)
+
+    def _drop_overridden(self, item: MemberState) -> None:
+        """Drop older states of this member; reports of the same suspicion stay side by side."""
+        prefix = (STATE_KEY, item.name)
+        for key in [key for key in self.pending_broadcasts if key[:2] == prefix]:
+            pending = self.pending_broadcasts[key].item
+            assert isinstance(pending, MemberState)
+            if item.state != SUSPECTED or pending.precedence() < item.precedence():
+                del self.pending_broadcasts[key]
 
     def has_unsent(self) -> bool:
-        """Whether something has never been told."""
-        return any(count == 0 for count, _, _ in self.pending_broadcasts.values())
+        """Whether some item was never sent."""
+        return any(pending.transmissions == 0 for pending in self.pending_broadcasts.values())
 
     def take_gossip(self, priority_items: Iterable[GossipItem] = ()) -> tuple[GossipItem, ...]:
-        """What is to ride on a datagram: `first`, then the least told, as much as there is room
-        for.
+        """Items to ride on one datagram, counted as sent.
+
+        The priority items come first, then those sent least, as many as there is room for.
         """
         items = list(priority_items)
         remaining_bytes = MAX_GOSSIP_BYTES
         remaining_bytes -= sum(len(msgspec.msgpack.encode(item)) for item in items)
         max_transmissions = RETRANSMIT_MULTIPLIER * ceil(log2(len(self.members) + 2))
-        for key in sorted(self.pending_broadcasts, key=lambda key: self.pending_broadcasts[key][0]):
-            count, item, size = self.pending_broadcasts[key]
+        pending_broadcasts = self.pending_broadcasts
+        for key in sorted(pending_broadcasts, key=lambda key: pending_broadcasts[key][0]):
+            transmissions, item, size = pending_broadcasts[key]
             if size > remaining_bytes or len(items) >= MAX_GOSSIP_ITEMS:
                 break
             items.append(item)
             remaining_bytes -= size
-            if count + 1 >= max_transmissions:
-                del self.pending_broadcasts[key]
+            if transmissions + 1 >= max_transmissions:
+                del pending_broadcasts[key]
             else:
-                self.pending_broadcasts[key] = (count + 1, item, size)
+                pending_broadcasts[key] = PendingBroadcast(transmissions + 1, item, size)
         return tuple(items)
-
-    def departed_members(self) -> Iterator[str]:
-        return (
-            name
-            for name, member_state in self.members.items()
-            if member_state.state in (FAILED, LEFT)
-        )
--- a/dunlinlug/fleet/membership/messages.py
+++ b/dunlinlug/fleet/membership/messages.py
@@ -1,8 +1,11 @@
-"""What members tell each other, and what the machine asks of its host; plain values.
+"""What members send each other, and what the protocol orders of its host.
 
-Everything told of a member carries its life: which start of its process, and how often it has
-spoken against rumours since. What is told merges by order of life and state, so that it may come
-twice, late and in any order.
+On the wire every record is a msgpack array that begins with the tag declared here; fields go by
+their place, and their names are not sent. A later version may add fields at the end, which an
+earlier one leaves out. Never reorder or retype fields: members of two versions run side by side.
+
+What is said of a member carries its incarnation and merges by order (see `merging`), so that
+messages may come twice, late and in any order.
 """
 
 from typing import Annotated
@@ -10,26 +13,32 @@
 import msgspec
 from msgspec import Meta
 
+MAX_MEMBERS = 1024  # members known at a time: five hundred managers and as many that have been
+MAX_REPORTED_NAMES = 16  # names in each part of a reachability report
+UNKNOWN_NAME = "?"  # target of a message to an address whose member's name is not known
+
 MemberName = Annotated[str, Meta(min_length=1, max_length=64)]
+# Number of the process's start, and how often it has refuted since.
 Incarnation = tuple[Annotated[int, Meta(ge=0)], Annotated[int, Meta(ge=0)]]
 Address = tuple[Annotated[str, Meta(max_length=255)], Annotated[int, Meta(ge=0, le=65535)]]
 
-ALIVE, SUSPECTED, FAILED, LEFT = range(
-    4
-)  # within one life, what is later in this row outranks what is before
+# States of a member; within one incarnation a higher one overrides a lower one.
+ALIVE = 0
+SUSPECTED = 1
+FAILED = 2
+LEFT = 3
 STATE_NAMES = ("alive", "suspected", "failed", "left")
-# members that one ever knows of: five hundred managers and as many that have been
-MAX_MEMBERS = 1024
 
 
 class WireStruct(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Fields by their place: a later version adds fields at the end, and what a reader does not
-    know it leaves out.
-    """
+    """A record whose fields go by place, after its tag."""
 
 
 class MemberState(WireStruct, frozen=True, tag="t"):
-    """A member's state, as `by` has it. Of a suspicion, each `by` is a witness of its own."""
+    """A member's state, as a reporter has it.
+
+    Reports of one suspicion by several reporters are confirmations independent of each other.
+    """
 
     name: MemberName
     incarnation: Incarnation
@@ -38,11 +47,12 @@
     reporter: MemberName
 
     def precedence(self) -> tuple[Incarnation, int]:
+        """Order of merging: the highest wins."""
         return self.incarnation, self.state
 
 
 class MemberBan(WireStruct, frozen=True, tag="b"):
-    """An operator's word on a member: the greater count holds."""
+    """An operator's ban of a member, or its end; the highest version wins."""
 
     name: MemberName
     version: Annotated[int, Meta(ge=0)]
@@ -50,18 +60,23 @@
 
 
 class ReachabilityReport(WireStruct, frozen=True, tag="r"):
-    """Whom a member does not reach by itself, though others do: `unanswered` does not answer it,
-    `unheard` says nothing to it. The greater version within the greater start holds.
+    """Whom a member does not reach by itself, though others may.
+
+    Attributes:
+        name: The member that reports.
+        version: Its start epoch and a number that counts up; the highest wins.
+        not_answering: Members that do not answer its probes.
+        not_heard: Members of which no message comes.
     """
 
     name: MemberName
     version: Incarnation
-    not_answering: Annotated[tuple[MemberName, ...], Meta(max_length=16)] = ()
-    not_heard: Annotated[tuple[MemberName, ...], Meta(max_length=16)] = ()
+    not_answering: Annotated[tuple[MemberName, ...], Meta(max_length=MAX_REPORTED_NAMES)] = ()
+    not_heard: Annotated[tuple[MemberName, ...], Meta(max_length=MAX_REPORTED_NAMES)] = ()
 
 
 class Broadcast(WireStruct, frozen=True, tag="x"):
-    """A fact of the host's, of which the machine knows only that it may be told again."""
+    """A fact of the host's, which the protocol carries without reading it."""
 
     key: Annotated[str, Meta(max_length=128)]
     payload: Annotated[bytes, Meta(max_length=256)]
@@ -73,8 +88,14 @@
 
 
 class Ping(WireStruct, frozen=True, tag="p"):
-    """`own` is what the sender says of itself; `to` is who is meant, so that a copy sent elsewhere
-    says nothing.
+    """A probe, to be answered by an Ack.
+
+    Attributes:
+        sender: The sender's state, by itself; every message begins with it.
+        target: Name of the member meant, so that a copy sent elsewhere is not heeded.
+        sequence: Number of the probe, the sender's; 0 awaits no answer.
+        digest: Digest of the sender's table.
+        gossip: What rides on the message.
     """
 
     sender: MemberState
@@ -85,8 +106,11 @@
 
 
 class Ack(WireStruct, frozen=True, tag="a"):
-    """Of a ping, or, `of` another, of one that was made for the asker. `lived` is the start that
-    answered.
+    """The answer to a ping, the sender's own or one passed on to who had asked for the probe.
+
+    Attributes:
+        subject: The member that answered the probe.
+        subject_start_epoch: The start of its process that answered.
     """
 
     sender: MemberState
@@ -99,7 +123,7 @@
 
 
 class PingRequest(WireStruct, frozen=True, tag="k"):
-    """Please ping this one for me, and tell me by an Ack or a Nack."""
+    """A request to ping the subject for the sender, and to answer by an Ack or a Nack."""
 
     sender: MemberState
     target: MemberName
@@ -109,7 +133,7 @@
 
 
 class Nack(WireStruct, frozen=True, tag="n"):
-    """I have asked, in time, and heard nothing yet: it is not I who am slow."""
+    """The subject of a PingRequest was pinged in time and has not answered yet."""
 
     sender: MemberState
     target: MemberName
@@ -117,7 +141,7 @@
 
 
 class Gossip(WireStruct, frozen=True, tag="g"):
-    """What can't wait for the next ping."""
+    """Items that cannot wait for the next ping."""
 
     sender: MemberState
     target: MemberName
@@ -125,7 +149,7 @@
 
 
 class StateSync(WireStruct, frozen=True, tag="w"):
-    """All that the sender knows, by a stream; `back`: the receiver is to say the same."""
+    """All that the sender knows, sent by a stream; the receiver may be asked for the same."""
 
     sender: MemberState
     target: MemberName
@@ -136,15 +160,30 @@
 Message = Ping | Ack | PingRequest | Nack | Gossip | StateSync
 
 
+def gossip_of(message: Message) -> tuple[GossipItem, ...]:
+    """All items that a message carries."""
+    match message:
+        case StateSync():
+            return message.items
+        case Nack():
+            return ()
+        case _:
+            return message.gossip
+
+
 class Send(msgspec.Struct, frozen=True):
-    """To a place; a Whole goes by a stream, the others as datagrams."""
+    """Order: send a message to an address, a StateSync by a stream, any other as a datagram."""
 
     address: tuple[str, int]
     message: Message
 
 
 class MemberStateChanged(msgspec.Struct, frozen=True):
-    """A member's state as we now have it, and why, in words and figures for people."""
+    """Order: take note that a member's state has changed for us.
+
+    States are names of `STATE_NAMES`, "unknown", "gone", or an operator's "barred" and "unbarred".
+    The reason is for people.
+    """
 
     name: str
     before: str
@@ -153,21 +192,22 @@
 
 
 class ProcessPaused(msgspec.Struct, frozen=True):
-    """We were called this many seconds late: what we had begun is no evidence."""
+    """Order: take note that we were called so many seconds late; open probes were dropped."""
 
     seconds: float
 
 
 class Superseded(msgspec.Struct, frozen=True):
-    """Another process under our name has the later start; we are no member any more, until the name
-    is free.
+    """Order: take note that another process has our name and this later start.
+
+    We are no active member any more, until that start is over.
     """
 
     start_epoch: int
 
 
 class BroadcastReceived(msgspec.Struct, frozen=True):
-    """A fact of the host's came in."""
+    """Order: take a fact of another host's."""
 
     broadcast: Broadcast
 
--- /dev/null
+++ b/dunlinlug/fleet/membership/reachability.py
@@ -0,0 +1,65 @@
+"""Whom this member does not reach itself, though others may: its reachability report.
+
+SWIM knows members that are alive or not. On a network with cut links that is too little: two
+members may be alive to all others and cut from each other. Each member therefore gossips a report
+of those that do not answer it and of those that it does not hear.
+"""
+
+from dunlinlug.fleet.membership import local_health
+from dunlinlug.fleet.membership.local_member import SMALL_CLUSTER, Lifecycle, LocalMember
+from dunlinlug.fleet.membership.messages import MAX_REPORTED_NAMES, SUSPECTED, ReachabilityReport
+from dunlinlug.fleet.membership.suspicions import MAX_SUSPICION_INTERVALS
+
+
+def update_report(member: LocalMember) -> None:
+    """Compose our report anew, and queue it as gossip if it has changed."""
+    others = member.other_live_members()
+    not_answering = _first_names(
+        [name for name in others if not member.peers[name].directly_reachable]
+    )
+    not_heard = _first_names(_not_heard(member, others))
+    if (not_answering, not_heard) == _last_reported(member):
+        return
+    member.report_version += 1
+    version = (member.local_state.incarnation[0], member.report_version)
+    member.table.merge(ReachabilityReport(member.self_id, version, not_answering, not_heard))
+
+
+def _first_names(names: list[str]) -> tuple[str, ...]:
+    return tuple(sorted(names)[:MAX_REPORTED_NAMES])
+
+
+def _not_heard(member: LocalMember, others: list[str]) -> list[str]:
+    """Members silent for three rounds of probes and a suspicion; none in a large cluster."""
+    if len(others) >= SMALL_CLUSTER:
+        return []
+    intervals = 3 * len(others) + MAX_SUSPICION_INTERVALS
+    silence = intervals * member.probe_interval * local_health.multiplier(member)
+    heard_since = member.now - silence
+    return [
+        name
+        for name in others
+        if max(member.peers[name].last_heard_at, member.peers[name].since) < heard_since
+    ]
+
+
+def _last_reported(member: LocalMember) -> tuple[tuple[str, ...], tuple[str, ...]]:
+    """Who did not answer and who was not heard, as our last report has it."""
+    report = member.table.reachability_reports.get(member.self_id)
+    return (report.not_answering, report.not_heard) if report else ((), ())
+
+
+def is_reported_silent(member: LocalMember, name: str) -> bool:
+    """Whether our last report says that this member does not answer us."""
+    not_answering, _ = _last_reported(member)
+    return name in not_answering
+
+
+def is_reachable(member: LocalMember, name: str) -> bool:
+    """Whether we and this member reach each other, directly or through others, as far as we know."""
+    if name == member.self_id:
+        return member.state in {Lifecycle.ALIVE, Lifecycle.JOINING}
+    known = member.table.members.get(name)
+    if known is None or known.state > SUSPECTED or member.table.is_banned(name):
+        return False
+    return not member.peers[name].unresponsive
--- a/tests/fleet/membership/test_protocol.py
+++ b/tests/fleet/membership/test_protocol.py
@@ -3,12 +3,22 @@
 from collections.abc import Callable
 from itertools import permutations
 from random import Random
+from types import ModuleType
 from typing import Any
 
 import msgspec
 import pytest
 
-from dunlinlug.fleet.membership import model
+from dunlinlug.fleet.membership import (
+    claims,
+    clock,
+    failure_detection,
+    merging,
+    model,
+    reachability,
+    reconnects,
+    suspicions,
+)
 from dunlinlug.fleet.membership.member_table import MAX_GOSSIP_BYTES, MembershipTable
 from dunlinlug.fleet.membership.messages import (
     ALIVE,
@@ -21,6 +31,7 @@
     Ping,
     ReachabilityReport,
     Send,
+    StateSync,
 )
 from dunlinlug.fleet.membership.protocol import MembershipProtocol
 from dunlinlug.fleet.membership.simulated_network import SimulatedNetwork
@@ -417,6 +428,15 @@
     assert told == 300 * 27  # three times the log of the size
 
 
+def test_a_synchronisation_is_answered_where_its_sender_says_it_is() -> None:
+    net = fleet(18, 3)
+    protocol, peer = net.node("m0").protocol, net.node("m1").protocol.local_state
+    moved = MemberState("m1", peer.incarnation, ALIVE, ("elsewhere", 9), "m1")
+    orders = protocol.receive(net.now, StateSync(moved, "m0", True, ()))
+    assert [order.address for order in orders] == [("elsewhere", 9)]
+    assert protocol.table.members["m1"].address == peer.address, "same precedence: no news"
+
+
 def test_a_copy_sent_elsewhere_or_of_a_former_life_says_nothing() -> None:
     net = fleet(16, 3)
     machine, own = net.node("m0").protocol, net.node("m1").protocol.local_state
@@ -428,60 +448,72 @@
 
 
 @pytest.mark.parametrize(
-    ("guard", "instead", "case"),
+    ("module", "guard", "without_guard", "case"),
     [
         (
-            "_detect_pause",
-            lambda self, now: [],
+            clock,
+            "detect_pause",
+            lambda member: [],
             test_one_stopped_for_ten_seconds_condemns_nobody_as_it_thaws,
         ),
         (
-            "_merge_claim",
-            lambda self, now, item: self._merge_state(now, item, ""),
+            claims,
+            "merge_claim",
+            lambda member, item: merging.merge_state(member, item, ""),
             test_word_that_one_who_is_well_has_failed_is_not_believed_unasked,
         ),
         (
-            "_handle_local_claim",
-            lambda self, now, item: [],
+            merging,
+            "refute",
+            lambda member, item: [],
             test_a_cut_that_heals_while_the_verdict_is_on_its_way,
         ),
         (
-            "_handle_local_claim",
-            lambda self, now, item: [],
+            merging,
+            "refute",
+            lambda member, item: [],
             lambda: test_of_two_processes_under_one_name_the_later_start_stays(3),
         ),
         (
-            "_reconnect",
-            lambda self, now: [],
+            reconnects,
+            "reconnect",
+            lambda member: [],
             test_two_halves_know_themselves_and_come_together_again,
         ),
         (
-            "_protocol_time",
-            lambda self, now: setattr(self, "now", now) or now,
+            clock,
+            "advance",
+            lambda member, host_time: setattr(member, "now", host_time),
             test_clocks_that_are_off_and_jump_change_nothing,
         ),
         (
-            "_update_reachability",
-            lambda self, now: [],
+            reachability,
+            "update_report",
+            lambda member: None,
             test_a_chain_keeps_all_and_tells_who_does_not_see_whom,
         ),
         (
-            "_request_indirect_probes",
-            lambda self, seq: setattr(self.probes[seq], "indirect_at", 1e18) or [],
+            failure_detection,
+            "request_indirect_probes",
+            lambda member, sequence: setattr(member.probes[sequence], "indirect_at", 1e18) or [],
             test_a_chain_keeps_all_and_tells_who_does_not_see_whom,
         ),
     ],
 )
 def test_each_guard_is_missed_once_it_is_taken_out(
-    guard: str, instead: Any, case: Callable[[], None], monkeypatch: pytest.MonkeyPatch
+    module: ModuleType,
+    guard: str,
+    without_guard: Callable[..., Any],
+    case: Callable[[], None],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(MembershipProtocol, guard, instead)
+    monkeypatch.setattr(module, guard, without_guard)
     with pytest.raises((AssertionError, KeyError, IndexError)):
         case()
 
 
 def test_three_members_agree_after_losses_doubles_a_kill_a_restart_and_a_cut() -> None:
-    """Each course of two moves, and some longer ones; docs/members.md tells of the long run."""
+    """Each course of two moves, and some longer ones; docs/membership.md tells of the long run."""
     fault, counts = model.explore(2)
     assert not fault and counts["courses"] > 50
     fault, counts = model.explore_randomly(30, seed=5)
@@ -492,17 +524,20 @@
 
 
 @pytest.mark.parametrize(
-    ("guard", "instead"),
+    ("module", "guard", "without_guard"),
     [
-        ("_handle_local_claim", lambda self, now, item: []),
-        ("_reconnect", lambda self, now: []),
-        ("_suspicion_deadline", lambda self, name: 1e18),
-        ("_handle_probe_timeout", lambda self, now, probe: []),
+        (merging, "refute", lambda member, item: []),
+        (reconnects, "reconnect", lambda member: []),
+        (suspicions, "deadline", lambda member, name: 1e18),
+        (failure_detection, "handle_probe_timeout", lambda member, probe: []),
     ],
 )
 def test_the_search_finds_what_is_taken_out_of_the_machine(
-    guard: str, instead: Any, monkeypatch: pytest.MonkeyPatch
+    module: ModuleType,
+    guard: str,
+    without_guard: Callable[..., Any],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(MembershipProtocol, guard, instead)
+    monkeypatch.setattr(module, guard, without_guard)
     fault, counts = model.explore_randomly(30, seed=5)
     assert fault, counts
