--- a/bench/scale/slopes.py
+++ b/bench/scale/slopes.py
@@ -56,7 +56,7 @@
 from dunlinlug.fleet.membership import codec as member_codec
 from dunlinlug.fleet.membership import reconnects, state_sync
 from dunlinlug.fleet.membership.list_digests import ListDigest, ListDigests
-from dunlinlug.fleet.membership.load import ManagerLoad, ManagerLoads
+from dunlinlug.fleet.membership.load import ManagerLoad, ManagerLoads, ReceivedLoad
 from dunlinlug.fleet.membership.local_member import Lifecycle, PeerState
 from dunlinlug.fleet.membership.messages import (
     ALIVE,
@@ -69,7 +69,7 @@
 )
 from dunlinlug.fleet.membership.protocol import MembershipProtocol
 from dunlinlug.fleet.membership.service import Membership
-from dunlinlug.fleet.membership.simulated_network import Node, SimulatedNetwork
+from dunlinlug.fleet.membership.simulated_network import Delivery, Node, SimulatedNetwork
 from dunlinlug.fleet.ownership.simulated_network import SimulatedNetwork as Owners
 from dunlinlug.manager.channel import PacedChannel
 from dunlinlug.manager.endpoint_watcher import EndpointWatcher
@@ -434,9 +434,7 @@
         if self.rng.random() >= (self.loss**3 if whole else self.loss):
             body = data[member_codec.LENGTH.size :] if whole else data
             due = self.now + self.rng.uniform(*self.delay)
-            heapq.heappush(
-                self.event_queue, (due, next(self.event_numbers), "come", (node.name, place, body))
-            )
+            self._push(due, Delivery(node.name, place, body))
 
     def clear(self) -> None:
         for counter in (self.sent, self.sent_bytes, self.taken, self.taken_bytes, self.by_second):
@@ -707,7 +705,7 @@
     assert prints is not None
     digest = msgspec.msgpack.decode(prints.payload, type=ListDigest)
     for name in told:
-        host.loads.loads[name] = ((1, 1), ManagerLoad(20, 85.1, 0.2, 0.01), 0.0)
+        host.loads.loads[name] = ReceivedLoad((1, 1), ManagerLoad(20, 85.1, 0.2, 0.01), 0.0)
         host.list_digests.digests[name] = (digest, 0.0)
     best = float("inf")
     for go in range(GOES):
@@ -716,7 +714,8 @@
             at = first + n * BEAT * LATE
             if not n % 5:
                 for name in told:
-                    host.loads.loads[name] = ((1, 2 + go), ManagerLoad(20, 85.1, 0.2, 0.01), at)
+                    load = ManagerLoad(20, 85.1, 0.2, 0.01)
+                    host.loads.loads[name] = ReceivedLoad((1, 2 + go), load, at)
                     host.list_digests.digests[name] = (digest, at)
             host._update_partition()
             host._broadcast_facts()
--- a/dunlinlug/fleet/membership/failure_detection.py
+++ b/dunlinlug/fleet/membership/failure_detection.py
@@ -108,12 +108,12 @@
         return merging.merge_state(member, probe.claim, reason)
     peer.directly_reachable = False
     peer.unresponsive = True
-    if peer.last_heard_at >= probe.started_at:
+    if peer.last_received_at >= probe.started_at:
         # It is alive, since we hear it: what is lost are our own messages.
         local_health.degrade(member)
         reachability.update_report(member)
         return []
-    isolated = member.last_heard_at < probe.started_at
+    isolated = member.last_received_at < probe.started_at
     if probe.nacks < probe.indirect_count or isolated:
         # Helpers are silent as well, so it may be we who hear nothing.
         local_health.degrade(member)
@@ -140,7 +140,7 @@
     peer.directly_reachable = direct
     if direct and not probe.unscheduled:
         local_health.improve(member)
-    if not direct or reachability.is_reported_silent(member, probe.name):
+    if not direct or reachability.is_reported_not_answering(member, probe.name):
         reachability.update_report(member)
 
 
--- a/dunlinlug/fleet/membership/list_digests.py
+++ b/dunlinlug/fleet/membership/list_digests.py
@@ -1,14 +1,13 @@
-"""Whether the roster tells all managers the same: a short print of each one's list, told and
-compared. Free of I/O.
+"""Whether service discovery gives all managers the same list of endpoints. Free of I/O.
 
-A list's workers fall into parts by their names; a part's print is the same wherever the same
-workers are in the same state. Where two differ, the workers of ours in those parts are the ones to
-look at. Nothing is decided on it: each manager goes by its own list, and what others' proxies meet
-at a worker is evidence anyway.
+Each manager broadcasts a digest of its list and compares the others' with its own. Workers fall
+into buckets by their names; a bucket's fingerprint is equal wherever the same workers are in the
+same state, so that a difference names the buckets in which to look. Nothing is decided on it: each
+manager goes by its own list.
 """
 
 from collections.abc import Mapping
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 import xxhash
@@ -17,33 +16,52 @@
 from dunlinlug.decision.events import Endpoint
 from dunlinlug.fleet.membership.messages import MAX_MEMBERS, Broadcast
 
-BUCKETS = 16  # of a list: few workers of a part are named, and all prints fit into one fact
-BROADCAST_INTERVAL = 1.0  # seconds between tellings
-# seconds that two lists may differ: a roster is asked each ten seconds, so news comes apart
+KEY_PREFIX = "list/"  # of broadcasts; the manager's name follows
+BUCKETS = 16  # of a list: few workers are in one bucket, and all fingerprints fit in one broadcast
+BROADCAST_INTERVAL = 1.0  # seconds
+# Seconds for which two lists may differ: discovery is polled every ten seconds, so that managers
+# learn of a change at different times.
 DIVERGENCE_TOLERANCE = 15.0
-STALE_AFTER = 10.0  # seconds after which what was told is not compared any more
-MAX_NAMED_WORKERS = 8  # workers named of those to look at
+STALE_AFTER = 10.0  # seconds after which a digest is not compared any more
+MAX_NAMED_WORKERS = 8  # workers named in a description of a difference
 
 Fingerprint = Annotated[int, Meta(ge=0, lt=2**32)]
 
 
 class ListDigest(msgspec.Struct, frozen=True, array_like=True):
-    """`workers` are listed, a `born` and `number` order what one manager tells."""
+    """Digest of one manager's list; on the wire an array of the fields in this order.
+
+    Attributes:
+        start_epoch: Number of the manager's start.
+        sequence: Counts up within a start; with it, it orders a manager's digests.
+        workers: Number of workers listed.
+        fingerprints: One for each bucket.
+    """
 
     start_epoch: Annotated[int, Meta(ge=0)]
     sequence: Annotated[int, Meta(ge=0)]
     workers: Annotated[int, Meta(ge=0)]
     fingerprints: Annotated[tuple[Fingerprint, ...], Meta(min_length=BUCKETS, max_length=BUCKETS)]
 
+    def version(self) -> tuple[int, int]:
+        """Order among the digests of one manager."""
+        return self.start_epoch, self.sequence
+
+
+class DivergenceChange(NamedTuple):
+    """A manager's list has differed from ours for long, or does no more; described for people."""
+
+    manager: str
+    description: str
+
 
 def bucket_of(worker: str) -> int:
+    """The bucket, 0 to `BUCKETS` - 1, of a worker's id."""
     return xxhash.xxh32_intdigest(worker.encode()) % BUCKETS
 
 
 def bucket_fingerprints(listed_workers: Mapping[str, Endpoint]) -> tuple[int, ...]:
-    """By part, the exclusive or of its workers' prints, so that the order of a list makes no
-    difference.
-    """
+    """Fingerprints by bucket: the exclusive or over its workers, so that order does not matter."""
     fingerprints = [0] * BUCKETS
     for worker in listed_workers.values():
         encoded = f"{worker.id} {worker.state} {worker.zone}"
@@ -52,23 +70,26 @@
 
 
 class ListDigests:
-    """What the roster told each manager, `me` among them."""
+    """Digests of all managers by name, ours among them, and which have differed for how long.
+
+    Args:
+        self_id: Our name.
+        start_epoch: Number of our start.
+    """
 
     def __init__(self, self_id: str, start_epoch: int) -> None:
         self.self_id = self_id
         self.start_epoch = start_epoch
         self.sequence = 0
         self.next_broadcast_at = 0.0
-        self.digests: dict[str, tuple[ListDigest, float]] = {}
-        self.divergent_since: dict[
-            str, float
-        ] = {}  # by manager, since when its list differs from ours
-        self.reported = set[str]()  # of them, those that were said
+        self.digests: dict[str, tuple[ListDigest, float]] = {}  # with the time at which each came
+        self.divergent_since: dict[str, float] = {}
+        self.reported = set[str]()  # managers whose difference was reported
 
     def due_broadcast(
         self, now: float, listed_workers: Mapping[str, Endpoint] | None
     ) -> Broadcast | None:
-        """What is to be told now; nothing while we follow no roster ourselves."""
+        """Our digest as a broadcast, if it is time for one; none while we have no list."""
         if now < self.next_broadcast_at:
             return None
         self.next_broadcast_at = now + BROADCAST_INTERVAL
@@ -83,78 +104,68 @@
             bucket_fingerprints(listed_workers),
         )
         self.digests[self.self_id] = (digest, now)
-        return Broadcast(f"list/{self.self_id}", msgspec.msgpack.encode(digest))
+        return Broadcast(f"{KEY_PREFIX}{self.self_id}", msgspec.msgpack.encode(digest))
 
     def merge(self, now: float, broadcast: Broadcast) -> bool:
-        """What another told; false if it is no news. Merges by start and number, in any order and
-        any number.
-        """
+        """Take another manager's digest; gives whether it was news. Order and repeats don't matter."""
         try:
             digest = msgspec.msgpack.decode(broadcast.payload, type=ListDigest)
         except msgspec.DecodeError:
             return False
-        name = broadcast.key.removeprefix("list/")
-        if (
-            name in ("", self.self_id)
-            or name not in self.digests
-            and len(self.digests) >= MAX_MEMBERS
-        ):
+        name = broadcast.key.removeprefix(KEY_PREFIX)
+        if name in {"", self.self_id}:
             return False
-        previous = self.digests.get(name)
-        if previous is not None and (previous[0].start_epoch, previous[0].sequence) >= (
-            digest.start_epoch,
-            digest.sequence,
-        ):
+        if name not in self.digests:
+            if len(self.digests) >= MAX_MEMBERS:
+                return False
+        elif self.digests[name][0].version() >= digest.version():
             return False
         self.digests[name] = (digest, now)
         return True
 
     def divergent(self, now: float) -> dict[str, ListDigest]:
-        """Managers whose present list is not ours, at this moment."""
+        """Managers whose present list differs from ours at this moment."""
         local = self.digests.get(self.self_id)
         if local is None:
             return {}
+        local_fingerprints = local[0].fingerprints
         return {
             name: digest
             for name, (digest, received_at) in sorted(self.digests.items())
             if name != self.self_id
             and now - received_at < STALE_AFTER
-            and digest.fingerprints != local[0].fingerprints
+            and digest.fingerprints != local_fingerprints
         }
 
     def divergence_changes(
         self, now: float, listed_workers: Mapping[str, Endpoint] | None
-    ) -> list[tuple[str, str]]:
-        """Managers whose list has differed from ours for long, and those whose has no more, each
-        once, in words.
-        """
+    ) -> list[DivergenceChange]:
+        """Managers whose list has differed for too long, and those whose does no more, each once."""
         divergent = self.divergent(now)
-        lines = list[tuple[str, str]]()
         self.divergent_since = {name: self.divergent_since.get(name, now) for name in divergent}
+        changes: list[DivergenceChange] = []
         for name in sorted(self.reported - divergent.keys()):
             self.reported.discard(name)
-            lines.append((name, "the same again, or not told any more"))
+            changes.append(DivergenceChange(name, "the same again, or not told any more"))
         for name, digest in divergent.items():
-            if (
-                name not in self.reported
-                and now - self.divergent_since[name] >= DIVERGENCE_TOLERANCE
-            ):
-                self.reported.add(name)
-                lines.append((name, self._describe_difference(digest, listed_workers or {})))
-        return lines
+            if name in self.reported or now - self.divergent_since[name] < DIVERGENCE_TOLERANCE:
+                continue
+            self.reported.add(name)
+            description = self._describe_difference(digest, listed_workers or {})
+            changes.append(DivergenceChange(name, description))
+        return changes
 
     def _describe_difference(
         self, digest: ListDigest, listed_workers: Mapping[str, Endpoint]
     ) -> str:
+        """For people: how many buckets differ, and which of our workers are in them."""
         local = self.digests[self.self_id][0]
         buckets = {n for n in range(BUCKETS) if digest.fingerprints[n] != local.fingerprints[n]}
         workers = sorted(worker for worker in listed_workers if bucket_of(worker) in buckets)
-        examples = ", ".join(workers[:MAX_NAMED_WORKERS]) + (
-            f" and {len(workers) - MAX_NAMED_WORKERS} more"
-            if len(workers) > MAX_NAMED_WORKERS
-            else ""
-        )
+        examples = ", ".join(workers[:MAX_NAMED_WORKERS])
+        if len(workers) > MAX_NAMED_WORKERS:
+            examples += f" and {len(workers) - MAX_NAMED_WORKERS} more"
         return (
-            f"it was told of {digest.workers} workers, we of {local.workers}; {len(buckets)} of {BUCKETS} parts differ, "
-            f"among ours in them: {examples or 'none'}"
+            f"it was told of {digest.workers} workers, we of {local.workers}; "
+            f"{len(buckets)} of {BUCKETS} parts differ, among ours in them: {examples or 'none'}"
         )
--- a/dunlinlug/fleet/membership/load.py
+++ b/dunlinlug/fleet/membership/load.py
@@ -1,28 +1,33 @@
-"""What each manager carries, as it tells the others: proxies, txns, its channel, its processor.
-Free of I/O.
-"""
+"""What load each manager carries, as it tells the others by broadcasts. Free of I/O."""
 
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta
 
 from dunlinlug.fleet.membership.messages import Broadcast
 
-# seconds between tellings: whom proxies choose next is a matter of seconds
-BROADCAST_INTERVAL = 1.0
-STALE_AFTER = 10.0  # seconds after which what was told is not shown as present any more
-# part of its means from which a manager says that it is over them, and below which no longer
+KEY_PREFIX = "burden/"  # of broadcasts; the manager's name follows
+BROADCAST_INTERVAL = 1.0  # seconds; proxies choose a manager within seconds
+STALE_AFTER = 10.0  # seconds after which a load is not shown as present any more
+# Utilisation of its busiest resource from which a manager counts as overloaded, and below which it
+# does not any more.
 OVERLOAD_THRESHOLD = 0.8
 RECOVERY_THRESHOLD = 0.6
-MAX_MANAGERS = 1024  # managers whose burden is kept
+MAX_MANAGERS = 1024  # managers whose load is kept
 
 Fraction = Annotated[float, Meta(ge=0.0)]
+Version = tuple[int, int]  # a manager's start epoch, and a number that counts up within it
 
 
 class ManagerLoad(msgspec.Struct, frozen=True, array_like=True):
-    """`channel` and `processor` are parts of what there is: lines that wait of the most that may,
-    and of a core.
+    """A manager's load; on the wire an array of the fields in this order.
+
+    Attributes:
+        proxies: Proxies connected to it.
+        requests_per_second: What they ask for.
+        channel: Part of the entries that may wait for the channel that do wait.
+        processor: Part of one core in use.
     """
 
     proxies: Annotated[int, Meta(ge=0)]
@@ -31,86 +36,112 @@
     processor: Fraction
 
     def highest(self) -> tuple[float, str]:
+        """Utilisation and name of the busiest resource."""
         return max((self.channel, "channel"), (self.processor, "processor"))
 
 
+class LoadPayload(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """What is broadcast: a load with its version; on the wire an array in this order."""
+
+    start_epoch: int
+    sequence: int
+    load: ManagerLoad
+
+    def version(self) -> Version:
+        """Order among the loads of one manager."""
+        return self.start_epoch, self.sequence
+
+
+NO_LOAD = ManagerLoad(0, 0.0, 0.0, 0.0)
+
+
+class ReceivedLoad(NamedTuple):
+    """A manager's newest load, and when it came, in seconds."""
+
+    version: Version
+    load: ManagerLoad
+    received_at: float
+
+
+class LoadChange(NamedTuple):
+    """A manager became overloaded or recovered, with the reason for people."""
+
+    manager: str
+    load: ManagerLoad
+    description: str
+
+
 class ManagerLoads:
-    """Of all managers by name, ours among them; `born` is our start, and the greater start of
-    another holds.
+    """Loads of all managers by name, ours among them.
+
+    Args:
+        self_id: Our name.
+        start_epoch: Number of our start; of another manager the later start overrides.
     """
 
     def __init__(self, self_id: str, start_epoch: int) -> None:
         self.self_id = self_id
         self.start_epoch = start_epoch
         self.sequence = 0
-        self.loads: dict[
-            str, tuple[tuple[int, int], ManagerLoad, float]
-        ] = {}  # by name: start and number, what, and when
+        self.loads: dict[str, ReceivedLoad] = {}
         self.next_broadcast_at = 0.0
         self.overloaded = set[str]()
 
     def due_broadcast(self, now: float, load: ManagerLoad) -> Broadcast | None:
-        """What is to be told now, if it is time."""
+        """Our load as a broadcast, if it is time for one."""
         if now < self.next_broadcast_at:
             return None
         self.next_broadcast_at = now + BROADCAST_INTERVAL
-        self.sequence = self.sequence + 1
-        self.loads[self.self_id] = ((self.start_epoch, self.sequence), load, now)
-        return Broadcast(
-            f"burden/{self.self_id}",
-            msgspec.msgpack.encode((self.start_epoch, self.sequence, load)),
-        )
-
-    def overload_changes(self, now: float) -> list[tuple[str, ManagerLoad, str]]:
-        """Managers, ours among them, that have come over their means or back below them since the
-        last call, with what they carry and `over` or `back` in words. Who has not told for long
-        counts as back: it is not there.
-        """
-        changes = list[tuple[str, ManagerLoad, str]]()
-        present = self.present(now)
-        for name in sorted(self.overloaded - present.keys()):
-            self.overloaded.discard(name)
-            changes.append((name, ManagerLoad(0, 0.0, 0.0, 0.0), "back: it tells no more"))
-        for name, load in present.items():
-            utilization, resource = load.highest()
-            was_overloaded = name in self.overloaded
-            if (
-                utilization >= OVERLOAD_THRESHOLD
-                and not was_overloaded
-                or utilization < RECOVERY_THRESHOLD
-                and was_overloaded
-            ):
-                (self.overloaded.discard if was_overloaded else self.overloaded.add)(name)
-                changes.append(
-                    (
-                        name,
-                        load,
-                        f"{'back' if was_overloaded else 'over'}: {resource} at {utilization:.2f}",
-                    )
-                )
-        return changes
+        self.sequence += 1
+        payload = LoadPayload(self.start_epoch, self.sequence, load)
+        self.loads[self.self_id] = ReceivedLoad(payload.version(), load, now)
+        return Broadcast(f"{KEY_PREFIX}{self.self_id}", msgspec.msgpack.encode(payload))
 
     def merge(self, now: float, broadcast: Broadcast) -> bool:
-        """What another told; false if it is no news. Merges by start and number, in any order and
-        any number.
-        """
+        """Take another manager's load; gives whether it was news. Order and repeats do not matter."""
         try:
-            start_epoch, sequence, load = msgspec.msgpack.decode(
-                broadcast.payload, type=tuple[int, int, ManagerLoad]
-            )
+            payload = msgspec.msgpack.decode(broadcast.payload, type=LoadPayload)
         except msgspec.DecodeError:
             return False
-        name = broadcast.key.removeprefix("burden/")
-        if name in ("", self.self_id) or name not in self.loads and len(self.loads) >= MAX_MANAGERS:
+        name = broadcast.key.removeprefix(KEY_PREFIX)
+        if name in {"", self.self_id}:
             return False
-        if name in self.loads and self.loads[name][0] >= (start_epoch, sequence):
+        previous = self.loads.get(name)
+        if previous is None:
+            if len(self.loads) >= MAX_MANAGERS:
+                return False
+        elif previous.version >= payload.version():
             return False
-        self.loads[name] = ((start_epoch, sequence), load, now)
+        self.loads[name] = ReceivedLoad(payload.version(), payload.load, now)
         return True
 
     def present(self, now: float) -> dict[str, ManagerLoad]:
+        """Loads that are not stale, by manager in order of names."""
         return {
-            name: load
-            for name, (_, load, at) in sorted(self.loads.items())
-            if now - at < STALE_AFTER
+            name: received.load
+            for name, received in sorted(self.loads.items())
+            if now - received.received_at < STALE_AFTER
         }
+
+    def overload_changes(self, now: float) -> list[LoadChange]:
+        """Managers that became overloaded or recovered since the last call.
+
+        A manager that has told nothing for long counts as recovered, since it is not there.
+        """
+        present = self.present(now)
+        changes: list[LoadChange] = []
+        for name in sorted(self.overloaded - present.keys()):
+            self.overloaded.discard(name)
+            changes.append(LoadChange(name, NO_LOAD, "back: it tells no more"))
+        for name, load in present.items():
+            utilization, resource = load.highest()
+            if name in self.overloaded:
+                if utilization < RECOVERY_THRESHOLD:
+                    self.overloaded.discard(name)
+                    description = f"back: {resource} at {utilization:.2f}"
+                    changes.append(LoadChange(name, load, description))
+            elif utilization >= OVERLOAD_THRESHOLD:
+                self.overloaded.add(name)
+                description = f"over: {resource} at {utilization:.2f}"
+                changes.append(LoadChange(name, load, description))
+        return changes
--- a/dunlinlug/fleet/membership/local_member.py
+++ b/dunlinlug/fleet/membership/local_member.py
@@ -44,14 +44,14 @@
 
     Attributes:
         since: When the peer entered its present state.
-        last_heard_at: When its last message came.
+        last_received_at: When its last message came.
         directly_reachable: Whether it answers our own probes, not only those of others.
         unresponsive: Whether it has left our last probe unanswered, though we may hear it.
         diverged_since: Since when the digest of its table differs from ours.
     """
 
     since: float
-    last_heard_at: float = -inf
+    last_received_at: float = -inf
     directly_reachable: bool = True
     unresponsive: bool = False
     diverged_since: float = inf
@@ -131,7 +131,7 @@
     state: Lifecycle = field(init=False)
     table: MembershipTable = field(init=False, default_factory=MembershipTable)
     peers: dict[str, PeerState] = field(init=False, default_factory=dict)
-    last_heard_at: float = field(init=False)  # when any member was heard last
+    last_received_at: float = field(init=False)  # when any member was heard last
     report_version: int = field(init=False, default=0)  # of our own reachability report
 
     # Failure detection: probes by sequence number, suspicions by name, the rest of the round.
@@ -156,7 +156,7 @@
         self.local_state = MemberState(self.self_id, (start_epoch, 0), ALIVE, address, self.self_id)
         self.table.merge(self.local_state)
         self.state = Lifecycle.JOINING if self.seeds else Lifecycle.ALIVE
-        self.last_heard_at = self.now
+        self.last_received_at = self.now
         self.next_due_at = self.now
         self.next_probe_at = self.now
         self.next_reconnect_at = self.now
--- a/dunlinlug/fleet/membership/merging.py
+++ b/dunlinlug/fleet/membership/merging.py
@@ -80,16 +80,16 @@
 def refute(member: LocalMember, item: MemberState) -> list[Order]:
     """Answer what is said of ourselves: outbid what is wrong, and give way to a later start."""
     start_epoch, refutations = member.local_state.incarnation
-    said_epoch, said_refutations = item.incarnation
-    if said_epoch > start_epoch:
+    claimed_epoch, claimed_refutations = item.incarnation
+    if claimed_epoch > start_epoch:
         return _handle_later_start(member, item)
     if (
-        said_epoch == start_epoch
+        claimed_epoch == start_epoch
         and item.state != ALIVE
-        and said_refutations >= refutations
+        and claimed_refutations >= refutations
         and member.state != Lifecycle.LEFT
     ):
-        member.set_local_state((start_epoch, said_refutations + 1), ALIVE)
+        member.set_local_state((start_epoch, claimed_refutations + 1), ALIVE)
         local_health.degrade(member)
         return [_local_change(member, item.state, f"we speak against {item.reporter}")]
     return []
@@ -98,11 +98,11 @@
 def _handle_later_start(member: LocalMember, item: MemberState) -> list[Order]:
     """A start of our name that is later than ours is known: of the past, or of another process."""
     start_epoch = member.local_state.incarnation[0]
-    said_epoch = item.incarnation[0]
+    claimed_epoch = item.incarnation[0]
     if item.state > SUSPECTED and member.state != Lifecycle.LEFT:
         # The later start is over: our store or our clock was lost, and we go on above it.
-        member.set_local_state((said_epoch + 1, 0), ALIVE)
-        reason = f"start {start_epoch} goes on as {said_epoch + 1}"
+        member.set_local_state((claimed_epoch + 1, 0), ALIVE)
+        reason = f"start {start_epoch} goes on as {claimed_epoch + 1}"
         return [_local_change(member, item.state, reason)]
     if member.state in {Lifecycle.LEFT, Lifecycle.SUPERSEDED}:
         return []
@@ -110,13 +110,13 @@
     member.state = Lifecycle.SUPERSEDED
     member.probes.clear()
     return [
-        Superseded(said_epoch),
+        Superseded(claimed_epoch),
         MemberStateChanged(
             member.self_id, "alive", Lifecycle.SUPERSEDED.value, "a later start has our name"
         ),
     ]
 
 
-def _local_change(member: LocalMember, said_state: int, reason: str) -> MemberStateChanged:
+def _local_change(member: LocalMember, claimed_state: int, reason: str) -> MemberStateChanged:
     """We are alive, whatever was said."""
-    return MemberStateChanged(member.self_id, STATE_NAMES[said_state], "alive", reason)
+    return MemberStateChanged(member.self_id, STATE_NAMES[claimed_state], "alive", reason)
--- a/dunlinlug/fleet/membership/messages.py
+++ b/dunlinlug/fleet/membership/messages.py
@@ -66,13 +66,13 @@
         name: The member that reports.
         version: Its start epoch and a number that counts up; the highest wins.
         not_answering: Members that do not answer its probes.
-        not_heard: Members of which no message comes.
+        silent: Members of which no message comes.
     """
 
     name: MemberName
     version: Incarnation
     not_answering: Annotated[tuple[MemberName, ...], Meta(max_length=MAX_REPORTED_NAMES)] = ()
-    not_heard: Annotated[tuple[MemberName, ...], Meta(max_length=MAX_REPORTED_NAMES)] = ()
+    silent: Annotated[tuple[MemberName, ...], Meta(max_length=MAX_REPORTED_NAMES)] = ()
 
 
 class Broadcast(WireStruct, frozen=True, tag="x"):
--- a/dunlinlug/fleet/membership/protocol.py
+++ b/dunlinlug/fleet/membership/protocol.py
@@ -100,11 +100,11 @@
             return self._receive_from_namesake(message)
         known = self.table.members.get(sender.name)
         if known is not None and known.incarnation[0] > sender.incarnation[0]:
-            return self._receive_from_former_start(message)
+            return self._receive_from_earlier_start(message)
         orders = merging.merge_state(self, sender, "it says so itself")
         if sender.name not in self.peers or sender.name not in self.table.members:
             return orders  # there is no room for more members
-        self._note_heard(message)
+        self._record_receipt(message)
         if self.state == Lifecycle.JOINING:
             self.state = Lifecycle.ALIVE
             orders.append(state_sync.request(self, sender.name))
@@ -119,7 +119,7 @@
             return []
         return merging.merge_state(self, message.sender, "")
 
-    def _receive_from_former_start(self, message: Message) -> list[Order]:
+    def _receive_from_earlier_start(self, message: Message) -> list[Order]:
         """Tell a former process of that name, or the earlier of two, of the later; heed nothing."""
         sender = message.sender
         if not isinstance(message, Ping):
@@ -127,11 +127,11 @@
         known = self.table.members[sender.name]
         return [Send(sender.address, Gossip(self.local_state, sender.name, (known,)))]
 
-    def _note_heard(self, message: Message) -> None:
+    def _record_receipt(self, message: Message) -> None:
         sender = message.sender
-        self.last_heard_at = self.now
+        self.last_received_at = self.now
         if sender.precedence() >= self.table.members[sender.name].precedence():
-            self.peers[sender.name].last_heard_at = self.now
+            self.peers[sender.name].last_received_at = self.now
 
     def _handle_request(self, message: Message) -> list[Order]:
         """What the kind of a message asks for, beside the gossip on it."""
--- a/dunlinlug/fleet/membership/reachability.py
+++ b/dunlinlug/fleet/membership/reachability.py
@@ -17,39 +17,39 @@
     not_answering = _first_names(
         [name for name in others if not member.peers[name].directly_reachable]
     )
-    not_heard = _first_names(_not_heard(member, others))
-    if (not_answering, not_heard) == _last_reported(member):
+    silent = _first_names(_silent_members(member, others))
+    if (not_answering, silent) == _last_reported(member):
         return
     member.report_version += 1
     version = (member.local_state.incarnation[0], member.report_version)
-    member.table.merge(ReachabilityReport(member.self_id, version, not_answering, not_heard))
+    member.table.merge(ReachabilityReport(member.self_id, version, not_answering, silent))
 
 
 def _first_names(names: list[str]) -> tuple[str, ...]:
     return tuple(sorted(names)[:MAX_REPORTED_NAMES])
 
 
-def _not_heard(member: LocalMember, others: list[str]) -> list[str]:
+def _silent_members(member: LocalMember, others: list[str]) -> list[str]:
     """Members silent for three rounds of probes and a suspicion; none in a large cluster."""
     if len(others) >= SMALL_CLUSTER:
         return []
     intervals = 3 * len(others) + MAX_SUSPICION_INTERVALS
     silence = intervals * member.probe_interval * local_health.multiplier(member)
-    heard_since = member.now - silence
+    accepted_since = member.now - silence
     return [
         name
         for name in others
-        if max(member.peers[name].last_heard_at, member.peers[name].since) < heard_since
+        if max(member.peers[name].last_received_at, member.peers[name].since) < accepted_since
     ]
 
 
 def _last_reported(member: LocalMember) -> tuple[tuple[str, ...], tuple[str, ...]]:
     """Who did not answer and who was not heard, as our last report has it."""
     report = member.table.reachability_reports.get(member.self_id)
-    return (report.not_answering, report.not_heard) if report else ((), ())
+    return (report.not_answering, report.silent) if report else ((), ())
 
 
-def is_reported_silent(member: LocalMember, name: str) -> bool:
+def is_reported_not_answering(member: LocalMember, name: str) -> bool:
     """Whether our last report says that this member does not answer us."""
     not_answering, _ = _last_reported(member)
     return name in not_answering
--- a/dunlinlug/fleet/membership/service.py
+++ b/dunlinlug/fleet/membership/service.py
@@ -1,5 +1,7 @@
-"""A manager's part in the membership: machine, sockets and standing together, and what people are
-shown of them.
+"""A manager's part in the membership: the protocol, its sockets, and what it shares with others.
+
+`Membership` runs the protocol by a transport, keeps the partition status, broadcasts load, list
+digests and observations, and takes those of other managers.
 """
 
 from collections import deque
@@ -10,58 +12,100 @@
 import trio
 
 from dunlinlug.decision.events import Endpoint, Event, ManagerLoadChanged
-from dunlinlug.fleet.membership import partition as sides
+from dunlinlug.fleet.membership import list_digests, load, status_report
 from dunlinlug.fleet.membership.list_digests import ListDigests
-from dunlinlug.fleet.membership.load import ManagerLoad, ManagerLoads
-from dunlinlug.fleet.membership.messages import STATE_NAMES, Broadcast, MemberStateChanged
+from dunlinlug.fleet.membership.load import NO_LOAD, ManagerLoad, ManagerLoads
+from dunlinlug.fleet.membership.messages import Address, Broadcast, MemberStateChanged
+from dunlinlug.fleet.membership.partition import (
+    LIMITS_BY_STATUS,
+    Debounced,
+    PartitionLimits,
+    PartitionStatus,
+    partition_status,
+)
 from dunlinlug.fleet.membership.protocol import MembershipProtocol
 from dunlinlug.fleet.membership.shared_observations import SharedObservations
 from dunlinlug.fleet.membership.transport import MembershipTransport
 
-MAX_RECENT_CHANGES = 50  # last changes kept for people
+MAX_RECENT_CHANGES = 50  # changes of members' states that are kept for people
+
+
+def _ignore_event(_event: Event) -> None:
+    """Until somebody listens."""
+
+
+def _ignore_partition_change(_status: str, _limits: PartitionLimits) -> None:
+    """Until somebody listens."""
+
+
+def _ignore_member_change(_change: MemberStateChanged) -> None:
+    """Until somebody listens."""
+
+
+def _seed_addresses(addresses: Mapping[str, Address], self_id: str) -> list[Address]:
+    """Where the other configured members are, in order of their names."""
+    return [address for name, address in sorted(addresses.items()) if name != self_id]
+
+
+def _initial_status(addresses: Mapping[str, Address]) -> PartitionStatus:
+    """Until others are heard, a manager among several counts as alone."""
+    return PartitionStatus.ALONE if len(addresses) > 1 else PartitionStatus.ALL
 
 
 class Membership:
-    """`places` are where the members of the configured set hear each other, by name, `roll` gives
-    the names of the set last agreed; `told` hears each new standing, `learnt` what other
-    managers' proxies met, as events for the module.
+    """One manager's membership.
+
+    Callbacks that its owner sets before `run`:
+        current_load: What load this manager carries now.
+        listed_workers: The endpoint list that service discovery gave us; None while there is none.
+        on_event: Takes events for the decision module: observations and loads of other managers.
+        on_partition_change: Takes each new partition status with its limits.
+        on_member_change: Takes each change of a member's state.
+
+    Args:
+        self_id: This manager's name.
+        start_epoch: Number of this start.
+        addresses: Host and port by name of the configured members; ours is among them.
+        keys: One or two shared keys; the first signs.
+        probe_interval: Seconds.
+        rng: Source of random choices.
+        log_event: Takes an event's name and its fields.
+        voters: Gives the names of the voters last agreed.
+        clock: Gives the time in seconds.
+        bind_address: Where to listen, if that is not the address that others use.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - what the process is assembled from, each once
         self,
         self_id: str,
         start_epoch: int,
-        addresses: dict[str, tuple[str, int]],
+        addresses: dict[str, Address],
         keys: list[bytes],
         probe_interval: float,
         rng: Random,
         log_event: Callable[..., None],
         voters: Callable[[], tuple[str, ...]],
         clock: Callable[[], float] = trio.current_time,
-        bind_address: tuple[str, int] | None = None,
+        bind_address: Address | None = None,
     ) -> None:
         self.self_id = self_id
         self.log_event = log_event
         self.voters = voters
         self.clock = clock
         self.probe_interval = probe_interval
-        seeds = [address for name, address in sorted(addresses.items()) if name != self_id]
         self.addresses = addresses
+        self.current_load: Callable[[], ManagerLoad] = lambda: NO_LOAD
+        self.listed_workers: Callable[[], Mapping[str, Endpoint] | None] = lambda: None
+        self.on_event: Callable[[Event], None] = _ignore_event
+        self.on_partition_change: Callable[[str, PartitionLimits], None] = _ignore_partition_change
+        self.on_member_change: Callable[[MemberStateChanged], None] = _ignore_member_change
+        seeds = _seed_addresses(addresses, self_id)
         self.protocol = MembershipProtocol(
             self_id, start_epoch, addresses[self_id], seeds, clock(), probe_interval, rng
         )
         self.observations = SharedObservations(self_id, start_epoch)
         self.loads = ManagerLoads(self_id, start_epoch)
         self.list_digests = ListDigests(self_id, start_epoch)
-        self.current_load: Callable[[], ManagerLoad] = lambda: ManagerLoad(0, 0.0, 0.0, 0.0)
-        self.listed_workers: Callable[[], Mapping[str, Endpoint] | None] = lambda: (
-            None
-        )  # what the roster told us ourselves
-        self.on_event: Callable[[Event], None] = lambda event: None
-        self.on_partition_change: Callable[[str, sides.PartitionLimits], None] = (
-            lambda name, means: None
-        )
-        self.on_member_change: Callable[[MemberStateChanged], None] = lambda change: None
         self.transport = MembershipTransport(
             self.protocol,
             keys,
@@ -71,23 +115,21 @@
             clock,
             bind_address,
         )
-        self.partition = sides.Debounced(
-            sides.ALONE if len(addresses) > 1 else sides.ALL, clock(), probe_interval
-        )
-        self.recent_changes: deque[tuple[float, MemberStateChanged]] = deque(
-            maxlen=MAX_RECENT_CHANGES
-        )
+        self.partition = Debounced(_initial_status(addresses), clock(), probe_interval)
+        self.recent_changes: deque[status_report.TimedChange] = deque(maxlen=MAX_RECENT_CHANGES)
 
     @property
-    def partition_status(self) -> str:
+    def partition_status(self) -> PartitionStatus:
+        """On which side of a partition we are."""
         return self.partition.status
 
     @property
-    def partition_limits(self) -> sides.PartitionLimits:
-        return sides.LIMITS_BY_STATUS[self.partition_status]
+    def partition_limits(self) -> PartitionLimits:
+        """What this manager may do there."""
+        return LIMITS_BY_STATUS[self.partition_status]
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Raises OSError if our place is taken."""
+        """Be a member until cancelled. Raises OSError if our address is taken."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.transport.run)
             self.log_event(
@@ -102,141 +144,106 @@
                 self._broadcast_facts()
 
     def leave(self) -> None:
-        """Goodbye, before we are cancelled: a planned stop is no failure."""
+        """Say goodbye, so that a planned stop is no failure to others; to be called before the end."""
         self.transport.perform(self.protocol.leave)
 
+    def record_reports(self, events: list[Event]) -> None:
+        """Count the reports of our own proxies among events for the decision module."""
+        self.observations.record_reports(self.clock(), events)
+
+    def _update_partition(self) -> None:
+        before = self.partition_status
+        reachable = self.reachable_voters()
+        observed = partition_status(self.voters(), reachable)
+        if not self.partition.update(self.clock(), observed):
+            return
+        self.log_event(
+            "membership.partition_changed",
+            before=before.value,
+            now=self.partition_status.value,
+            touch=sorted(reachable),
+            of=sorted(self.voters()),
+        )
+        self.on_partition_change(self.partition_status, self.partition_limits)
+
     def _broadcast_facts(self) -> None:
-        """Facts go straight to each other member: they are soon worth nothing."""
+        """Broadcast what is due, and say what has changed in the loads and lists of others."""
         now = self.clock()
         listed_workers = self.listed_workers()
-        facts = [
+        due = [
             *self.observations.due_broadcasts(now),
             self.loads.due_broadcast(now, self.current_load()),
             self.list_digests.due_broadcast(now, listed_workers),
         ]
-        for name, load, said in self.loads.overload_changes(now):
-            self.log_event("membership.load_changed", member=name, said=said)
+        self._report_overload(now)
+        for change in self.list_digests.divergence_changes(now, listed_workers):
+            self.log_event(
+                "membership.list_divergence_changed",
+                member=change.manager,
+                said=change.description,
+            )
+        broadcasts = tuple(broadcast for broadcast in due if broadcast is not None)
+        if broadcasts:
+            self.transport.perform(lambda _now: self.protocol.broadcast(broadcasts))
+
+    def _report_overload(self, now: float) -> None:
+        for name, manager_load, description in self.loads.overload_changes(now):
+            self.log_event("membership.load_changed", member=name, said=description)
+            overloaded = name in self.loads.overloaded
             self.on_event(
                 ManagerLoadChanged(
-                    name, name in self.loads.overloaded, load.proxies, load.requests_per_second
+                    name, overloaded, manager_load.proxies, manager_load.requests_per_second
                 )
             )
-        for name, said in self.list_digests.divergence_changes(now, listed_workers):
-            self.log_event("membership.list_divergence_changed", member=name, said=said)
-        broadcasts = tuple(fact for fact in facts if fact is not None)
-        if broadcasts:
-            self.transport.perform(lambda now: self.protocol.broadcast(broadcasts))
-
-    def record_reports(self, events: list[Event]) -> None:
-        """What the module is told of our own proxies' reports."""
-        self.observations.record_reports(self.clock(), events)
 
     def _handle_broadcast(self, broadcast: Broadcast) -> None:
-        if broadcast.key.startswith("burden/"):
+        """Take a fact of another manager's; each kind of fact knows its own keys."""
+        if broadcast.key.startswith(load.KEY_PREFIX):
             self.loads.merge(self.clock(), broadcast)
-        if broadcast.key.startswith("list/"):
+        if broadcast.key.startswith(list_digests.KEY_PREFIX):
             self.list_digests.merge(self.clock(), broadcast)
         for event in self.observations.merge(self.clock(), broadcast):
             self.on_event(event)
 
     def _handle_change(self, change: MemberStateChanged) -> None:
-        self.recent_changes.append((self.clock(), change))
+        self.recent_changes.append(status_report.TimedChange(self.clock(), change))
         self.on_member_change(change)
 
-    def address_of(self, name: str) -> tuple[str, int]:
-        """Where a member is now, as it tells; as configured while it is not known."""
+    def address_of(self, name: str) -> Address:
+        """Where a member is by its own word, or as configured while it is not known.
+
+        Raises KeyError for a name that is neither.
+        """
         member_state = self.protocol.table.members.get(name)
         return member_state.address if member_state is not None else self.addresses[name]
 
     def reachable_voters(self) -> set[str]:
+        """Voters that we reach, ourselves among them."""
         return {name for name in self.voters() if self.protocol.is_reachable(name)}
 
-    def _update_partition(self) -> None:
-        before = self.partition_status
-        reachable = self.reachable_voters()
-        if self.partition.update(self.clock(), sides.partition_status(self.voters(), reachable)):
-            self.log_event(
-                "membership.partition_changed",
-                before=before,
-                now=self.partition_status,
-                touch=sorted(reachable),
-                of=sorted(self.voters()),
-            )
-            self.on_partition_change(self.partition_status, self.partition_limits)
-
     def set_banned(self, name: str, banned: bool) -> None:
-        """Raises ValueError for whom nobody knows."""
+        """Ban a member or let it in again. Raises ValueError for a name that is no known member."""
         self.transport.perform(lambda now: self.protocol.set_banned(now, name, banned))
 
     def describe(self) -> dict[str, Any]:
-        """For people and programs: who is there, who sees whom, our standing, and the last verdicts
-        with their why.
-        """
-        protocol = self.protocol
+        """Our view for people and programs: see `status_report`."""
         now = self.clock()
-        table = protocol.table
-        live_members = protocol.table.live_members()
-        names = sorted(table.members)
-        return {
-            "member": self.self_id,
-            "state": protocol.state,
-            "standing": self.partition_status,
-            "since": round(now - self.partition.since, 3),
-            "set": sorted(self.voters()),
-            "digest": table.digest().hex(),
-            "distrust": protocol.local_health,
-            "members": [
-                {
-                    "member": name,
-                    "start": table.members[name].incarnation[0],
-                    "word": table.members[name].incarnation[1],
-                    "state": "barred"
-                    if table.is_banned(name)
-                    else STATE_NAMES[table.members[name].state],
-                    "place": "{}:{}".format(*table.members[name].address),
-                    "touch": protocol.is_reachable(name),
-                    "sees": {
-                        other: sides.reachability(
-                            name, other, table.reachability_reports, live_members
-                        )
-                        for other in names
-                    },
-                    "between": sides.connection_summary(
-                        self.self_id, name, table.reachability_reports, live_members
-                    )
-                    if name != self.self_id
-                    else "",
-                }
-                for name in names
-            ],
-            "burdens": {
-                name: {
-                    "proxies": load.proxies,
-                    "txns_per_s": round(load.requests_per_second, 1),
-                    "channel": round(load.channel, 3),
-                    "processor": round(load.processor, 3),
-                }
-                for name, load in self.loads.present(now).items()
-            },
-            "lists": {
-                name: {
-                    "workers": digest.workers,
-                    "for": round(now - self.list_digests.divergent_since.get(name, now), 3),
-                }
-                for name, digest in self.list_digests.divergent(now).items()
-            },
-            "verdicts": [
-                {
-                    "ago": round(now - at, 3),
-                    "member": change.name,
-                    "before": change.before,
-                    "now": change.after,
-                    "why": change.reason,
-                }
-                for at, change in self.recent_changes
-            ],
-            "counts": {
-                **self.transport.counts,
-                **{f"refused_{reason}": n for reason, n in self.transport.rejections.items()},
-            },
-        }
+        protocol = self.protocol
+        counts: dict[str, int] = dict(self.transport.counts)
+        for reason, count in self.transport.rejections.items():
+            counts[f"refused_{reason}"] = count
+        report = status_report.StatusReport(
+            self_id=self.self_id,
+            state=protocol.state,
+            partition_status=self.partition_status,
+            since=round(now - self.partition.since, 3),
+            voters=sorted(self.voters()),
+            digest=protocol.table.digest().hex(),
+            local_health=protocol.local_health,
+            members=status_report.member_statuses(protocol),
+            loads=status_report.load_statuses(self.loads, now),
+            divergent_lists=status_report.list_statuses(self.list_digests, now),
+            recent_changes=status_report.change_statuses(self.recent_changes, now),
+            counts=counts,
+        )
+        return report.to_json()
--- a/dunlinlug/fleet/membership/shared_observations.py
+++ b/dunlinlug/fleet/membership/shared_observations.py
@@ -1,15 +1,15 @@
-"""What proxies of other managers met, as evidence for our module: weighed by age, never an order.
-Free of I/O.
+"""What the proxies of other managers observed at workers, as evidence for outlier detection.
 
-Each manager counts up what was met at a worker since its start: tries, voided ones, seconds of the
-settled. Counts that only grow merge by the larger one, so that facts may come twice, late or never;
-what is new in one is evidence on the time since the last that came. Told are workers that stand
-out, as those alone are worth the room.
+Each manager counts what its own proxies reported of each worker since its start: attempts, failures
+and seconds of successes. The counts only grow, so that copies merge by the larger one and may come
+twice, late or never. What is new in a copy is evidence on the time since the last copy came, and
+weighs the less the older it is. Only workers that stand out are broadcast. Free of I/O.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import Annotated
+from math import inf
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta
@@ -17,22 +17,32 @@
 from dunlinlug.decision.events import EndpointReported, Event
 from dunlinlug.fleet.membership.messages import Broadcast
 
-# seconds between tellings: a part of a report cycle, so that they add little to its delay
+KEY_PREFIX = "met"  # of broadcasts; manager, start epoch and worker follow, between slashes
+# Seconds: a part of a report cycle, so that broadcasts add little to the delay of reports.
 BROADCAST_INTERVAL = 0.25
-MAX_WORKERS_PER_BROADCAST = 16  # workers told of in one telling: what one datagram carries
-# seconds that a worker is told of after it stood out last, so that its recovery is told as well
+MAX_WORKERS_PER_BROADCAST = 16  # what one datagram carries
+# Seconds for which a worker is broadcast after it stood out last, so that its recovery is, too.
 OUTLIER_REPORT_WINDOW = 8.0
-# seconds in which evidence from others loses half its weight, as the module's own does
-WEIGHT_HALF_LIFE = 0.8
-# tries in our own newest report from which it tells enough: others' thin out what it says of now
+# Seconds in which evidence loses half its weight, as outlier detection's own does.
+WEIGHT_HALVING_TIME = 0.8
+# Attempts in our own newest report from which it is enough: the others' counts cover time before
+# it as well and would thin it out.
 SUFFICIENT_LOCAL_ATTEMPTS = 8.0
-MAX_OBSERVATION_AGE = 8.0  # seconds beyond which what came is not used: ten halvings
-MAX_WORKERS = 4096  # workers counted, and facts of others kept, the oldest out first
+# Attempts in the first copy of a count up to which it is used: a larger one was counted over a long
+# time that we do not know.
+MAX_FIRST_ATTEMPTS = 50
+MAX_OBSERVATION_AGE = 8.0  # seconds beyond which evidence is not used: ten halvings
+MAX_WORKERS = 4096  # workers counted, and counts of others kept; the oldest are dropped first
 
 
 class ObservationCounts(msgspec.Struct, frozen=True, array_like=True):
-    """Since a start of that manager: `tries`, `voided` of them, `took` seconds of the settled;
-    `age` of the newest.
+    """Counts of one worker since a manager's start; on the wire an array in this order.
+
+    Attributes:
+        attempts: Requests sent to the worker.
+        failures: Those of them that failed.
+        success_seconds: Sum of the durations of those that succeeded.
+        age: Seconds since the newest report that is counted.
     """
 
     attempts: Annotated[float, Meta(ge=0)]
@@ -41,125 +51,165 @@
     age: Annotated[float, Meta(ge=0.0)]
 
 
+NO_COUNTS = ObservationCounts(0, 0, 0.0, 0.0)
+
+
 @dataclass
 class WorkerObservation:
+    """What our own proxies reported of one worker since our start; times in seconds.
+
+    Attributes:
+        broadcast_attempts: Attempts as they were broadcast last.
+        latest_report_attempts: Attempts in the newest report alone.
+    """
+
     attempts: float = 0
     failures: float = 0
     success_seconds: float = 0.0
     observed_at: float = 0.0
-    last_outlier_at: float = -1e18
-    broadcast_attempts: float = 0  # tries as told last
-    latest_report_attempts: float = 0  # tries in the report that came last
+    last_outlier_at: float = -inf
+    broadcast_attempts: float = 0
+    latest_report_attempts: float = 0
+
+    def record(self, now: float, report: EndpointReported) -> None:
+        """Count one report; failures make the worker stand out."""
+        self.attempts += report.attempts
+        self.failures += report.failed
+        self.success_seconds += report.latency * (report.attempts - report.failed)
+        self.observed_at = now
+        self.latest_report_attempts = report.attempts
+        if report.failed:
+            self.last_outlier_at = now
+
+    def is_due(self, now: float) -> bool:
+        """Whether it has changed since it was broadcast, and stood out not long ago."""
+        if self.attempts == self.broadcast_attempts:
+            return False
+        return now - self.last_outlier_at < OUTLIER_REPORT_WINDOW
+
+    def failure_fraction(self) -> float:
+        """Part of all attempts that failed."""
+        return self.failures / max(self.attempts, 1)
+
+    def counts(self, now: float) -> ObservationCounts:
+        """The form that is broadcast."""
+        return ObservationCounts(
+            self.attempts, self.failures, self.success_seconds, now - self.observed_at
+        )
+
+
+class ReceivedCounts(NamedTuple):
+    """The newest counts under a key, and when they came, in seconds."""
+
+    counts: ObservationCounts
+    received_at: float
 
 
 class SharedObservations:
-    """`me` and `born` name our counts; another start of ours begins anew under other names."""
+    """Our own counts by worker, and the newest counts of other managers by broadcast key.
+
+    Args:
+        self_id: Our name.
+        start_epoch: Number of our start; a restarted manager counts anew under another key.
+    """
 
     def __init__(self, self_id: str, start_epoch: int) -> None:
-        self.key_prefix = f"met/{self_id}/{start_epoch}"
+        self.key_prefix = f"{KEY_PREFIX}/{self_id}/{start_epoch}"
         self.observations: dict[str, WorkerObservation] = {}
-        self.remote_counts: dict[
-            str, tuple[ObservationCounts, float]
-        ] = {}  # by key, the largest count and when it came
+        self.remote_counts: dict[str, ReceivedCounts] = {}
         self.next_broadcast_at = 0.0
 
     def record_reports(self, now: float, events: Iterable[Event]) -> None:
-        """Our own proxies' reports, as the module is told them."""
+        """Count the reports of our own proxies among these events."""
         for event in events:
             if isinstance(event, EndpointReported) and event.local:
-                observation = self.observations.get(event.worker)
-                if observation is None:
-                    while len(self.observations) >= MAX_WORKERS:
-                        del self.observations[next(iter(self.observations))]
-                    observation = self.observations[event.worker] = WorkerObservation()
-                observation.attempts += event.attempts
-                observation.failures += event.failed
-                observation.success_seconds += event.latency * (event.attempts - event.failed)
-                observation.observed_at = now
-                observation.latest_report_attempts = event.attempts
-                if event.failed:
-                    observation.last_outlier_at = now
+                self._observation_of(event.worker).record(now, event)
+
+    def _observation_of(self, worker: str) -> WorkerObservation:
+        observation = self.observations.get(worker)
+        if observation is None:
+            while len(self.observations) >= MAX_WORKERS:
+                oldest = next(iter(self.observations))
+                del self.observations[oldest]
+            observation = WorkerObservation()
+            self.observations[worker] = observation
+        return observation
 
     def due_broadcasts(self, now: float) -> list[Broadcast]:
-        """What is to be told to all others now: who stood out, the most voided first."""
+        """Counts of workers that stand out, those with most failures first, if it is time."""
         if now < self.next_broadcast_at:
             return []
         self.next_broadcast_at = now + BROADCAST_INTERVAL
-        changed = [
+        due = [
             (worker, observation)
             for worker, observation in self.observations.items()
-            if observation.attempts != observation.broadcast_attempts
-            and now - observation.last_outlier_at < OUTLIER_REPORT_WINDOW
+            if observation.is_due(now)
         ]
-        changed.sort(key=lambda pair: (-pair[1].failures / max(pair[1].attempts, 1), pair[0]))
-        broadcasts = []
-        for worker, observation in changed[:MAX_WORKERS_PER_BROADCAST]:
+        due.sort(key=lambda pair: (-pair[1].failure_fraction(), pair[0]))
+        broadcasts: list[Broadcast] = []
+        for worker, observation in due[:MAX_WORKERS_PER_BROADCAST]:
             observation.broadcast_attempts = observation.attempts
-            body = msgspec.msgpack.encode(
-                ObservationCounts(
-                    observation.attempts,
-                    observation.failures,
-                    observation.success_seconds,
-                    now - observation.observed_at,
-                )
-            )
-            broadcasts.append(Broadcast(f"{self.key_prefix}/{worker}", body))
+            payload = msgspec.msgpack.encode(observation.counts(now))
+            broadcasts.append(Broadcast(f"{self.key_prefix}/{worker}", payload))
         return broadcasts
 
     def merge(self, now: float, broadcast: Broadcast) -> list[Event]:
-        """What another told: the news in it, weighed by its age; nothing if it is old, known, or no
-        fact of ours.
+        """Take another manager's counts.
+
+        Gives what is new in them as a report weighed by its age, or nothing if they are old or
+        known, our own, or no counts at all.
         """
         try:
-            count = msgspec.msgpack.decode(broadcast.payload, type=ObservationCounts)
+            counts = msgspec.msgpack.decode(broadcast.payload, type=ObservationCounts)
             kind, reporter, start_epoch, worker = broadcast.key.split("/", 3)
         except (msgspec.DecodeError, ValueError):
             return []
-        previous, previous_at = self.remote_counts.get(
-            broadcast.key, (ObservationCounts(0, 0, 0.0, 0.0), now)
-        )
-        attempts = count.attempts - previous.attempts
-        failures = count.failures - previous.failures
-        if (
-            attempts <= 0
-            or not 0 <= failures <= attempts
-            or f"{kind}/{reporter}/{start_epoch}" == self.key_prefix
-        ):
+        if f"{kind}/{reporter}/{start_epoch}" == self.key_prefix:
             return []
-        first = broadcast.key not in self.remote_counts
-        self.remote_counts.pop(broadcast.key, None)
-        while len(self.remote_counts) >= MAX_WORKERS:
-            del self.remote_counts[next(iter(self.remote_counts))]
-        self.remote_counts[broadcast.key] = (count, now)
-        # Of the first count that comes we don't know over how long it was met; of others at most
-        # since the last.
-        age = count.age + (0.0 if first else (now - previous_at) / 2)
-        local = self.observations.get(worker)
-        if (
-            first
-            and attempts > 50
-            or age > MAX_OBSERVATION_AGE
-            or local is not None
-            and local.latest_report_attempts >= SUFFICIENT_LOCAL_ATTEMPTS
-        ):
+        previous = self.remote_counts.get(broadcast.key)
+        known = previous.counts if previous is not None else NO_COUNTS
+        attempts = counts.attempts - known.attempts
+        failures = counts.failures - known.failures
+        if attempts <= 0 or not 0 <= failures <= attempts:
             return []
-        weight = 0.5 ** (age / WEIGHT_HALF_LIFE)
-        successes = attempts - failures
-        mean_latency = (
-            max(count.success_seconds - previous.success_seconds, 0.0) / successes
-            if successes
-            else 0.0
+        self._store_remote(broadcast.key, ReceivedCounts(counts, now))
+        if previous is None and attempts > MAX_FIRST_ATTEMPTS:
+            return []
+        # How long the first copy was counted is unknown; a later one at most since the last.
+        since_last = now - previous.received_at if previous is not None else 0.0
+        age = counts.age + since_last / 2
+        if age > MAX_OBSERVATION_AGE or self._has_sufficient_evidence(worker):
+            return []
+        # Weights stay fractions: rounded, one failure of three attempts could become one of one,
+        # and a healthy worker would be ejected.
+        weight = 0.5 ** (age / WEIGHT_HALVING_TIME)
+        report = EndpointReported(
+            "",
+            worker,
+            attempts * weight,
+            failures * weight,
+            _mean_latency(counts, known),
+            since_last,
+            local=False,
         )
-        # Danger: rounded, one void of three tries becomes one of one, and a healthy worker is
-        # condemned.
-        return [
-            EndpointReported(
-                "",
-                worker,
-                attempts * weight,
-                failures * weight,
-                mean_latency,
-                now - previous_at,
-                local=False,
-            )
-        ]
+        return [report]
+
+    def _store_remote(self, key: str, received: ReceivedCounts) -> None:
+        """Keep the newest counts, the key as the youngest of all."""
+        self.remote_counts.pop(key, None)
+        while len(self.remote_counts) >= MAX_WORKERS:
+            oldest = next(iter(self.remote_counts))
+            del self.remote_counts[oldest]
+        self.remote_counts[key] = received
+
+    def _has_sufficient_evidence(self, worker: str) -> bool:
+        local = self.observations.get(worker)
+        return local is not None and local.latest_report_attempts >= SUFFICIENT_LOCAL_ATTEMPTS
+
+
+def _mean_latency(counts: ObservationCounts, known: ObservationCounts) -> float:
+    """Mean seconds of the successes that are new in a copy; 0 if there is none."""
+    successes = (counts.attempts - known.attempts) - (counts.failures - known.failures)
+    if not successes:
+        return 0.0
+    return max(counts.success_seconds - known.success_seconds, 0.0) / successes
--- a/dunlinlug/fleet/membership/simulated_network.py
+++ b/dunlinlug/fleet/membership/simulated_network.py
@@ -1,8 +1,6 @@
-"""Members in simulated time: a network between machines with loss, delay, cuts, stops and clocks
-that are off.
+"""Members in simulated time, on a network with loss, delay, partitions, pauses and skewed clocks.
 
-Nothing of it runs in service; tests, the search and the measurement stand on it. One seed, one
-course of events.
+For tests and measurements; nothing of it runs in service. One seed gives one course of events.
 """
 
 import heapq
@@ -11,13 +9,16 @@
 from dataclasses import dataclass, field
 from itertools import count
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
 from dunlinlug.fleet.membership.messages import (
+    Address,
+    Broadcast,
     BroadcastReceived,
     MemberStateChanged,
+    Message,
     Order,
     ProcessPaused,
     Send,
@@ -26,34 +27,52 @@
 )
 from dunlinlug.fleet.membership.protocol import MembershipProtocol
 
-ProtocolFactory = Callable[
-    [str, int, tuple[str, int], list[tuple[str, int]], float, float, Random], Any
-]
+MAX_QUEUED_MESSAGES = 500  # messages that wait for a paused process: a socket's buffer has an end
+# A stream retransmits, so that a synchronisation is lost as rarely as so many datagrams in a row.
+STREAM_LOSS_EXPONENT = 3
+
+# Called as `MembershipProtocol` is; a factory of another protocol of the same form, for comparison.
+ProtocolFactory = Callable[[str, int, Address, list[Address], float, float, Random], Any]
 
 
 @dataclass
 class Node:
-    """A process: `name` as it calls itself; a machine stops while `frozen`, and what comes waits in
-    `queue`.
+    """A simulated process.
+
+    Attributes:
+        name: What the process calls itself.
+        address: Where it is reached.
+        protocol: Its `MembershipProtocol`, or another protocol of the same form.
+        clock_rate: Seconds of its clock for one second of simulated time.
+        max_timer_delay: Most seconds by which its timers are late.
+        frozen: Whether the process is stopped; messages queue up meanwhile.
+        dead: Whether it was killed.
+        queue: Messages that wait for a frozen process.
+        clock_origin: Simulated time at which its clock shows the same.
     """
 
     name: str
-    address: tuple[str, int]
+    address: Address
     protocol: Any
-    clock_rate: float = 1.0  # seconds of its clock for one true second
-    max_timer_delay: float = 0.0  # each of its turns begins up to this much later
+    clock_rate: float = 1.0
+    max_timer_delay: float = 0.0
     frozen: bool = False
     dead: bool = False
-    queue: list[Any] = field(default_factory=list)
+    queue: list[Message] = field(default_factory=list)
     clock_origin: float = 0.0
 
     def local_time(self, now: float) -> float:
+        """What its clock shows at a simulated time."""
         return (now - self.clock_origin) * self.clock_rate + self.clock_origin
 
+    def simulated_time(self, local_time: float) -> float:
+        """When its clock will show this time."""
+        return (local_time - self.clock_origin) / self.clock_rate + self.clock_origin
+
 
 @dataclass
 class ObservedChange:
-    """A change at a node: when, who says it, and of whom."""
+    """A change of a member's state as one node saw it; time in simulated seconds."""
 
     at: float
     observer: str
@@ -63,14 +82,50 @@
     reason: str
 
 
+class Delivery(NamedTuple):
+    """A message on its way."""
+
+    sender: str
+    address: Address
+    message: Message
+
+
+class Timer(NamedTuple):
+    """A node's timer; it is void once the node has armed another."""
+
+    address: Address
+    due: float
+
+
+class ScheduledEvent(NamedTuple):
+    """An entry of the event queue, in order of time and then of number."""
+
+    at: float
+    number: int
+    event: Delivery | Timer | Callable[[], None]
+
+
 class SimulatedNetwork:
-    def __init__(
+    """A network and its nodes.
+
+    Args:
+        seed: Of every random choice.
+        probe_interval: Seconds, of all nodes.
+        loss: Probability that a datagram is lost.
+        delay: Least and most seconds on the way.
+        protocol_factory: Makes a node's protocol.
+        duplication: Probability that a datagram comes twice.
+        measure: Whether bytes are counted.
+    """
+
+    def __init__(  # noqa: PLR0913 - conditions of a network, each named by its caller
         self,
         seed: int,
         probe_interval: float = 0.2,
         loss: float = 0.0,
         delay: tuple[float, float] = (0.0005, 0.002),
         protocol_factory: ProtocolFactory = MembershipProtocol,
+        *,
         duplication: float = 0.0,
         measure: bool = False,
     ) -> None:
@@ -83,38 +138,38 @@
         self.measure = measure
         self.now = 0.0
         self.event_numbers = count()
-        self.event_queue: list[tuple[float, int, str, Any]] = []
-        self.nodes: dict[tuple[str, int], Node] = {}
-        self.timer_deadlines: dict[tuple[str, int], float] = {}
+        self.event_queue: list[ScheduledEvent] = []
+        self.nodes: dict[Address, Node] = {}
+        self.timer_deadlines: dict[Address, float] = {}
+        self.blocked_links = set[
+            tuple[str, str]
+        ]()  # from the first name nothing gets to the second
         self.observed_changes: list[ObservedChange] = []
         self.pauses = Counter[str]()
         self.superseded = list[str]()
-        self.broadcasts = defaultdict[str, list[Any]](list)
-        self.blocked_links: set[tuple[str, str]] = (
-            set()
-        )  # directed: from this name nothing reaches that one
+        self.broadcasts = defaultdict[str, list[Broadcast]](list)
         self.messages_sent = Counter[str]()
         self.bytes_sent = Counter[str]()
 
-    # The cast.
-
-    def start(
+    def start(  # noqa: PLR0913 - conditions of a process, each named by its caller
         self,
         name: str,
         start_epoch: int = 1,
         seeds: tuple[str, ...] = (),
-        address: tuple[str, int] | None = None,
+        address: Address | None = None,
+        *,
         clock_rate: float = 1.0,
         max_timer_delay: float = 0.0,
     ) -> Node:
+        """Start a process that knows these members as seeds."""
         node_address = address or (name, 1)
-        others = [(seed, 1) for seed in seeds]
+        seed_addresses = [(seed, 1) for seed in seeds]
         node = Node(name, node_address, None, clock_rate, max_timer_delay, clock_origin=self.now)
         node.protocol = self.protocol_factory(
             name,
             start_epoch,
             node_address,
-            others,
+            seed_addresses,
             node.local_time(self.now),
             self.probe_interval,
             Random(self.rng.random()),
@@ -123,130 +178,138 @@
         self._arm_timer(node)
         return node
 
-    def start_cluster(self, size: int, **more: Any) -> list[Node]:
-        """So many that know the first three as seeds."""
+    def start_cluster(self, size: int, **conditions: Any) -> list[Node]:
+        """Start members m0, m1, ... that know the first three as seeds."""
         names = [f"m{n}" for n in range(size)]
-        return [self.start(name, seeds=tuple(names[:3]), **more) for name in names]
+        return [self.start(name, seeds=tuple(names[:3]), **conditions) for name in names]
 
     def node(self, name: str) -> Node:
+        """The first running process of this name."""
         return next(node for node in self.nodes.values() if node.name == name and not node.dead)
 
     def kill(self, name: str) -> None:
+        """End a process without a goodbye."""
         node = self.node(name)
         node.dead = True
         self.nodes.pop(node.address)
 
     def freeze(self, name: str, frozen: bool = True) -> None:
+        """Stop a process, or let it go on with the messages that came meanwhile."""
         node = self.node(name)
         node.frozen = frozen
-        if not frozen:
-            queue = node.queue
-            node.queue = []
-            for message in queue:
-                self._receive(node, message)
-            self._tick(node)
+        if frozen:
+            return
+        queue = node.queue
+        node.queue = []
+        for message in queue:
+            self._receive(node, message)
+        self._tick(node)
 
     def partition(self, *sides: tuple[str, ...]) -> None:
-        """Nothing between these sides, either way."""
+        """Block all links between these sides, both ways."""
         for side in sides:
             for other in sides:
                 if side is not other:
                     self.blocked_links |= {(a, b) for a in side for b in other}
 
     def heal(self) -> None:
+        """Unblock all links."""
         self.blocked_links.clear()
 
-    # Time.
-
     def schedule(self, when: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self.event_queue, (when, next(self.event_numbers), "act", action))
+        """Call something at a simulated time."""
+        self._push(when, action)
+
+    def _push(self, when: float, event: Delivery | Timer | Callable[[], None]) -> None:
+        heapq.heappush(self.event_queue, ScheduledEvent(when, next(self.event_numbers), event))
 
     def run(self, until: float) -> None:
-        while self.event_queue and self.event_queue[0][0] <= until:
-            self.now, _, kind, what = heapq.heappop(self.event_queue)
-            if kind == "act":
-                what()
-            elif kind == "wake":
-                address, armed = what
-                if self.timer_deadlines.get(address) == armed and address in self.nodes:
-                    self._tick(self.nodes[address])
-            else:
-                sender, address, message = what
-                node = self.nodes.get(address)
-                if node is not None and (sender, node.name) not in self.blocked_links:
-                    if node.frozen:
-                        node.queue = [*node.queue, message][
-                            -500:
-                        ]  # as a socket's buffer has an end
-                    else:
-                        self._receive(node, message)
+        """Let time go on to this moment."""
+        while self.event_queue and self.event_queue[0].at <= until:
+            self.now, _, event = heapq.heappop(self.event_queue)
+            match event:
+                case Timer():
+                    self._fire(event)
+                case Delivery():
+                    self._deliver(event)
+                case _:
+                    event()
         self.now = until
 
+    def _fire(self, timer: Timer) -> None:
+        armed = self.timer_deadlines.get(timer.address) == timer.due
+        if armed and timer.address in self.nodes:
+            self._tick(self.nodes[timer.address])
+
+    def _deliver(self, delivery: Delivery) -> None:
+        node = self.nodes.get(delivery.address)
+        if node is None or (delivery.sender, node.name) in self.blocked_links:
+            return
+        if node.frozen:
+            node.queue = [*node.queue, delivery.message][-MAX_QUEUED_MESSAGES:]
+        else:
+            self._receive(node, delivery.message)
+
     def _arm_timer(self, node: Node) -> None:
-        due = (
-            node.protocol.next_deadline() - node.clock_origin
-        ) / node.clock_rate + node.clock_origin
-        due = max(due, self.now) + (
-            self.rng.uniform(0.0, node.max_timer_delay) if node.max_timer_delay else 0.0
-        )
+        due = max(node.simulated_time(node.protocol.next_deadline()), self.now)
+        if node.max_timer_delay:
+            due += self.rng.uniform(0.0, node.max_timer_delay)
         if due != self.timer_deadlines.get(node.address):
             self.timer_deadlines[node.address] = due
-            heapq.heappush(
-                self.event_queue, (due, next(self.event_numbers), "wake", (node.address, due))
-            )
+            self._push(due, Timer(node.address, due))
 
     def _tick(self, node: Node) -> None:
         if not node.frozen:
             self._execute(node, node.protocol.tick(node.local_time(self.now)))
 
-    def _receive(self, node: Node, message: Any) -> None:
+    def _receive(self, node: Node, message: Message) -> None:
         self._execute(node, node.protocol.receive(node.local_time(self.now), message))
 
     def perform(self, name: str, action: Callable[[Any, float], list[Order]]) -> None:
-        """Let a node's machine do something of its own accord."""
+        """Let a node's protocol do something by itself, such as leaving."""
         node = self.node(name)
         self._execute(node, action(node.protocol, node.local_time(self.now)))
 
-    def _execute(self, node: Node, orders: list[Any]) -> None:
+    def _execute(self, node: Node, orders: list[Order]) -> None:
         for order in orders:
             match order:
-                case Send(address=address, message=message):
-                    self._send(node, address, message)
-                case MemberStateChanged(name=of, before=before, after=state, reason=reason):
+                case Send():
+                    self._send(node, order.address, order.message)
+                case MemberStateChanged():
                     self.observed_changes.append(
-                        ObservedChange(self.now, node.name, of, before, state, reason)
+                        ObservedChange(
+                            self.now, node.name, order.name, order.before, order.after, order.reason
+                        )
                     )
                 case ProcessPaused():
                     self.pauses[node.name] += 1
                 case Superseded():
                     self.superseded.append(node.name)
-                case BroadcastReceived(broadcast=broadcast):
-                    self.broadcasts[node.name].append(broadcast)
+                case BroadcastReceived():
+                    self.broadcasts[node.name].append(order.broadcast)
         self._arm_timer(node)
 
-    def _send(self, node: Node, address: tuple[str, int], message: Any) -> None:
+    def _send(self, node: Node, address: Address, message: Message) -> None:
         self.messages_sent[node.name] += 1
         if self.measure:
             self.bytes_sent[node.name] += len(msgspec.msgpack.encode(message))
         receiver = self.nodes.get(address)
         if receiver is not None and (node.name, receiver.name) in self.blocked_links:
             return
-        # By a stream a word comes late rather than not at all.
-        loss = self.loss**3 if isinstance(message, StateSync) else self.loss
-        for _ in range(1 + (self.rng.random() < self.duplication)):
+        loss = self.loss
+        if isinstance(message, StateSync):
+            loss = loss**STREAM_LOSS_EXPONENT
+        copies = 1 + (self.rng.random() < self.duplication)
+        for _ in range(copies):
             if self.rng.random() >= loss:
                 due = self.now + self.rng.uniform(*self.delay)
-                heapq.heappush(
-                    self.event_queue,
-                    (due, next(self.event_numbers), "come", (node.name, address, message)),
-                )
-
-    # What was seen.
+                self._push(due, Delivery(node.name, address, message))
 
     def views_agree(self) -> bool:
-        """Whether all that live have one view."""
-        machines = [node.protocol for node in self.nodes.values() if node.protocol.state == "alive"]
-        return len({protocol.table.digest() for protocol in machines}) <= 1
+        """Whether all active members have the same digest."""
+        active = [node.protocol for node in self.nodes.values() if node.protocol.state == "alive"]
+        return len({protocol.table.digest() for protocol in active}) <= 1
 
     def changes_to(self, state: str = "failed") -> list[ObservedChange]:
+        """All changes to this state so far."""
         return [change for change in self.observed_changes if change.after == state]
--- a/tests/fleet/membership/test_protocol.py
+++ b/tests/fleet/membership/test_protocol.py
@@ -177,11 +177,11 @@
     }
     for told in rows.values():
         assert told["m0"].not_answering == ("m2",) and told["m2"].not_answering == ("m0",)
-        assert told["m0"].not_heard == ("m2",) and told["m2"].not_heard == ("m0",)
+        assert told["m0"].silent == ("m2",) and told["m2"].silent == ("m0",)
     net.heal()
     net.run(40.0)
     assert all(
-        not row.not_answering and not row.not_heard
+        not row.not_answering and not row.silent
         for node in net.nodes.values()
         for row in node.protocol.table.reachability_reports.values()
     )
--- a/tests/recorded/fleet_examples.py
+++ b/tests/recorded/fleet_examples.py
@@ -40,7 +40,7 @@
     OTHER,
     members.MemberBan(name="m3", version=4, banned=True),
     members.ReachabilityReport(
-        name="m0", version=(7, 3), not_answering=("m1",), not_heard=("m2", "m3")
+        name="m0", version=(7, 3), not_answering=("m1",), silent=("m2", "m3")
     ),
     members.ReachabilityReport(name="m2", version=(8, 1)),
     members.Broadcast(key="burden/m0", payload=b"\x00\x01\xff"),
