--- a/dunlinlug/fleet/membership/failure_detection.py
+++ b/dunlinlug/fleet/membership/failure_detection.py
@@ -3,7 +3,7 @@
 Source: SWIM (Das, Gupta, Motivala 2002): members are probed in rounds of random order (section
 4.3), one in each interval, directly and then through others (section 3.1); who answers nobody is
 suspected (section 4.2). From Lifeguard (Dadgar, Phillips, Currey 2018): nacks and the local health
-multiplier (section IV-A). Departures, each for a case that the tests play: a member that is heard
+multiplier ("LHA-Probe"). Departures, each for a case that the tests play: a member that is heard
 while it leaves a probe unanswered is not suspected, and a member that hears nobody suspects nobody
 for a while.
 """
--- a/dunlinlug/fleet/membership/indirect_probes.py
+++ b/dunlinlug/fleet/membership/indirect_probes.py
@@ -1,8 +1,7 @@
 """Answering pings, and probing a member on behalf of another.
 
 Source: SWIM (Das, Gupta, Motivala 2002), section 3.1, ping-req; the nack, by which a helper says
-that it is well though the member probed is silent, is Lifeguard's (Dadgar, Phillips, Currey 2018,
-section IV-A).
+that it is well though the member probed is silent, is Lifeguard's (Dadgar, Phillips, Currey 2018).
 """
 
 from collections.abc import Iterable
--- a/dunlinlug/fleet/membership/local_health.py
+++ b/dunlinlug/fleet/membership/local_health.py
@@ -2,7 +2,7 @@
 
 The score counts such reasons, from 0 (healthy) to `MAX_LOCAL_HEALTH`. Probe intervals and timeouts
 are stretched by it. Source: Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More
-Accurate Failure Detection" (2018), section IV-A, "LHA-Probe".
+Accurate Failure Detection" (2018), "LHA-Probe".
 """
 
 from dunlinlug.fleet.membership.local_member import LocalMember
--- a/dunlinlug/fleet/membership/probes.py
+++ b/dunlinlug/fleet/membership/probes.py
@@ -51,7 +51,7 @@
     """The order to ping a known member, with gossip.
 
     Who is suspected or claimed to have failed hears that first, so that it can refute it:
-    Lifeguard's "buddy system" (Dadgar, Phillips, Currey 2018, section IV-C).
+    Lifeguard's "buddy system" (Dadgar, Phillips, Currey 2018).
     """
     known = member.table.members[name]
     priority_items: tuple[GossipItem, ...] = ()
--- a/dunlinlug/fleet/membership/suspicions.py
+++ b/dunlinlug/fleet/membership/suspicions.py
@@ -3,7 +3,7 @@
 SWIM lets a suspected member refute for a fixed time (Das, Gupta, Motivala, "SWIM: Scalable
 Weakly-consistent Infection-style Process Group Membership Protocol", 2002, section 4.2). Lifeguard
 starts with a long time, which each independent confirmation shortens by the logarithm of their
-number (Dadgar, Phillips, Currey 2018, section IV-B, "LHA-Suspicion").
+number (Dadgar, Phillips, Currey 2018, "LHA-Suspicion").
 """
 
 from math import log, log10
