--- a/dunlinlug/fleet/membership/__init__.py
+++ b/dunlinlug/fleet/membership/__init__.py
@@ -1,1 +1,4 @@
-"""Who belongs to the fleet's managers, who of them has failed, and on which side of a cut we are."""
+"""Membership: which managers there are, which have failed, and where a partition runs.
+
+SWIM with Lifeguard's extensions; `protocol` is the way in, `docs/membership.md` the overview.
+"""
--- a/dunlinlug/fleet/membership/bans.py
+++ b/dunlinlug/fleet/membership/bans.py
@@ -23,7 +23,7 @@
     orders = merge_ban(member, MemberBan(name, version, banned), member.self_id)
     member.next_gossip_at = member.now
     if name != member.self_id:
-        # A banned member gets no gossip any more, so it is told straight away.
+        # A banned member gets no gossip any more, so the ban is sent to it directly.
         orders.append(member.send(name, Gossip(member.local_state, name, (table.bans[name],))))
     return orders
 
@@ -53,7 +53,7 @@
 
 
 def receive_from_banned(member: LocalMember, message: Message) -> list[Order]:
-    """Take nothing of a banned member but the end of its ban, and tell it that it is banned.
+    """Take nothing of a banned member but the end of its ban, and send it the ban.
 
     The end of a ban may come from anyone, that member included.
     """
--- a/dunlinlug/fleet/membership/list_digests.py
+++ b/dunlinlug/fleet/membership/list_digests.py
@@ -107,7 +107,10 @@
         return Broadcast(f"{KEY_PREFIX}{self.self_id}", msgspec.msgpack.encode(digest))
 
     def merge(self, now: float, broadcast: Broadcast) -> bool:
-        """Take another manager's digest; gives whether it was news. Order and repeats don't matter."""
+        """Take another manager's digest, in any order and any number of times.
+
+        Gives whether it was news.
+        """
         try:
             digest = msgspec.msgpack.decode(broadcast.payload, type=ListDigest)
         except msgspec.DecodeError:
@@ -140,7 +143,7 @@
     def divergence_changes(
         self, now: float, listed_workers: Mapping[str, Endpoint] | None
     ) -> list[DivergenceChange]:
-        """Managers whose list has differed for too long, and those whose does no more, each once."""
+        """Managers whose list began to differ for too long, or ceased to, since the last call."""
         divergent = self.divergent(now)
         self.divergent_since = {name: self.divergent_since.get(name, now) for name in divergent}
         changes: list[DivergenceChange] = []
--- a/dunlinlug/fleet/membership/load.py
+++ b/dunlinlug/fleet/membership/load.py
@@ -1,4 +1,4 @@
-"""What load each manager carries, as it tells the others by broadcasts. Free of I/O."""
+"""What load each manager carries, as it broadcasts it. Free of I/O."""
 
 from typing import Annotated, NamedTuple
 
@@ -98,7 +98,10 @@
         return Broadcast(f"{KEY_PREFIX}{self.self_id}", msgspec.msgpack.encode(payload))
 
     def merge(self, now: float, broadcast: Broadcast) -> bool:
-        """Take another manager's load; gives whether it was news. Order and repeats do not matter."""
+        """Take another manager's load, in any order and any number of times.
+
+        Gives whether it was news.
+        """
         try:
             payload = msgspec.msgpack.decode(broadcast.payload, type=LoadPayload)
         except msgspec.DecodeError:
@@ -126,7 +129,7 @@
     def overload_changes(self, now: float) -> list[LoadChange]:
         """Managers that became overloaded or recovered since the last call.
 
-        A manager that has told nothing for long counts as recovered, since it is not there.
+        A manager that has broadcast nothing for long counts as recovered, since it is not there.
         """
         present = self.present(now)
         changes: list[LoadChange] = []
--- a/dunlinlug/fleet/membership/local_member.py
+++ b/dunlinlug/fleet/membership/local_member.py
@@ -95,7 +95,7 @@
 
 @dataclass
 class IndirectProbe:
-    """A probe that we make for another: whom to tell, under which sequence number of its own."""
+    """A probe that we make for another: for whom, and its sequence number there."""
 
     sequence: int
     requester: MemberState
--- a/dunlinlug/fleet/membership/protocol.py
+++ b/dunlinlug/fleet/membership/protocol.py
@@ -40,7 +40,7 @@
 
 
 class MembershipProtocol(LocalMember):
-    """One member: what it remembers (`LocalMember`), and the entry points by which the host runs it.
+    """One member: what it remembers (`LocalMember`), and the entry points for its host.
 
     Host times are seconds of any clock; they may jump either way.
     """
@@ -120,7 +120,7 @@
         return merging.merge_state(self, message.sender, "")
 
     def _receive_from_earlier_start(self, message: Message) -> list[Order]:
-        """Tell a former process of that name, or the earlier of two, of the later; heed nothing."""
+        """Point an earlier process of this name to the later one, and heed nothing else of it."""
         sender = message.sender
         if not isinstance(message, Ping):
             return []
--- a/dunlinlug/fleet/membership/reachability.py
+++ b/dunlinlug/fleet/membership/reachability.py
@@ -56,7 +56,7 @@
 
 
 def is_reachable(member: LocalMember, name: str) -> bool:
-    """Whether we and this member reach each other, directly or through others, as far as we know."""
+    """Whether we and this member reach each other, directly or through others."""
     if name == member.self_id:
         return member.state in (Lifecycle.ALIVE, Lifecycle.JOINING)
     known = member.table.members.get(name)
--- a/dunlinlug/fleet/membership/service.py
+++ b/dunlinlug/fleet/membership/service.py
@@ -144,7 +144,7 @@
                 self._broadcast_facts()
 
     def leave(self) -> None:
-        """Say goodbye, so that a planned stop is no failure to others; to be called before the end."""
+        """Say goodbye before the end, so that a planned stop is no failure to others."""
         self.transport.perform(self.protocol.leave)
 
     def record_reports(self, events: list[Event]) -> None:
@@ -210,7 +210,7 @@
         self.on_member_change(change)
 
     def address_of(self, name: str) -> Address:
-        """Where a member is by its own word, or as configured while it is not known.
+        """Where a member is by its own statement, or as configured while it is not known.
 
         Raises KeyError for a name that is neither.
         """
--- a/dunlinlug/fleet/membership/suspicions.py
+++ b/dunlinlug/fleet/membership/suspicions.py
@@ -36,7 +36,7 @@
 
 
 def _confirmed_fraction(reporters: int, cluster_size: int) -> float:
-    """How far the timeout has shrunk, 0 to 1; the first reporter started it and confirms nothing."""
+    """How far the timeout has shrunk, 0 to 1; the first reporter confirms nothing."""
     max_confirmations = min(MAX_CONFIRMATIONS, cluster_size - 2)
     if max_confirmations <= 0 or not reporters:
         return 0.0
--- a/tests/fleet/membership/test_load.py
+++ b/tests/fleet/membership/test_load.py
@@ -1,4 +1,4 @@
-"""Loads of managers: broadcasts merge in any order; overload and recovery are reported once each."""
+"""Loads of managers: merging in any order; overload and recovery are reported once each."""
 
 from random import Random
 
