--- a/dunlinlug/manager/order_validation.py
+++ b/dunlinlug/manager/order_validation.py
@@ -91,7 +91,7 @@
     def _create_record(self, rejection: Rejection, source: str) -> RejectionRecord:
         return RejectionRecord(
             source=source,
-            rule=rejection.rule,
+            rule=str(rejection.rule),
             order=rejected_order_text(rejection.order),  # type: ignore[arg-type]
             why=rejection.reason,
             would_pass=rejection.remedy,
