--- a/bench/scale/part.py
+++ b/bench/scale/part.py
@@ -6,6 +6,7 @@
 import sys
 import time
 from collections.abc import Awaitable, Callable
+from enum import StrEnum
 from typing import Any
 
 import trio
@@ -14,6 +15,7 @@
 from dunlinlug.fleet.membership import codec
 from dunlinlug.fleet.membership.messages import Message
 from dunlinlug.fleet.membership.service import Membership
+from dunlinlug.fleet.sealing import AuthenticationError
 from dunlinlug.manager.skewed_clock import SkewedClock
 
 Command = dict[str, Any]
@@ -88,6 +90,12 @@
         return data
 
 
+class SimulatedRejectReason(StrEnum):
+    """Why a message is not taken that a real member would take."""
+
+    PARTITIONED = "cut"
+
+
 class CountedOpener(codec.DatagramOpener):
     """Hears nothing of who is `beyond` a cut. Danger: real managers don't know of the cut and send on."""
 
@@ -97,12 +105,12 @@
     def open(self, data: bytes) -> Message:
         try:
             message = super().open(data)
-        except codec.DatagramRejectedError as fault:
+        except AuthenticationError as fault:
             self.meter.counts[f"refused {fault}"] += 1
             raise
         if message.sender.name in self.beyond:
             self.meter.counts["refused cut"] += 1
-            raise codec.DatagramRejectedError("cut")
+            raise AuthenticationError(SimulatedRejectReason.PARTITIONED)
         self.meter.add(KINDS[type(message).__name__], "in", len(data))
         return message
 
--- a/dunlinlug/fleet/election/codec.py
+++ b/dunlinlug/fleet/election/codec.py
@@ -1,30 +1,32 @@
-"""Members' messages on the wire: msgpack in sealed frames. Free of I/O.
+"""Messages of the replicated logs on the wire: msgpack in signed frames on a stream; free of I/O.
 
-A member dials each other one and sends; who is dialled only listens. The listener says a nonce
-first; each frame is its length, a number that counts up, the key's short name, a keyed BLAKE2b over
-nonce, number and body, and the body. So a frame of another connection, or one twice, is refused.
-Two keys are valid at a time: the first signs.
+A member dials each other member and only sends on that connection; the member dialled only
+listens, and begins by sending a nonce of 16 bytes. Each frame is its body's length (4 bytes), a
+sequence number (8), the key's id (4), a keyed BLAKE2b over nonce, sequence number and body (32),
+and the body. So a frame cannot be used on another connection, nor twice on its own.
 """
 
-import hmac
 import struct
 from collections.abc import Mapping
-from hashlib import blake2b
 from typing import Any
 
 import msgpack
 
-from dunlinlug.errors import DunlinlugError
 from dunlinlug.fleet.election import messages as election_messages
-from dunlinlug.fleet.shared_keys import KEY_ID_BYTES, key_id
+from dunlinlug.fleet.sealing import (
+    FRAME_SEAL,
+    AuthenticationError,
+    MessageOpener,
+    MessageSealer,
+    RejectReason,
+)
+from dunlinlug.fleet.shared_keys import KEY_ID_BYTES
 from dunlinlug.fleet.wire_names import by_wire_name, wire_fields, wire_name
 
 NONCE_BYTES = 16
-MAC_BYTES = 32
-MAX_FRAME_BYTES = (
-    2**26
-)  # bytes of a frame: the whole of five hundred proxies and two thousand workers is a tenth of it
-HEADER = struct.Struct(f">IQ{KEY_ID_BYTES}s{MAC_BYTES}s")
+# bytes of a frame: ten times the snapshot of 500 proxies and 2,000 workers
+MAX_FRAME_BYTES = 2**26
+HEADER = struct.Struct(f">IQ{KEY_ID_BYTES}s{FRAME_SEAL.mac_bytes}s")
 MESSAGE_TYPES = by_wire_name(
     (
         election_messages.VoteRequest,
@@ -35,24 +37,20 @@
         election_messages.TransferLeadership,
     )
 )
-# By their names on the wire:
-POSITION_FIELDS = ("position", "base", "upto", "committed")  # fields that are places of the log
-ROW_FIELDS = ("behind", "away", "items")  # fields that are rows of plain values
-MessageTypes = Mapping[str, Any]
-
-
-class AuthenticationError(DunlinlugError):
-    """A frame that no valid key has signed, or that is not in its order."""
-
-
-def _mac(key: bytes, nonce: bytes, sequence: int, body: bytes) -> bytes:
-    return blake2b(
-        nonce + sequence.to_bytes(8, "big") + body, key=key, digest_size=MAC_BYTES
-    ).digest()
+# Fields of any message by their wire names, which msgpack gives back as lists:
+POSITION_FIELDS = ("position", "base", "upto", "committed")  # positions in the log
+ROW_FIELDS = ("behind", "away", "items")  # rows of plain values
+VOTER_SET_FIELD = "roll"
+ENTRIES_FIELD = "entries"
+MessageTypes = Mapping[str, Any]  # classes of messages by wire name
 
 
 def encode(message: Any) -> bytes:
-    """Raises TypeError for a message whose class or a field of which has no wire name."""
+    """The body of a frame: the message's wire name and its fields by wire name.
+
+    Raises:
+        TypeError: The class or one of its fields declares no wire name.
+    """
     kind: Any = type(message)
     fields = {}
     for name, attribute in wire_fields(kind).items():
@@ -65,82 +63,90 @@
 
 
 def decode(body: bytes, message_types: MessageTypes = MESSAGE_TYPES) -> Any:
-    """Raises Forged for what this version does not say."""
+    """The message of a frame's body.
+
+    Raises:
+        AuthenticationError: It is not a message of these types with just their fields.
+    """
     try:
         name, fields = msgpack.unpackb(body)
-        for key in fields.keys() & POSITION_FIELDS:
-            term, number = fields[key]
-            fields[key] = (int(term), int(number))
-        for key in fields.keys() & ROW_FIELDS:
-            fields[key] = tuple(tuple(row) for row in fields[key])
-        if "roll" in fields:
-            version, members = fields["roll"]
-            fields["roll"] = election_messages.VoterSet(
-                int(version), tuple(str(m) for m in members)
-            )
-        if "entries" in fields:
-            fields["entries"] = tuple(bytes(entry) for entry in fields["entries"])
-        fields["term"], fields["sender"] = int(fields["term"]), str(fields["sender"])
+        _restore_field_types(fields)
         kind = message_types[name]
         attributes = wire_fields(kind)
         return kind(**{attributes[key]: value for key, value in fields.items()})
     except (ValueError, TypeError, KeyError, AttributeError, msgpack.UnpackException) as error:
-        raise AuthenticationError(f"not a message: {type(error).__name__}") from None
+        raise AuthenticationError(RejectReason.FRAME_MALFORMED, type(error).__name__) from None
 
 
-class FrameSealer:
+def _restore_field_types(fields: dict[str, Any]) -> None:
+    """Makes of msgpack's lists and numbers what the messages' classes hold, in place."""
+    for key in fields.keys() & POSITION_FIELDS:
+        term, index = fields[key]
+        fields[key] = (int(term), int(index))
+    for key in fields.keys() & ROW_FIELDS:
+        fields[key] = tuple(tuple(row) for row in fields[key])
+    if VOTER_SET_FIELD in fields:
+        version, members = fields[VOTER_SET_FIELD]
+        names = tuple(str(member) for member in members)
+        fields[VOTER_SET_FIELD] = election_messages.VoterSet(int(version), names)
+    if ENTRIES_FIELD in fields:
+        fields[ENTRIES_FIELD] = tuple(bytes(entry) for entry in fields[ENTRIES_FIELD])
+    fields["term"] = int(fields["term"])
+    fields["sender"] = str(fields["sender"])
+
+
+def _signed_prefix(nonce: bytes, sequence: int) -> bytes:
+    """What a frame's signature covers besides its body."""
+    return nonce + sequence.to_bytes(8, "big")
+
+
+class FrameSealer(MessageSealer):
+    """Writes the frames of one connection, for the nonce that its listener sent."""
+
     def __init__(self, key: bytes, nonce: bytes) -> None:
-        self.key = key
+        super().__init__(key, FRAME_SEAL)
         self.nonce = nonce
-        self.sequence = 0
 
     def frame(self, message: object) -> bytes:
+        """The message as the connection's next frame. Raises TypeError as `encode` does."""
         body = encode(message)
-        self.sequence += 1
-        return (
-            HEADER.pack(
-                len(body),
-                self.sequence,
-                key_id(self.key),
-                _mac(self.key, self.nonce, self.sequence, body),
-            )
-            + body
-        )
+        sequence = self.next_sequence()
+        mac = self.sign(_signed_prefix(self.nonce, sequence), body)
+        return HEADER.pack(len(body), sequence, self.key_id, mac) + body
 
 
-class FrameOpener:
-    """Bytes in, messages out. Raises Forged; the connection is then to be ended."""
+class FrameOpener(MessageOpener):
+    """Reads the frames of one connection, from bytes in any pieces."""
 
     def __init__(
         self, keys: list[bytes], nonce: bytes, message_types: MessageTypes = MESSAGE_TYPES
     ) -> None:
-        self.keys = {key_id(key): key for key in keys}
+        super().__init__(keys, FRAME_SEAL)
         self.nonce = nonce
         self.sequence = 0
         self.message_types = message_types
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Any]:
+        """The messages whose frames these bytes complete.
+
+        Raises:
+            AuthenticationError: A frame is not the next one of this connection, or not signed by a
+                valid key. The connection is then to be closed.
+        """
         self.buffer += data
         messages = []
         while len(self.buffer) >= HEADER.size:
             length, sequence, key_name, mac = HEADER.unpack_from(self.buffer)
-            if (
-                length > MAX_FRAME_BYTES
-                or key_name not in self.keys
-                or sequence != self.sequence + 1
-            ):
-                raise AuthenticationError(
-                    "an unknown key"
-                    if key_name not in self.keys
-                    else "a frame out of order or over the bound"
-                )
-            if len(self.buffer) < HEADER.size + length:
+            self.require_known_key(key_name)
+            if length > MAX_FRAME_BYTES or sequence != self.sequence + 1:
+                raise AuthenticationError(RejectReason.FRAME_OUT_OF_BOUNDS)
+            end = HEADER.size + length
+            if len(self.buffer) < end:
                 break
-            body = bytes(self.buffer[HEADER.size : HEADER.size + length])
-            del self.buffer[: HEADER.size + length]
-            if not hmac.compare_digest(_mac(self.keys[key_name], self.nonce, sequence, body), mac):
-                raise AuthenticationError("a frame that its key has not signed")
+            body = bytes(self.buffer[HEADER.size : end])
+            del self.buffer[:end]
+            self.verify(key_name, _signed_prefix(self.nonce, sequence), body, mac)
             self.sequence = sequence
             messages.append(decode(body, self.message_types))
         return messages
--- a/dunlinlug/fleet/membership/transport.py
+++ b/dunlinlug/fleet/membership/transport.py
@@ -20,6 +20,7 @@
     Superseded,
 )
 from dunlinlug.fleet.membership.protocol import MembershipProtocol
+from dunlinlug.fleet.sealing import AuthenticationError
 
 MAX_DATAGRAMS_PER_BATCH = 256  # datagrams read in one turn before timers are looked at
 # datagrams that are looked at in a second: twenty times what a thousand members send one
@@ -129,7 +130,7 @@
     def _handle_datagram(self, data: bytes) -> None:
         try:
             message = self.opener.open(data)
-        except codec.DatagramRejectedError as error:
+        except AuthenticationError as error:
             self.rejections[str(error)] += 1
             if self.clock() >= self.last_rejection_log_at + REJECTION_LOG_INTERVAL:
                 self.last_rejection_log_at = self.clock()
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -37,8 +37,8 @@
 )
 from bench.scale.__main__ import main
 from dunlinlug.config.reader import ConfigError
-from dunlinlug.fleet.membership import codec
 from dunlinlug.fleet.membership.messages import ALIVE, MemberState, Ping, ProcessPaused, Send
+from dunlinlug.fleet.sealing import AuthenticationError
 
 ROOT = Path(__file__).parents[2]
 SMALL = """[scale]
@@ -507,10 +507,10 @@
     ping = Ping(MemberState("a", (1, 0), ALIVE, ("127.0.0.1", 1), "a"), "b", 1, b"")
     data = sealer.seal(ping)
     assert opener.open(data) == ping
-    with pytest.raises(codec.DatagramRejectedError, match="replay"):
+    with pytest.raises(AuthenticationError, match="replay"):
         opener.open(data)
     opener.beyond = frozenset({"a"})
-    with pytest.raises(codec.DatagramRejectedError, match="cut"):
+    with pytest.raises(AuthenticationError, match="cut"):
         opener.open(sealer.seal(ping))
     assert meter.said() == {
         "ping": {"in": 1, "out": 2, "bytes_in": len(data), "bytes_out": 2 * len(data)}
--- a/tests/fleet/membership/test_transport.py
+++ b/tests/fleet/membership/test_transport.py
@@ -2,6 +2,7 @@
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
+from hashlib import blake2b
 from random import Random
 from typing import Any
 
@@ -21,6 +22,13 @@
 )
 from dunlinlug.fleet.membership.service import Membership
 from dunlinlug.fleet.membership.transport import MAX_DELEGATED_CONNECTIONS
+from dunlinlug.fleet.sealing import (
+    DATAGRAM_SEAL,
+    REPLAY_WINDOW,
+    AuthenticationError,
+    ReplayWindow,
+)
+from dunlinlug.fleet.shared_keys import key_id
 from tests.fixtures.manager_set import free_ports
 
 KEY, NEW = bytes(range(32)), bytes(32)
@@ -41,7 +49,7 @@
         (codec.DatagramSealer(b"k" * 32, b"boot-two").seal(PING), "key"),
         (data[:-1] + b"?", "seal"),
     ):
-        with pytest.raises(codec.DatagramRejectedError, match=why):
+        with pytest.raises(AuthenticationError, match=why):
             opener.open(bad)
 
 
@@ -65,10 +73,10 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_window_takes_each_number_once_in_any_order(seed: int) -> None:
-    chance, window, seen, highest = Random(seed), codec.ReplayWindow(), set[int](), 0
+    chance, window, seen, highest = Random(seed), ReplayWindow(), set[int](), 0
     for _ in range(3000):
         number = max(1, highest + chance.choice([1, 1, 2, -1, -3, -50, -1030, 400]))
-        plain = number not in seen and (number > highest or highest - number < codec.REPLAY_WINDOW)
+        plain = number not in seen and (number > highest or highest - number < REPLAY_WINDOW)
         assert window.accept(number) == plain, (number, highest)
         seen.add(number)
         highest = max(highest, number)
@@ -90,11 +98,11 @@
                     body += b"\x00"
                 case 2:
                     body[at:at] = bytes(chance.choices(range(256), k=3))
-        head = codec.HEADER.pack(codec.FORMAT_VERSION, codec.key_id(KEY), b"boot-one", n + 1)
-        mac = codec.blake2b(head + body, key=KEY, digest_size=codec.MAC_BYTES).digest()
+        head = codec.HEADER.pack(codec.FORMAT_VERSION, key_id(KEY), b"boot-one", n + 1)
+        mac = blake2b(head + body, key=KEY, digest_size=DATAGRAM_SEAL.mac_bytes).digest()
         try:
             opener.open(head + mac + bytes(body))
-        except codec.DatagramRejectedError:
+        except AuthenticationError:
             refused += 1
     assert refused > 2000
 
