--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -257,7 +257,7 @@
             views[f"{said['digest']} {said['living']} {said['state']}"] += 1
             queues["gossip"] = max(queues["gossip"], said["waiting"])
             queues["streams"] = max(
-                queues["streams"], *member.membership.transport.streams.values()
+                queues["streams"], *member.membership.transport.open_streams().values()
             )
             for why in part.AT_THE_DOOR:
                 queues[f"refused {why}"] = max(
--- a/bench/scale/real.py
+++ b/bench/scale/real.py
@@ -109,7 +109,7 @@
             "views": {f"{said['digest']} {said['living']} {said['state']}": 1},
             "queues": {
                 "gossip": said["waiting"],
-                "streams": max(membership.transport.streams.values()),
+                "streams": max(membership.transport.open_streams().values()),
                 "channel": round(self.channel.peak_queued_entries),
                 "events": len(self.loop.pending_events),
                 **{
--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -228,10 +228,7 @@
         ownership = self.ownership = self._create_ownership(config.me, addresses)
         for service in (leadership, ownership):
             if service is not None:
-                (
-                    service.transport.membership_address,
-                    membership.transport.connection_handlers[service.transport.preface_tag],
-                ) = membership.address_of, service.transport.accept_shared
+                service.transport.share_listener(membership.transport, membership.address_of)
 
         def on_member_changed(change: MemberStateChanged) -> None:
             reachable = {name for name in voters() if membership.protocol.is_reachable(name)}
--- a/dunlinlug/fleet/election/__init__.py
+++ b/dunlinlug/fleet/election/__init__.py
@@ -1,3 +1,4 @@
-"""Managers that take over from each other: one master by term, by majority and lease;
-`docs/succession.md`.
+"""Managers that take over from each other: one leader a term, by majority and lease.
+
+`docs/election.md` has the guarantees, the options weighed and what was measured.
 """
--- a/dunlinlug/fleet/election/messages.py
+++ b/dunlinlug/fleet/election/messages.py
@@ -1,32 +1,43 @@
-"""What members say to each other, and what the machine asks of its host; plain values."""
+"""Messages between the members of a replicated log, and the protocol's orders to its service.
+
+Plain values. The messages are those of Raft (Ongaro and Ousterhout, "In Search of an Understandable
+Consensus Algorithm", 2014) with a pre-vote and a planned transfer of leadership (Ongaro's thesis,
+2014, sections 9.6 and 3.10). Names on the wire are declared beside the fields: see `wire_names`.
+"""
 
 from dataclasses import dataclass, field
 from typing import ClassVar
 
 from dunlinlug.fleet.wire_names import wire
 
-LogPosition = tuple[
-    int, int
-]  # the term in which the last entry was made, and its number; compared in this order
-
-NO_POSITION: LogPosition = (0, 0)
+# The term in which an entry was made and its index in the log; compared in this order.
+LogPosition = tuple[int, int]
+NO_POSITION: LogPosition = (0, 0)  # of an empty log
 
 
 @dataclass(frozen=True)
 class VoterSet:
-    """Who belongs to the set: ids by a version that each change raises."""
+    """Who votes: the members' names, under a version that each change raises by one."""
 
     version: int
     members: tuple[str, ...]
 
     def quorum(self) -> int:
+        """How many members are a majority."""
         return len(self.members) // 2 + 1
 
 
 @dataclass(frozen=True)
 class VoteRequest:
-    """Wants votes for a term; a `probe` only asks whether it would be given one. `handed`: the
-    master has stopped and passed on to the sender, so that promises made to it bind nobody.
+    """Asks for a vote in a term.
+
+    Attributes:
+        term: The term of the election.
+        sender: The candidate.
+        position: Its last log entry.
+        pre_vote: It only asks whether it would be given the vote.
+        leadership_transfer: The leader has stepped down in its favour, so that promises made to
+            that leader bind nobody.
     """
 
     WIRE_NAME: ClassVar[str] = "Ask"
@@ -39,7 +50,16 @@
 
 @dataclass(frozen=True)
 class VoteResponse:
-    """`blank`: the voter has just started and remembers nothing."""
+    """Answers a vote request.
+
+    Attributes:
+        term: The voter's own term.
+        sender: The voter.
+        request_term: The term of the request.
+        pre_vote: Whether the request was a pre-vote.
+        granted: Whether the vote is given.
+        recovering: The voter has just started with an empty log, and may have known more.
+    """
 
     WIRE_NAME: ClassVar[str] = "Answer"
     term: int = field(metadata=wire("term"))
@@ -52,7 +72,16 @@
 
 @dataclass(frozen=True)
 class AppendEntries:
-    """From the master: entries after `base`, all of its term. `sent` is on its own clock."""
+    """The leader's log entries, or none: it is the heartbeat too.
+
+    Attributes:
+        term: The leader's term; all entries were made in it.
+        sender: The leader.
+        sent_at: When it was sent, in seconds on the leader's clock; the answer repeats it.
+        voter_set: Who votes.
+        previous_position: The log entry before `entries`.
+        entries: What follows it, oldest first.
+    """
 
     WIRE_NAME: ClassVar[str] = "Beat"
     term: int = field(metadata=wire("term"))
@@ -65,7 +94,16 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """From the master: all that stands, at a position."""
+    """The leader's whole state at a log position, in place of all entries up to there.
+
+    Attributes:
+        term: The leader's term.
+        sender: The leader.
+        sent_at: When it was sent, in seconds on the leader's clock.
+        voter_set: Who votes.
+        position: The last log entry that the state includes.
+        body: The state, as the service has written it.
+    """
 
     WIRE_NAME: ClassVar[str] = "Whole"
     term: int = field(metadata=wire("term"))
@@ -78,7 +116,15 @@
 
 @dataclass(frozen=True)
 class AppendResponse:
-    """To a master: where this member stands; `follows` is false where it needs the whole."""
+    """Answers a leader's message.
+
+    Attributes:
+        term: The member's own term.
+        sender: The member.
+        sent_at: The `sent_at` of the message that is answered.
+        position: The member's last log entry.
+        accepted: Its log continues the leader's; if not, it needs a snapshot.
+    """
 
     WIRE_NAME: ClassVar[str] = "Heard"
     term: int = field(metadata=wire("term"))
@@ -90,7 +136,7 @@
 
 @dataclass(frozen=True)
 class TransferLeadership:
-    """From a master that has stopped ordering: the receiver is to stand at once."""
+    """From a leader that has stepped down: the receiver is to start an election at once."""
 
     WIRE_NAME: ClassVar[str] = "Pass"
     term: int = field(metadata=wire("term"))
@@ -104,13 +150,15 @@
 
 @dataclass(frozen=True)
 class Send:
+    """Send a message to a member; it may be lost."""
+
     recipient: str
     message: Message
 
 
 @dataclass(frozen=True)
 class Persist:
-    """To be on disk before anything that comes after it is sent."""
+    """Write to disk, before any later order is carried out."""
 
     term: int
     voted_for: str
@@ -119,40 +167,44 @@
 
 @dataclass(frozen=True)
 class BecomeLeader:
-    """Master of this term from now on; the first entry is the host's to append."""
+    """We lead this term from now on; the service appends its first entry."""
 
     term: int
 
 
 @dataclass(frozen=True)
 class StepDown:
-    """No master any more."""
+    """We lead no more; `reason` is for people."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class ApplyEntry:
+    """Apply a leader's log entry to the replicated state."""
+
     entry: bytes
     position: LogPosition
 
 
 @dataclass(frozen=True)
 class RestoreSnapshot:
+    """Replace the replicated state by a leader's snapshot."""
+
     body: bytes
     position: LogPosition
 
 
 @dataclass(frozen=True)
 class Committed:
-    """A majority has all entries up to this position: their effects may leave."""
+    """A majority has all entries up to this position: their effects may take place."""
 
     position: LogPosition
 
 
 @dataclass(frozen=True)
 class SnapshotNeeded:
-    """This member needs the whole: the host gives it to `Machine.whole`."""
+    """This member needs a snapshot: the service makes one for `ElectionProtocol.send_snapshot`."""
 
     recipient: str
 
--- a/dunlinlug/fleet/election/protocol.py
+++ b/dunlinlug/fleet/election/protocol.py
@@ -205,7 +205,7 @@
         candidates = [
             m
             for m in (*voters[offset:], *voters[:offset])
-            if m == self.self_id or m in live_members and m != member
+            if m == self.self_id or (m in live_members and m != member)
         ]
         self.election_at = min(
             self.election_at,
@@ -382,8 +382,8 @@
         """One vote a term."""
         return (
             request.term > self.term
-            or request.term == self.term
-            and self.voted_for in ("", request.sender)
+            or (request.term == self.term
+            and self.voted_for in ("", request.sender))
         )
 
     def _lease_promised(self, now: float, request: VoteRequest) -> bool:
@@ -467,7 +467,7 @@
         return self._adopt_term(now, term) if term > self.term else []
 
     def _handle_leader_message(self, now: float, message: AppendEntries | Snapshot) -> list[Order]:
-        if message.term < self.term or message.term == self.term and self.is_leader:
+        if message.term < self.term or (message.term == self.term and self.is_leader):
             return [
                 Send(
                     message.sender,
--- a/dunlinlug/fleet/election/serialization.py
+++ b/dunlinlug/fleet/election/serialization.py
@@ -1,12 +1,13 @@
-"""Classes of declared forms to msgpack and back, with what is one object staying one. No code
-travels.
+"""Objects of declared classes to msgpack and back; no code travels, and shared objects stay shared.
 
-A value is itself, or a list that begins with a letter: l list, t tuple, s set, d dict, q deque, o a
-new object (number, class, fields), r an object met before.
+A scalar is written as itself. Anything else is a list that begins with a letter: `l` list, `t`
+tuple, `s` set, `d` dict (keys and values by turns), `q` deque (its maximum length first), `o` an
+object that is new (number, class name, field names and values by turns), `r` the number of an
+object that was written before.
 """
 
 from collections import deque
-from collections.abc import Collection, Mapping, Sequence
+from collections.abc import Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from functools import cached_property
 from typing import Any
@@ -15,13 +16,21 @@
 
 from dunlinlug.errors import DunlinlugError
 
+SEQUENCE_TYPES: Mapping[str, Any] = {"l": list, "t": tuple, "s": set}
+
 
 class SerializationError(DunlinlugError, ValueError):
-    """Bytes that are not what this version writes."""
+    """Bytes, or an object, that are not in this format."""
 
 
 class FieldFormError(SerializationError):
-    """A field that is not as its class's form declares."""
+    """A field that is not as its class's form declares.
+
+    Attributes:
+        class_name: The class by its name on the wire.
+        field: The attribute, or the field's name on the wire.
+        problem: What is wrong with it.
+    """
 
     def __init__(self, form: "WireForm", field: str, problem: str) -> None:
         super().__init__(f"{form.name} (form {form.version}): field {field!r} is {problem}")
@@ -32,9 +41,14 @@
 
 @dataclass(frozen=True)
 class WireForm:
-    """What of a class travels, and by which names: attributes by wire name, in the order in which
-    they are written. `local` attributes stay here: the reader has its own, or makes them anew.
-    The version tells people which form was meant; it does not travel.
+    """What of a class is sent, and by which names.
+
+    Attributes:
+        kind: The class.
+        name: Its name on the wire.
+        fields: Attributes by their names on the wire, in the order in which they are written.
+        local: Attributes that are not sent; the receiver has its own or makes them anew.
+        version: For people, in error messages; it is not sent.
     """
 
     kind: type
@@ -45,12 +59,14 @@
 
     @cached_property
     def declared(self) -> frozenset[str]:
-        """The attributes that travel."""
+        """The attributes that are sent."""
         return frozenset(self.fields.values())
 
     def taken_from(self, instance: Any) -> dict[str, Any]:
-        """Values by wire name. Raises FieldFault for an attribute that is not declared, or is not
-        there.
+        """An object's values by their names on the wire.
+
+        Raises:
+            FieldFormError: An attribute is declared and missing, or there and not declared.
         """
         present = vars(instance)
         if present.keys() != self.declared:
@@ -61,8 +77,11 @@
         return {name: present[attribute] for name, attribute in self.fields.items()}
 
     def attributes(self, found: Sequence[tuple[str, Any]]) -> dict[str, Any]:
-        """Values by attribute, from pairs as read. Raises FieldFault for a field that is unknown,
-        missing or twice there, so that an object is taken as a whole or not at all.
+        """Values by attribute, from pairs of wire name and value as they were read.
+
+        Raises:
+            FieldFormError: A field is unknown, missing or there twice, so that an object is read
+                with all its fields or not at all.
         """
         values = dict(found)
         for name, _ in found:
@@ -77,7 +96,11 @@
 
 
 class ObjectSerializer:
-    """For classes with these forms alone."""
+    """Writes and reads values of these forms, of scalars and of the standard containers.
+
+    Raises:
+        TypeError: Two forms have one name, or one class.
+    """
 
     def __init__(self, *forms: WireForm) -> None:
         self.by_name = {form.name: form for form in forms}
@@ -86,11 +109,12 @@
             raise TypeError("two forms of one name, or of one class")
 
     def serialize(self, value: Any) -> bytes:
+        """The value in msgpack. Raises SerializationError for a class without a form."""
         data: bytes = msgpack.packb(self._encode(value, {}))
         return data
 
     def deserialize(self, data: bytes) -> Any:
-        """Raises PlainFault."""
+        """The value that was written. Raises SerializationError for anything not written here."""
         try:
             return self._decode(msgpack.unpackb(data, strict_map_key=False), {})
         except SerializationError:
@@ -101,58 +125,72 @@
             ) from None
 
     def _encode(self, value: Any, object_ids: dict[int, int]) -> Any:
+        """`object_ids` numbers the objects written so far by their `id`."""
         match value:
             case None | bool() | int() | float() | str() | bytes():
                 return value
             case dict():
-                return [
-                    "d",
-                    *(self._encode(part, object_ids) for pair in value.items() for part in pair),
-                ]
+                return ["d", *self._encode_pairs(value.items(), object_ids)]
             case deque():
-                return ["q", value.maxlen, *(self._encode(part, object_ids) for part in value)]
-            case list() | tuple() | set() | frozenset():
-                tag = "l" if isinstance(value, list) else "t" if isinstance(value, tuple) else "s"
-                parts = sorted(value) if tag == "s" else value
-                return [tag, *(self._encode(part, object_ids) for part in parts)]
+                return ["q", value.maxlen, *self._encode_all(value, object_ids)]
+            case list():
+                return ["l", *self._encode_all(value, object_ids)]
+            case tuple():
+                return ["t", *self._encode_all(value, object_ids)]
+            case set() | frozenset():
+                return ["s", *self._encode_all(sorted(value), object_ids)]
+        return self._encode_object(value, object_ids)
+
+    def _encode_all(self, values: Iterable[Any], object_ids: dict[int, int]) -> list[Any]:
+        return [self._encode(value, object_ids) for value in values]
+
+    def _encode_pairs(
+        self, pairs: Iterable[tuple[Any, Any]], object_ids: dict[int, int]
+    ) -> list[Any]:
+        return [self._encode(item, object_ids) for pair in pairs for item in pair]
+
+    def _encode_object(self, value: Any, object_ids: dict[int, int]) -> list[Any]:
         form = self.by_class.get(type(value))
         if form is None:
             raise SerializationError(f"{type(value).__name__} is not a class that travels")
         if id(value) in object_ids:
             return ["r", object_ids[id(value)]]
-        object_ids[id(value)] = len(object_ids)
+        number = len(object_ids)
+        object_ids[id(value)] = number
         fields = form.taken_from(value)
-        return [
-            "o",
-            object_ids[id(value)],
-            form.name,
-            *(self._encode(part, object_ids) for pair in fields.items() for part in pair),
-        ]
-
-    def _decode(self, encoded: Any, objects: dict[int, Any]) -> Any:
+        return ["o", number, form.name, *self._encode_pairs(fields.items(), object_ids)]
+
+    def _decode(self, encoded: Any, objects: dict[int, Any]) -> Any:  # noqa: PLR0911 - one for each letter
+        """`objects` are the objects read so far by their numbers."""
         if not isinstance(encoded, list):
             return encoded
-        tag, *remainder = encoded
+        tag, *items = encoded
         match tag:
             case "l" | "t" | "s":
-                kind: Any = {"l": list, "t": tuple, "s": set}[tag]
-                return kind(self._decode(part, objects) for part in remainder)
+                return SEQUENCE_TYPES[tag](self._decode(item, objects) for item in items)
             case "d":
-                parts = [self._decode(part, objects) for part in remainder]
-                return dict(zip(parts[::2], parts[1::2], strict=True))
+                return dict(self._decode_pairs(items, objects))
             case "q":
+                maximum_length, *contents = items
                 return deque(
-                    (self._decode(part, objects) for part in remainder[1:]), maxlen=remainder[0]
+                    (self._decode(item, objects) for item in contents), maxlen=maximum_length
                 )
             case "r":
-                return objects[remainder[0]]
+                return objects[items[0]]
             case "o":
-                form = self.by_name[remainder[1]]
-                instance: Any = object.__new__(form.kind)
-                objects[remainder[0]] = instance
-                fields = [self._decode(part, objects) for part in remainder[2:]]
-                pairs = [*zip(fields[::2], fields[1::2], strict=True)]
-                for attribute, part in form.attributes(pairs).items():
-                    object.__setattr__(instance, attribute, part)
-                return instance
+                return self._decode_object(items, objects)
         raise SerializationError(f"unknown letter {tag!r}")
+
+    def _decode_pairs(self, items: list[Any], objects: dict[int, Any]) -> list[tuple[Any, Any]]:
+        values = [self._decode(item, objects) for item in items]
+        return list(zip(values[::2], values[1::2], strict=True))
+
+    def _decode_object(self, items: list[Any], objects: dict[int, Any]) -> Any:
+        number, name, *encoded_fields = items
+        form = self.by_name[name]
+        instance: Any = object.__new__(form.kind)
+        objects[number] = instance  # before its fields, which may refer to it
+        fields = self._decode_pairs(encoded_fields, objects)
+        for attribute, value in form.attributes(fields).items():
+            object.__setattr__(instance, attribute, value)
+        return instance
--- a/dunlinlug/fleet/election/transport.py
+++ b/dunlinlug/fleet/election/transport.py
@@ -1,40 +1,45 @@
-"""Moves members' frames over trio: one dialled connection to each other member, to send; one door,
-to hear.
+"""Moves messages of a replicated log over trio: a connection out to each other member, one listener.
 
-Where managers know each other, the door is that of the membership, and a preface with the dialler's
-name tells our connections from its frames, which begin with a byte of their length.
+Where the members share a membership, connections come in at its listener. A preface with the
+dialling member's name tells them from the membership's own frames, which begin with a byte of their
+length. Both logs, the election's and the ownership's, use this transport, each with its own tag.
 """
 
 import secrets
 from collections.abc import Callable
+from contextlib import suppress
+from functools import partial
 from typing import Any
 
 import trio
 
+from dunlinlug.fleet.connections import (
+    Address,
+    RateLimitedLog,
+    SharedListener,
+    receive_exactly,
+)
 from dunlinlug.fleet.election import codec
+from dunlinlug.fleet.election.peer_connection import CONNECT_TIMEOUT, DialTarget, PeerConnection
+from dunlinlug.fleet.sealing import AuthenticationError
 
-# messages that may wait for a peer; beyond that the newest are lost, as on a network
-MAX_QUEUED_MESSAGES = 1024
-# seconds between dials, and for one: far below a lease of seconds
-RECONNECT_DELAY = 0.1
-CONNECT_TIMEOUT = 1.0
-REJECTION_LOG_INTERVAL = 60.0  # seconds between two log lines on forged frames
-# first bytes of connections at the membership's door
+RECEIVE_BYTES = 2**16
+# First bytes of connections at the membership's listener; no length of its frames begins with them.
 ELECTION_PREFACE = b"S"
-# a frame's length never has them
 OWNERSHIP_PREFACE = b"O"
-Address = tuple[str, int]
 
 
 class PeerTransport:
-    """`hear` gets what comes, of these `kinds`; send with `send`. `places` are the addresses of all
-    members by id, and `letter` tells our calls from others' at the membership's door.
+    """One member's connections for one replicated log.
+
+    `addresses` are those of all members by name, and `on_message` gets what they send, of these
+    `message_types`. `preface_tag` marks this log's connections at the membership's listener.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - what a transport is made of
         self,
         self_id: str,
-        addresses: dict[str, tuple[str, int]],
+        addresses: dict[str, Address],
         keys: list[bytes],
         on_message: Callable[[Any], None],
         log_event: Callable[..., None],
@@ -45,140 +50,90 @@
         self.addresses = addresses
         self.keys = keys
         self.on_message = on_message
-        self.log_event = log_event
         self.message_types = message_types
         self.preface_tag = preface_tag
-        self.queues = {
-            m: trio.open_memory_channel[Any](MAX_QUEUED_MESSAGES) for m in addresses if m != self_id
+        # Where the membership has a member at present; None without a membership.
+        self.membership_address: Callable[[str], Address] | None = None
+        # Members to which and from which nothing passes: for tests and scenarios.
+        self.blocked_members: set[str] = set()
+        self.connections = {
+            member: self._connection_to(member) for member in addresses if member != self_id
         }
-        self.last_rejection_log_at = -REJECTION_LOG_INTERVAL
         self.rejected_frames = 0
-        self.sent_bytes = 0
-        self.membership_address: Callable[[str], Address] | None = (
-            None  # where the membership has a member now
+        self.rejection_log = RateLimitedLog("peer.authentication_failed", log_event)
+
+    def _connection_to(self, member: str) -> PeerConnection:
+        signing_key = self.keys[0] if self.keys else b""
+        return PeerConnection(
+            signing_key,
+            partial(self._dial_targets, member),
+            lambda: member in self.blocked_members,
         )
-        self.blocked_members: set[str] = (
-            set()
-        )  # members that nothing reaches and nothing is heard of: for tests and days
+
+    def share_listener(
+        self, listener: SharedListener, membership_address: Callable[[str], Address]
+    ) -> None:
+        """Accepts connections at the membership's listener and dials where it has the members."""
+        self.membership_address = membership_address
+        listener.add_connection_handler(self.preface_tag, self.accept_shared)
 
     def send(self, recipient: str, message: Any) -> None:
-        if recipient in self.queues:
-            try:
-                self.queues[recipient][0].send_nowait(message)
-            except trio.WouldBlock:
-                return  # lost, as on a network; the next beat makes up for it
+        """Queues a message for a member; it may be lost, as on a network."""
+        connection = self.connections.get(recipient)
+        if connection is not None:
+            connection.send(message)
 
     async def run(self, listeners: list[trio.SocketListener]) -> None:
-        """Without listeners calls come by the membership's door."""
+        """Keeps all connections; without listeners they come in at the membership's."""
         async with trio.open_nursery() as nursery:
             if listeners:
                 nursery.start_soon(trio.serve_listeners, self.accept, listeners)
-            for member in self.queues:
-                nursery.start_soon(self._send_to, member)
-
-    def _dial_targets(self, member: str) -> list[tuple[Address, bytes]]:
-        """Where to dial it and what to say first. While a set moves to one door, members are at
-        either.
-        """
-        encoded_id = self.self_id.encode()
-        targets = (
-            [
-                (
-                    self.membership_address(member),
-                    self.preface_tag + bytes([len(encoded_id)]) + encoded_id,
-                )
-            ]
-            if self.membership_address is not None
-            else []
-        )
-        return targets + [(self.addresses[member], b"")] * bool(self.addresses[member][1])
-
-    async def _send_to(self, member: str) -> None:
-        """Dial, send what is queued, and dial again when it breaks, each way in turn."""
-        queue = self.queues[member][1]
-        attempt = 0
-        while True:
-            targets = self._dial_targets(member)
-            address, preface = targets[attempt % len(targets)]
-            attempt += 1
-            try:
-                with trio.fail_after(CONNECT_TIMEOUT):
-                    stream = await trio.open_tcp_stream(*address)
-                async with stream:
-                    with trio.fail_after(CONNECT_TIMEOUT):
-                        await stream.send_all(preface)
-                        nonce = await self._receive_exactly(stream, codec.NONCE_BYTES)
-                    attempt -= 1  # it worked
-                    sealer = codec.FrameSealer(self.keys[0], nonce)
-                    while True:
-                        message = await queue.receive()
-                        if member not in self.blocked_members:
-                            frame = sealer.frame(message)
-                            self.sent_bytes += len(frame)
-                            with trio.fail_after(2 * CONNECT_TIMEOUT):
-                                await stream.send_all(frame)
-            except (
-                OSError,
-                trio.BrokenResourceError,
-                trio.ClosedResourceError,
-                trio.TooSlowError,
-                EOFError,
-            ):
-                pass
-            self._discard_queued(queue)
-            await trio.sleep(RECONNECT_DELAY)
-
-    @staticmethod
-    def _discard_queued(queue: trio.MemoryReceiveChannel[Any]) -> None:
-        """What waited for a dead connection is old news."""
-        while True:
-            try:
-                queue.receive_nowait()
-            except trio.WouldBlock:
-                return
-
-    async def _receive_exactly(self, stream: trio.SocketStream, count: int) -> bytes:
-        data = b""
-        while len(data) < count:
-            chunk = await stream.receive_some(count - len(data))
-            if not chunk:
-                raise EOFError
-            data += chunk
-        return data
+            for connection in self.connections.values():
+                nursery.start_soon(connection.run)
+
+    def _dial_targets(self, member: str) -> list[DialTarget]:
+        """Where to dial a member; at either address while a set moves to one shared listener."""
+        targets = []
+        if self.membership_address is not None:
+            encoded_id = self.self_id.encode()
+            preface = self.preface_tag + bytes([len(encoded_id)]) + encoded_id
+            targets.append(DialTarget(self.membership_address(member), preface))
+        address = self.addresses[member]
+        has_own_listener = address[1] != 0
+        if has_own_listener:
+            targets.append(DialTarget(address, b""))
+        return targets
 
     async def accept_shared(self, stream: trio.SocketStream, data: bytes) -> None:
-        """A connection at the membership's door, with what was read of it: the preface, or its
-        beginning.
+        """Takes a connection from the membership's listener.
+
+        `data` is what was read of it so far: the preface, or its beginning.
         """
         try:
             with trio.fail_after(CONNECT_TIMEOUT):
                 if len(data) < 2:
-                    data += await self._receive_exactly(stream, 2 - len(data))
-                await self._receive_exactly(stream, max(data[1] - len(data[2:]), 0))
+                    data += await receive_exactly(stream, 2 - len(data))
+                name_length = data[1]
+                missing_bytes = name_length - len(data[2:])
+                await receive_exactly(stream, max(missing_bytes, 0))
         except (trio.TooSlowError, EOFError, trio.BrokenResourceError, trio.ClosedResourceError):
             await trio.aclose_forcefully(stream)
             return
         await self.accept(stream)
 
     async def accept(self, stream: trio.SocketStream) -> None:
+        """Sends a nonce, then reads frames until the connection ends or one is rejected."""
         nonce = secrets.token_bytes(codec.NONCE_BYTES)
         opener = codec.FrameOpener(self.keys, nonce, self.message_types)
         try:
-            await stream.send_all(nonce)
-            while data := await stream.receive_some(2**16):
-                for message in opener.feed(bytes(data)):
-                    if message.sender not in self.blocked_members:
-                        self.on_message(message)
-        except codec.AuthenticationError as error:
-            self._log_rejection(str(error))
-        except (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass
+            with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
+                await stream.send_all(nonce)
+                while data := await stream.receive_some(RECEIVE_BYTES):
+                    for message in opener.feed(bytes(data)):
+                        if message.sender not in self.blocked_members:
+                            self.on_message(message)
+        except AuthenticationError as error:
+            self.rejected_frames += 1
+            self.rejection_log.write(why=str(error), count=self.rejected_frames)
         finally:
             await trio.aclose_forcefully(stream)
-
-    def _log_rejection(self, reason: str) -> None:
-        """Harmless: the connection ends. Said once a minute at most, with how many there were."""
-        self.rejected_frames += 1
-        if trio.current_time() >= self.last_rejection_log_at + REJECTION_LOG_INTERVAL:
-            self.last_rejection_log_at = trio.current_time()
-            self.log_event("peer.authentication_failed", why=reason, count=self.rejected_frames)
--- a/dunlinlug/fleet/membership/transport.py
+++ b/dunlinlug/fleet/membership/transport.py
@@ -3,10 +3,12 @@
 import secrets
 import socket
 from collections import Counter
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
+from contextlib import suppress
 
 import trio
 
+from dunlinlug.fleet.connections import ConnectionHandler, ConnectionLimit, RateLimitedLog
 from dunlinlug.fleet.membership import codec
 from dunlinlug.fleet.membership.messages import (
     Broadcast,
@@ -20,7 +22,7 @@
     Superseded,
 )
 from dunlinlug.fleet.membership.protocol import MembershipProtocol
-from dunlinlug.fleet.sealing import AuthenticationError
+from dunlinlug.fleet.sealing import AuthenticationError, RejectReason
 
 MAX_DATAGRAMS_PER_BATCH = 256  # datagrams read in one turn before timers are looked at
 # datagrams that are looked at in a second: twenty times what a thousand members send one
@@ -30,7 +32,6 @@
 STREAM_TIMEOUT = 2.0
 # connections of other parts of ours at once: a few for each member of the largest set that votes
 MAX_DELEGATED_CONNECTIONS = 64
-REJECTION_LOG_INTERVAL = 60.0  # seconds between two log lines on what was refused
 
 
 class MembershipTransport:
@@ -58,15 +59,15 @@
         self.opener = codec.DatagramOpener(keys)
         self.rejections = Counter[str]()
         self.counts = Counter[str]()
-        self.last_rejection_log_at = -REJECTION_LOG_INTERVAL
+        self.rejection_log = RateLimitedLog("membership.datagrams_rejected", log_event, clock)
         self.rate_window_start = 0.0
         self.rate_window_count = 0
-        self.streams = {"in": 0, "out": 0, "calls": 0}
+        self.incoming_streams = ConnectionLimit(MAX_STREAMS)
+        self.outgoing_streams = ConnectionLimit(MAX_STREAMS)
+        self.delegated_connections = ConnectionLimit(MAX_DELEGATED_CONNECTIONS)
         # By first byte, who takes connections that are not ours, with what was read of them; no
         # frame begins like it.
-        self.connection_handlers: dict[
-            bytes, Callable[[trio.SocketStream, bytes], Awaitable[None]]
-        ] = {}
+        self.connection_handlers: dict[bytes, ConnectionHandler] = {}
         self.is_blocked: Callable[[tuple[str, int]], bool] = lambda address: (
             False
         )  # nothing goes there: for tests
@@ -123,7 +124,7 @@
                 self.rate_window_count = 0
             self.rate_window_count += 1
             if self.rate_window_count > MAX_DATAGRAMS_PER_SECOND:
-                self.rejections["rate"] += 1
+                self.rejections[RejectReason.RATE_EXCEEDED.value] += 1
             else:
                 self._handle_datagram(data)
 
@@ -132,9 +133,7 @@
             message = self.opener.open(data)
         except AuthenticationError as error:
             self.rejections[str(error)] += 1
-            if self.clock() >= self.last_rejection_log_at + REJECTION_LOG_INTERVAL:
-                self.last_rejection_log_at = self.clock()
-                self.log_event("membership.datagrams_rejected", **self.rejections)
+            self.rejection_log.write(**self.rejections)
             return
         self.counts["in"] += 1
         self._execute(self.protocol.receive(self.clock(), message))
@@ -173,10 +172,9 @@
         if self.is_blocked(address) or self.udp_socket is None:
             return
         if isinstance(message, StateSync):
-            if self.streams["out"] >= MAX_STREAMS:
+            if not self.outgoing_streams.try_acquire():
                 self.counts["unsent"] += 1
                 return
-            self.streams["out"] += 1
             self.nursery.start_soon(self._send_stream, address, self.sealer.frame(message))
             return
         data = self.sealer.seal(message)
@@ -195,52 +193,64 @@
         except (OSError, trio.BrokenResourceError):
             self.counts["unsent"] += 1  # the next exchange makes up for it
         finally:
-            self.streams["out"] -= 1
+            self.outgoing_streams.release()
 
     async def _receive_stream(self, stream: trio.SocketStream) -> None:
-        """One frame, in time; nothing is answered on it."""
-        if self.streams["in"] >= MAX_STREAMS:
-            self.rejections["streams"] += 1
+        """Takes one frame, in time, and answers nothing on it; or gives the connection away."""
+        if not self.incoming_streams.try_acquire():
+            self.rejections[RejectReason.TOO_MANY_STREAMS.value] += 1
             await trio.aclose_forcefully(stream)
             return
-        self.streams["in"] += 1
-        data = b""
         try:
-            with trio.move_on_after(STREAM_TIMEOUT):
-                while chunk := await stream.receive_some(2**16):
-                    data += chunk
-                    if (
-                        data[:1] in self.connection_handlers
-                        or len(data) > codec.MAX_FRAME_BYTES + codec.LENGTH.size
-                    ):
-                        break
-        except (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass
+            data = await self._read_stream(stream)
         finally:
-            self.streams["in"] -= 1
-            if (
-                data[:1] not in self.connection_handlers
-                or self.streams["calls"] >= MAX_DELEGATED_CONNECTIONS
-            ):
-                await trio.aclose_forcefully(stream)
-        if data[:1] in self.connection_handlers:
-            await self._delegate_connection(stream, data)
+            self.incoming_streams.release()
+        handler = self.connection_handlers.get(data[:1])
+        if handler is not None:
+            await self._delegate_connection(stream, data, handler)
             return
-        if (
-            len(data) >= codec.LENGTH.size
-            and codec.LENGTH.unpack_from(data)[0] == len(data) - codec.LENGTH.size
-        ):
-            self._handle_datagram(data[codec.LENGTH.size :])
+        await trio.aclose_forcefully(stream)
+        body = data[codec.LENGTH.size :]
+        if len(data) >= codec.LENGTH.size and codec.LENGTH.unpack_from(data)[0] == len(body):
+            self._handle_datagram(body)
             self.wake.set()
         else:
-            self.rejections["frame"] += 1
+            self.rejections[RejectReason.INCOMPLETE_STREAM.value] += 1
+
+    async def _read_stream(self, stream: trio.SocketStream) -> bytes:
+        """Reads to the end, the bound, the timeout, or until the first byte names a handler."""
+        data = b""
+        with (
+            suppress(trio.BrokenResourceError, trio.ClosedResourceError),
+            trio.move_on_after(STREAM_TIMEOUT),
+        ):
+            while chunk := await stream.receive_some(2**16):
+                data += chunk
+                is_delegated = data[:1] in self.connection_handlers
+                if is_delegated or len(data) > codec.MAX_FRAME_BYTES + codec.LENGTH.size:
+                    break
+        return data
 
-    async def _delegate_connection(self, stream: trio.SocketStream, data: bytes) -> None:
-        if self.streams["calls"] >= MAX_DELEGATED_CONNECTIONS:
-            self.rejections["calls"] += 1
+    async def _delegate_connection(
+        self, stream: trio.SocketStream, data: bytes, handler: ConnectionHandler
+    ) -> None:
+        if not self.delegated_connections.try_acquire():
+            await trio.aclose_forcefully(stream)
+            self.rejections[RejectReason.TOO_MANY_CONNECTIONS.value] += 1
             return
-        self.streams["calls"] += 1
         try:
-            await self.connection_handlers[data[:1]](stream, data)
+            await handler(stream, data)
         finally:
-            self.streams["calls"] -= 1
+            self.delegated_connections.release()
+
+    def add_connection_handler(self, first_byte: bytes, handler: ConnectionHandler) -> None:
+        """Gives connections that begin with this byte to the handler; no frame of ours does."""
+        self.connection_handlers[first_byte] = handler
+
+    def open_streams(self) -> dict[str, int]:
+        """Connections that are open now, by kind."""
+        return {
+            "in": self.incoming_streams.open,
+            "out": self.outgoing_streams.open,
+            "calls": self.delegated_connections.open,
+        }
--- a/dunlinlug/fleet/wire_names.py
+++ b/dunlinlug/fleet/wire_names.py
@@ -1,7 +1,7 @@
-"""Names that messages and their fields have between managers, declared beside the fields.
+"""Names of message classes and their fields on the wire between managers, declared beside the fields.
 
-The name on the wire is the one declared, so that a class or an attribute can be renamed without
-another byte being sent: `term: int = field(metadata=wire("term"))`, and `WIRE_NAME` for the class.
+The declared name is what is sent, so a class or an attribute can be renamed without changing a
+byte: `term: int = field(metadata=wire("term"))` for a field, `WIRE_NAME` for the class.
 """
 
 from collections.abc import Iterable
@@ -9,17 +9,21 @@
 from functools import cache
 from typing import Any
 
-KEY = "wire"  # of a field's metadata
+METADATA_KEY = "wire"  # in a dataclass field's metadata
 
 
 def wire(name: str) -> dict[str, str]:
-    """The metadata of a field with this name on the wire."""
-    return {KEY: name}
+    """The metadata for a dataclass field with this name on the wire."""
+    return {METADATA_KEY: name}
 
 
 @cache
 def wire_name(kind: Any) -> str:
-    """A class's own name on the wire. Raises TypeError where none is declared."""
+    """A class's name on the wire; inherited names do not count.
+
+    Raises:
+        TypeError: The class declares no name.
+    """
     name = vars(kind).get("WIRE_NAME")
     if not isinstance(name, str):
         raise TypeError(f"{kind.__name__} declares no WIRE_NAME")
@@ -28,21 +32,27 @@
 
 @cache
 def wire_fields(kind: Any) -> dict[str, str]:
-    """Attributes by their names on the wire, in the order of fields. Raises TypeError where one is
-    not declared.
+    """A class's attributes by their names on the wire, in the order of its fields.
+
+    Raises:
+        TypeError: A field declares no name, or the name of another field.
     """
     declared: dict[str, str] = {}
-    for each in fields(kind):
-        name = each.metadata.get(KEY)
+    for declared_field in fields(kind):
+        name = declared_field.metadata.get(METADATA_KEY)
         if not isinstance(name, str) or name in declared:
-            raise TypeError(f"{kind.__name__}.{each.name} declares no wire name of its own")
-        declared[name] = each.name
+            raise TypeError(
+                f"{kind.__name__}.{declared_field.name} declares no wire name of its own"
+            )
+        declared[name] = declared_field.name
     return declared
 
 
 def by_wire_name(kinds: Iterable[Any]) -> dict[str, Any]:
-    """Classes by their names on the wire. Raises TypeError where a name or a field's name is not
-    declared.
+    """Classes by their names on the wire.
+
+    Raises:
+        TypeError: A class or one of its fields declares no name.
     """
     found: dict[str, Any] = {}
     for kind in kinds:
--- a/tests/fleet/membership/test_transport.py
+++ b/tests/fleet/membership/test_transport.py
@@ -368,7 +368,10 @@
             assert await calls[-1].receive_some(1) == b"", "over the bound: closed"
             while not a.transport.rejections["calls"]:
                 await trio.sleep(0.001)
-        assert a.transport.streams["calls"] == MAX_DELEGATED_CONNECTIONS and got[0][:1] == b"S"
+        assert (
+            a.transport.delegated_connections.open == MAX_DELEGATED_CONNECTIONS
+            and got[0][:1] == b"S"
+        )
         b = await run.start("b")  # joins by a frame at that very door
         with trio.fail_after(5.0):
             while not (a.protocol.is_reachable("b") and b.protocol.is_reachable("a")):
--- a/tests/fleet/ownership/test_service.py
+++ b/tests/fleet/ownership/test_service.py
@@ -63,13 +63,7 @@
         owners = self.owners[name] = Ownership(
             name, self.places, [KEY], TIMING, kept, Random(f"{name} own"), note
         )
-        (
-            owners.transport.membership_address,
-            members.transport.connection_handlers[owners.transport.preface_tag],
-        ) = (
-            members.address_of,
-            owners.transport.accept_shared,
-        )
+        owners.transport.share_listener(members.transport, members.address_of)
         members.on_member_change = lambda change: owners.member_status_changed(
             change.name, change.after == "failed", set(members.reachable_voters())
         )
--- a/tests/recorded/fleet_facts.py
+++ b/tests/recorded/fleet_facts.py
@@ -68,7 +68,7 @@
             "m0", {"m1": ("127.0.0.1", 0)}, [], lambda _: None, lambda *_: None, preface_tag=letter
         )
         made.membership_address = lambda member: ("127.0.0.1", 7001)
-        found += [preface for _, preface in made._dial_targets("m1")]
+        found += [target.preface for target in made._dial_targets("m1")]
     return found
 
 
