--- a/dunlinlug/fleet/election/serialization.py
+++ b/dunlinlug/fleet/election/serialization.py
@@ -124,7 +124,9 @@
                 f"not as written here: {type(error).__name__}: {error}"
             ) from None
 
-    def _encode(self, value: Any, object_ids: dict[int, int]) -> Any:
+    def _encode(  # noqa: PLR0911 - one for each kind of value
+        self, value: Any, object_ids: dict[int, int]
+    ) -> Any:
         """`object_ids` numbers the objects written so far by their `id`."""
         match value:
             case None | bool() | int() | float() | str() | bytes():
@@ -160,7 +162,7 @@
         fields = form.taken_from(value)
         return ["o", number, form.name, *self._encode_pairs(fields.items(), object_ids)]
 
-    def _decode(self, encoded: Any, objects: dict[int, Any]) -> Any:  # noqa: PLR0911 - one for each letter
+    def _decode(self, encoded: Any, objects: dict[int, Any]) -> Any:
         """`objects` are the objects read so far by their numbers."""
         if not isinstance(encoded, list):
             return encoded
