--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -228,7 +228,11 @@
         ownership = self.ownership = self._create_ownership(config.me, addresses)
         for service in (leadership, ownership):
             if service is not None:
-                service.transport.share_listener(membership.transport, membership.address_of)
+                transport = service.transport
+                transport.register_membership_addresses(membership.address_of)
+                membership.transport.register_connection_handler(
+                    transport.preface_tag, transport.accept_shared
+                )
 
         def on_member_changed(change: MemberStateChanged) -> None:
             reachable = {name for name in voters() if membership.protocol.is_reachable(name)}
--- a/dunlinlug/fleet/connections.py
+++ b/dunlinlug/fleet/connections.py
@@ -1,7 +1,7 @@
 """What the transports of the membership and of the replicated logs share: bounds and log pacing."""
 
 from collections.abc import Awaitable, Callable
-from typing import Any, Protocol
+from typing import Any
 
 import trio
 
@@ -11,13 +11,6 @@
 REJECTION_LOG_INTERVAL = 60.0  # seconds between two log lines on rejected messages
 
 
-class SharedListener(Protocol):
-    """A listener that gives connections away by the first byte that arrives on them."""
-
-    def add_connection_handler(self, first_byte: bytes, handler: ConnectionHandler) -> None:
-        """Gives connections that begin with this byte to the handler."""
-
-
 class ConnectionLimit:
     """Counts connections of one kind that are open at once, up to a maximum."""
 
--- a/dunlinlug/fleet/election/codec.py
+++ b/dunlinlug/fleet/election/codec.py
@@ -42,7 +42,7 @@
 ROW_FIELDS = ("behind", "away", "items")  # rows of plain values
 VOTER_SET_FIELD = "roll"
 ENTRIES_FIELD = "entries"
-MessageTypes = Mapping[str, Any]  # classes of messages by wire name
+MessageTypes = Mapping[str, type]  # classes of messages by wire name
 
 
 def encode(message: Any) -> bytes:
--- a/dunlinlug/fleet/election/leadership.py
+++ b/dunlinlug/fleet/election/leadership.py
@@ -1,77 +1,47 @@
-"""This manager's part in a set that takes over from each other: carries the machine's orders out,
-and feeds it.
+"""This manager's part in a set that takes over from each other: the service around the protocol.
 
-While another leads, its batches run through our module, and calls of proxies wait. When we lead,
-each of our batches goes to the others, and parcels leave once a majority has it and our lease
-holds.
+While another member leads, its batches run through our decision module, and calls of proxies wait.
+While we lead, each of our batches goes to the others, and messages to proxies leave once a majority
+has the batch and our lease holds.
 """
 
-from collections import deque
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from random import Random
-from typing import Any, Protocol
+from typing import Any
 
 import trio
 
-from dunlinlug.balance import Balancer
 from dunlinlug.decision.events import Event
 from dunlinlug.decision.settings import ManagerSettings
 from dunlinlug.fleet.election import messages as election_messages
 from dunlinlug.fleet.election import replicated_state
+from dunlinlug.fleet.election.commit_queue import CommitQueue
+from dunlinlug.fleet.election.interfaces import LeadershipHost, ProxyService, ReplicableState
 from dunlinlug.fleet.election.protocol import ElectionProtocol
+from dunlinlug.fleet.election.replica import Replica
+from dunlinlug.fleet.election.replicated_state import OverrideRecord
 from dunlinlug.fleet.election.serialization import SerializationError
+from dunlinlug.fleet.election.status import LeadershipStatus
 from dunlinlug.fleet.election.transport import PeerTransport
 from dunlinlug.manager.decision_loop import DecisionLoop, OutgoingMessage
-from dunlinlug.manager.installed_tables import InstalledTable
 from dunlinlug.storage.store import Store
 from dunlinlug.xds import fencing_term
 
 
-class ReplicableState(Protocol):
-    """What of the front's present state a successor is given."""
-
-    epoch: int
-    tables: dict[int, InstalledTable]
-    ejected: set[str]
-    zones: dict[str, str]
-
-    def restore(
-        self,
-        epoch: int,
-        tables: dict[int, InstalledTable],
-        ejected: set[str],
-        zones: dict[str, str],
-    ) -> None: ...
-
-
-class ProxyService(Protocol):
-    """Where proxies come to. Calls wait while it is not `open`; `control` and `term` are what it
-    shows of us.
-    """
-
-    on_higher_term: Callable[[int], None]
-    control_plane_id: str
-    term: int
-    leading: trio.Event
-    proxy_numbers: dict[str, int]  # of proxies by name, those ever given
-    new_proxy_numbers: dict[str, int]  # of them, those that no batch has told yet
-    sessions: dict[int, Any]
-
-    def close_streams(self, reason: str) -> None: ...
-
-
 class Leadership:
-    """`begin` is called when we become master (true if nothing was inherited), `end` when we no
-    longer are. `pins` are those that stand, as plain records, and `pinned` takes those of
-    another.
+    """Carries out the protocol's orders and feeds it with messages and time.
+
+    It owns the protocol, the transport, the replica and the queue of messages that wait for their
+    batch to be committed. `timing` are the protocol's `lease`, `heartbeat_interval` and `recovery_timeout` in
+    seconds and its `drift`.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - everything that a successor takes over from
         self,
         self_id: str,
         addresses: dict[str, tuple[str, int]],
         keys: list[bytes],
-        timing: dict[str, float],
+        timing: Mapping[str, float],
         initial_voters: tuple[str, ...],
         store: Store,
         settings: ManagerSettings,
@@ -83,87 +53,72 @@
     ) -> None:
         self.self_id = self_id
         self.store = store
-        self.settings = settings
         self.decision_loop = decision_loop
         self.proxy_state = proxy_state
         self.proxy_service = proxy_service
         self.log_event = log_event
-        stored_vote = store.vote()
-        persisted = (
-            election_messages.Persist(
-                stored_vote[0],
-                stored_vote[1],
-                election_messages.VoterSet(stored_vote[2], tuple(stored_vote[3])),
-            )
-            if stored_vote
-            else election_messages.Persist(
-                0, "", election_messages.VoterSet(1, tuple(sorted(initial_voters or addresses)))
-            )
-        )
         self.protocol = ElectionProtocol(
-            self_id, persisted, trio.current_time(), random_uniform=rng.uniform, **timing
+            self_id,
+            _stored_state(store, initial_voters or addresses),
+            trio.current_time(),
+            random_uniform=rng.uniform,
+            **timing,
         )
         self.transport = PeerTransport(self_id, addresses, keys, self._receive, log_event)
         self.wake = trio.Event()
-        self.on_become_leader: Callable[[bool], None] = lambda fresh: None
+        # Set by `register_host`.
+        self.on_become_leader: Callable[[bool], None] = lambda _starts_empty: None
         self.on_step_down: Callable[[], None] = lambda: None
-        self.current_overrides: Callable[[], list[dict[str, Any]]] = list
-        self.on_overrides: Callable[[list[dict[str, Any]]], None] = lambda overrides: None
-        self.replicated_overrides: list[dict[str, Any]] = []
-        self.uncommitted: deque[tuple[int, Mapping[int, OutgoingMessage]]] = deque()
-        self.change_reason = "started"
-        self.changed_at = trio.current_time()
-        self.takeovers = 0
-        self.replicated_bytes = 0
+        self.current_overrides: Callable[[], list[OverrideRecord]] = list
+        self.on_overrides: Callable[[list[OverrideRecord]], None] = lambda _overrides: None
+        self.replica = Replica(
+            settings,
+            store,
+            decision_loop,
+            proxy_state,
+            proxy_service,
+            self._replace_overrides,
+        )
+        self.commit_queue = CommitQueue(self.protocol, decision_loop)
+        self.status = LeadershipStatus(self.protocol)
         self.last_error = ""
         self.recovery_timeout = timing["recovery_timeout"]
         decision_loop.leadership = self
         proxy_service.on_higher_term = self.observe_term
         proxy_service.close_streams("not master yet")
 
-    # What the loop asks.
+    def register_host(self, host: LeadershipHost) -> None:
+        """Notifies the host of leadership, and replicates its overrides, from now on."""
+        self.on_become_leader = host.on_become_leader
+        self.on_step_down = host.on_step_down
+        self.current_overrides = host.current_overrides
+        self.on_overrides = host.replace_overrides
+
+    # What the decision loop asks.
 
     def holds_lease(self, now: float) -> bool:
+        """Whether orders may take effect at this moment."""
         return self.protocol.holds_lease(now)
 
     def is_leader(self) -> bool:
+        """Whether we lead, with or without a lease."""
         return self.protocol.is_leader
 
     def replicate(self, now: float, events: Sequence[Event], rejected_indexes: list[int]) -> int:
-        new_numbers = self.proxy_service.new_proxy_numbers
-        self.proxy_service.new_proxy_numbers = {}
-        overrides = self.current_overrides()
-        batch = replicated_state.ReplicatedBatch(
-            now + self.decision_loop.clock_offset,
-            list(events),
-            rejected_indexes,
-            new_numbers,
-            overrides if overrides != self.replicated_overrides else None,
-        )
-        self.replicated_overrides = overrides
-        entry = replicated_state.serialize_batch(batch)
-        self.replicated_bytes += len(entry)
+        """Sends a batch of the decision loop to the others; returns its index in the log."""
+        entry = self.replica.batch_entry(now, events, rejected_indexes, self.current_overrides())
         self._execute(self.protocol.append(now, entry))
         return self.protocol.position[1]
 
-    def hold_until_committed(self, number: int, messages: Mapping[int, OutgoingMessage]) -> None:
-        if messages:
-            self.uncommitted.append((number, messages))
-        self._release_committed()
-
-    def _release_committed(self) -> None:
-        now = trio.current_time()
-        while self.uncommitted and self.protocol.committed >= (
-            self.protocol.term,
-            self.uncommitted[0][0],
-        ):
-            parcels = self.uncommitted.popleft()[1]
-            if self.holds_lease(now):
-                self.decision_loop.release(now, parcels)
+    def hold_until_committed(self, index: int, messages: Mapping[int, OutgoingMessage]) -> None:
+        """Releases messages, by proxy, once a majority has the log up to this index."""
+        self.commit_queue.hold(index, messages)
+        self.commit_queue.release_committed()
 
-    # What the machine hears and orders.
+    # What the protocol is fed with.
 
     async def run(self, listeners: list[trio.SocketListener]) -> None:
+        """Runs the transport and the protocol's timers; without listeners as `PeerTransport.run`."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.transport.run, listeners)
             while True:
@@ -176,51 +131,60 @@
         self._execute(self.protocol.receive(trio.current_time(), message))
         self.wake.set()
         if self.decision_loop.pending_events and self.holds_lease(trio.current_time()):
-            self.decision_loop.event_arrived.set()  # what was held back until our lease began
+            # What waited for our lease to begin can be decided now.
+            self.decision_loop.event_arrived.set()
 
     def member_failure_detected(self, member: str, live_members: set[str]) -> None:
-        """The membership says that this one has failed."""
+        """The membership's failure detector has found that a member failed."""
         self.protocol.leader_suspected(trio.current_time(), member, live_members)
         self.wake.set()
 
     def observe_term(self, term: int) -> None:
-        """A proxy told of a higher term."""
+        """A proxy has seen this term, which is higher than ours."""
         self._execute(self.protocol.observe_term(trio.current_time(), term))
 
     async def transfer_leadership(self, target: str) -> None:
-        """Waits up to a lease for what is under way to that member: on a busy fleet a batch nearly
-        always is. Raises ValueError if it is not ready to take over then.
+        """Hands leadership over to another member.
+
+        Waits up to a lease until it has our whole log: on a busy fleet a batch is nearly always on
+        its way to it.
+
+        Raises:
+            ValueError: It is no other member, or has not our whole log then, or we do not lead.
         """
         if target not in self.protocol.voter_set.members or target == self.self_id:
-            raise ValueError(
-                f"{target!r} is not another member; they are {', '.join(self.protocol.voter_set.members)}"
-            )
+            members = ", ".join(self.protocol.voter_set.members)
+            raise ValueError(f"{target!r} is not another member; they are {members}")
         with trio.move_on_after(self.protocol.lease):
             while self.holds_lease(trio.current_time()) and not self.protocol.is_caught_up(target):
                 await self.wake.wait()
-                await trio.sleep(0)  # the machine is fed by another task, which sets the next event
+                # Another task feeds the protocol and replaces the event that woke us.
+                await trio.sleep(0)
         self._execute(self.protocol.transfer_leadership(trio.current_time(), target))
         self.wake.set()
 
     def change_voter(self, member: str, add: bool) -> None:
-        """One more member, or one fewer. Raises ValueError if that can't be now, or we know no
-        place for it.
+        """Adds one member to those that vote, or takes it away.
+
+        Raises:
+            ValueError: No address is known for it, or the set cannot be changed so now.
         """
         if member not in self.transport.addresses:
             raise ValueError(f"no [member {member}] section says where it is")
         members = set(self.protocol.voter_set.members)
-        (members.add if add else members.discard)(member)
-        entry = replicated_state.serialize_batch(
-            replicated_state.ReplicatedBatch(
-                trio.current_time() + self.decision_loop.clock_offset, [], [], {}
-            )
-        )
+        if add:
+            members.add(member)
+        else:
+            members.discard(member)
+        entry = self.replica.empty_entry()
         self._execute(
             self.protocol.change_voters(trio.current_time(), tuple(sorted(members)), entry)
         )
         self.log_event("election.voters_changed", members=sorted(members))
         self.wake.set()
 
+    # What the protocol orders.
+
     def _execute(self, orders: list[election_messages.Order]) -> None:
         for order in orders:
             match order:
@@ -229,140 +193,103 @@
                 case election_messages.Persist(term, voted, voter_set):
                     self.store.put_vote(term, voted, voter_set.version, list(voter_set.members))
                 case election_messages.ApplyEntry() | election_messages.RestoreSnapshot():
-                    try:
-                        self._replicate(order)
-                    except SerializationError as error:
-                        self._report_divergence(str(error))
-                        return  # Danger: the answer that comes next would say that we have it
+                    if not self._replicate(order):
+                        # Without this return, the answer that comes next in these orders would
+                        # say that we have what we could not take in.
+                        return
                 case election_messages.SnapshotNeeded(recipient):
+                    snapshot = self.snapshot()
                     self._execute(
-                        self.protocol.send_snapshot(trio.current_time(), recipient, self.snapshot())
+                        self.protocol.send_snapshot(trio.current_time(), recipient, snapshot)
                     )
                 case election_messages.Committed():
-                    self._release_committed()
+                    self.commit_queue.release_committed()
                 case election_messages.BecomeLeader(term):
                     self._become_leader(term)
                 case election_messages.StepDown(reason):
                     self._step_down(reason)
 
     def _become_leader(self, term: int) -> None:
-        fresh = self.protocol.position == election_messages.NO_POSITION
-        self._record_change("took over" if not fresh else "began")
-        self.takeovers += 1
-        if fresh:
+        starts_empty = self.protocol.position == election_messages.NO_POSITION
+        self.status.record_change("began" if starts_empty else "took over")
+        self.status.takeovers += 1
+        if starts_empty:
             self.proxy_state.epoch = term
-        self.uncommitted.clear()
+        self.commit_queue.clear()
         self.proxy_service.control_plane_id = fencing_term.format_identifier(term, self.self_id)
         self.proxy_service.term = term
-        self.decision_loop.pending_events = [
-            *replicated_state.disconnect_all(self.decision_loop.module)
-        ]
-        self.on_become_leader(fresh)
-        # The first entry of our term, with which all before it are sealed.
-        self._execute(
-            self.protocol.append(
-                trio.current_time(),
-                replicated_state.serialize_batch(
-                    replicated_state.ReplicatedBatch(
-                        trio.current_time() + self.decision_loop.clock_offset, [], [], {}
-                    )
-                ),
-            )
-        )
+        departures = replicated_state.disconnect_all(self.decision_loop.module)
+        self.decision_loop.pending_events = list(departures)
+        self.on_become_leader(starts_empty)
+        # The first entry of our term, which commits all before it.
+        entry = self.replica.empty_entry()
+        self._execute(self.protocol.append(trio.current_time(), entry))
         self.proxy_service.leading.set()
         self.decision_loop.event_arrived.set()
         self.log_event(
-            "election.became_leader", term=term, position=self.protocol.position[1], fresh=fresh
+            "election.became_leader",
+            term=term,
+            position=self.protocol.position[1],
+            fresh=starts_empty,
         )
 
     def _step_down(self, reason: str) -> None:
-        self._record_change(reason)
+        self.status.record_change(reason)
         self.log_event("election.stepped_down", term=self.protocol.term, why=reason)
-        self.uncommitted.clear()
+        self.commit_queue.clear()
         self.decision_loop.pending_events = []
         for proxy in list(self.proxy_service.sessions):
             self.decision_loop.channel.remove_proxy(proxy)
         self.proxy_service.close_streams(f"term of {self.self_id} is over: {reason}")
-        self.decision_loop.pending_events = []
+        self.decision_loop.pending_events = []  # again: closing streams submits departures
         self.decision_loop.channel.clear()
         self.on_step_down()
 
-    def _record_change(self, reason: str) -> None:
-        self.change_reason = reason
-        self.changed_at = trio.current_time()
-
-    # What a standby takes in, and what it is given.
+    def _replace_overrides(self, overrides: list[OverrideRecord]) -> None:
+        self.on_overrides(overrides)
 
     def _replicate(
         self, order: election_messages.ApplyEntry | election_messages.RestoreSnapshot
-    ) -> None:
-        """Raises PlainFault."""
-        if isinstance(order, election_messages.ApplyEntry):
-            self._apply(order.entry)
-        else:
-            self._restore(order.body)
+    ) -> bool:
+        """Takes in what the leader sent; false if that could not be read."""
+        try:
+            if isinstance(order, election_messages.ApplyEntry):
+                self.replica.apply(order.entry)
+            else:
+                self.replica.restore(order.body)
+                self.log_event(
+                    "election.snapshot_restored",
+                    bytes=len(order.body),
+                    tables=len(self.proxy_state.tables),
+                )
+        except SerializationError as error:
+            self._report_divergence(str(error))
+            return False
         self.last_error = ""
+        return True
 
     def _report_divergence(self, reason: str) -> None:
-        """Say it once, not with each beat; the whole will come again."""
+        """Discards our log, and logs why once, not with each snapshot that the leader sends again."""
         self.protocol.discard_log(trio.current_time(), self.recovery_timeout)
         if reason != self.last_error:
             self.last_error = reason
             self.log_event("election.replication_failed", why=reason)
 
-    def _apply(self, entry: bytes) -> None:
-        batch = replicated_state.deserialize_batch(entry)
-        self.proxy_service.proxy_numbers.update(batch.new_proxy_numbers)
-        if batch.overrides is not None:
-            self.on_overrides(batch.overrides)
-        self.decision_loop.replay_batch(batch.now, batch.events, batch.rejected_indexes)
-
     def snapshot(self) -> bytes:
-        module = self.decision_loop.module
-        assert isinstance(module, Balancer)
-        return replicated_state.serialize_snapshot(
-            module,
-            replicated_state.ReplicaSnapshot(
-                trio.current_time() + self.decision_loop.clock_offset,
-                self.proxy_state.epoch,
-                self.proxy_state.tables,
-                self.proxy_state.ejected,
-                self.proxy_state.zones,
-                self.proxy_service.proxy_numbers,
-                self.decision_loop.timers,
-                self.store.endpoint_list() or b"",
-                self.current_overrides(),
-            ),
-        )
-
-    def _restore(self, body: bytes) -> None:
-        module, snapshot = replicated_state.deserialize_snapshot(body, self.settings)
-        self.decision_loop.module = module
-        self.decision_loop.timers = snapshot.timers
-        self.decision_loop.clock_offset = snapshot.now - trio.current_time()
-        self.proxy_state.restore(snapshot.epoch, snapshot.tables, snapshot.ejected, snapshot.zones)
-        self.proxy_service.proxy_numbers = snapshot.proxy_numbers
-        self.proxy_service.new_proxy_numbers = {}
-        if snapshot.endpoint_list:
-            self.store.put_endpoint_list(snapshot.endpoint_list)
-        self.on_overrides(snapshot.overrides)
-        self.log_event("election.snapshot_restored", bytes=len(body), tables=len(snapshot.tables))
+        """All that a follower needs to go on from here."""
+        return self.replica.snapshot(self.current_overrides())
 
     def describe(self) -> dict[str, Any]:
-        """For people: who leads, since when and why, terms and lag."""
-        protocol = self.protocol
-        now = trio.current_time()
-        return {
-            "member": self.self_id,
-            "members": list(protocol.voter_set.members),
-            "term": protocol.term,
-            "master": protocol.leader or None,
-            "leads": self.holds_lease(now),
-            "since": round(now - protocol.leader_since, 3),
-            "changed": self.change_reason,
-            "changed_ago": round(now - self.changed_at, 3),
-            "position": protocol.position[1],
-            "behind": None if protocol.is_leader else protocol.missing_entries,
-            "lags": protocol.replication_lag() if protocol.is_leader else None,
-            "takeovers": self.takeovers,
-        }
+        """The answer of the admin API: who leads, since when and why, term and lag."""
+        return self.status.describe()
+
+
+def _stored_state(store: Store, initial_voters: Iterable[str]) -> election_messages.Persist:
+    """Term, vote and voters as persisted; those of a new set if nothing is."""
+    stored_vote = store.vote()
+    if stored_vote is None:
+        initial_set = election_messages.VoterSet(1, tuple(sorted(initial_voters)))
+        return election_messages.Persist(0, "", initial_set)
+    term, voted_for, version, members = stored_vote
+    voter_set = election_messages.VoterSet(version, tuple(members))
+    return election_messages.Persist(term, voted_for, voter_set)
--- a/dunlinlug/fleet/election/replicated_state.py
+++ b/dunlinlug/fleet/election/replicated_state.py
@@ -1,8 +1,10 @@
-"""What a successor is given: batches as the master's module met them, and the whole to start from.
+"""What a leader sends its followers of the decision module: batches of events, and a snapshot.
 
-A standby runs the module on the same batches, so that tables, numbers, marks, withdrawals, ramps,
-levels, health and the channel's account are the master's own, each dated on the master's clock. The
-whole is that module's state with the tables as laid. Written by msgpack, of known classes alone.
+A follower runs the module on the same batches as the leader, with the leader's times, so that its
+module is in the very state of the leader's: tables with their numbers, acknowledgements that are
+awaited, ejections, slow start, admission, outlier detection and the channel's budget. The snapshot
+is that state with the installed tables, to start from. Both are written by declared forms of known
+classes alone: see `serialization`.
 """
 
 from dataclasses import dataclass, field
@@ -16,24 +18,43 @@
 from dunlinlug.fleet.election.serialization import ObjectSerializer, SerializationError, WireForm
 from dunlinlug.manager.installed_tables import InstalledTable
 
+OverrideRecord = dict[str, Any]  # an operator override as JSON
+
 
 @dataclass
 class ReplicatedBatch:
-    """One turn of the master: its time, the events, the places of orders that the guard left out,
-    and the numbers of proxies that are new.
+    """One batch of the leader's decision loop.
+
+    Attributes:
+        now: The leader's time of the batch, in seconds.
+        events: What the module was given.
+        rejected_indexes: Which of the module's orders the guard rejected, by their index.
+        new_proxy_numbers: Numbers by name of the proxies that no batch has had before.
+        overrides: All operator overrides in force as plain records, if they have changed.
     """
 
     now: float
     events: list[Any]
     rejected_indexes: list[int]
     new_proxy_numbers: dict[str, int]
-    overrides: list[dict[str, Any]] | None = None  # all that stand, if that has changed
+    overrides: list[OverrideRecord] | None = None
 
 
 @dataclass
 class ReplicaSnapshot:
-    """All but the module: tables as laid, who is out, timers by due time, and so on; `roster` is
-    the list's body.
+    """The decision module and what goes with it, between two batches.
+
+    Attributes:
+        now: The leader's time, in seconds.
+        epoch: The leader's epoch of table numbers.
+        tables: Installed tables by number.
+        ejected: Workers that are ejected, by name.
+        zones: Zones of proxies by the proxies' names.
+        proxy_numbers: Numbers of all proxies ever seen, by name.
+        timers: The module's timers: due time and timer, as a heap.
+        endpoint_list: The last list of service discovery, as stored; empty if there is none.
+        overrides: All operator overrides in force as plain records.
+        module_state: The module's fields by their names on the wire; filled in on writing.
     """
 
     now: float
@@ -44,11 +65,11 @@
     proxy_numbers: dict[str, int]
     timers: list[tuple[float, int]]
     endpoint_list: bytes = b""
-    overrides: list[dict[str, Any]] = field(default_factory=list)
+    overrides: list[OverrideRecord] = field(default_factory=list)
     module_state: dict[str, Any] = field(default_factory=dict)
 
 
-BATCH = WireForm(
+BATCH_FORM = WireForm(
     ReplicatedBatch,
     "Batch",
     {
@@ -59,7 +80,7 @@
         "pins": "overrides",
     },
 )
-STANDING = WireForm(
+SNAPSHOT_FORM = WireForm(
     ReplicaSnapshot,
     "Standing",
     {
@@ -75,7 +96,7 @@
         "module": "module_state",
     },
 )
-LAID = WireForm(
+INSTALLED_TABLE_FORM = WireForm(
     InstalledTable,
     "Laid",
     {
@@ -84,12 +105,12 @@
         "levels": "admissions",
     },
 )
-FORMS = (BATCH, STANDING, LAID, *module_state.FORMS, *event_forms.FORMS)
+FORMS = (BATCH_FORM, SNAPSHOT_FORM, INSTALLED_TABLE_FORM, *module_state.FORMS, *event_forms.FORMS)
 SERIALIZER = ObjectSerializer(*FORMS)
 
 
 def listed_workers(fleet: endpoints.Fleet) -> list[Endpoint]:
-    """The list as the module knows it."""
+    """The endpoint list as the module knows it; addresses are not known."""
     columns = zip(
         fleet.ids, fleet.zones, fleet.ready, fleet.listed_weights, fleet.started_at, strict=True
     )
@@ -100,9 +121,10 @@
 
 
 def disconnect_all(module: Any) -> list[ProxyDisconnected]:
-    """Whoever was joined with a former master, for a module of ours that went by its batches.
-    Danger: a proxy that has not come here yet would be sent orders, and waited for, as long as
-    it stays away.
+    """Departures of all proxies that were connected to the former leader.
+
+    Without them, the module would send orders to a proxy that has not connected to us yet, and wait
+    for its acknowledgements as long as it stays away.
     """
     return (
         [ProxyDisconnected(proxy) for proxy in module.assignments.proxies]
@@ -112,11 +134,12 @@
 
 
 def serialize_batch(batch: ReplicatedBatch) -> bytes:
+    """The batch as a log entry."""
     return SERIALIZER.serialize(batch)
 
 
 def deserialize_batch(data: bytes) -> ReplicatedBatch:
-    """Raises PlainFault."""
+    """The batch of a log entry. Raises SerializationError for any other bytes."""
     batch = SERIALIZER.deserialize(data)
     if not isinstance(batch, ReplicatedBatch):
         raise SerializationError("not a batch")
@@ -124,6 +147,7 @@
 
 
 def serialize_snapshot(module: Balancer, snapshot: ReplicaSnapshot) -> bytes:
+    """The snapshot's bytes, with the module's state, which is put into `snapshot` too."""
     snapshot.module_state = module_state.fields_of(module)
     return SERIALIZER.serialize(snapshot)
 
@@ -131,8 +155,10 @@
 def deserialize_snapshot(
     data: bytes, settings: ManagerSettings
 ) -> tuple[Balancer, ReplicaSnapshot]:
-    """A module that goes on where the other stood. Raises PlainFault, also if it was told another
-    trade.
+    """A module in the state that was written, and the rest of the snapshot.
+
+    Raises:
+        SerializationError: These bytes are no snapshot, or one of a module with other settings.
     """
     snapshot = SERIALIZER.deserialize(data)
     if not isinstance(snapshot, ReplicaSnapshot) or not isinstance(snapshot.module_state, dict):
--- a/dunlinlug/fleet/election/transport.py
+++ b/dunlinlug/fleet/election/transport.py
@@ -16,7 +16,6 @@
 from dunlinlug.fleet.connections import (
     Address,
     RateLimitedLog,
-    SharedListener,
     receive_exactly,
 )
 from dunlinlug.fleet.election import codec
@@ -70,12 +69,9 @@
             lambda: member in self.blocked_members,
         )
 
-    def share_listener(
-        self, listener: SharedListener, membership_address: Callable[[str], Address]
-    ) -> None:
-        """Accepts connections at the membership's listener and dials where it has the members."""
-        self.membership_address = membership_address
-        listener.add_connection_handler(self.preface_tag, self.accept_shared)
+    def register_membership_addresses(self, address_of: Callable[[str], Address]) -> None:
+        """Dials members at the listener of their membership, whose address this gives."""
+        self.membership_address = address_of
 
     def send(self, recipient: str, message: Any) -> None:
         """Queues a message for a member; it may be lost, as on a network."""
--- a/dunlinlug/fleet/membership/transport.py
+++ b/dunlinlug/fleet/membership/transport.py
@@ -243,7 +243,7 @@
         finally:
             self.delegated_connections.release()
 
-    def add_connection_handler(self, first_byte: bytes, handler: ConnectionHandler) -> None:
+    def register_connection_handler(self, first_byte: bytes, handler: ConnectionHandler) -> None:
         """Gives connections that begin with this byte to the handler; no frame of ours does."""
         self.connection_handlers[first_byte] = handler
 
--- a/dunlinlug/fleet/wire_names.py
+++ b/dunlinlug/fleet/wire_names.py
@@ -48,13 +48,13 @@
     return declared
 
 
-def by_wire_name(kinds: Iterable[Any]) -> dict[str, Any]:
+def by_wire_name(kinds: Iterable[type]) -> dict[str, type]:
     """Classes by their names on the wire.
 
     Raises:
         TypeError: A class or one of its fields declares no name.
     """
-    found: dict[str, Any] = {}
+    found: dict[str, type] = {}
     for kind in kinds:
         wire_fields(kind)
         found[wire_name(kind)] = kind
--- a/tests/fleet/ownership/test_service.py
+++ b/tests/fleet/ownership/test_service.py
@@ -63,7 +63,10 @@
         owners = self.owners[name] = Ownership(
             name, self.places, [KEY], TIMING, kept, Random(f"{name} own"), note
         )
-        owners.transport.share_listener(members.transport, members.address_of)
+        owners.transport.register_membership_addresses(members.address_of)
+        members.transport.register_connection_handler(
+            owners.transport.preface_tag, owners.transport.accept_shared
+        )
         members.on_member_change = lambda change: owners.member_status_changed(
             change.name, change.after == "failed", set(members.reachable_voters())
         )
