--- a/dunlinlug/fleet/election/leadership.py
+++ b/dunlinlug/fleet/election/leadership.py
@@ -17,7 +17,7 @@
 from dunlinlug.fleet.election import replicated_state
 from dunlinlug.fleet.election.commit_queue import CommitQueue
 from dunlinlug.fleet.election.interfaces import LeadershipHost, ProxyService, ReplicableState
-from dunlinlug.fleet.election.protocol import ElectionProtocol
+from dunlinlug.fleet.election.protocol import ElectionChangeError, ElectionProtocol
 from dunlinlug.fleet.election.replica import Replica
 from dunlinlug.fleet.election.replicated_state import OverrideRecord
 from dunlinlug.fleet.election.serialization import SerializationError
@@ -32,11 +32,12 @@
     """Carries out the protocol's orders and feeds it with messages and time.
 
     It owns the protocol, the transport, the replica and the queue of messages that wait for their
-    batch to be committed. `timing` are the protocol's `lease`, `heartbeat_interval` and `recovery_timeout` in
-    seconds and its `drift`.
+    batch to be committed. `timing` are the protocol's `lease`, `heartbeat_interval` and
+    `recovery_timeout` in seconds and its `drift`.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 - everything that a successor takes over from
+    # A successor takes over the state of all these parts.
+    def __init__(  # noqa: PLR0913, PLR0917
         self,
         self_id: str,
         addresses: dict[str, tuple[str, int]],
@@ -118,7 +119,7 @@
     # What the protocol is fed with.
 
     async def run(self, listeners: list[trio.SocketListener]) -> None:
-        """Runs the transport and the protocol's timers; without listeners as `PeerTransport.run`."""
+        """Runs the transport and the protocol's timers; `listeners` are the transport's."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.transport.run, listeners)
             while True:
@@ -150,11 +151,12 @@
         its way to it.
 
         Raises:
-            ValueError: It is no other member, or has not our whole log then, or we do not lead.
+            ElectionChangeError: It is no other member, or has not our whole log then, or we do not
+                lead.
         """
         if target not in self.protocol.voter_set.members or target == self.self_id:
             members = ", ".join(self.protocol.voter_set.members)
-            raise ValueError(f"{target!r} is not another member; they are {members}")
+            raise ElectionChangeError(f"{target!r} is not another member; they are {members}")
         with trio.move_on_after(self.protocol.lease):
             while self.holds_lease(trio.current_time()) and not self.protocol.is_caught_up(target):
                 await self.wake.wait()
@@ -167,10 +169,10 @@
         """Adds one member to those that vote, or takes it away.
 
         Raises:
-            ValueError: No address is known for it, or the set cannot be changed so now.
+            ElectionChangeError: No address is known for it, or the set cannot be changed so now.
         """
         if member not in self.transport.addresses:
-            raise ValueError(f"no [member {member}] section says where it is")
+            raise ElectionChangeError(f"no [member {member}] section says where it is")
         members = set(self.protocol.voter_set.members)
         if add:
             members.add(member)
@@ -269,7 +271,7 @@
         return True
 
     def _report_divergence(self, reason: str) -> None:
-        """Discards our log, and logs why once, not with each snapshot that the leader sends again."""
+        """Discards our log, and logs why once, not with each snapshot that comes again."""
         self.protocol.discard_log(trio.current_time(), self.recovery_timeout)
         if reason != self.last_error:
             self.last_error = reason
--- a/dunlinlug/fleet/election/peer_connection.py
+++ b/dunlinlug/fleet/election/peer_connection.py
@@ -58,7 +58,7 @@
             return
 
     async def run(self) -> None:
-        """Dials, sends what is queued, and dials again when the connection breaks; never returns."""
+        """Dials, sends what is queued, and dials again when the connection breaks, for ever."""
         attempt = 0
         while True:
             targets = self.dial_targets()
--- a/dunlinlug/fleet/election/protocol.py
+++ b/dunlinlug/fleet/election/protocol.py
@@ -12,6 +12,7 @@
 
 from copy import copy
 
+from dunlinlug.errors import DunlinlugError
 from dunlinlug.fleet.election.messages import (
     AppendEntries,
     AppendResponse,
@@ -27,6 +28,10 @@
 from dunlinlug.fleet.election.voting import Voting
 
 
+class ElectionChangeError(DunlinlugError, ValueError):
+    """A change of the leader or of the voters that cannot be made now; the text says why."""
+
+
 class ElectionProtocol(Voting):
     """One member of the log.
 
@@ -117,10 +122,12 @@
         """Steps down in favour of a member that has our whole log (Ongaro's thesis, section 3.10).
 
         Raises:
-            ValueError: It has not, or we do not lead.
+            ElectionChangeError: It has not, or we do not lead.
         """
         if not self.holds_lease(now) or not self.is_caught_up(target):
-            raise ValueError(f"{target or 'nobody'} is not as far as we are, or we are not master")
+            raise ElectionChangeError(
+                f"{target or 'nobody'} is not as far as we are, or we are not master"
+            )
         return [
             *self._step_down(now, f"handed over to {target}"),
             Send(target, TransferLeadership(self.term, self.self_id)),
@@ -133,7 +140,7 @@
         common (Ongaro's thesis, section 4.1).
 
         Raises:
-            ValueError: It cannot be changed so, or not now; the text says why.
+            ElectionChangeError: It cannot be changed so, or not now.
         """
         self._check_voter_change(now, members)
         self.voter_set = VoterSet(self.voter_set.version + 1, tuple(sorted(members)))
@@ -150,17 +157,17 @@
 
     def _check_voter_change(self, now: float, members: tuple[str, ...]) -> None:
         if not self.holds_lease(now):
-            raise ValueError("only the master changes the set")
+            raise ElectionChangeError("only the master changes the set")
         changed = set(members) ^ set(self.voter_set.members)
         has_duplicates = len(set(members)) != len(members)
         if len(changed) != 1 or has_duplicates:
-            raise ValueError(
+            raise ElectionChangeError(
                 "one member at a time: two majorities without a common member would be possible"
             )
         term_committed = self._in_current_term(self.committed)
         if not term_committed or self.committed < self.last_voter_change:
-            raise ValueError(
+            raise ElectionChangeError(
                 "an earlier change, or the beginning of this term, is not yet with a majority"
             )
         if self.self_id not in members:
-            raise ValueError("the master cannot leave; hand over first")
+            raise ElectionChangeError("the master cannot leave; hand over first")
--- a/dunlinlug/fleet/election/replica.py
+++ b/dunlinlug/fleet/election/replica.py
@@ -98,7 +98,11 @@
         self.decision_loop.replay_batch(batch.now, batch.events, batch.rejected_indexes)
 
     def restore(self, body: bytes) -> None:
-        """Goes over to a snapshot of the leader's. Raises SerializationError, and changes nothing."""
+        """Goes over to a snapshot of the leader's.
+
+        Raises:
+            SerializationError: It cannot be read; nothing is changed then.
+        """
         module, snapshot = replicated_state.deserialize_snapshot(body, self.settings)
         self.decision_loop.module = module
         self.decision_loop.timers = snapshot.timers
--- a/dunlinlug/fleet/election/transport.py
+++ b/dunlinlug/fleet/election/transport.py
@@ -1,4 +1,4 @@
-"""Moves messages of a replicated log over trio: a connection out to each other member, one listener.
+"""Moves messages of a replicated log over trio: connections to all other members, one listener.
 
 Where the members share a membership, connections come in at its listener. A preface with the
 dialling member's name tells them from the membership's own frames, which begin with a byte of their
--- a/dunlinlug/fleet/wire_names.py
+++ b/dunlinlug/fleet/wire_names.py
@@ -1,4 +1,4 @@
-"""Names of message classes and their fields on the wire between managers, declared beside the fields.
+"""Wire names of message classes and their fields, declared beside the fields.
 
 The declared name is what is sent, so a class or an attribute can be renamed without changing a
 byte: `term: int = field(metadata=wire("term"))` for a field, `WIRE_NAME` for the class.
--- a/tests/fleet/election/mutants.py
+++ b/tests/fleet/election/mutants.py
@@ -1,4 +1,4 @@
-"""The protocol with one safety rule taken out; the model checker must catch each within these bounds."""
+"""The protocol with one safety rule taken out, which the model checker must catch."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
--- a/tests/fleet/election/test_election.py
+++ b/tests/fleet/election/test_election.py
@@ -356,7 +356,7 @@
 
 
 async def test_a_successor_uses_its_own_service_discovery(tmp_path: Path) -> None:
-    """The former leader's list had one draining; the successor's has another, and the first is ready."""
+    """The former leader's list had one draining; the successor's has another one."""
     async with fleet(tmp_path) as run:
         first = await run.led()
         for proxy in run.proxies:
--- a/tests/fleet/election/test_replicated_state.py
+++ b/tests/fleet/election/test_replicated_state.py
@@ -1,4 +1,4 @@
-"""A successor's module goes on exactly as the leader's would have, from a snapshot and from batches."""
+"""A successor's module goes on as the leader's would have, from a snapshot and from batches."""
 
 from random import Random
 
