--- a/dunlinlug/fleet/connections.py
+++ b/dunlinlug/fleet/connections.py
@@ -30,6 +30,23 @@
         self.open -= 1
 
 
+class RateLimit:
+    """Allows so many events in each second, counted from the first one of the second."""
+
+    def __init__(self, maximum_per_second: int) -> None:
+        self.maximum_per_second = maximum_per_second
+        self.window_start = 0.0
+        self.window_count = 0
+
+    def allows(self, now: float) -> bool:
+        """Counts one event; false if it is over the maximum. A clock set back starts a second."""
+        if now - self.window_start >= 1.0 or now < self.window_start:
+            self.window_start = now
+            self.window_count = 0
+        self.window_count += 1
+        return self.window_count <= self.maximum_per_second
+
+
 class RateLimitedLog:
     """Writes one log event at most once in an interval; what comes between is not written."""
 
--- a/dunlinlug/fleet/membership/transport.py
+++ b/dunlinlug/fleet/membership/transport.py
@@ -1,14 +1,14 @@
-"""Moves members' datagrams and frames over trio, and calls the machine in time."""
+"""Moves a member's datagrams and frames over trio, and calls the membership's protocol in time."""
 
 import secrets
 import socket
 from collections import Counter
 from collections.abc import Callable
-from contextlib import suppress
+from functools import partial
 
 import trio
 
-from dunlinlug.fleet.connections import ConnectionHandler, ConnectionLimit, RateLimitedLog
+from dunlinlug.fleet.connections import ConnectionHandler, RateLimit, RateLimitedLog
 from dunlinlug.fleet.membership import codec
 from dunlinlug.fleet.membership.messages import (
     Broadcast,
@@ -22,21 +22,20 @@
     Superseded,
 )
 from dunlinlug.fleet.membership.protocol import MembershipProtocol
+from dunlinlug.fleet.membership.streams import MembershipStreams
 from dunlinlug.fleet.sealing import AuthenticationError, RejectReason
 
-MAX_DATAGRAMS_PER_BATCH = 256  # datagrams read in one turn before timers are looked at
-# datagrams that are looked at in a second: twenty times what a thousand members send one
+SESSION_ID_BYTES = 8
+MAX_DATAGRAMS_PER_BATCH = 256  # datagrams read before timers are looked at
+# datagrams that are read in a second: twenty times what a thousand members send one
 MAX_DATAGRAMS_PER_SECOND = 4000
-# frames under way at once, each way, and seconds for one
-MAX_STREAMS = 16
-STREAM_TIMEOUT = 2.0
-# connections of other parts of ours at once: a few for each member of the largest set that votes
-MAX_DELEGATED_CONNECTIONS = 64
 
 
 class MembershipTransport:
-    """One member's sockets. `heard` gets the host's facts that come in, `changed` each change after
-    it was noted.
+    """One member's sockets, and the loop that feeds its protocol.
+
+    `on_broadcast` gets what others broadcast, `on_change` each change of a member's state after it
+    was logged. `bind_address` is where to listen, if not at the member's own address.
     """
 
     def __init__(
@@ -55,78 +54,90 @@
         self.on_broadcast = on_broadcast
         self.on_change = on_change
         self.clock = clock
-        self.sealer = codec.DatagramSealer(keys[0], secrets.token_bytes(8))
+        self.sealer = codec.DatagramSealer(keys[0], secrets.token_bytes(SESSION_ID_BYTES))
         self.opener = codec.DatagramOpener(keys)
         self.rejections = Counter[str]()
         self.counts = Counter[str]()
         self.rejection_log = RateLimitedLog("membership.datagrams_rejected", log_event, clock)
-        self.rate_window_start = 0.0
-        self.rate_window_count = 0
-        self.incoming_streams = ConnectionLimit(MAX_STREAMS)
-        self.outgoing_streams = ConnectionLimit(MAX_STREAMS)
-        self.delegated_connections = ConnectionLimit(MAX_DELEGATED_CONNECTIONS)
-        # By first byte, who takes connections that are not ours, with what was read of them; no
-        # frame begins like it.
-        self.connection_handlers: dict[bytes, ConnectionHandler] = {}
-        self.is_blocked: Callable[[tuple[str, int]], bool] = lambda address: (
-            False
-        )  # nothing goes there: for tests
+        self.rate_limit = RateLimit(MAX_DATAGRAMS_PER_SECOND)
+        self.streams = MembershipStreams(self._handle_frame, self.rejections, self.counts)
+        # Addresses to which nothing is sent: for tests.
+        self.is_blocked: Callable[[tuple[str, int]], bool] = lambda _address: False
         self.udp_socket: socket.socket | None = None
         self.wake = trio.Event()
 
+    def register_connection_handler(self, first_byte: bytes, handler: ConnectionHandler) -> None:
+        """Gives TCP connections that begin with this byte, and what was read, to the handler.
+
+        No frame of the membership begins with a byte that another part uses.
+        """
+        self.streams.handlers[first_byte] = handler
+
+    def open_streams(self) -> dict[str, int]:
+        """TCP connections that are open now, by kind."""
+        return {
+            "in": self.streams.incoming.open,
+            "out": self.streams.outgoing.open,
+            "calls": self.streams.delegated.open,
+        }
+
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Raises OSError if our place is taken."""
-        tcp_listeners = await trio.open_tcp_listeners(
-            self.bind_address[1], host=self.bind_address[0]
-        )
+        """Listens, sends and calls the protocol until cancelled.
+
+        Raises:
+            OSError: The address is taken.
+        """
+        host, port = self.bind_address
+        tcp_listeners = await trio.open_tcp_listeners(port, host=host)
         self.udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             self.udp_socket.setblocking(False)
             self.udp_socket.bind(self.bind_address)
             async with trio.open_nursery() as nursery:
                 self.nursery = nursery
-                nursery.start_soon(trio.serve_listeners, self._receive_stream, tcp_listeners)
-                nursery.start_soon(self._read_datagrams)
+                nursery.start_soon(trio.serve_listeners, self.streams.accept, tcp_listeners)
+                nursery.start_soon(self._read_datagrams, self.udp_socket)
                 task_status.started()
-                while True:
-                    self.wake = trio.Event()
-                    with trio.move_on_after(max(self.protocol.next_deadline() - self.clock(), 0.0)):
-                        await self.wake.wait()
-                    # Danger: timers first would condemn whose answers wait unread
-                    self._drain_socket()
-                    if self.protocol.next_deadline() <= self.clock():
-                        self._execute(self.protocol.tick(self.clock()))
+                await self._run_timers(self.udp_socket)
         finally:
             self.udp_socket.close()
             self.udp_socket = None
 
-    async def _read_datagrams(self) -> None:
-        assert self.udp_socket is not None
+    async def _run_timers(self, udp_socket: socket.socket) -> None:
+        while True:
+            self.wake = trio.Event()
+            with trio.move_on_after(max(self.protocol.next_deadline() - self.clock(), 0.0)):
+                await self.wake.wait()
+            # Without this, timers would condemn members whose answers wait unread.
+            self._drain_socket(udp_socket)
+            if self.protocol.next_deadline() <= self.clock():
+                self._execute(self.protocol.tick(self.clock()))
+
+    async def _read_datagrams(self, udp_socket: socket.socket) -> None:
         while True:
-            await trio.lowlevel.wait_readable(self.udp_socket)
-            self._drain_socket()
+            await trio.lowlevel.wait_readable(udp_socket)
+            self._drain_socket(udp_socket)
             self.wake.set()
             await trio.sleep(0)
 
-    def _drain_socket(self) -> None:
-        for _ in range(MAX_DATAGRAMS_PER_BATCH if self.udp_socket else 0):
-            assert self.udp_socket is not None
+    def _drain_socket(self, udp_socket: socket.socket) -> None:
+        """Handles the datagrams that wait, up to a batch."""
+        for _ in range(MAX_DATAGRAMS_PER_BATCH):
             try:
-                data = self.udp_socket.recv(codec.MAX_DATAGRAM_BYTES + 1)
+                data = udp_socket.recv(codec.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError:  # a former datagram's refusal, as an error of the next call
+            except OSError:  # that an earlier datagram was refused, reported by the next call
                 self.counts["unread"] += 1
                 continue
-            now = self.clock()
-            if now - self.rate_window_start >= 1.0 or now < self.rate_window_start:
-                self.rate_window_start = now
-                self.rate_window_count = 0
-            self.rate_window_count += 1
-            if self.rate_window_count > MAX_DATAGRAMS_PER_SECOND:
-                self.rejections[RejectReason.RATE_EXCEEDED.value] += 1
-            else:
+            if self.rate_limit.allows(self.clock()):
                 self._handle_datagram(data)
+            else:
+                self.rejections[RejectReason.RATE_EXCEEDED.value] += 1
+
+    def _handle_frame(self, data: bytes) -> None:
+        self._handle_datagram(data)
+        self.wake.set()
 
     def _handle_datagram(self, data: bytes) -> None:
         try:
@@ -139,7 +150,11 @@
         self._execute(self.protocol.receive(self.clock(), message))
 
     def perform(self, action: Callable[[float], list[Order]]) -> None:
-        """Something of the host's or an operator's; may raise ValueError."""
+        """Carries out what the service or an operator asks of the protocol, at the present time.
+
+        Raises:
+            ValueError: The protocol refuses it.
+        """
         self._execute(action(self.clock()))
         self.wake.set()
 
@@ -148,34 +163,35 @@
             match order:
                 case Send(address=address, message=message):
                     self._send(address, message)
-                case MemberStateChanged(name=name, before=before, after=state, reason=reason):
-                    self.log_event(
-                        "membership.member_changed",
-                        member=name,
-                        before=before,
-                        now=state,
-                        why=reason,
-                    )
+                case MemberStateChanged():
+                    self._log_change(order)
                     self.on_change(order)
-                case ProcessPaused(seconds=by):
-                    self.log_event("membership.process_paused", by=round(by, 3))
-                case Superseded(start_epoch=recipient):
+                case ProcessPaused(seconds=seconds):
+                    self.log_event("membership.process_paused", by=round(seconds, 3))
+                case Superseded(start_epoch=start_epoch):
                     self.log_event(
                         "membership.superseded",
                         start=self.protocol.local_state.incarnation[0],
-                        to=recipient,
+                        to=start_epoch,
                     )
                 case BroadcastReceived(broadcast=broadcast):
                     self.on_broadcast(broadcast)
 
+    def _log_change(self, change: MemberStateChanged) -> None:
+        self.log_event(
+            "membership.member_changed",
+            member=change.name,
+            before=change.before,
+            now=change.after,
+            why=change.reason,
+        )
+
     def _send(self, address: tuple[str, int], message: Message) -> None:
         if self.is_blocked(address) or self.udp_socket is None:
             return
         if isinstance(message, StateSync):
-            if not self.outgoing_streams.try_acquire():
-                self.counts["unsent"] += 1
-                return
-            self.nursery.start_soon(self._send_stream, address, self.sealer.frame(message))
+            make_frame = partial(self.sealer.frame, message)
+            self.streams.send(self.nursery, address, make_frame)
             return
         data = self.sealer.seal(message)
         self.counts["out"] += 1
@@ -184,73 +200,3 @@
             self.udp_socket.sendto(data, address)
         except OSError:
             self.counts["unsent"] += 1  # lost, as on a network
-
-    async def _send_stream(self, address: tuple[str, int], frame: bytes) -> None:
-        try:
-            with trio.move_on_after(STREAM_TIMEOUT):
-                async with await trio.open_tcp_stream(*address) as stream:
-                    await stream.send_all(frame)
-        except (OSError, trio.BrokenResourceError):
-            self.counts["unsent"] += 1  # the next exchange makes up for it
-        finally:
-            self.outgoing_streams.release()
-
-    async def _receive_stream(self, stream: trio.SocketStream) -> None:
-        """Takes one frame, in time, and answers nothing on it; or gives the connection away."""
-        if not self.incoming_streams.try_acquire():
-            self.rejections[RejectReason.TOO_MANY_STREAMS.value] += 1
-            await trio.aclose_forcefully(stream)
-            return
-        try:
-            data = await self._read_stream(stream)
-        finally:
-            self.incoming_streams.release()
-        handler = self.connection_handlers.get(data[:1])
-        if handler is not None:
-            await self._delegate_connection(stream, data, handler)
-            return
-        await trio.aclose_forcefully(stream)
-        body = data[codec.LENGTH.size :]
-        if len(data) >= codec.LENGTH.size and codec.LENGTH.unpack_from(data)[0] == len(body):
-            self._handle_datagram(body)
-            self.wake.set()
-        else:
-            self.rejections[RejectReason.INCOMPLETE_STREAM.value] += 1
-
-    async def _read_stream(self, stream: trio.SocketStream) -> bytes:
-        """Reads to the end, the bound, the timeout, or until the first byte names a handler."""
-        data = b""
-        with (
-            suppress(trio.BrokenResourceError, trio.ClosedResourceError),
-            trio.move_on_after(STREAM_TIMEOUT),
-        ):
-            while chunk := await stream.receive_some(2**16):
-                data += chunk
-                is_delegated = data[:1] in self.connection_handlers
-                if is_delegated or len(data) > codec.MAX_FRAME_BYTES + codec.LENGTH.size:
-                    break
-        return data
-
-    async def _delegate_connection(
-        self, stream: trio.SocketStream, data: bytes, handler: ConnectionHandler
-    ) -> None:
-        if not self.delegated_connections.try_acquire():
-            await trio.aclose_forcefully(stream)
-            self.rejections[RejectReason.TOO_MANY_CONNECTIONS.value] += 1
-            return
-        try:
-            await handler(stream, data)
-        finally:
-            self.delegated_connections.release()
-
-    def register_connection_handler(self, first_byte: bytes, handler: ConnectionHandler) -> None:
-        """Gives connections that begin with this byte to the handler; no frame of ours does."""
-        self.connection_handlers[first_byte] = handler
-
-    def open_streams(self) -> dict[str, int]:
-        """Connections that are open now, by kind."""
-        return {
-            "in": self.incoming_streams.open,
-            "out": self.outgoing_streams.open,
-            "calls": self.delegated_connections.open,
-        }
--- a/tests/fleet/membership/test_transport.py
+++ b/tests/fleet/membership/test_transport.py
@@ -21,7 +21,7 @@
     StateSync,
 )
 from dunlinlug.fleet.membership.service import Membership
-from dunlinlug.fleet.membership.transport import MAX_DELEGATED_CONNECTIONS
+from dunlinlug.fleet.membership.streams import MAX_DELEGATED_CONNECTIONS
 from dunlinlug.fleet.sealing import (
     DATAGRAM_SEAL,
     REPLAY_WINDOW,
@@ -357,7 +357,7 @@
             got.append(data)
             await trio.sleep_forever()
 
-        a.transport.connection_handlers[b"S"] = take
+        a.transport.register_connection_handler(b"S", take)
         calls = list[trio.SocketStream]()
         with trio.fail_after(8.0):
             for n in range(MAX_DELEGATED_CONNECTIONS + 1):
@@ -369,8 +369,7 @@
             while not a.transport.rejections["calls"]:
                 await trio.sleep(0.001)
         assert (
-            a.transport.delegated_connections.open == MAX_DELEGATED_CONNECTIONS
-            and got[0][:1] == b"S"
+            a.transport.streams.delegated.open == MAX_DELEGATED_CONNECTIONS and got[0][:1] == b"S"
         )
         b = await run.start("b")  # joins by a frame at that very door
         with trio.fail_after(5.0):
