--- a/dunlinlug/fleet/membership/streams.py
+++ b/dunlinlug/fleet/membership/streams.py
@@ -1,4 +1,4 @@
-"""TCP at a member's address: single frames too large for a datagram, and other parts' connections."""
+"""TCP at a member's address: frames too large for a datagram, and connections of other parts."""
 
 from collections import Counter
 from collections.abc import Callable
