--- a/dunlinlug/fleet/election/commit_queue.py
+++ b/dunlinlug/fleet/election/commit_queue.py
@@ -6,7 +6,8 @@
 import trio
 
 from dunlinlug.fleet.election.protocol import ElectionProtocol
-from dunlinlug.manager.decision_loop import DecisionLoop, OutgoingMessage
+from dunlinlug.manager.decision_loop import DecisionLoop
+from dunlinlug.manager.interfaces import OutgoingMessage
 
 
 class CommitQueue:
--- a/dunlinlug/fleet/election/leadership.py
+++ b/dunlinlug/fleet/election/leadership.py
@@ -23,7 +23,8 @@
 from dunlinlug.fleet.election.serialization import SerializationError
 from dunlinlug.fleet.election.status import LeadershipStatus
 from dunlinlug.fleet.election.transport import PeerTransport
-from dunlinlug.manager.decision_loop import DecisionLoop, OutgoingMessage
+from dunlinlug.manager.decision_loop import DecisionLoop
+from dunlinlug.manager.interfaces import OutgoingMessage
 from dunlinlug.storage.store import Store
 from dunlinlug.xds import fencing_term
 
@@ -84,7 +85,7 @@
         self.status = LeadershipStatus(self.protocol)
         self.last_error = ""
         self.recovery_timeout = timing["recovery_timeout"]
-        decision_loop.leadership = self
+        decision_loop.set_leadership(self)
         proxy_service.on_higher_term = self.observe_term
         proxy_service.close_streams("not master yet")
 
