--- a/tests/fleet/ownership/members.py
+++ b/tests/fleet/ownership/members.py
@@ -83,8 +83,10 @@
         config = OwnershipConfig(name, self.addresses, [KEY], TIMING)
         ownership = Ownership(config, store, Random(f"{name} own"), log_event)
         transport = ownership.transport
-        transport.membership_address = membership.address_of
-        membership.transport.connection_handlers[transport.preface_tag] = transport.accept_shared
+        transport.register_membership_addresses(membership.address_of)
+        membership.transport.register_connection_handler(
+            transport.preface_tag, transport.accept_shared
+        )
         membership.on_member_change = lambda change: ownership.member_status_changed(
             change.name, change.after == "failed", set(membership.reachable_voters())
         )
