--- a/bench/fanout.py
+++ b/bench/fanout.py
@@ -21,6 +21,7 @@
 
 from dunlinlug.ads.proxy_state import XdsTableInstaller
 from dunlinlug.ads.session import DeltaSession
+from dunlinlug.ads.session_callbacks import SessionCallbacks
 from dunlinlug.decision.events import Acknowledged, Event
 from dunlinlug.decision.orders import AssignTable, Order, RequestAcknowledgement, SetWeight
 from dunlinlug.decision.settings import TrafficClass
@@ -80,7 +81,7 @@
                 if session is None and len(stream.subscribed) == 2:
                     number = len(sessions)
                     session = sessions[number] = DeltaSession(
-                        number, call, stream, 0.0, tell, lambda *a, **k: None
+                        number, call, stream, 0.0, SessionCallbacks(tell, lambda *a, **k: None)
                     )
                     desk.add_proxy(number, True, ())
                     nursery.start_soon(session.run_sender)
--- a/bench/loss.py
+++ b/bench/loss.py
@@ -154,10 +154,11 @@
 def main() -> None:
     if sys.argv[1:2] == ["manager"]:
         kind, file = sys.argv[2], Path(sys.argv[3])
-        if kind == "refused":
-            manager.OrderValidator = RefusingAll  # type: ignore[misc]
+        validator = RefusingAll if kind == "refused" else OrderValidator
         exit_when_input_closes()
-        sys.exit(manager.serve(file, Balancer if kind == "good" else Careless))
+        sys.exit(
+            manager.serve(file, Balancer if kind == "good" else Careless, make_validator=validator)
+        )
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=4)
     parser.add_argument("--at-once", type=int, default=3)
--- a/bench/scale/real.py
+++ b/bench/scale/real.py
@@ -8,6 +8,7 @@
 import json
 import sys
 import time
+from collections.abc import Callable
 from dataclasses import asdict
 from pathlib import Path
 from typing import Any
@@ -16,13 +17,13 @@
 
 from bench.scale import part
 from bench.scale.accounting import Meter
+from dunlinlug.ads.fleet_composition import FleetParts
 from dunlinlug.ads.main import Manager
 from dunlinlug.config import manager_config
 from dunlinlug.config.reader import ConfigError
 from dunlinlug.decision.events import EndpointsUpdated, Event
 from dunlinlug.fleet.membership.list_digests import bucket_fingerprints
 from dunlinlug.fleet.membership.messages import MemberStateChanged
-from dunlinlug.fleet.membership.service import Membership
 from dunlinlug.fleet.shared_keys import KeyFileError
 from dunlinlug.manager import structured_logging
 from dunlinlug.manager.signals import SignalReceiver
@@ -35,42 +36,43 @@
     """The manager, telling of itself."""
 
     def __init__(self, path: Path) -> None:
-        super().__init__(path, manager_config.load_manager_config(path))
         self.meter, self.stopwatch, self.verdicts = Meter(), part.Stopwatch(), part.Verdicts()
         self.taken: list[tuple[int, float]] = []
-        note, tell = self.log_event, self.loop.submit
+        note = structured_logging.get_logger("manager").info
 
         def noted(event: str, **said: Any) -> None:
             self.meter.counts[event] += 1
             note(event, **said)
 
+        super().__init__(path, manager_config.load_manager_config(path), log_event=noted)
+        tell = self.parts.loop.submit
+
         def told(event: Event) -> None:
             if (
                 isinstance(event, EndpointsUpdated)
                 and event.update_type in ("whole", "changes")
                 and len(self.taken) < TAKEN
             ):
-                self.taken.append((self.endpoint_watcher.state.index, time.monotonic()))
+                self.taken.append((self.parts.endpoint_watcher.state.index, time.monotonic()))
             tell(event)
 
-        self.log_event = self.loop.log_event = self.service.log_event = (
-            self.endpoint_watcher.log_event
-        ) = noted
-        self.endpoint_watcher.submit = told
+        self.parts.endpoint_watcher.submit = told
 
-    def _create_membership(self, config: manager_config.MembershipConfig) -> Membership:
-        membership = super()._create_membership(config)
+    def create_fleet(self, start_task: Callable[..., None]) -> FleetParts:
+        fleet = super().create_fleet(start_task)
+        membership = fleet.membership
+        assert membership is not None
         part.instrument(membership, self.meter, self.stopwatch)
         changed = membership.on_member_change
 
         def heard(change: MemberStateChanged) -> None:
             self.meter.counts[f"became {change.after}"] += 1
             if change.after == "failed":
-                self.verdicts.add(config.me, change.name)
+                self.verdicts.add(membership.self_id, change.name)
             changed(change)
 
         membership.on_member_change = heard
-        return membership
+        return fleet
 
     @staticmethod
     def clock_at() -> tuple[float, float]:
@@ -78,18 +80,18 @@
         return time.monotonic(), trio.current_time()
 
     async def obey(self, command: part.Command) -> dict[str, Any]:
-        known = self.endpoint_watcher.last_list
+        known = self.parts.endpoint_watcher.last_list
         if command["do"] == "reloads":
             return {"did": "reloads", "reloads": self.meter.counts["reload.done"]}
         if command["do"] == "final":
-            me = self.membership_config.me
+            me = self.config.section(manager_config.MembershipConfig).me
             return {
                 "did": "final",
-                "taken": {me: {self.epoch: self.taken}},
+                "taken": {me: {self.parts.epoch: self.taken}},
                 "clock_at": self.clock_at(),
                 "held": {
                     me: (
-                        self.endpoint_watcher.state.index,
+                        self.parts.endpoint_watcher.state.index,
                         json.dumps(bucket_fingerprints(known)) if known else "",
                     )
                 },
@@ -110,8 +112,8 @@
             "queues": {
                 "gossip": said["waiting"],
                 "streams": max(membership.transport.streams.values()),
-                "channel": round(self.channel.peak_queued_entries),
-                "events": len(self.loop.pending_events),
+                "channel": round(self.parts.channel.peak_queued_entries),
+                "events": len(self.parts.loop.pending_events),
                 **{
                     f"refused {why}": membership.transport.rejections[why]
                     for why in part.AT_THE_DOOR
--- a/dunlinlug/admin/api.py
+++ b/dunlinlug/admin/api.py
@@ -13,7 +13,7 @@
 import hmac
 import os
 import stat
-from collections.abc import Callable
+from collections.abc import Callable, Mapping, Sequence
 from pathlib import Path
 from typing import Any, Protocol
 from urllib.parse import unquote
@@ -108,7 +108,7 @@
         token: str,
         traffic_classes: tuple[TrafficClass, ...],
         overrides: OverrideRegistry,
-        list_tables: Callable[[], list[dict[str, Any]]],
+        list_tables: Callable[[], Sequence[Mapping[str, Any]]],
         get_health: Callable[[], dict[str, Any]],
     ) -> None:
         self.token = token
@@ -118,6 +118,23 @@
         self.get_health = get_health
         self.traffic_class_names = [traffic_class.name for traffic_class in traffic_classes]
 
+    def register_fleet(
+        self,
+        leadership: LeadershipAdmin | None,
+        membership: MembershipAdmin | None,
+        ownership: OwnershipAdmin | None,
+        coordinator: OverrideCoordinator | None,
+    ) -> None:
+        """Serve what these parts of a manager among others offer; None for a part it has not."""
+        self.leadership = leadership
+        self.membership = membership
+        self.ownership = ownership
+        self.coordinator = coordinator
+
+    def replace_token(self, token: str) -> None:
+        """Accept this token from now on, and no longer the one before."""
+        self.token = token
+
     def _is_authorized(self, request: Request) -> bool:
         authorization = request.headers.get("authorization", "")
         return hmac.compare_digest(authorization.encode(), f"Bearer {self.token}".encode())
--- a/dunlinlug/admin/override_registry.py
+++ b/dunlinlug/admin/override_registry.py
@@ -11,7 +11,7 @@
 from dunlinlug.decision.events import Event, OverrideChanged
 from dunlinlug.decision.orders import AssignTable
 from dunlinlug.errors import DunlinlugError
-from dunlinlug.guard import EndedOverride, Override, Overrides, Rejection
+from dunlinlug.guard import EndedOverride, OrderValidator, Override, Overrides, Rejection
 
 
 class OverrideRejectedError(DunlinlugError):
@@ -47,6 +47,10 @@
         ]
         self.changed = trio.Event()
 
+    def replace_validator(self, validator: OrderValidator) -> None:
+        """Evaluate overrides by another validator from now on, as a new leader does."""
+        self.overrides.validator = validator
+
     def propose(self, now: float, override: Override) -> tuple[list[Rejection], list[str]]:
         """What would be refused of it, and cautions; raises PinFault. Changes nothing."""
         self.overrides.validate(override, now)
--- a/dunlinlug/ads/__init__.py
+++ b/dunlinlug/ads/__init__.py
@@ -1,1 +1,1 @@
-"""The xDS front: streams of proxies over gRPC, what each holds, and what it is sent."""
+"""The xDS manager: proxies' streams over gRPC, what each proxy holds and is sent, the process."""
--- /dev/null
+++ b/dunlinlug/ads/delivery.py
@@ -0,0 +1,48 @@
+"""Hands messages that leave the paced channel to the sessions of the proxies they are for.
+
+Owns the open sessions by proxy number. It stands between the decision loop, which delivers
+through it, and the xDS service, which opens and closes sessions in it.
+"""
+
+import trio
+
+from dunlinlug.ads.proxy_state import XdsTableInstaller
+from dunlinlug.ads.response_batch import ResponseBatch
+from dunlinlug.ads.session import DeltaSession
+from dunlinlug.ads.state_of_the_world_session import StateOfTheWorldSession
+from dunlinlug.manager.decision_loop import LeadershipGate
+from dunlinlug.xds import names
+
+Session = DeltaSession | StateOfTheWorldSession
+
+
+class ResponseDelivery:
+    """The open sessions, by proxy number, and the last check before a batch reaches one."""
+
+    def __init__(self, installer: XdsTableInstaller) -> None:
+        self.installer = installer
+        self.sessions: dict[int, Session] = {}
+        self.leadership: LeadershipGate | None = None
+
+    def require_lease(self, leadership: LeadershipGate) -> None:
+        """Deliver only while this gate says that we hold the leader's lease."""
+        self.leadership = leadership
+
+    def deliver(self, proxy: int, batch: ResponseBatch) -> None:
+        """Enqueue a batch at the proxy's session; one meant for an earlier stream is dropped."""
+        # Without this check at the last moment, a process that was stopped between the decision
+        # and the delivery would still send what it decided while its lease held.
+        if self.leadership is not None and not self.leadership.holds_lease(trio.current_time()):
+            return
+        session = self.sessions.get(proxy)
+        if session is None or batch.ordered_at < session.joined_at:
+            return
+        if batch.routes is not None and proxy in self.installer.proxies:
+            session.forget_unused_rejections(self._used_tables(proxy))
+        session.enqueue(batch)
+
+    def _used_tables(self, proxy: int) -> set[str]:
+        table_by_class = self.installer.proxies[proxy].table_by_class
+        return {
+            names.table_name(self.installer.epoch, table_id) for table_id in table_by_class.values()
+        }
--- /dev/null
+++ b/dunlinlug/ads/fleet_composition.py
@@ -0,0 +1,232 @@
+"""Builds what a manager has among others: leadership, membership, ownership of shards.
+
+Unlike the parts in `composition` these read the event loop's clock as they are made, so they are
+built once it runs.
+"""
+
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+from random import Random
+
+from dunlinlug.admin.api import AdminApi
+from dunlinlug.admin.override_registry import OverrideRegistry, OverrideRejectedError
+from dunlinlug.ads.composition import ManagerParts
+from dunlinlug.ads.leadership_callbacks import LeadershipCallbacks, LeaderTasks
+from dunlinlug.ads.membership_callbacks import MembershipCallbacks
+from dunlinlug.config import manager_config
+from dunlinlug.config.reader import ConfigFile
+from dunlinlug.fleet.election.leadership import Leadership
+from dunlinlug.fleet.membership.service import Membership
+from dunlinlug.fleet.ownership.service import Ownership
+from dunlinlug.fleet.ownership.shared_health_checks import HealthCheckCoordinator
+from dunlinlug.fleet.ownership.shared_overrides import SharedOverrides
+from dunlinlug.fleet.shared_keys import read_keys
+from dunlinlug.guard import OverrideError
+
+
+@dataclass(frozen=True)
+class FleetKeys:
+    """Keys that members seal messages with, newest first; empty for a part that is not used."""
+
+    election: list[bytes]
+    membership: list[bytes]
+
+
+@dataclass(frozen=True)
+class FleetParts:
+    """A manager's parts among others; each is None where the configuration has no section for it.
+
+    Attributes:
+        shared_health_checks: There is one exactly where there is an `ownership`.
+        shared_overrides: Not with a `leadership`, which replicates overrides by itself.
+    """
+
+    leadership: Leadership | None = None
+    membership: Membership | None = None
+    ownership: Ownership | None = None
+    shared_health_checks: HealthCheckCoordinator | None = None
+    shared_overrides: SharedOverrides | None = None
+
+
+def read_fleet_keys(config: ConfigFile) -> FleetKeys:
+    """Read the key files that the configuration names.
+
+    Raises:
+        KeyFileError: A key file cannot be used.
+    """
+    election = config.section(manager_config.ElectionConfig)
+    election_keys = read_keys(Path(election.key_file)) if election.member else []
+    membership_keys: list[bytes] = []
+    if config.section(manager_config.MembershipConfig).me:
+        membership_keys = read_keys(Path(manager_config.member_key_file(config)))
+    return FleetKeys(election_keys, membership_keys)
+
+
+class FleetBuilder:
+    """Builds a manager's parts among others and registers them with each other."""
+
+    def __init__(
+        self,
+        parts: ManagerParts,
+        keys: FleetKeys,
+        admin_api: AdminApi | None,
+        leader_tasks: LeaderTasks,
+        start_task: Callable[..., None],
+    ) -> None:
+        self.parts = parts
+        self.keys = keys
+        self.overrides: OverrideRegistry | None = None
+        if admin_api is not None:
+            self.overrides = admin_api.overrides
+        self.start_task = start_task
+        self.leadership_callbacks = LeadershipCallbacks(
+            parts, self.overrides, leader_tasks, start_task
+        )
+        self.seed = parts.config.section(manager_config.ServerConfig).seed
+
+    def build(self) -> FleetParts:
+        """Build what the configuration asks for; nothing is started yet."""
+        leadership = None
+        if self.parts.config.section(manager_config.ElectionConfig).member:
+            leadership = self._create_leadership()
+        if not self.parts.config.section(manager_config.MembershipConfig).me:
+            return FleetParts(leadership)
+        membership = self._create_membership(leadership)
+        ownership = self._create_ownership()
+        self._share_port(membership, leadership, ownership)
+        membership.register_host(MembershipCallbacks(self.parts, membership, leadership, ownership))
+        if ownership is None:
+            return FleetParts(leadership, membership)
+        shared_overrides = None
+        if leadership is None:
+            shared_overrides = self._create_shared_overrides(ownership)
+        return FleetParts(
+            leadership,
+            membership,
+            ownership,
+            self._create_shared_health_checks(ownership),
+            shared_overrides,
+        )
+
+    def _create_leadership(self) -> Leadership:
+        """The part in electing a leader; its clocks begin now."""
+        config = self.parts.config
+        election = config.section(manager_config.ElectionConfig)
+        members = config.sections(manager_config.MemberConfig)
+        leadership = Leadership(
+            election.member,
+            {name: member.peers for name, member in members.items()},
+            self.keys.election,
+            _log_timing(election),
+            election.first,
+            self.parts.store,
+            self.parts.settings,
+            self.parts.loop,
+            self.parts.installer,
+            self.parts.service,
+            Random(f"{self.seed} {election.member}"),
+            self.parts.log_event,
+        )
+        leadership.register_host(self.leadership_callbacks)
+        self.parts.delivery.require_lease(leadership)
+        return leadership
+
+    def _create_membership(self, leadership: Leadership | None) -> Membership:
+        """The part among managers that know each other.
+
+        Its voters are those of the election where there is one, else all configured members.
+        """
+        config = self.parts.config.section(manager_config.MembershipConfig)
+        addresses = self._membership_addresses()
+
+        def voters() -> tuple[str, ...]:
+            if leadership is not None:
+                return leadership.protocol.voter_set.members
+            return tuple(addresses)
+
+        membership = Membership(
+            config.me,
+            self.parts.epoch,
+            addresses,
+            self.keys.membership,
+            config.beat,
+            Random(f"{self.seed} members {config.me}"),
+            self.parts.log_event,
+            voters,
+            bind_address=config.binds if config.binds[1] else None,
+        )
+        self.leadership_callbacks.register_membership(membership)
+        self.parts.service.register_report_observer(membership.record_reports)
+        return membership
+
+    def _membership_addresses(self) -> dict[str, tuple[str, int]]:
+        members = self.parts.config.sections(manager_config.MemberConfig)
+        return {name: member.knows for name, member in members.items()}
+
+    def _create_ownership(self) -> Ownership | None:
+        """The part in owning fleet-wide work; None where the configuration leaves it off."""
+        config = self.parts.config.section(manager_config.LeaseConfig)
+        if not config.on:
+            return None
+        self_id = self.parts.config.section(manager_config.MembershipConfig).me
+        return Ownership(
+            self_id,
+            self._membership_addresses(),
+            self.keys.membership,
+            _log_timing(config),
+            self.parts.store,
+            Random(f"{self.seed} owners {self_id} {self.parts.epoch}"),
+            self.parts.log_event,
+        )
+
+    @staticmethod
+    def _share_port(
+        membership: Membership, leadership: Leadership | None, ownership: Ownership | None
+    ) -> None:
+        """Let the others' connections come by the membership's port and go to its addresses."""
+        for service in (leadership, ownership):
+            if service is None:
+                continue
+            transport = service.transport
+            transport.register_membership_addresses(membership.address_of)
+            membership.transport.register_connection_handler(
+                transport.preface_tag, transport.accept_shared
+            )
+
+    def _create_shared_health_checks(self, ownership: Ownership) -> HealthCheckCoordinator:
+        health_checker = self.parts.health_checker
+        coordinator = HealthCheckCoordinator(
+            ownership,
+            health_checker.timeout,
+            health_checker.check,
+            self.parts.loop.submit,
+            self.start_task,
+        )
+        health_checker.register_result_handler(coordinator.check_completed)
+        return coordinator
+
+    def _create_shared_overrides(self, ownership: Ownership) -> SharedOverrides | None:
+        """One set of operator overrides for all members; None without an admin API."""
+        if self.overrides is None:
+            return None
+        return SharedOverrides(
+            ownership,
+            self.overrides,
+            (OverrideError, OverrideRejectedError),
+            self.parts.log_event,
+            time.time,
+        )
+
+
+def _log_timing(
+    config: manager_config.ElectionConfig | manager_config.LeaseConfig,
+) -> dict[str, float]:
+    """Seconds (`drift`: a fraction) by the keywords of a replicated log's protocol."""
+    return {
+        "lease": config.lease,
+        "heartbeat_interval": config.beat,
+        "drift": config.drift,
+        "recovery_timeout": config.forgets,
+    }
--- /dev/null
+++ b/dunlinlug/ads/load_meter.py
@@ -0,0 +1,49 @@
+"""Measures the load of this manager, which it broadcasts to the other members."""
+
+import time
+
+import trio
+
+from dunlinlug.ads.composition import ManagerParts
+from dunlinlug.balance import Balancer
+from dunlinlug.config import manager_config
+from dunlinlug.fleet.membership.load import ManagerLoad
+
+
+class LoadMeter:
+    """Owns the last reading of the processor's time, from which the next load is reckoned."""
+
+    def __init__(self, parts: ManagerParts) -> None:
+        self.parts = parts
+        self.max_queued_entries = parts.config.section(manager_config.ChannelConfig).waiting_most
+        self.last_sample_at = 0.0
+        self.last_cpu_time = 0.0
+
+    def measure(self) -> ManagerLoad:
+        """The load now: proxies, requests a second, queue and processor as fractions.
+
+        The processor's fraction is of one core, since the last call.
+        """
+        now = trio.current_time()
+        cpu_time = time.process_time()
+        elapsed = now - self.last_sample_at
+        used = cpu_time - self.last_cpu_time
+        self.last_sample_at = now
+        self.last_cpu_time = cpu_time
+        return ManagerLoad(
+            len(self.parts.installer.proxies),
+            self._request_rate(),
+            self._queued_fraction(),
+            used / elapsed if elapsed > 0.0 else 0.0,
+        )
+
+    def _request_rate(self) -> float:
+        module = self.parts.loop.module
+        if not isinstance(module, Balancer):
+            return 0
+        return sum(proxy.request_rate for proxy in module.assignments.proxies.values())
+
+    def _queued_fraction(self) -> float:
+        if not self.max_queued_entries:
+            return 0.0
+        return self.parts.channel.queued_entries / self.max_queued_entries
--- /dev/null
+++ b/dunlinlug/ads/order_handlers.py
@@ -0,0 +1,46 @@
+"""Who carries out the decision module's orders that are not for proxies."""
+
+from collections.abc import Callable
+from typing import Any
+
+from dunlinlug.ads.composition import ManagerParts
+from dunlinlug.ads.leadership_callbacks import LeaderTasks
+from dunlinlug.decision.orders import CheckHealth, ListEndpoints, WatchEndpoints
+from dunlinlug.fleet.ownership.shared_health_checks import HealthCheckCoordinator
+
+
+class OrderHandlers:
+    """Starts a task for each order: a health check, a watch or a query of service discovery."""
+
+    def __init__(
+        self,
+        parts: ManagerParts,
+        shared_health_checks: HealthCheckCoordinator | None,
+        leader_tasks: LeaderTasks,
+        start_task: Callable[..., None],
+    ) -> None:
+        self.parts = parts
+        self.shared_health_checks = shared_health_checks
+        self.leader_tasks = leader_tasks
+        self.start_task = start_task
+
+    def by_kind(self) -> dict[type, Callable[[Any], None]]:
+        """The handler of each kind of order, as `DecisionLoop.register_order_handlers` takes it."""
+        return {
+            CheckHealth: self._check_health,
+            WatchEndpoints: self._watch_endpoints,
+            ListEndpoints: self._list_endpoints,
+        }
+
+    def _check_health(self, order: CheckHealth) -> None:
+        """Check once for all members where they share health checks, else by ourselves."""
+        if self.shared_health_checks is not None:
+            self.shared_health_checks.request(order.worker)
+        else:
+            self.start_task(self.parts.health_checker.check, order.worker)
+
+    def _watch_endpoints(self, _order: WatchEndpoints) -> None:
+        self.start_task(self.leader_tasks.run, self.parts.endpoint_watcher.watch, False)
+
+    def _list_endpoints(self, _order: ListEndpoints) -> None:
+        self.start_task(self.leader_tasks.run, self.parts.endpoint_watcher.list_endpoints)
--- a/dunlinlug/ads/response_batch.py
+++ b/dunlinlug/ads/response_batch.py
@@ -1,6 +1,4 @@
-"""What one reply orders for one proxy: an ordered set of responses and the marks that its answers
-settle.
-"""
+"""What one reply of the decision module sends to one proxy, with the acknowledgements it requests."""
 
 from dataclasses import dataclass, field
 
@@ -10,26 +8,35 @@
 
 @dataclass
 class ResponseBatch:
-    """Tables first, then routes, then what is taken away: a proxy never routes to a table it has
-    not got.
+    """Resources for one proxy, sent in this order: tables, then routes, then removals.
+
+    In that order a proxy never routes to a table that it does not have.
+
+    Attributes:
+        tables: New or changed tables (and the ejection overlay) by resource name, oldest first.
+        routes: The routes, if they changed.
+        removed_tables: Names of tables that the proxy is to drop.
+        state_of_the_world: All that a state-of-the-world client should hold; None for a delta one.
+        ack_requests: Number of each acknowledgement requested, and when it was (event loop's
+            clock, seconds).
+        lines: Table entries that this batch counts for on the channel.
+        ordered_at: When the first part of it was ordered (event loop's clock, seconds).
+        reply_count: How many replies of the module were merged into it.
     """
 
     tables: dict[str, EncodedResource] = field(default_factory=dict)
     routes: EncodedResource | None = None
     removed_tables: set[str] = field(default_factory=set)
-    state_of_the_world: ResourcesByType | None = (
-        None  # for a client of the full form: all that it should hold
-    )
-    ack_requests: list[tuple[int, float]] = field(
-        default_factory=list
-    )  # number, and when it was ordered
+    state_of_the_world: ResourcesByType | None = None
+    ack_requests: list[tuple[int, float]] = field(default_factory=list)
     lines: float = 0.0
-    ordered_at: float = 0.0  # when the first of it was ordered
-    reply_count: int = 1  # how many replies' parcels have been merged into this one
+    ordered_at: float = 0.0
+    reply_count: int = 1
 
     def merge(self, later: "ResponseBatch") -> None:
-        """Add a later parcel for the same proxy: the newest of each resource stays, no mark is
-        lost.
+        """Add a later batch for the same proxy.
+
+        The newest version of each resource stays, and no acknowledgement request is lost.
         """
         for name, resource in later.tables.items():
             self.tables.pop(name, None)
--- a/dunlinlug/ads/session.py
+++ b/dunlinlug/ads/session.py
@@ -1,34 +1,62 @@
-"""One proxy's ADS stream at the manager: what is owed to it, what is in flight, what it refused."""
+"""One proxy's delta ADS stream: what waits to be sent, what is in flight, what it rejected."""
 
 import time
-from collections.abc import Callable
 from dataclasses import dataclass
 
 import trio
 
 from dunlinlug.ads.response_batch import ResponseBatch
-from dunlinlug.decision.events import Acknowledged, Event
+from dunlinlug.ads.session_callbacks import SessionCallbacks
+from dunlinlug.decision.events import Acknowledged
 from dunlinlug.net.grpc import Call
 from dunlinlug.rpc import Status
 from dunlinlug.xds import fencing_term, names
 from dunlinlug.xds.encoding import EncodedResource
 from dunlinlug.xds.stream import DeltaStream, ResponseAcknowledged, ResponseRejected
 
-# sets sent and not yet answered; what comes after is merged, so that a mute proxy piles nothing up
+# Batches sent and not yet answered. Later ones are merged while they wait, so that a proxy that
+# never answers costs a bounded amount of memory.
 MAX_IN_FLIGHT = 8
 
 
 @dataclass
 class InFlightResponses:
-    """A set on its way: its nonces not yet answered, and whether one was refused."""
+    """A batch on its way.
+
+    Attributes:
+        nonces: Those of its responses that were not answered yet.
+        ack_requests: As in `ResponseBatch`.
+        rejected: Whether the proxy rejected any of the responses.
+    """
 
     nonces: set[str]
     ack_requests: list[tuple[int, float]]
     rejected: bool = False
 
 
+@dataclass(frozen=True)
+class SentResources:
+    """What went out under one nonce, and the batch that it was part of."""
+
+    batch: InFlightResponses
+    resources: tuple[EncodedResource, ...]
+
+
+@dataclass(frozen=True)
+class PlannedResponse:
+    """One response to be sent: resources of one type, or names of removed ones."""
+
+    type_url: str
+    resources: tuple[EncodedResource, ...] = ()
+    removed: tuple[str, ...] = ()
+
+
 class DeltaSession:
-    """Feed `owe` and `said`; run `send`. Events for the module go to `tell`, log lines to `note`."""
+    """Sends batches over one stream and reports what the proxy acknowledges.
+
+    Call `enqueue` with batches and `handle_answer` with the stream's answers; run `run_sender` for
+    as long as the stream is open.
+    """
 
     def __init__(
         self,
@@ -36,26 +64,21 @@
         call: Call,
         stream: DeltaStream,
         now: float,
-        submit: Callable[[Event], None],
-        log_event: Callable[..., None],
+        callbacks: SessionCallbacks,
     ) -> None:
         self.proxy = proxy
         self.call = call
         self.stream = stream
         self.joined_at = now
-        self.submit = submit
-        self.log_event = log_event
+        self.callbacks = callbacks
         self.pending_batch: ResponseBatch | None = None
         self.in_flight: list[InFlightResponses] = []
-        self.by_nonce: dict[str, tuple[InFlightResponses, tuple[EncodedResource, ...]]] = {}
-        self.rejected_versions: dict[
-            str, str
-        ] = {}  # resource to the version that the proxy would not take
+        self.sent_by_nonce: dict[str, SentResources] = {}
+        self.rejected_versions: dict[str, str] = {}  # by resource, the version last rejected
         self.send_blocked = trio.Event()
-        self.on_higher_term: Callable[[int], None] = lambda term: None
 
     def enqueue(self, batch: ResponseBatch) -> None:
-        """Add a parcel; with one still unsent the two become one."""
+        """Send a batch, or merge it with the one that still waits."""
         if self.pending_batch is None:
             self.pending_batch = batch
         else:
@@ -63,9 +86,7 @@
         self._send_pending()
 
     def _send_pending(self) -> None:
-        """Send what is owed if the peer has taken what went before; else it waits, and what comes
-        is merged.
-        """
+        """Send what waits, unless the peer has not taken what was sent before."""
         if self.pending_batch is None or len(self.in_flight) >= MAX_IN_FLIGHT:
             return
         if self.call.unsent_bytes:
@@ -76,9 +97,7 @@
         self._send_batch(batch)
 
     async def run_sender(self) -> None:
-        """Push again whenever the peer has taken what was held back, for as long as the stream
-        stands.
-        """
+        """Send again whenever the peer has taken what was held back, until cancelled."""
         while True:
             await self.send_blocked.wait()
             self.send_blocked = trio.Event()
@@ -86,87 +105,101 @@
             self._send_pending()
 
     def _send_batch(self, batch: ResponseBatch) -> None:
-        tables = tuple(
-            resource
-            for resource in batch.tables.values()
-            if self.rejected_versions.get(resource.name) != resource.version
+        in_flight = InFlightResponses(set(), batch.ack_requests)
+        responses = self._plan_responses(batch)
+        # The first response's tag tells a proxy's record when the batch was first ordered (on the
+        # monotonic clock, which all processes of a machine share), how many entries it counts
+        # for, and how many replies it merges.
+        ordered_at = batch.ordered_at - trio.current_time() + time.monotonic()
+        tag = f"{ordered_at:.6f} {batch.lines:g} {batch.reply_count}"
+        last = len(responses) - 1
+        for position, response in enumerate(responses):
+            nonce, data = self.stream.respond(
+                response.type_url, response.resources, response.removed, tag
+            )
+            tag = ""
+            in_flight.nonces.add(nonce)
+            self.sent_by_nonce[nonce] = SentResources(in_flight, response.resources)
+            self.call.send(data, buffered=position < last)
+        self.in_flight.append(in_flight)
+
+    def _plan_responses(self, batch: ResponseBatch) -> list[PlannedResponse]:
+        """The responses of a batch in order; an empty one if there is nothing but a request."""
+        accepted = [
+            resource for resource in batch.tables.values() if not self._was_rejected(resource)
+        ]
+        ejections = tuple(
+            resource for resource in accepted if resource.name == names.EJECTIONS_RESOURCE
         )
-        routes = (
-            (batch.routes,)
-            if batch.routes
-            and self.rejected_versions.get(names.ROUTES_RESOURCE) != batch.routes.version
-            else ()
+        tables = tuple(
+            resource for resource in accepted if resource.name != names.EJECTIONS_RESOURCE
         )
-        removed_tables = tuple(sorted(batch.removed_tables))
-        responses: list[tuple[str, tuple[EncodedResource, ...], tuple[str, ...]]]
-        # Danger: a response is refused whole; who is withdrawn travels apart from tables that may
-        # be refused.
-        resource_groups = [
-            tuple(resource for resource in tables if resource.name == names.EJECTIONS_RESOURCE),
-            tuple(resource for resource in tables if resource.name != names.EJECTIONS_RESOURCE),
-        ]
-        responses = [(names.ENDPOINTS_TYPE, group, ()) for group in resource_groups if group]
-        responses += [(names.ROUTES_TYPE, routes, ())] if routes else []
-        responses += [(names.ENDPOINTS_TYPE, (), removed_tables)] if removed_tables else []
-        responses_in_flight = InFlightResponses(set(), batch.ack_requests)
-        ordered_at = (
-            batch.ordered_at - trio.current_time() + time.monotonic()
-        )  # a clock that records share
-        responses = responses or [(names.ENDPOINTS_TYPE, (), ())]
-        for position, (type_url, resources, removed) in enumerate(responses, 1):
-            # The tag lets a proxy's record show when the first of it was ordered, and how many
-            # lines it is.
-            tag = (
-                f"{ordered_at:.6f} {batch.lines:g} {batch.reply_count}"
-                if not responses_in_flight.nonces
-                else ""
-            )
-            nonce, data = self.stream.respond(type_url, resources, removed, tag)
-            responses_in_flight.nonces.add(nonce)
-            self.by_nonce[nonce] = (responses_in_flight, resources)
-            self.call.send(data, buffered=position < len(responses))
-        self.in_flight.append(responses_in_flight)
+        responses = []
+        # A proxy rejects a response as a whole: without a response of their own, ejections would
+        # be lost with a table that is rejected.
+        if ejections:
+            responses.append(PlannedResponse(names.ENDPOINTS_TYPE, ejections))
+        if tables:
+            responses.append(PlannedResponse(names.ENDPOINTS_TYPE, tables))
+        if batch.routes is not None and not self._was_rejected(batch.routes):
+            responses.append(PlannedResponse(names.ROUTES_TYPE, (batch.routes,)))
+        if batch.removed_tables:
+            removed = tuple(sorted(batch.removed_tables))
+            responses.append(PlannedResponse(names.ENDPOINTS_TYPE, removed=removed))
+        return responses or [PlannedResponse(names.ENDPOINTS_TYPE)]
+
+    def _was_rejected(self, resource: EncodedResource) -> bool:
+        return self.rejected_versions.get(resource.name) == resource.version
 
     def handle_answer(self, answer: ResponseAcknowledged | ResponseRejected, now: float) -> None:
-        """Take an answer. Danger: a later mark would settle a refused one, so none is told while
-        one stands.
-        """
-        answered, resources = self.by_nonce.pop(answer.nonce)
-        answered.nonces.discard(answer.nonce)
+        """Take the answer to one response; report a batch once all of it is acknowledged."""
+        sent = self.sent_by_nonce.pop(answer.nonce)
+        sent.batch.nonces.discard(answer.nonce)
         if isinstance(answer, ResponseRejected):
-            answered.rejected = True
-            if term := fencing_term.superseding_term(answer.reason):
-                self.on_higher_term(term)
+            sent.batch.rejected = True
+            term = fencing_term.superseding_term(answer.reason)
+            if term:
+                self.callbacks.on_higher_term(term)
                 return
-            rejected = {resource.name: resource.version for resource in resources}
-            if any(
-                self.rejected_versions.get(name) != version for name, version in rejected.items()
-            ):
-                self.log_event(
-                    "proxy.response_rejected",
-                    proxy=self.stream.node_id,
-                    resources=sorted(rejected),
-                    why=answer.reason,
-                )
-            self.rejected_versions.update(rejected)
+            self._record_rejection(sent.resources, answer.reason)
         else:
-            for resource in resources:
+            for resource in sent.resources:
                 self.rejected_versions.pop(resource.name, None)
+        self._report_acknowledgements(now)
+        self._send_pending()
+
+    def _record_rejection(self, resources: tuple[EncodedResource, ...], reason: str) -> None:
+        """Remember the versions, so as not to send them again; log what was not known yet."""
+        is_new = not all(self._was_rejected(resource) for resource in resources)
+        rejected = {resource.name: resource.version for resource in resources}
+        if is_new:
+            self.callbacks.log_event(
+                "proxy.response_rejected",
+                proxy=self.stream.node_id,
+                resources=sorted(rejected),
+                why=reason,
+            )
+        self.rejected_versions.update(rejected)
+
+    def _report_acknowledgements(self, now: float) -> None:
+        """Report the batches that are answered, in the order in which they were sent."""
         while self.in_flight and not self.in_flight[0].nonces:
             completed = self.in_flight.pop(0)
-            if not completed.rejected and not self.rejected_versions:
-                for number, ordered_at in completed.ack_requests:
-                    self.submit(Acknowledged(self.proxy, number, now - ordered_at))
-        self._send_pending()
+            # Without this, a later acknowledgement would stand for a table that the proxy has
+            # rejected and still does not hold.
+            if completed.rejected or self.rejected_versions:
+                continue
+            for number, ordered_at in completed.ack_requests:
+                self.callbacks.submit(Acknowledged(self.proxy, number, now - ordered_at))
 
     def end(self, status: Status, reason: str) -> None:
+        """Finish the call with this status, and cancel what serves it."""
         self.call.finish(status, reason)
         self.call.scope.cancel()
 
     def forget_unused_rejections(self, used_tables: set[str]) -> None:
-        """Forget refusals of tables that the proxy is no longer to go by."""
+        """Forget rejections of tables that the proxy no longer uses."""
+        remembered = {*used_tables, names.EJECTIONS_RESOURCE, names.ROUTES_RESOURCE}
         self.rejected_versions = {
-            name: version
-            for name, version in self.rejected_versions.items()
-            if name in used_tables or name in (names.EJECTIONS_RESOURCE, names.ROUTES_RESOURCE)
+            name: version for name, version in self.rejected_versions.items() if name in remembered
         }
--- /dev/null
+++ b/dunlinlug/ads/shutdown.py
@@ -0,0 +1,30 @@
+"""How a manager stops: it waits for a signal, decides no more, takes its leave, closes its store."""
+
+from collections.abc import Callable
+
+from dunlinlug.ads.composition import ManagerParts
+from dunlinlug.fleet.membership.service import Membership
+from dunlinlug.manager.signals import STOP_SIGNALS, SignalReceiver
+
+
+async def wait_for_stop(signals: SignalReceiver, reload: Callable[[], None]) -> None:
+    """Wait for SIGTERM or SIGINT; any other signal received (SIGHUP) calls `reload`."""
+    while await signals.receive() not in STOP_SIGNALS:
+        reload()
+
+
+def begin_shutdown(parts: ManagerParts, membership: Membership | None) -> None:
+    """Decide nothing more, and tell the other members, before the tasks are cancelled."""
+    parts.loop.stop()
+    if membership is not None:
+        membership.leave()
+
+
+def finish_shutdown(parts: ManagerParts) -> None:
+    """Log the figures of this run and close the store, once all tasks have ended."""
+    parts.log_event(
+        "manager.stopped",
+        batches=parts.loop.batch_count,
+        most_waited=round(parts.channel.peak_queued_entries),
+    )
+    parts.store.close()
--- /dev/null
+++ b/dunlinlug/ads/split_streams.py
@@ -0,0 +1,119 @@
+"""Serves clients that open one state-of-the-world stream for each type (LDS, RDS, CDS, EDS).
+
+All streams of one node share one state and one session: together they are one proxy, for as long
+as its stream of listeners is open. Owns these clients by node name.
+"""
+
+from dataclasses import dataclass, field
+
+import trio
+
+from dunlinlug.ads.state_of_the_world_session import StateOfTheWorldSession
+from dunlinlug.ads.stream_host import IdentityConflictError, StreamHost, require_identity
+from dunlinlug.net.grpc import Call, CallEndedError
+from dunlinlug.rpc import Status
+from dunlinlug.xds import names
+from dunlinlug.xds.state_of_the_world import StateOfTheWorldStream
+from dunlinlug.xds.stream import ResponseAcknowledged, ResponseRejected, StreamProtocolError
+
+
+@dataclass
+class SplitStreamClient:
+    """A client's shared state, its session once it asks for listeners, and its calls by type."""
+
+    stream: StateOfTheWorldStream
+    session: StateOfTheWorldSession | None = None
+    calls: dict[str, Call] = field(default_factory=dict)
+
+
+class SplitStreams:
+    """All clients with a stream for each type."""
+
+    def __init__(self, host: StreamHost) -> None:
+        self.host = host
+        self.clients: dict[str, SplitStreamClient] = {}  # by node name
+
+    async def serve(self, call: Call, type_url: str) -> None:
+        """Serve one type's call to its end."""
+        await self.host.leading.wait()
+        call.accept()
+        client: SplitStreamClient | None = None
+        try:
+            async with trio.open_nursery() as nursery:
+                while True:
+                    data = await call.receive()
+                    if client is None:
+                        client = self._join_client(data, call, type_url)
+                    self._handle_request(client, data, call, type_url, nursery)
+        except* (StreamProtocolError, IdentityConflictError) as errors:
+            reason = str(errors.exceptions[0])
+            node_id = client.stream.node_id if client is not None else ""
+            self.host.log_event("proxy.protocol_error", proxy=node_id, why=reason)
+            call.finish(Status.INVALID_ARGUMENT, reason)
+        except* CallEndedError:
+            pass
+        finally:
+            if client is not None and client.calls.get(type_url) is call:
+                self._remove_stream(client, type_url)
+
+    def _handle_request(
+        self,
+        client: SplitStreamClient,
+        data: bytes,
+        call: Call,
+        type_url: str,
+        nursery: trio.Nursery,
+    ) -> None:
+        for message in client.stream.receive(data, type_url):
+            if client.session is None:
+                continue
+            if isinstance(message, ResponseAcknowledged | ResponseRejected):
+                client.session.handle_answer(message, trio.current_time())
+        if client.session is not None:
+            client.session.send_pending()
+        elif client.stream.is_ready():
+            client.session = self.host.open_state_of_the_world_session(
+                call, client.stream, client.calls
+            )
+            nursery.start_soon(client.session.run_sender)
+
+    def _join_client(self, data: bytes, call: Call, type_url: str) -> SplitStreamClient:
+        """Add this call to the client whose node the first request names.
+
+        Raises:
+            IdentityConflictError: The call's certificate names another node.
+            StreamProtocolError: It is not a request of this type, or no node fits in any more.
+        """
+        first_stream = StateOfTheWorldStream()
+        first_stream.receive(data, type_url)
+        node_id = first_stream.node_id
+        client = self.clients.get(node_id)
+        if client is None:
+            self.host.register_node(first_stream, call.connection.identity)
+            client = SplitStreamClient(self._shared_stream(first_stream))
+            self.clients[node_id] = client
+        else:
+            require_identity(node_id, call.connection.identity)
+        client.stream.close_type(type_url)
+        client.calls[type_url] = call
+        return client
+
+    def _shared_stream(self, first_stream: StateOfTheWorldStream) -> StateOfTheWorldStream:
+        """A stream state for all types of the node that the first request of any type names."""
+        shared_stream = StateOfTheWorldStream()
+        shared_stream.node_id = first_stream.node_id
+        shared_stream.zone = first_stream.zone
+        shared_stream.metadata = first_stream.metadata
+        shared_stream.control_plane_id = self.host.control_plane_id
+        return shared_stream
+
+    def _remove_stream(self, client: SplitStreamClient, type_url: str) -> None:
+        """Drop a stream that has ended; without the listeners' one the proxy has left."""
+        del client.calls[type_url]
+        client.stream.close_type(type_url)
+        if client.session is not None and type_url == names.LISTENERS_TYPE:
+            self.host.close_session(client.session)
+            client.session = None
+        node_id = client.stream.node_id
+        if not client.calls and self.clients.get(node_id) is client:
+            del self.clients[node_id]
--- a/dunlinlug/ads/state_of_the_world_session.py
+++ b/dunlinlug/ads/state_of_the_world_session.py
@@ -1,13 +1,10 @@
-"""One client's stream of the state-of-the-world form: what it should hold, what it was sent, what
-it has taken.
-"""
-
-from collections.abc import Callable
+"""One client's state-of-the-world stream: what it should hold, was sent, and has acknowledged."""
 
 import trio
 
 from dunlinlug.ads.response_batch import ResponseBatch
-from dunlinlug.decision.events import Acknowledged, Event
+from dunlinlug.ads.session_callbacks import SessionCallbacks
+from dunlinlug.decision.events import Acknowledged
 from dunlinlug.net.grpc import Call
 from dunlinlug.rpc import Status
 from dunlinlug.xds import fencing_term
@@ -16,50 +13,52 @@
 
 
 class StateOfTheWorldSession:
-    """As `Session`, for the other form. A mark is answered once the client holds all that was
-    offered with it, down to the endpoints of each product that it asks for.
+    """As `DeltaSession`, for the state-of-the-world form.
+
+    An acknowledgement is reported once the client holds all resources that were offered with it,
+    down to the endpoints of each traffic class that it asks for.
+
+    `calls_by_type` has the calls of a client with a stream for each type; the dictionary belongs to
+    whoever serves those streams, and changes as they come and go.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - those of DeltaSession, and the calls
         self,
         proxy: int,
         call: Call,
         stream: StateOfTheWorldStream,
         now: float,
-        submit: Callable[[Event], None],
-        log_event: Callable[..., None],
+        callbacks: SessionCallbacks,
+        *,
+        calls_by_type: dict[str, Call] | None = None,
     ) -> None:
         self.proxy = proxy
         self.call = call
         self.stream = stream
         self.joined_at = now
-        self.submit = submit
-        self.log_event = log_event
-        self.calls_by_type: dict[str, Call] = {}  # by type, where each has a stream of its own
+        self.callbacks = callbacks
+        self.calls_by_type = {} if calls_by_type is None else calls_by_type
         self.ack_requests: list[tuple[int, float]] = []
-        self.resources_by_nonce: dict[str, tuple[str, ...]] = {}  # names by nonce
+        self.resources_by_nonce: dict[str, tuple[str, ...]] = {}  # resource names
         self.send_blocked = trio.Event()
-        self.on_higher_term: Callable[[int], None] = lambda term: None
 
     def enqueue(self, batch: ResponseBatch) -> None:
-        """The newest offer stands for all before it."""
+        """Offer a batch, which takes the place of all before it."""
         self.ack_requests += batch.ack_requests
         if batch.state_of_the_world is not None:
             self.stream.resources = batch.state_of_the_world
         self.send_pending()
 
     def send_pending(self) -> None:
-        """Send what is due, unless the peer has not taken what went before; then the newest goes
-        later.
-        """
-        if any(call.unsent_bytes for call in (self.call, *self.calls_by_type.values())):
+        """Send what differs from what was sent, unless the peer has not taken that yet."""
+        if any(call.unsent_bytes for call in self._calls()):
             self.send_blocked.set()
             return
-        for type_url, nonce, resource_names, data in self.stream.pending_responses():
-            self.resources_by_nonce[nonce] = resource_names
-            self.calls_by_type.get(type_url, self.call).send(data)
-        # Danger: answers to what is no longer the newest are passed over, so that those nonces
-        # would pile up.
+        for response in self.stream.pending_responses():
+            self.resources_by_nonce[response.nonce] = response.names
+            self.calls_by_type.get(response.type_url, self.call).send(response.data)
+        # Answers to any but the newest response are ignored: without this, the nonces of those
+        # that never get an answer would pile up.
         newest_nonces = set(self.stream.pending_nonces.values())
         self.resources_by_nonce = {
             nonce: resource_names
@@ -68,25 +67,36 @@
         }
         self._report_acknowledgements(trio.current_time())
 
+    def _calls(self) -> tuple[Call, ...]:
+        return (self.call, *self.calls_by_type.values())
+
     async def run_sender(self) -> None:
+        """Send again whenever the peer has taken what was held back, until cancelled."""
         while True:
             await self.send_blocked.wait()
             self.send_blocked = trio.Event()
-            for call in (self.call, *self.calls_by_type.values()):
+            for call in self._calls():
                 await call.wait_sent()
             self.send_pending()
 
     def end(self, status: Status, reason: str) -> None:
-        for call in (self.call, *self.calls_by_type.values()):
+        """Finish all calls of the client with this status, and cancel what serves them."""
+        for call in self._calls():
             call.finish(status, reason)
             call.scope.cancel()
 
-    def handle_answer(self, answer: ResponseAcknowledged | ResponseRejected, now: float) -> None:
+    def handle_answer(
+        self,
+        answer: ResponseAcknowledged | ResponseRejected,
+        now: float,  # noqa: ARG002 - as in DeltaSession; here sending reports acknowledgements
+    ) -> None:
+        """Take the answer to one response, and send what is due after it."""
         resource_names = self.resources_by_nonce.pop(answer.nonce, ())
         if isinstance(answer, ResponseRejected):
-            if term := fencing_term.superseding_term(answer.reason):
-                self.on_higher_term(term)
-            self.log_event(
+            term = fencing_term.superseding_term(answer.reason)
+            if term:
+                self.callbacks.on_higher_term(term)
+            self.callbacks.log_event(
                 "proxy.response_rejected",
                 proxy=self.stream.node_id,
                 resources=sorted(resource_names),
@@ -99,7 +109,7 @@
             completed = self.ack_requests
             self.ack_requests = []
             for number, ordered_at in completed:
-                self.submit(Acknowledged(self.proxy, number, now - ordered_at))
+                self.callbacks.submit(Acknowledged(self.proxy, number, now - ordered_at))
 
     def forget_unused_rejections(self, used_tables: set[str]) -> None:
-        """Nothing is kept by table here."""
+        """Do nothing: this form keeps no rejections by table."""
--- /dev/null
+++ b/dunlinlug/ads/stored_endpoint_list.py
@@ -0,0 +1,20 @@
+"""The endpoint list that the store has from before, as the decision module's first event."""
+
+from dunlinlug.ads.composition import ManagerParts, module_clock_offset
+from dunlinlug.decision.events import Endpoint, EndpointsUpdated
+from dunlinlug.discovery import entries
+
+
+def submit_stored_list(parts: ManagerParts) -> None:
+    """Submit the stored list, an empty one too; one that cannot be read is logged and is empty."""
+    workers: list[Endpoint] = []
+    body = parts.store.endpoint_list()
+    if body is not None:
+        try:
+            workers, _ = entries.decode_workers(
+                body, module_clock_offset() + parts.loop.clock_offset
+            )
+        except entries.DiscoveryResponseError as error:
+            parts.log_event("store.invalid_list", why=str(error))
+    parts.loop.submit(EndpointsUpdated("kept", tuple(workers)))
+    parts.log_event("store.list_loaded", workers=len(workers))
--- a/dunlinlug/ads/table_view.py
+++ b/dunlinlug/ads/table_view.py
@@ -1,7 +1,10 @@
-"""What stands at a manager, by product, as plain values for people and programs."""
+"""The tables in use, by traffic class, as plain values for people and programs.
+
+The field names are the keys of the admin API's JSON.
+"""
 
 from collections import Counter
-from typing import Any
+from typing import Any, TypedDict
 
 from dunlinlug.admin import schemas
 from dunlinlug.ads.proxy_state import XdsTableInstaller
@@ -9,75 +12,115 @@
 from dunlinlug.guard import OrderValidator, Overrides
 
 
+class EntryDescription(TypedDict):
+    """One worker of a table: weight, and its state in the endpoint list ("unknown" if not in it)."""
+
+    worker: str
+    weight: float
+    zone: str
+    state: str
+    withdrawn: bool
+
+
+class TableDescription(TypedDict):
+    """A table as proxies use it for one class: how many, admitted fraction, retry policy, entries."""
+
+    table: str
+    proxies: int
+    share_let_in: float
+    retry: int
+    lines: list[EntryDescription]
+
+
+class ClassDescription(TypedDict):
+    """A traffic class: its tables, most used first, and its operator override.
+
+    `without_table` counts proxies with no table yet, `in_change` those that may use either of
+    several.
+    """
+
+    product: str
+    proxies: int
+    without_table: int
+    in_change: int
+    pin: dict[str, Any] | None
+    tables: list[TableDescription]
+
+
 def describe_tables(
     now: float,
     traffic_classes: tuple[TrafficClass, ...],
     installer: XdsTableInstaller,
     validator: OrderValidator,
     overrides: Overrides,
-) -> list[dict[str, Any]]:
-    """For each product its tables in use, most used first, how many proxies have none or may be on
-    several, its pin.
-    """
+) -> list[ClassDescription]:
+    """Describe each traffic class, in the settings' order; `now` is the event loop's clock."""
+    view = _TableView(installer, validator)
     descriptions = []
     for class_index, traffic_class in enumerate(traffic_classes):
-        usage = Counter(
-            proxy_state.table_by_class[class_index]
-            for proxy_state in installer.proxies.values()
-            if class_index in proxy_state.table_by_class
-        )
-        proxies_in_change = sum(
-            len(validator.usage.possible_tables(proxy, class_index)) > 1
-            for proxy in installer.proxies
-        )
+        usage = view.proxies_by_table(class_index)
         override = overrides.active.get(class_index)
+        override_json = None
+        if override is not None:
+            override_json = schemas.override_to_json(override, traffic_classes, now)
         descriptions.append(
-            {
-                "product": traffic_class.name,
-                "proxies": len(installer.proxies),
-                "without_table": len(installer.proxies) - usage.total(),
-                "in_change": proxies_in_change,
-                "pin": schemas.override_to_json(override, traffic_classes, now)
-                if override
-                else None,
-                "tables": [
-                    _describe_table(installer, validator, table_id, class_index, count)
+            ClassDescription(
+                product=traffic_class.name,
+                proxies=len(installer.proxies),
+                without_table=len(installer.proxies) - usage.total(),
+                in_change=view.proxies_in_change(class_index),
+                pin=override_json,
+                tables=[
+                    view.describe_table(table_id, class_index, count)
                     for table_id, count in usage.most_common()
                 ],
-            }
+            )
         )
     return descriptions
 
 
-def _describe_table(
-    installer: XdsTableInstaller,
-    validator: OrderValidator,
-    table_id: int,
-    traffic_class: int,
-    count: int,
-) -> dict[str, Any]:
-    table = installer.tables[table_id]
-    retry, admitted_fraction = table.admissions.get(traffic_class, (installer.default_retry, 1.0))
-    return {
-        "table": table.name,
-        "proxies": count,
-        "share_let_in": admitted_fraction,
-        "retry": retry,
-        "lines": [
-            _describe_entry(installer, validator, worker, weight)
-            for worker, weight in sorted(table.weights.items())
-        ],
-    }
-
-
-def _describe_entry(
-    installer: XdsTableInstaller, validator: OrderValidator, worker: str, weight: float
-) -> dict[str, Any]:
-    listed_worker = validator.workers.get(worker)
-    return {
-        "worker": worker,
-        "weight": round(weight, 6),
-        "zone": installer.zones.get(worker, ""),
-        "state": listed_worker.state if listed_worker else "unknown",
-        "withdrawn": worker in installer.ejected,
-    }
+class _TableView:
+    """Describes tables by what is installed and what the validator knows of proxies and workers."""
+
+    def __init__(self, installer: XdsTableInstaller, validator: OrderValidator) -> None:
+        self.installer = installer
+        self.validator = validator
+
+    def proxies_by_table(self, class_index: int) -> Counter[int]:
+        return Counter(
+            proxy_state.table_by_class[class_index]
+            for proxy_state in self.installer.proxies.values()
+            if class_index in proxy_state.table_by_class
+        )
+
+    def proxies_in_change(self, class_index: int) -> int:
+        return sum(
+            len(self.validator.usage.possible_tables(proxy, class_index)) > 1
+            for proxy in self.installer.proxies
+        )
+
+    def describe_table(self, table_id: int, class_index: int, count: int) -> TableDescription:
+        table = self.installer.tables[table_id]
+        retry, admitted_fraction = table.admissions.get(
+            class_index, (self.installer.default_retry, 1.0)
+        )
+        return TableDescription(
+            table=table.name,
+            proxies=count,
+            share_let_in=admitted_fraction,
+            retry=retry,
+            lines=[
+                self._describe_entry(worker, weight)
+                for worker, weight in sorted(table.weights.items())
+            ],
+        )
+
+    def _describe_entry(self, worker: str, weight: float) -> EntryDescription:
+        listed_worker = self.validator.workers.get(worker)
+        return EntryDescription(
+            worker=worker,
+            weight=round(weight, 6),
+            zone=self.installer.zones.get(worker, ""),
+            state=listed_worker.state if listed_worker else "unknown",
+            withdrawn=worker in self.installer.ejected,
+        )
--- a/dunlinlug/fleet/election/leadership.py
+++ b/dunlinlug/fleet/election/leadership.py
@@ -49,7 +49,6 @@
     shows of us.
     """
 
-    on_higher_term: Callable[[int], None]
     control_plane_id: str
     term: int
     leading: trio.Event
@@ -59,6 +58,25 @@
 
     def close_streams(self, reason: str) -> None: ...
 
+    def register_term_observer(self, on_higher_term: Callable[[int], None]) -> None:
+        """Call this with a term that a proxy knows and that is higher than ours."""
+
+
+class LeadershipHost(Protocol):
+    """What the manager around its leadership does as leader, and the overrides it replicates."""
+
+    def on_become_leader(self, starts_empty: bool) -> None:
+        """We lead now; `starts_empty` is true if no state was inherited."""
+
+    def on_step_down(self) -> None:
+        """We lead no longer."""
+
+    def current_overrides(self) -> list[dict[str, Any]]:
+        """Operator overrides in force, as plain records."""
+
+    def replace_overrides(self, overrides: list[dict[str, Any]]) -> None:
+        """Take the overrides of the leader in place of all of ours."""
+
 
 class Leadership:
     """`begin` is called when we become master (true if nothing was inherited), `end` when we no
@@ -117,10 +135,17 @@
         self.replicated_bytes = 0
         self.last_error = ""
         self.recovery_timeout = timing["recovery_timeout"]
-        decision_loop.leadership = self
-        proxy_service.on_higher_term = self.observe_term
+        decision_loop.register_leadership(self)
+        proxy_service.register_term_observer(self.observe_term)
         proxy_service.close_streams("not master yet")
 
+    def register_host(self, host: LeadershipHost) -> None:
+        """Notify `host` of leadership, and replicate its overrides, from now on."""
+        self.on_become_leader = host.on_become_leader
+        self.on_step_down = host.on_step_down
+        self.current_overrides = host.current_overrides
+        self.on_overrides = host.replace_overrides
+
     # What the loop asks.
 
     def holds_lease(self, now: float) -> bool:
--- a/dunlinlug/fleet/election/transport.py
+++ b/dunlinlug/fleet/election/transport.py
@@ -61,6 +61,10 @@
             set()
         )  # members that nothing reaches and nothing is heard of: for tests and days
 
+    def register_membership_addresses(self, address_of: Callable[[str], Address]) -> None:
+        """Connect to members at the port of their membership, whose address this gives."""
+        self.membership_address = address_of
+
     def send(self, recipient: str, message: Any) -> None:
         if recipient in self.queues:
             try:
--- a/dunlinlug/fleet/membership/service.py
+++ b/dunlinlug/fleet/membership/service.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 from random import Random
-from typing import Any
+from typing import Any, Protocol
 
 import trio
 
@@ -21,6 +21,25 @@
 MAX_RECENT_CHANGES = 50  # last changes kept for people
 
 
+class MembershipHost(Protocol):
+    """What the manager around a membership provides to it, and what it is notified of."""
+
+    def submit_event(self, event: Event) -> None:
+        """Take an event for the decision module."""
+
+    def listed_workers(self) -> Mapping[str, Endpoint] | None:
+        """The endpoint list as service discovery gave it here; None before the first."""
+
+    def current_load(self) -> ManagerLoad:
+        """The load of this manager since the last call."""
+
+    def on_partition_change(self, status: str, limits: sides.PartitionLimits) -> None:
+        """This manager's side of a partition, and what it may do there, has changed."""
+
+    def on_member_change(self, change: MemberStateChanged) -> None:
+        """A member has another state."""
+
+
 class Membership:
     """`places` are where the members of the configured set hear each other, by name, `roll` gives
     the names of the set last agreed; `told` hears each new standing, `learnt` what other
@@ -78,6 +97,14 @@
             maxlen=MAX_RECENT_CHANGES
         )
 
+    def register_host(self, host: MembershipHost) -> None:
+        """Take facts from `host` and notify it, from now on."""
+        self.on_event = host.submit_event
+        self.listed_workers = host.listed_workers
+        self.current_load = host.current_load
+        self.on_partition_change = host.on_partition_change
+        self.on_member_change = host.on_member_change
+
     @property
     def partition_status(self) -> str:
         return self.partition.status
--- a/dunlinlug/fleet/membership/transport.py
+++ b/dunlinlug/fleet/membership/transport.py
@@ -72,6 +72,12 @@
         self.udp_socket: socket.socket | None = None
         self.wake = trio.Event()
 
+    def register_connection_handler(
+        self, preface_tag: bytes, handler: Callable[[trio.SocketStream, bytes], Awaitable[None]]
+    ) -> None:
+        """Pass connections that begin with this byte, and what was read of them, to `handler`."""
+        self.connection_handlers[preface_tag] = handler
+
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Raises OSError if our place is taken."""
         tcp_listeners = await trio.open_tcp_listeners(
--- a/dunlinlug/manager/decision_loop.py
+++ b/dunlinlug/manager/decision_loop.py
@@ -128,6 +128,18 @@
         self.pending_events.append(event)
         self.event_arrived.set()
 
+    def register_leadership(self, leadership: LeadershipGate) -> None:
+        """Decide only while this gate allows it, and replicate each batch through it."""
+        self.leadership = leadership
+
+    def register_order_handlers(self, handlers: Mapping[type, Callable[[Any], None]]) -> None:
+        """Hand orders of these kinds, none of which proxies see, to their handlers."""
+        self.order_handlers.update(handlers)
+
+    def notify_channel_changed(self) -> None:
+        """Look at the channel anew: its rate has changed, or messages were queued."""
+        self.channel_changed.set()
+
     def stop(self) -> None:
         """Nothing is decided any more. Danger: a turn that is due as we are told to stop still runs
         before the loop is cancelled, and would order what nobody stays to see through.
--- a/dunlinlug/manager/endpoint_watcher.py
+++ b/dunlinlug/manager/endpoint_watcher.py
@@ -41,6 +41,10 @@
         self.start_times = StartTimes()
         self.failing = False
 
+    def forget_list(self) -> None:
+        """Report the next list as a snapshot, whatever was reported before."""
+        self.last_list = None
+
     async def watch(self, retry_failures: bool) -> None:
         """Follow on and on. `patient`: wait out failures here; else the first is told and ends the
         following.
--- a/dunlinlug/manager/health_checks.py
+++ b/dunlinlug/manager/health_checks.py
@@ -46,6 +46,10 @@
         self.parse_report = parse_report
         self.limit = trio.CapacityLimiter(max(max_concurrent, 1))
 
+    def register_result_handler(self, submit: Callable[[Event], None]) -> None:
+        """Send results to `submit` from now on, in place of where they went before."""
+        self.submit = submit
+
     async def check(self, worker: str) -> None:
         """One probe of one worker; always ends in one `Probed`."""
         async with self.limit:
--- a/dunlinlug/manager/order_validation.py
+++ b/dunlinlug/manager/order_validation.py
@@ -33,6 +33,14 @@
             None  # told after each reply is judged
         )
 
+    def register_observer(self, on_validated: Callable[[float, list[Rejection]], None]) -> None:
+        """Call `on_validated` with the time and the enforced rejections after each reply."""
+        self.on_validated = on_validated
+
+    def replace_validator(self, validator: OrderValidator) -> None:
+        """Validate by another state from now on, as a new leader does."""
+        self.validator = validator
+
     def validate(
         self,
         now: float,
--- a/dunlinlug/xds/encoding.py
+++ b/dunlinlug/xds/encoding.py
@@ -7,6 +7,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from functools import lru_cache
+from typing import NamedTuple
 
 import xxhash
 from envoy.config.core.v3 import base_pb2, health_check_pb2
@@ -43,6 +44,14 @@
     attempt_timeout: float = 0.0
 
 
+class Route(NamedTuple):
+    """Where a traffic class's requests go: the name of a table (cluster), and how to retry them."""
+
+    traffic_class: str
+    table: str
+    retry_policy: RetryPolicy
+
+
 def _encode_resource(name: str, type_url: str, message: base_pb2.Node) -> EncodedResource:
     body = message.SerializeToString(deterministic=True)
     version = xxhash.xxh3_64_hexdigest(body)
@@ -136,7 +145,7 @@
 
 
 @lru_cache(maxsize=4096)
-def encode_routes(class_routes: tuple[tuple[str, str, RetryPolicy], ...]) -> EncodedResource:
+def encode_routes(class_routes: tuple[Route, ...]) -> EncodedResource:
     """Which table each product goes by, and how it is tried again; a virtual host for each product."""
     route_configuration = route_pb2.RouteConfiguration(name=names.ROUTES_RESOURCE)
     for traffic_class, name, retry_policy in class_routes:
--- a/dunlinlug/xds/state_of_the_world.py
+++ b/dunlinlug/xds/state_of_the_world.py
@@ -10,6 +10,7 @@
 
 from collections.abc import Iterable, Mapping
 from functools import lru_cache
+from typing import NamedTuple
 
 from envoy.config.cluster.v3 import cluster_pb2
 from envoy.config.endpoint.v3 import endpoint_pb2
@@ -40,15 +41,30 @@
     names.ROUTES_TYPE,
 )  # make before break
 
-VersionedResource = tuple[
-    str, bytes, str
-]  # version, the serialized message, and the cluster that a route leads to
+
+class VersionedResource(NamedTuple):
+    """One resource: its version, its serialized message, and, of routes, the cluster they name."""
+
+    version: str
+    body: bytes
+    cluster: str
+
+
+class PendingResponse(NamedTuple):
+    """One response to be sent: its type, nonce, resource names, and serialized message."""
+
+    type_url: str
+    nonce: str
+    names: tuple[str, ...]
+    data: bytes
+
+
 ResourcesByType = dict[str, dict[str, VersionedResource]]  # by type and name
 
 
 def _encode_versioned(message: Message, cluster: str = "") -> VersionedResource:
     body: bytes = message.SerializeToString(deterministic=True)
-    return xxh3_64_hexdigest(body), body, cluster
+    return VersionedResource(xxh3_64_hexdigest(body), body, cluster)
 
 
 @lru_cache(maxsize=1024)
@@ -189,7 +205,7 @@
         ):
             state_by_type.pop(type_url, None)
 
-    def pending_responses(self) -> list[tuple[str, str, tuple[str, ...], bytes]]:
+    def pending_responses(self) -> list[PendingResponse]:
         """Type, nonce, names and bytes of each response that is due, in the order to send them."""
         responses = []
         for type_url in TYPE_ORDER:
@@ -225,7 +241,9 @@
                 any_pb2.Any(type_url=type_url, value=body) for _, body, _ in selected.values()
             )
             responses.append(
-                (type_url, str(self.last_nonce), tuple(versions), response.SerializeToString())
+                PendingResponse(
+                    type_url, str(self.last_nonce), tuple(versions), response.SerializeToString()
+                )
             )
         return responses
 
--- a/dunlinlug/xds/stream.py
+++ b/dunlinlug/xds/stream.py
@@ -3,6 +3,7 @@
 """
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.json_format import MessageToDict
@@ -40,6 +41,14 @@
 StreamEvent = NodeIdentified | ResponseAcknowledged | ResponseRejected
 
 
+class UnacknowledgedResponse(NamedTuple):
+    """A response that was sent and not yet answered: its type, resources, and removed names."""
+
+    type_url: str
+    resources: tuple[encoding.EncodedResource, ...]
+    removed: tuple[str, ...]
+
+
 class DeltaStream:
     """Takes serialized requests, gives what they say; makes responses with nonces of its own."""
 
@@ -52,9 +61,7 @@
             names.ROUTES_TYPE: {},
         }  # at the peer, acked
         self.subscribed: dict[str, set[str]] = {}
-        self.unacknowledged: dict[
-            str, tuple[str, tuple[encoding.EncodedResource, ...], tuple[str, ...]]
-        ] = {}  # by nonce
+        self.unacknowledged: dict[str, UnacknowledgedResponse] = {}  # by nonce
         self.last_nonce = 0
         # this manager, and its term if it takes part in succession
         self.control_plane_id = "dunlinlug"
@@ -128,7 +135,7 @@
         """A response's nonce and bytes. `tag` travels as system_version_info."""
         self.last_nonce += 1
         nonce = str(self.last_nonce)
-        self.unacknowledged[nonce] = (type_url, resources, removed)
+        self.unacknowledged[nonce] = UnacknowledgedResponse(type_url, resources, removed)
         return nonce, encoding.encode_response(
             type_url, resources, removed, nonce, tag, self.control_plane_id
         )
--- a/tests/ads/test_proxy_state.py
+++ b/tests/ads/test_proxy_state.py
@@ -25,6 +25,7 @@
     ResponseAcknowledged,
     ResponseRejected,
     StreamProtocolError,
+    UnacknowledgedResponse,
 )
 from dunlinlug.xds.subscriber import DeltaSubscriber, ProxyState
 
@@ -256,7 +257,7 @@
     if change == "in_use":
         del response.resources[:]
         response.removed_resources.append("1/1")
-    peer.stream.unacknowledged["7"] = (response.type_url, (), ())
+    peer.stream.unacknowledged["7"] = UnacknowledgedResponse(response.type_url, (), ())
     answer, done = peer.subscriber.receive(response.SerializeToString())
     assert why in done.rejection_reason
     assert (peer.holdings.tables, peer.holdings.routes) == before
--- a/tests/ads/test_tls.py
+++ b/tests/ads/test_tls.py
@@ -118,10 +118,10 @@
         keys.authority = trustme.CA()
         keys.authority.cert_pem.write_to_path(tmp_path / "clients.pem")
         (tmp_path / "manager.key").write_text("not a key")
-        run.manager._reload()
+        run.manager.reloader.reload()
         assert "not a certificate and its key" in run.said("reload.rejected")[-1]["why"]
         keys.serve()
-        run.manager._reload()
+        run.manager.reloader.reload()
         assert run.said("reload.done")
         async with secure(run, keys.client("p1.proxies"), "p1.proxies") as new:
             await new.until(bound)
--- a/tests/fleet/ownership/test_service.py
+++ b/tests/fleet/ownership/test_service.py
@@ -234,7 +234,8 @@
         )
         await until(
             lambda: all(
-                m.validation and len(m.validation.validator.workers) == len(WORKERS_LISTED)
+                m.parts.validation
+                and len(m.parts.validation.validator.workers) == len(WORKERS_LISTED)
                 for m in run.managers.values()
             )
         )
--- a/tests/recorded/record_operators.py
+++ b/tests/recorded/record_operators.py
@@ -108,7 +108,7 @@
     for name, place in (("STORE", folder / "store"), ("= TOKEN", token), ("KEYS", keys)):
         text = text.replace(name, f"= {place}" if name.startswith("=") else str(place))
     path.write_text(text)
-    return Manager(path, manager_config.load_manager_config(path))
+    return Manager(path, manager_config.load_manager_config(path), log_event=_unheard)
 
 
 def _rows() -> list[Plain]:
@@ -159,19 +159,14 @@
     return [listed, *joined, *traffic, *met]
 
 
-def _stand_among_others(manager: Manager) -> None:
+def _stand_among_others(manager: Manager, nursery: trio.Nursery) -> None:
     """As when the manager runs, but that nothing is dialled or served."""
-    manager.leadership = manager._create_leadership(manager.election_config)
-    manager.membership = manager._create_membership(manager.membership_config)
-    assert manager.admin_api is not None and manager.ownership is not None
-    manager.admin_api.leadership, manager.admin_api.membership = (
-        manager.leadership,
-        manager.membership,
-    )
-    manager.membership.recent_changes.append(
+    fleet = manager.create_fleet(nursery.start_soon)
+    assert fleet.membership is not None and fleet.ownership is not None
+    fleet.membership.recent_changes.append(
         (99.5, MemberStateChanged("b", "alive", "failed", "no answer"))
     )
-    owners = manager.ownership
+    owners = fleet.ownership
     owned = log.Assign(((0, "a"), (1, "b"), (7, "b")), "b is new")
     for number, said in enumerate((owned, log.Revoke(((1, "a"),)))):
         for change in owners.protocol.assignments.apply(said, (3, number + 1)):
@@ -320,11 +315,11 @@
             clock.jump(step["wait"])
             manager.admin_api.overrides.end_invalid(trio.current_time(), [])
         for body in step.get("hear", ()):
-            manager.loop.submit(codec.read_event(body["verb"], body, ()))
+            manager.parts.loop.submit(codec.read_event(body["verb"], body, ()))
             if body["verb"] == "Joined":
-                manager.installer.add_proxy(body["proxy"], body["proxy"] == 0, ())
+                manager.parts.installer.add_proxy(body["proxy"], body["proxy"] == 0, ())
         if "method" not in step:
-            manager.loop.run_batch(trio.current_time())
+            manager.parts.loop.run_batch(trio.current_time())
             answers.append(None)
             continue
         reply = await manager.admin_api.handle(_request(step))
@@ -335,7 +330,7 @@
                 "body": text_of(reply.body),
             }
         )
-        manager.loop.run_batch(trio.current_time())
+        manager.parts.loop.run_batch(trio.current_time())
     return answers
 
 
@@ -348,14 +343,11 @@
     async def whole() -> Plain:
         async with trio.open_nursery() as nursery:
             manager = _manager(text, folder)
-            assert manager.validation is not None
-            manager.log_event = manager.loop.log_event = manager.validation.log_event = _unheard
-            manager.nursery = nursery
-            if manager.election_config.member:
-                _stand_among_others(manager)
+            if manager.config.section(manager_config.ElectionConfig).member:
+                _stand_among_others(manager, nursery)
             answers = await _answers(manager, steps, clock)
-            pins = manager.store.overrides()
-            manager.store.close()
+            pins = manager.parts.store.overrides()
+            manager.parts.store.close()
             nursery.cancel_scope.cancel()
         return {"answers": answers, "pins": pins}
 
