--- a/bench/scale/real.py
+++ b/bench/scale/real.py
@@ -17,7 +17,7 @@
 
 from bench.scale import part
 from bench.scale.accounting import Meter
-from dunlinlug.ads.fleet_composition import FleetParts
+from dunlinlug.ads.fleet_composition import FleetComponents
 from dunlinlug.ads.main import Manager
 from dunlinlug.config import manager_config
 from dunlinlug.config.reader import ConfigError
@@ -45,7 +45,7 @@
             note(event, **said)
 
         super().__init__(path, manager_config.load_manager_config(path), log_event=noted)
-        tell = self.parts.loop.submit
+        tell = self.components.loop.submit
 
         def told(event: Event) -> None:
             if (
@@ -53,12 +53,12 @@
                 and event.update_type in ("whole", "changes")
                 and len(self.taken) < TAKEN
             ):
-                self.taken.append((self.parts.endpoint_watcher.state.index, time.monotonic()))
+                self.taken.append((self.components.endpoint_watcher.state.index, time.monotonic()))
             tell(event)
 
-        self.parts.endpoint_watcher.submit = told
+        self.components.endpoint_watcher.submit = told
 
-    def create_fleet(self, start_task: Callable[..., None]) -> FleetParts:
+    def create_fleet(self, start_task: Callable[..., None]) -> FleetComponents:
         fleet = super().create_fleet(start_task)
         membership = fleet.membership
         assert membership is not None
@@ -80,18 +80,18 @@
         return time.monotonic(), trio.current_time()
 
     async def obey(self, command: part.Command) -> dict[str, Any]:
-        known = self.parts.endpoint_watcher.last_list
+        known = self.components.endpoint_watcher.last_list
         if command["do"] == "reloads":
             return {"did": "reloads", "reloads": self.meter.counts["reload.done"]}
         if command["do"] == "final":
             me = self.config.section(manager_config.MembershipConfig).me
             return {
                 "did": "final",
-                "taken": {me: {self.parts.epoch: self.taken}},
+                "taken": {me: {self.components.epoch: self.taken}},
                 "clock_at": self.clock_at(),
                 "held": {
                     me: (
-                        self.parts.endpoint_watcher.state.index,
+                        self.components.endpoint_watcher.state.index,
                         json.dumps(bucket_fingerprints(known)) if known else "",
                     )
                 },
@@ -112,8 +112,8 @@
             "queues": {
                 "gossip": said["waiting"],
                 "streams": max(membership.transport.streams.values()),
-                "channel": round(self.parts.channel.peak_queued_entries),
-                "events": len(self.parts.loop.pending_events),
+                "channel": round(self.components.channel.peak_queued_entries),
+                "events": len(self.components.loop.pending_events),
                 **{
                     f"refused {why}": membership.transport.rejections[why]
                     for why in part.AT_THE_DOOR
--- a/dunlinlug/admin/api.py
+++ b/dunlinlug/admin/api.py
@@ -109,7 +109,7 @@
         traffic_classes: tuple[TrafficClass, ...],
         overrides: OverrideRegistry,
         list_tables: Callable[[], Sequence[Mapping[str, Any]]],
-        get_health: Callable[[], dict[str, Any]],
+        get_health: Callable[[], Mapping[str, Any]],
     ) -> None:
         self.token = token
         self.traffic_classes = traffic_classes
--- a/dunlinlug/ads/composition.py
+++ b/dunlinlug/ads/composition.py
@@ -1,6 +1,6 @@
-"""Builds the parts of a manager from its configuration, before anything runs.
+"""Builds the components of a manager from its configuration, before anything runs.
 
-No part is started here and no socket is opened: only the store is opened, as its epoch goes into
+No component is started here and no socket is opened: only the store is opened, as its epoch goes into
 the names of tables. What needs the running event loop is built in `fleet_composition`.
 """
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class ManagerParts:
+class ManagerComponents:
     """What every manager is made of, alone or among others.
 
     Attributes:
@@ -68,13 +68,13 @@
     return trio.current_time() - time.time()
 
 
-def build_parts(
+def build_components(
     config: ConfigFile,
     make_module: ModuleFactory,
     make_validator: ValidatorFactory,
     log_event: Callable[..., None],
-) -> ManagerParts:
-    """Open the store and build all parts.
+) -> ManagerComponents:
+    """Open the store and build all components.
 
     Raises:
         ConfigError: The configuration's values do not make settings.
@@ -85,17 +85,13 @@
     epoch = store.next_epoch()
     installer = _create_installer(config, settings, epoch)
     channel = _create_channel(config)
-    reports = config.section(manager_config.ReportConfig)
-    report_aggregator = ReportAggregator(
-        reports.lines_per_s,
-        frozenset(traffic_class.name for traffic_class in settings.traffic_classes),
-    )
+    report_aggregator = _create_report_aggregator(config, settings)
     validation = _create_validation(config, settings, store, make_validator, log_event)
     delivery = ResponseDelivery(installer)
     loop = DecisionLoop(
         make_module(settings), installer, channel, delivery.deliver, log_event, validation
     )
-    return ManagerParts(
+    return ManagerComponents(
         config=config,
         settings=settings,
         log_event=log_event,
@@ -108,7 +104,7 @@
         validation=validation,
         loop=loop,
         delivery=delivery,
-        service=XdsService(loop, delivery, report_aggregator, reports.cycle, log_event),
+        service=_create_service(config, loop, delivery, report_aggregator, log_event),
         endpoint_watcher=_create_endpoint_watcher(config, store, loop, log_event),
         health_checker=_create_health_checker(config, loop),
     )
@@ -126,6 +122,11 @@
     )
 
 
+def _create_report_aggregator(config: ConfigFile, settings: ManagerSettings) -> ReportAggregator:
+    class_names = frozenset(traffic_class.name for traffic_class in settings.traffic_classes)
+    return ReportAggregator(config.section(manager_config.ReportConfig).lines_per_s, class_names)
+
+
 def channel_rate(config: ConfigFile) -> float:
     """The rate of the channel in entries a second: `pace`, or `lines_per_s` where it is not set."""
     channel = config.section(manager_config.ChannelConfig)
@@ -158,6 +159,17 @@
     )
 
 
+def _create_service(
+    config: ConfigFile,
+    loop: DecisionLoop,
+    delivery: ResponseDelivery,
+    report_aggregator: ReportAggregator,
+    log_event: Callable[..., None],
+) -> XdsService:
+    report_interval = config.section(manager_config.ReportConfig).cycle
+    return XdsService(loop, delivery, report_aggregator, report_interval, log_event)
+
+
 def _create_endpoint_watcher(
     config: ConfigFile, store: Store, loop: DecisionLoop, log_event: Callable[..., None]
 ) -> EndpointWatcher:
--- a/dunlinlug/ads/fleet_composition.py
+++ b/dunlinlug/ads/fleet_composition.py
@@ -1,6 +1,6 @@
 """Builds what a manager has among others: leadership, membership, ownership of shards.
 
-Unlike the parts in `composition` these read the event loop's clock as they are made, so they are
+Unlike the components in `composition` these read the event loop's clock as they are made, so they are
 built once it runs.
 """
 
@@ -12,7 +12,7 @@
 
 from dunlinlug.admin.api import AdminApi
 from dunlinlug.admin.override_registry import OverrideRegistry, OverrideRejectedError
-from dunlinlug.ads.composition import ManagerParts
+from dunlinlug.ads.composition import ManagerComponents
 from dunlinlug.ads.leadership_callbacks import LeadershipCallbacks, LeaderTasks
 from dunlinlug.ads.membership_callbacks import MembershipCallbacks
 from dunlinlug.config import manager_config
@@ -35,8 +35,8 @@
 
 
 @dataclass(frozen=True)
-class FleetParts:
-    """A manager's parts among others; each is None where the configuration has no section for it.
+class FleetComponents:
+    """A manager's components among others; each is None where the configuration has no section for it.
 
     Attributes:
         shared_health_checks: There is one exactly where there is an `ownership`.
@@ -65,44 +65,46 @@
 
 
 class FleetBuilder:
-    """Builds a manager's parts among others and registers them with each other."""
+    """Builds a manager's components among others and registers them with each other."""
 
     def __init__(
         self,
-        parts: ManagerParts,
+        components: ManagerComponents,
         keys: FleetKeys,
         admin_api: AdminApi | None,
         leader_tasks: LeaderTasks,
         start_task: Callable[..., None],
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.keys = keys
         self.overrides: OverrideRegistry | None = None
         if admin_api is not None:
             self.overrides = admin_api.overrides
         self.start_task = start_task
         self.leadership_callbacks = LeadershipCallbacks(
-            parts, self.overrides, leader_tasks, start_task
+            components, self.overrides, leader_tasks, start_task
         )
-        self.seed = parts.config.section(manager_config.ServerConfig).seed
+        self.seed = components.config.section(manager_config.ServerConfig).seed
 
-    def build(self) -> FleetParts:
+    def build(self) -> FleetComponents:
         """Build what the configuration asks for; nothing is started yet."""
         leadership = None
-        if self.parts.config.section(manager_config.ElectionConfig).member:
+        if self.components.config.section(manager_config.ElectionConfig).member:
             leadership = self._create_leadership()
-        if not self.parts.config.section(manager_config.MembershipConfig).me:
-            return FleetParts(leadership)
+        if not self.components.config.section(manager_config.MembershipConfig).me:
+            return FleetComponents(leadership)
         membership = self._create_membership(leadership)
         ownership = self._create_ownership()
         self._share_port(membership, leadership, ownership)
-        membership.register_host(MembershipCallbacks(self.parts, membership, leadership, ownership))
+        membership.register_host(
+            MembershipCallbacks(self.components, membership, leadership, ownership)
+        )
         if ownership is None:
-            return FleetParts(leadership, membership)
+            return FleetComponents(leadership, membership)
         shared_overrides = None
         if leadership is None:
             shared_overrides = self._create_shared_overrides(ownership)
-        return FleetParts(
+        return FleetComponents(
             leadership,
             membership,
             ownership,
@@ -112,7 +114,7 @@
 
     def _create_leadership(self) -> Leadership:
         """The part in electing a leader; its clocks begin now."""
-        config = self.parts.config
+        config = self.components.config
         election = config.section(manager_config.ElectionConfig)
         members = config.sections(manager_config.MemberConfig)
         leadership = Leadership(
@@ -121,16 +123,16 @@
             self.keys.election,
             _log_timing(election),
             election.first,
-            self.parts.store,
-            self.parts.settings,
-            self.parts.loop,
-            self.parts.installer,
-            self.parts.service,
+            self.components.store,
+            self.components.settings,
+            self.components.loop,
+            self.components.installer,
+            self.components.service,
             Random(f"{self.seed} {election.member}"),
-            self.parts.log_event,
+            self.components.log_event,
         )
         leadership.register_host(self.leadership_callbacks)
-        self.parts.delivery.require_lease(leadership)
+        self.components.delivery.require_lease(leadership)
         return leadership
 
     def _create_membership(self, leadership: Leadership | None) -> Membership:
@@ -138,7 +140,7 @@
 
         Its voters are those of the election where there is one, else all configured members.
         """
-        config = self.parts.config.section(manager_config.MembershipConfig)
+        config = self.components.config.section(manager_config.MembershipConfig)
         addresses = self._membership_addresses()
 
         def voters() -> tuple[str, ...]:
@@ -148,37 +150,37 @@
 
         membership = Membership(
             config.me,
-            self.parts.epoch,
+            self.components.epoch,
             addresses,
             self.keys.membership,
             config.beat,
             Random(f"{self.seed} members {config.me}"),
-            self.parts.log_event,
+            self.components.log_event,
             voters,
             bind_address=config.binds if config.binds[1] else None,
         )
         self.leadership_callbacks.register_membership(membership)
-        self.parts.service.register_report_observer(membership.record_reports)
+        self.components.service.register_report_observer(membership.record_reports)
         return membership
 
     def _membership_addresses(self) -> dict[str, tuple[str, int]]:
-        members = self.parts.config.sections(manager_config.MemberConfig)
+        members = self.components.config.sections(manager_config.MemberConfig)
         return {name: member.knows for name, member in members.items()}
 
     def _create_ownership(self) -> Ownership | None:
         """The part in owning fleet-wide work; None where the configuration leaves it off."""
-        config = self.parts.config.section(manager_config.LeaseConfig)
+        config = self.components.config.section(manager_config.LeaseConfig)
         if not config.on:
             return None
-        self_id = self.parts.config.section(manager_config.MembershipConfig).me
+        self_id = self.components.config.section(manager_config.MembershipConfig).me
         return Ownership(
             self_id,
             self._membership_addresses(),
             self.keys.membership,
             _log_timing(config),
-            self.parts.store,
-            Random(f"{self.seed} owners {self_id} {self.parts.epoch}"),
-            self.parts.log_event,
+            self.components.store,
+            Random(f"{self.seed} owners {self_id} {self.components.epoch}"),
+            self.components.log_event,
         )
 
     @staticmethod
@@ -196,12 +198,12 @@
             )
 
     def _create_shared_health_checks(self, ownership: Ownership) -> HealthCheckCoordinator:
-        health_checker = self.parts.health_checker
+        health_checker = self.components.health_checker
         coordinator = HealthCheckCoordinator(
             ownership,
             health_checker.timeout,
             health_checker.check,
-            self.parts.loop.submit,
+            self.components.loop.submit,
             self.start_task,
         )
         health_checker.register_result_handler(coordinator.check_completed)
@@ -215,7 +217,7 @@
             ownership,
             self.overrides,
             (OverrideError, OverrideRejectedError),
-            self.parts.log_event,
+            self.components.log_event,
             time.time,
         )
 
--- a/dunlinlug/ads/leadership_callbacks.py
+++ b/dunlinlug/ads/leadership_callbacks.py
@@ -9,7 +9,7 @@
 import trio
 
 from dunlinlug.admin.override_registry import OverrideRegistry
-from dunlinlug.ads.composition import ManagerParts
+from dunlinlug.ads.composition import ManagerComponents
 from dunlinlug.ads.membership_callbacks import submit_partition_limits
 from dunlinlug.ads.stored_endpoint_list import submit_stored_list
 from dunlinlug.balance import Balancer
@@ -40,21 +40,21 @@
 
 
 class LeadershipCallbacks:
-    """Implements `fleet.election.leadership.LeadershipHost` over a manager's parts."""
+    """Implements `fleet.election.leadership.LeadershipHost` over a manager's components."""
 
     def __init__(
         self,
-        parts: ManagerParts,
+        components: ManagerComponents,
         overrides: OverrideRegistry | None,
         leader_tasks: LeaderTasks,
         start_task: Callable[..., None],
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.overrides = overrides
         self.leader_tasks = leader_tasks
         self.start_task = start_task
         self.membership: Membership | None = None
-        self.discovery_mode = parts.config.section(manager_config.DiscoveryConfig).mode
+        self.discovery_mode = components.config.section(manager_config.DiscoveryConfig).mode
 
     def register_membership(self, membership: Membership) -> None:
         """Submit the partition limits of this membership whenever we become leader."""
@@ -66,37 +66,37 @@
         Args:
             starts_empty: Whether no state was inherited; then it is restored from the store.
         """
-        if self.parts.validation is not None:
-            self._restore_validator(self.parts.validation)
+        if self.components.validation is not None:
+            self._restore_validator(self.components.validation)
         if starts_empty:
-            submit_stored_list(self.parts)
+            submit_stored_list(self.components)
             if self.overrides is not None:
-                self.overrides.restore(trio.current_time(), self.parts.store.overrides())
+                self.overrides.restore(trio.current_time(), self.components.store.overrides())
         if self.membership is not None:
             # Without this, the module would go by the limits of the previous leader.
-            submit_partition_limits(self.parts.loop, self.membership.partition_limits)
-        self.parts.endpoint_watcher.forget_list()
+            submit_partition_limits(self.components.loop, self.membership.partition_limits)
+        self.components.endpoint_watcher.forget_list()
         if self.discovery_mode == "pushed":
-            self.start_task(self.leader_tasks.run, self.parts.endpoint_watcher.watch, True)
+            self.start_task(self.leader_tasks.run, self.components.endpoint_watcher.watch, True)
         elif not starts_empty:
             # The answer to what the previous leader's module asked for does not come to us.
-            self.parts.loop.submit(EndpointsUpdated("failed"))
+            self.components.loop.submit(EndpointsUpdated("failed"))
 
     def _restore_validator(self, validation: RecordingOrderValidation) -> None:
         """Replace the validator by one that knows the installed tables and the module's list."""
-        parts = self.parts
-        validator = parts.make_validator(parts.settings, validation.enforced)
+        components = self.components
+        validator = components.make_validator(components.settings, validation.enforced)
         workers: list[Endpoint] = []
-        if isinstance(parts.loop.module, Balancer):
-            workers = listed_workers(parts.loop.module.fleet)
+        if isinstance(components.loop.module, Balancer):
+            workers = listed_workers(components.loop.module.fleet)
         validator.restore(
-            parts.loop.clock_offset + trio.current_time(),
+            components.loop.clock_offset + trio.current_time(),
             workers,
             {
                 table_id: (table.weights, table.admissions)
-                for table_id, table in parts.installer.tables.items()
+                for table_id, table in components.installer.tables.items()
             },
-            parts.installer.ejected,
+            components.installer.ejected,
         )
         validation.replace_validator(validator)
         if self.overrides is not None:
--- a/dunlinlug/ads/load_meter.py
+++ b/dunlinlug/ads/load_meter.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from dunlinlug.ads.composition import ManagerParts
+from dunlinlug.ads.composition import ManagerComponents
 from dunlinlug.balance import Balancer
 from dunlinlug.config import manager_config
 from dunlinlug.fleet.membership.load import ManagerLoad
@@ -13,9 +13,11 @@
 class LoadMeter:
     """Owns the last reading of the processor's time, from which the next load is reckoned."""
 
-    def __init__(self, parts: ManagerParts) -> None:
-        self.parts = parts
-        self.max_queued_entries = parts.config.section(manager_config.ChannelConfig).waiting_most
+    def __init__(self, components: ManagerComponents) -> None:
+        self.components = components
+        self.max_queued_entries = components.config.section(
+            manager_config.ChannelConfig
+        ).waiting_most
         self.last_sample_at = 0.0
         self.last_cpu_time = 0.0
 
@@ -31,14 +33,14 @@
         self.last_sample_at = now
         self.last_cpu_time = cpu_time
         return ManagerLoad(
-            len(self.parts.installer.proxies),
+            len(self.components.installer.proxies),
             self._request_rate(),
             self._queued_fraction(),
             used / elapsed if elapsed > 0.0 else 0.0,
         )
 
     def _request_rate(self) -> float:
-        module = self.parts.loop.module
+        module = self.components.loop.module
         if not isinstance(module, Balancer):
             return 0
         return sum(proxy.request_rate for proxy in module.assignments.proxies.values())
@@ -46,4 +48,4 @@
     def _queued_fraction(self) -> float:
         if not self.max_queued_entries:
             return 0.0
-        return self.parts.channel.queued_entries / self.max_queued_entries
+        return self.components.channel.queued_entries / self.max_queued_entries
--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -10,8 +10,8 @@
 from dunlinlug.admin.api import TokenFileError
 from dunlinlug.ads import shutdown
 from dunlinlug.ads.admin_server import create_admin_api, start_admin_api
-from dunlinlug.ads.composition import ModuleFactory, ValidatorFactory, build_parts
-from dunlinlug.ads.fleet_composition import FleetBuilder, FleetParts, read_fleet_keys
+from dunlinlug.ads.composition import ModuleFactory, ValidatorFactory, build_components
+from dunlinlug.ads.fleet_composition import FleetBuilder, FleetComponents, read_fleet_keys
 from dunlinlug.ads.leadership_callbacks import LeaderTasks
 from dunlinlug.ads.order_handlers import OrderHandlers
 from dunlinlug.ads.reload import ConfigReloader
@@ -36,7 +36,7 @@
 
 
 class Manager:
-    """One manager: builds its parts, starts them in order, and serves until it is stopped.
+    """One manager: builds its components, starts them in order, and serves until it is stopped.
 
     `make_module` and `make_validator` build its decision module and the guard's validator;
     `log_event` takes the place of the structured log.
@@ -50,7 +50,7 @@
         make_validator: ValidatorFactory = OrderValidator,
         log_event: Callable[..., None] | None = None,
     ) -> None:
-        """Build the parts that every manager has.
+        """Build the components that every manager has.
 
         Raises:
             ConfigError, StoreError, TokenFileError, TlsConfigError, KeyFileError: The file, the
@@ -58,18 +58,18 @@
         """
         self.config = config
         self.log_event = log_event or structured_logging.get_logger("manager").info
-        self.parts = build_parts(config, make_module, make_validator, self.log_event)
-        self.admin_api = create_admin_api(self.parts)
-        self.reloader = ConfigReloader(path, self.parts, self.admin_api)
+        self.components = build_components(config, make_module, make_validator, self.log_event)
+        self.admin_api = create_admin_api(self.components)
+        self.reloader = ConfigReloader(path, self.components, self.admin_api)
         self.fleet_keys = read_fleet_keys(config)
-        self.fleet = FleetParts()
+        self.fleet = FleetComponents()
         self.leader_tasks = LeaderTasks()
         self.admin_address: tuple[str, int] | None = None
 
-    def create_fleet(self, start_task: Callable[..., None]) -> FleetParts:
-        """Build the parts among other managers and show them to operators; nothing is started."""
+    def create_fleet(self, start_task: Callable[..., None]) -> FleetComponents:
+        """Build the components among other managers and show them to operators; nothing is started."""
         self.fleet = FleetBuilder(
-            self.parts, self.fleet_keys, self.admin_api, self.leader_tasks, start_task
+            self.components, self.fleet_keys, self.admin_api, self.leader_tasks, start_task
         ).build()
         if self.admin_api is not None:
             self.admin_api.register_fleet(
@@ -112,17 +112,17 @@
             await self._start_membership(nursery)
             await self._start_admin_api(nursery)
             if self.leadership is None:
-                submit_stored_list(self.parts)
+                submit_stored_list(self.components)
             else:
                 await self._start_leadership(self.leadership, nursery)
             self._start_decisions(nursery)
             self._start_xds_server(listeners, nursery)
-            self.log_event("manager.ready", epoch=self.parts.epoch, listen=f"{host}:{port}")
+            self.log_event("manager.ready", epoch=self.components.epoch, listen=f"{host}:{port}")
             task_status.started(listeners[0].socket.getsockname()[:2])
             await shutdown.wait_for_stop(signals or SignalReceiver(), self.reloader.reload)
-            shutdown.begin_shutdown(self.parts, self.membership)
+            shutdown.begin_shutdown(self.components, self.membership)
             nursery.cancel_scope.cancel()
-        shutdown.finish_shutdown(self.parts)
+        shutdown.finish_shutdown(self.components)
 
     async def _start_membership(self, nursery: trio.Nursery) -> None:
         """Join the other managers, then own work among them. Raises OSError if the port is taken."""
@@ -136,14 +136,14 @@
         nursery.start_soon(fleet.shared_health_checks.run)
         if fleet.shared_overrides is not None:
             nursery.start_soon(fleet.shared_overrides.run)
-        exercise = self.config.section(manager_config.LeaseConfig).exercise
-        nursery.start_soon(run_exercise, fleet.ownership, exercise)
+        lease_config = self.config.section(manager_config.LeaseConfig)
+        nursery.start_soon(run_exercise, fleet.ownership, lease_config.exercise)
 
     async def _start_admin_api(self, nursery: trio.Nursery) -> None:
         """Serve operators, where there is an admin API. Raises OSError if the port is taken."""
         if self.admin_api is not None:
             self.admin_address = await start_admin_api(
-                self.admin_api, self.parts, self.leadership is None, nursery
+                self.admin_api, self.components, self.leadership is None, nursery
             )
 
     async def _start_leadership(self, leadership: Leadership, nursery: trio.Nursery) -> None:
@@ -154,16 +154,16 @@
 
     def _start_decisions(self, nursery: trio.Nursery) -> None:
         """Start the decision loop and what feeds it."""
-        parts = self.parts
+        components = self.components
         handlers = OrderHandlers(
-            parts, self.fleet.shared_health_checks, self.leader_tasks, nursery.start_soon
+            components, self.fleet.shared_health_checks, self.leader_tasks, nursery.start_soon
         )
-        parts.loop.register_order_handlers(handlers.by_kind())
-        nursery.start_soon(parts.loop.run)
-        nursery.start_soon(parts.service.submit_reports)
+        components.loop.register_order_handlers(handlers.by_kind())
+        nursery.start_soon(components.loop.run)
+        nursery.start_soon(components.service.submit_reports)
         discovery = self.config.section(manager_config.DiscoveryConfig)
         if discovery.mode == "pushed" and self.leadership is None:
-            nursery.start_soon(parts.endpoint_watcher.watch, True)
+            nursery.start_soon(components.endpoint_watcher.watch, True)
 
     def _start_xds_server(
         self, listeners: list[trio.SocketListener], nursery: trio.Nursery
@@ -173,7 +173,7 @@
         nursery.start_soon(
             grpc.serve,
             listeners,
-            self.parts.service.handle_call,
+            self.components.service.handle_call,
             server.hello_within,
             server.quiet_most,
             self._log_connection_error,
--- a/dunlinlug/ads/membership_callbacks.py
+++ b/dunlinlug/ads/membership_callbacks.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from dunlinlug.ads.composition import ManagerParts
+from dunlinlug.ads.composition import ManagerComponents
 from dunlinlug.ads.load_meter import LoadMeter
 from dunlinlug.decision.events import Endpoint, Event, PartitionLimitsChanged
 from dunlinlug.fleet.election.leadership import Leadership
@@ -24,28 +24,28 @@
 
 
 class MembershipCallbacks:
-    """Implements `fleet.membership.service.MembershipHost` over a manager's parts."""
+    """Implements `fleet.membership.service.MembershipHost` over a manager's components."""
 
     def __init__(
         self,
-        parts: ManagerParts,
+        components: ManagerComponents,
         membership: Membership,
         leadership: Leadership | None,
         ownership: Ownership | None,
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.membership = membership
         self.leadership = leadership
         self.ownership = ownership
-        self.load_meter = LoadMeter(parts)
+        self.load_meter = LoadMeter(components)
 
     def submit_event(self, event: Event) -> None:
         """Take an event for the decision module."""
-        self.parts.loop.submit(event)
+        self.components.loop.submit(event)
 
     def listed_workers(self) -> Mapping[str, Endpoint] | None:
         """The endpoint list as service discovery gave it here; None before the first."""
-        return self.parts.endpoint_watcher.last_list
+        return self.components.endpoint_watcher.last_list
 
     def current_load(self) -> ManagerLoad:
         """The load of this manager, with the processor's fraction since the last call."""
@@ -57,7 +57,7 @@
         limits: PartitionLimits,
     ) -> None:
         """Notify the decision module of its new limits."""
-        submit_partition_limits(self.parts.loop, limits)
+        submit_partition_limits(self.components.loop, limits)
 
     def on_member_change(self, change: MemberStateChanged) -> None:
         """Let the election and the ownership of shards react to a member's new state."""
--- a/dunlinlug/ads/order_handlers.py
+++ b/dunlinlug/ads/order_handlers.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from dunlinlug.ads.composition import ManagerParts
+from dunlinlug.ads.composition import ManagerComponents
 from dunlinlug.ads.leadership_callbacks import LeaderTasks
 from dunlinlug.decision.orders import CheckHealth, ListEndpoints, WatchEndpoints
 from dunlinlug.fleet.ownership.shared_health_checks import HealthCheckCoordinator
@@ -14,12 +14,12 @@
 
     def __init__(
         self,
-        parts: ManagerParts,
+        components: ManagerComponents,
         shared_health_checks: HealthCheckCoordinator | None,
         leader_tasks: LeaderTasks,
         start_task: Callable[..., None],
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.shared_health_checks = shared_health_checks
         self.leader_tasks = leader_tasks
         self.start_task = start_task
@@ -37,10 +37,10 @@
         if self.shared_health_checks is not None:
             self.shared_health_checks.request(order.worker)
         else:
-            self.start_task(self.parts.health_checker.check, order.worker)
+            self.start_task(self.components.health_checker.check, order.worker)
 
     def _watch_endpoints(self, _order: WatchEndpoints) -> None:
-        self.start_task(self.leader_tasks.run, self.parts.endpoint_watcher.watch, False)
+        self.start_task(self.leader_tasks.run, self.components.endpoint_watcher.watch, False)
 
     def _list_endpoints(self, _order: ListEndpoints) -> None:
-        self.start_task(self.leader_tasks.run, self.parts.endpoint_watcher.list_endpoints)
+        self.start_task(self.leader_tasks.run, self.components.endpoint_watcher.list_endpoints)
--- a/dunlinlug/ads/reload.py
+++ b/dunlinlug/ads/reload.py
@@ -11,7 +11,7 @@
 import trio
 
 from dunlinlug.admin.api import AdminApi, TokenFileError, read_token
-from dunlinlug.ads.composition import ManagerParts, channel_rate
+from dunlinlug.ads.composition import ManagerComponents, channel_rate
 from dunlinlug.config import manager_config
 from dunlinlug.config.reader import ConfigError, ConfigFile
 from dunlinlug.manager import structured_logging
@@ -56,19 +56,21 @@
 class ConfigReloader:
     """Owns the configuration in force, and the TLS context that new connections get."""
 
-    def __init__(self, path: Path, parts: ManagerParts, admin_api: AdminApi | None) -> None:
+    def __init__(
+        self, path: Path, components: ManagerComponents, admin_api: AdminApi | None
+    ) -> None:
         """Load the TLS context.
 
         Raises:
             TlsConfigError: A certificate or key cannot be used.
         """
         self.path = path
-        self.config = parts.config
-        self.channel = parts.channel
-        self.loop = parts.loop
-        self.log_event = parts.log_event
+        self.config = components.config
+        self.channel = components.channel
+        self.loop = components.loop
+        self.log_event = components.log_event
         self.admin_api = admin_api
-        self.tls_context = load_tls_context(parts.config)
+        self.tls_context = load_tls_context(components.config)
 
     def get_tls_context(self) -> ssl.SSLContext | None:
         """The context for a connection that is accepted now; None for plain text."""
--- a/dunlinlug/ads/shutdown.py
+++ b/dunlinlug/ads/shutdown.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dunlinlug.ads.composition import ManagerParts
+from dunlinlug.ads.composition import ManagerComponents
 from dunlinlug.fleet.membership.service import Membership
 from dunlinlug.manager.signals import STOP_SIGNALS, SignalReceiver
 
@@ -13,18 +13,18 @@
         reload()
 
 
-def begin_shutdown(parts: ManagerParts, membership: Membership | None) -> None:
+def begin_shutdown(components: ManagerComponents, membership: Membership | None) -> None:
     """Decide nothing more, and tell the other members, before the tasks are cancelled."""
-    parts.loop.stop()
+    components.loop.stop()
     if membership is not None:
         membership.leave()
 
 
-def finish_shutdown(parts: ManagerParts) -> None:
+def finish_shutdown(components: ManagerComponents) -> None:
     """Log the figures of this run and close the store, once all tasks have ended."""
-    parts.log_event(
+    components.log_event(
         "manager.stopped",
-        batches=parts.loop.batch_count,
-        most_waited=round(parts.channel.peak_queued_entries),
+        batches=components.loop.batch_count,
+        most_waited=round(components.channel.peak_queued_entries),
     )
-    parts.store.close()
+    components.store.close()
--- a/dunlinlug/ads/stored_endpoint_list.py
+++ b/dunlinlug/ads/stored_endpoint_list.py
@@ -1,20 +1,20 @@
 """The endpoint list that the store has from before, as the decision module's first event."""
 
-from dunlinlug.ads.composition import ManagerParts, module_clock_offset
+from dunlinlug.ads.composition import ManagerComponents, module_clock_offset
 from dunlinlug.decision.events import Endpoint, EndpointsUpdated
 from dunlinlug.discovery import entries
 
 
-def submit_stored_list(parts: ManagerParts) -> None:
+def submit_stored_list(components: ManagerComponents) -> None:
     """Submit the stored list, an empty one too; one that cannot be read is logged and is empty."""
     workers: list[Endpoint] = []
-    body = parts.store.endpoint_list()
+    body = components.store.endpoint_list()
     if body is not None:
         try:
             workers, _ = entries.decode_workers(
-                body, module_clock_offset() + parts.loop.clock_offset
+                body, module_clock_offset() + components.loop.clock_offset
             )
         except entries.DiscoveryResponseError as error:
-            parts.log_event("store.invalid_list", why=str(error))
-    parts.loop.submit(EndpointsUpdated("kept", tuple(workers)))
-    parts.log_event("store.list_loaded", workers=len(workers))
+            components.log_event("store.invalid_list", why=str(error))
+    components.loop.submit(EndpointsUpdated("kept", tuple(workers)))
+    components.log_event("store.list_loaded", workers=len(workers))
--- a/dunlinlug/ads/table_view.py
+++ b/dunlinlug/ads/table_view.py
@@ -87,6 +87,7 @@
         self.validator = validator
 
     def proxies_by_table(self, class_index: int) -> Counter[int]:
+        """How many proxies use each table for this class."""
         return Counter(
             proxy_state.table_by_class[class_index]
             for proxy_state in self.installer.proxies.values()
@@ -94,12 +95,14 @@
         )
 
     def proxies_in_change(self, class_index: int) -> int:
+        """How many proxies may use either of several tables for this class."""
         return sum(
             len(self.validator.usage.possible_tables(proxy, class_index)) > 1
             for proxy in self.installer.proxies
         )
 
     def describe_table(self, table_id: int, class_index: int, count: int) -> TableDescription:
+        """Describe one table, which `count` proxies use for this class."""
         table = self.installer.tables[table_id]
         retry, admitted_fraction = table.admissions.get(
             class_index, (self.installer.default_retry, 1.0)
--- a/tests/admin/test_overrides.py
+++ b/tests/admin/test_overrides.py
@@ -329,13 +329,13 @@
         await proxy.until(bound)
         run.roster.workers[0] = replace(FLEET_OF_SIX[0], started_at=time.time())
         run.roster.tell(w1="ready")
-        await until(lambda: bool(run.manager.parts.validation.validator.warming_up))
-        run.manager.parts.loop.pending_events += [
+        await until(lambda: bool(run.manager.components.validation.validator.warming_up))
+        run.manager.components.loop.pending_events += [
             DemandReported(0, BOOK, 500, 0, 1.0),
             *(EndpointReported("north", w.id, 9, 0, 0.1, 1.0) for w in FLEET_OF_SIX[1:]),
         ]
-        run.manager.parts.loop.event_arrived.set()
-        await until(lambda: bool(run.manager.parts.validation.validator.estimates.demand))
+        run.manager.components.loop.event_arrived.set()
+        await until(lambda: bool(run.manager.components.validation.validator.estimates.demand))
         status, answer = await operator.pin(weights={FIRST[0]: 100.0})
         assert status == 409 and answer["refusals"][0]["rule"] == "pushed"
         assert (await operator.pin(only=[w.id for w in FLEET_OF_SIX[3:]]))[0] == 200, (
@@ -368,7 +368,7 @@
         await proxy.until(lambda h: set(h.usable_weights(BOOK)) == set(FIRST))
         assert len(proxy.holdings.usable_weights(READ)) == 6
         await proxy.until(lambda h: len(h.usable_weights(BOOK)) == 6)
-    assert run.manager.parts.store is not None and [
+    assert run.manager.components.store is not None and [
         said["why"] for said in run.said("override.ended")
     ] == ["its time is up"]
 
--- a/tests/ads/test_state_of_the_world.py
+++ b/tests/ads/test_state_of_the_world.py
@@ -121,7 +121,7 @@
         async with running(tmp_path) as run:
             run.roster.workers = listed
             run.roster.tell()
-            module = run.manager.parts.loop.module
+            module = run.manager.components.loop.module
             await until(
                 lambda: (
                     bool(module.current_tables)
@@ -135,7 +135,7 @@
             assert set(met) == set(workers.ids), "all workers, and no failure"
             assert 0.4 < met[workers.ids[3]] / 800 < 0.6 and 0.07 < met[workers.ids[0]] / 800 < 0.18
             run.roster.tell(w3="draining")
-            await until(lambda: bool(run.manager.parts.loop.module.ejected_rows))  # type: ignore[attr-defined]
+            await until(lambda: bool(run.manager.components.loop.module.ejected_rows))  # type: ignore[attr-defined]
             with trio.fail_after(5.0):
                 while workers.ids[3] in await client.ask(50):
                     pass
@@ -179,7 +179,7 @@
             (await take(names.ENDPOINTS_TYPE, cluster)).resources[0].value
         )
         assert len(held.endpoints) == 6
-        proxies = run.manager.parts.loop.module.assignments.proxies  # type: ignore[attr-defined]
+        proxies = run.manager.components.loop.module.assignments.proxies  # type: ignore[attr-defined]
         await until(
             lambda: (
                 len(proxies) == 1
--- a/tests/decision/test_order_rejection.py
+++ b/tests/decision/test_order_rejection.py
@@ -169,7 +169,7 @@
     gone = WORKERS[3].id
     async with running(tmp_path, make=Bare) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
-        run.manager.parts.loop.module.on = True  # type: ignore[attr-defined]
+        run.manager.components.loop.module.on = True  # type: ignore[attr-defined]
         run.roster.tell(w3="draining")
         await proxy.until(lambda h: gone in h.ejected)
         await until(lambda: bool(run.said("guard.order_rejected")))
--- a/tests/fleet/election/test_election.py
+++ b/tests/fleet/election/test_election.py
@@ -140,8 +140,8 @@
         with pytest.raises(ValueError, match="not another member"):
             await first.leadership.transfer_leadership(first.leadership.self_id)
         to = next(m for m in "abc" if m != first.leadership.self_id)
-        first.parts.loop.submit(DemandReported(0, "view-map", 1, 0, 0.1))
-        first.parts.loop.run_batch(trio.current_time())
+        first.components.loop.submit(DemandReported(0, "view-map", 1, 0, 0.1))
+        first.components.loop.run_batch(trio.current_time())
         assert not first.leadership.protocol.is_caught_up(to), (
             "a batch is under way to it at the very moment"
         )
@@ -338,14 +338,16 @@
         )  # its datagrams are lost, its frames go on
         await until(
             lambda: all(
-                not m.parts.loop.module.partition_limits.may_change_weights
+                not m.components.loop.module.partition_limits.may_change_weights
                 for m in run.managers.values()
             )
         )
         to = next(name for name in run.managers if name != first.leadership.self_id)
         await first.leadership.transfer_leadership(to)
         assert await run.led(but=first.leadership.self_id) is run.managers[to]
-        await until(lambda: run.managers[to].parts.loop.module.partition_limits.may_change_weights)
+        await until(
+            lambda: run.managers[to].components.loop.module.partition_limits.may_change_weights
+        )
 
 
 async def test_a_successor_goes_by_what_its_own_roster_tells(tmp_path: Path) -> None:
--- a/tests/fleet/ownership/test_service.py
+++ b/tests/fleet/ownership/test_service.py
@@ -234,8 +234,8 @@
         )
         await until(
             lambda: all(
-                m.parts.validation
-                and len(m.parts.validation.validator.workers) == len(WORKERS_LISTED)
+                m.components.validation
+                and len(m.components.validation.validator.workers) == len(WORKERS_LISTED)
                 for m in run.managers.values()
             )
         )
--- a/tests/manager/test_manager.py
+++ b/tests/manager/test_manager.py
@@ -71,11 +71,13 @@
     async with running(tmp_path) as run, peer(run, "good") as good, peer(run, "mute") as mute:
         await good.until(bound)
         await mute.until(bound)
-        service = run.manager.parts.service
+        service = run.manager.components.service
         session = service.sessions[service.proxy_numbers["mute"]]
         for n in range(30):
             run.roster.tell(**{f"w{n % 3}": "draining" if n % 6 < 3 else "ready"})
-            await until(lambda: run.manager.parts.endpoint_watcher.state.index == run.roster.index)
+            await until(
+                lambda: run.manager.components.endpoint_watcher.state.index == run.roster.index
+            )
         await good.until(lambda h: not h.ejected & {w.id for w in WORKERS[:3]})
         assert len(session.in_flight) <= 8, "the rest is merged"
         await good.until(bound)
@@ -85,7 +87,7 @@
 async def test_a_refusal_is_no_answer_is_said_once_and_is_not_sent_again(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
-        await until(lambda: not run.manager.parts.service.sessions[0].in_flight)
+        await until(lambda: not run.manager.components.service.sessions[0].in_flight)
         before = dict(proxy.holdings.tables)
         refusals = 0
 
@@ -121,7 +123,7 @@
         assert WORKERS[1].id in proxy.holdings.ejected, (
             "a withdrawal does not fall with the tables beside it"
         )
-        held = run.manager.parts.loop.module.assignments.proxies[0].tables_in_use  # type: ignore[attr-defined]
+        held = run.manager.components.loop.module.assignments.proxies[0].tables_in_use  # type: ignore[attr-defined]
         assert any(mark for tables in held.values() for _, mark in tables), (
             "the module was told of no answer"
         )
@@ -165,7 +167,7 @@
             with trio.fail_after(5.0), pytest.raises(grpc.CallEndedError):
                 while True:
                     await first.take()
-            assert len(run.manager.parts.service.sessions) == 1
+            assert len(run.manager.components.service.sessions) == 1
 
 
 async def test_reports_reach_the_module_at_the_agreed_rate(tmp_path: Path) -> None:
@@ -188,12 +190,12 @@
             {"ticket-read": (9, 2), "unknown": (1, 0)},
         )
         call.send(load_reports.encode_report(report, is_first=False))
-        module = run.manager.parts.loop.module
+        module = run.manager.components.loop.module
         await until(lambda: bool(module.admission_controller.arrivals["ticket-read"]))  # type: ignore[attr-defined]
         health, i = module.outlier_detector, module.fleet.row_by_id[WORKERS[0].id]  # type: ignore[attr-defined]
         await until(lambda: bool(health.attempts[i]))
         assert health.failure_rate(i) == pytest.approx(0.4) and "127.0.0.1:9" not in {
-            w for _, w in run.manager.parts.report_aggregator.endpoint_totals
+            w for _, w in run.manager.components.report_aggregator.endpoint_totals
         }
 
 
@@ -215,10 +217,10 @@
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         run.roster.workers[5] = replace(WORKERS[5], started_at=1000.0)
         run.roster.tell()
-        await until(lambda: bool(run.manager.parts.endpoint_watcher.start_times))
-        fleet = run.manager.parts.loop.module.fleet  # type: ignore[attr-defined]
+        await until(lambda: bool(run.manager.components.endpoint_watcher.start_times))
+        fleet = run.manager.components.loop.module.fleet  # type: ignore[attr-defined]
         await proxy.until(bound)
-        run.manager.parts.endpoint_watcher.clock_offset = lambda: (
+        run.manager.components.endpoint_watcher.clock_offset = lambda: (
             trio.current_time() - time.time() + 3600.0
         )
         run.roster.tell(w0="draining")
@@ -232,7 +234,7 @@
 async def test_our_own_mistake_with_one_peer_ends_that_link_alone(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
-        run.manager.parts.service.proxy_numbers = None  # type: ignore[assignment]
+        run.manager.components.service.proxy_numbers = None  # type: ignore[assignment]
         async with grpc.connect(*run.address) as other:
             call = other.start_call(names.DELTA_ADS_METHOD)
             request = discovery_pb2.DeltaDiscoveryRequest(type_url=names.ROUTES_TYPE)
@@ -250,13 +252,13 @@
         await proxy.until(bound)
         with pytest.raises(StoreError, match="another manager"):
             Store(tmp_path / "store")
-        assert run.manager.parts.epoch == 1
+        assert run.manager.components.epoch == 1
     path = manager_file(tmp_path, ("store = unused", f"store = {tmp_path / 'store'}"))
     again = Manager(path, manager_config.load_manager_config(path))
-    submit_stored_list(again.parts)
-    kept = again.parts.loop.pending_events[0]
-    again.parts.store.close()
-    assert again.parts.epoch == 2 and kept.update_type == "kept"  # type: ignore[union-attr]
+    submit_stored_list(again.components)
+    kept = again.components.loop.pending_events[0]
+    again.components.store.close()
+    assert again.components.epoch == 2 and kept.update_type == "kept"  # type: ignore[union-attr]
     assert [w.id for w in kept.endpoints] == sorted(w.id for w in WORKERS)  # type: ignore[union-attr]
 
 
@@ -301,7 +303,7 @@
 
 def settled(run: Running) -> bool:
     """Whether the module has heard an answer for all that it ordered for every proxy."""
-    proxies = run.manager.parts.loop.module.assignments.proxies  # type: ignore[attr-defined]
+    proxies = run.manager.components.loop.module.assignments.proxies  # type: ignore[attr-defined]
     return bool(proxies) and all(
         proxy.tables_in_use and not mark
         for proxy in proxies.values()
--- a/tests/recorded/record_operators.py
+++ b/tests/recorded/record_operators.py
@@ -315,11 +315,11 @@
             clock.jump(step["wait"])
             manager.admin_api.overrides.end_invalid(trio.current_time(), [])
         for body in step.get("hear", ()):
-            manager.parts.loop.submit(codec.read_event(body["verb"], body, ()))
+            manager.components.loop.submit(codec.read_event(body["verb"], body, ()))
             if body["verb"] == "Joined":
-                manager.parts.installer.add_proxy(body["proxy"], body["proxy"] == 0, ())
+                manager.components.installer.add_proxy(body["proxy"], body["proxy"] == 0, ())
         if "method" not in step:
-            manager.parts.loop.run_batch(trio.current_time())
+            manager.components.loop.run_batch(trio.current_time())
             answers.append(None)
             continue
         reply = await manager.admin_api.handle(_request(step))
@@ -330,7 +330,7 @@
                 "body": text_of(reply.body),
             }
         )
-        manager.parts.loop.run_batch(trio.current_time())
+        manager.components.loop.run_batch(trio.current_time())
     return answers
 
 
@@ -346,8 +346,8 @@
             if manager.config.section(manager_config.ElectionConfig).member:
                 _stand_among_others(manager, nursery)
             answers = await _answers(manager, steps, clock)
-            pins = manager.parts.store.overrides()
-            manager.parts.store.close()
+            pins = manager.components.store.overrides()
+            manager.components.store.close()
             nursery.cancel_scope.cancel()
         return {"answers": answers, "pins": pins}
 
