--- a/dunlinlug/client/__init__.py
+++ b/dunlinlug/client/__init__.py
@@ -1,17 +1,16 @@
-"""A client library: follows whichever manager leads, goes by its tables, carries txns under the
-rules, reports.
+"""A client library: follows whichever manager leads, sends requests by its tables, reports results.
 
-    holdings, tally = Holdings(), Tally("p1", "north")
-    follower = Follower("p1", "north", [("127.0.0.1", 18000)], holdings, tally)
-    carrier = Carrier(holdings, tally, Random(1))
+    state, accumulator = ProxyState(), ReportAccumulator("p1", "north")
+    subscriber = TableSubscriber("p1", "north", [("127.0.0.1", 18000)], state, accumulator)
+    dispatcher = RequestDispatcher(state, accumulator, Random(1))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(follower.run)
+        nursery.start_soon(subscriber.run)
         ...
-        carried = await carrier.carry("press-book", ends=trio.current_time() + 2.0, attempt=attempt)
+        result = await dispatcher.dispatch("press-book", trio.current_time() + 2.0, attempt)
 
-`attempt(worker, left, n)` makes try number `n` at `worker` within `left` seconds and gives a
-`Tried`. With no manager in reach all goes on by the tables held; `follower.silence()` tells for how
-long nothing has been heard.
+`attempt(worker, remaining, attempt_number)` sends the request to `worker` once, within `remaining`
+seconds, and gives an `AttemptResult`. With no manager in reach all goes on by the tables last
+received; `subscriber.silence_duration()` tells for how long nothing has been received.
 """
 
 from dunlinlug.client.report_accumulator import ReportAccumulator
@@ -21,10 +20,10 @@
 
 __all__ = [
     "AppliedResponse",
-    "RequestResult",
-    "RequestDispatcher",
-    "TableSubscriber",
+    "AttemptResult",
     "ProxyState",
     "ReportAccumulator",
-    "AttemptResult",
+    "RequestDispatcher",
+    "RequestResult",
+    "TableSubscriber",
 ]
--- a/dunlinlug/client/report_accumulator.py
+++ b/dunlinlug/client/report_accumulator.py
@@ -1,10 +1,10 @@
-"""What a proxy met since it last reported; plain sums."""
+"""Sums what a proxy observed since its last load report."""
 
 from dunlinlug.xds.load_reports import LoadReport, WorkerStatistics
 
 
 class ReportAccumulator:
-    """Times are the caller's clock in seconds."""
+    """Requests by traffic class and attempts by worker; times are the caller's clock in seconds."""
 
     def __init__(self, node_id: str, zone: str, now: float = 0.0) -> None:
         self.node_id = node_id
@@ -13,15 +13,18 @@
         self.report = LoadReport(node_id, zone, 0.0)
 
     def record_request(self, traffic_class: str, failed: bool) -> None:
-        """A txn of a product that came, and whether it was voided (for another reason than its
-        level).
-        """
+        """Count a request; `failed` is false for one that was not admitted."""
         requests, failures = self.report.traffic_classes.get(traffic_class, (0, 0))
         self.report.traffic_classes[traffic_class] = (requests + 1, failures + failed)
 
     def record_attempt(
         self, worker: str, succeeded: bool, latency: float, load_metrics: dict[str, float]
     ) -> None:
+        """Count an attempt at a worker; its latency counts only if it succeeded.
+
+        `load_metrics` are what the worker's response said of its own load; the newest value of each
+        metric is reported.
+        """
         statistics = self.report.workers.setdefault(worker, WorkerStatistics())
         statistics.attempts += 1
         statistics.failed += not succeeded
@@ -29,7 +32,7 @@
         statistics.load_metrics.update(load_metrics)
 
     def take_report(self, now: float) -> LoadReport:
-        """All since the last taking, which begins anew."""
+        """The sums since the last call, and begin anew."""
         report = self.report
         self.report = LoadReport(self.node_id, self.zone, 0.0)
         report.window = now - self.period_started_at
--- a/dunlinlug/client/request_dispatcher.py
+++ b/dunlinlug/client/request_dispatcher.py
@@ -1,5 +1,6 @@
-"""One txn by the tables held: level, worker by weight, further tries as the way allows. The tries
-are the caller's.
+"""Sends one request by the tables held: admission, weighted choice of a worker, retries.
+
+How an attempt is made is the caller's; this decides whether, where and how often.
 """
 
 from collections.abc import Awaitable, Callable
@@ -12,13 +13,24 @@
 from dunlinlug.xds.encoding import RetryPolicy
 from dunlinlug.xds.subscriber import ProxyState
 
-MAX_RETRIES = (0, 1, 1, 2)  # tries beyond the first by way of trying again
+MAX_RETRIES = (0, 1, 1, 2)  # attempts beyond the first, by the mode of the retry policy
+RETRY_IF_NOT_EXECUTED = 1  # the mode that retries only what surely was not executed
+
+# Reasons why a request was not even attempted.
+NO_TABLE = "starting"
+NOT_ADMITTED = "level"
+NO_ENDPOINT = "nobody"
 
 
 @dataclass(frozen=True)
 class AttemptResult:
-    """What came of one try: settled or not; whether the txn may have run there; the worker's own
-    load report.
+    """The result of one attempt.
+
+    Attributes:
+        succeeded: Whether the worker carried the request out.
+        may_have_run: Whether the request may have been executed there, whatever was answered.
+        load_report: The worker's own load metrics, from its response.
+        response: The response, for the caller.
     """
 
     succeeded: bool
@@ -29,9 +41,13 @@
 
 @dataclass(frozen=True)
 class RequestResult:
-    """What came of a txn. `proof`: it surely ran nowhere, so that whoever asked may ask again.
-    `why` if it was not even tried: starting (nothing is held yet), level (not let in), nobody
-    (no worker may be used).
+    """The result of a request with all its attempts.
+
+    Attributes:
+        succeeded: Whether an attempt succeeded.
+        not_executed: The request surely was executed nowhere, so that it may be sent again.
+        reason: Why it was not even attempted (`NO_TABLE`, `NOT_ADMITTED`, `NO_ENDPOINT`), or empty.
+        last_attempt: None if there was none.
     """
 
     succeeded: bool
@@ -40,12 +56,13 @@
     last_attempt: AttemptResult | None = None
 
 
-AttemptFunction = Callable[
-    [str, float, int], Awaitable[AttemptResult]
-]  # worker, seconds for this try, which try it is
+# Makes one attempt: gets the worker, the seconds left for it, and its number from 0.
+AttemptFunction = Callable[[str, float, int], Awaitable[AttemptResult]]
 
 
 class RequestDispatcher:
+    """Dispatches requests by one proxy's tables, and records the results for its load reports."""
+
     def __init__(
         self, proxy_state: ProxyState, accumulator: ReportAccumulator, rng: Random
     ) -> None:
@@ -56,60 +73,69 @@
     async def dispatch(
         self, traffic_class: str, deadline: float, attempt: AttemptFunction
     ) -> RequestResult:
-        """At `ends` (trio's clock) it is given up, and what is known by then is told at once."""
-        if traffic_class not in self.proxy_state.routes:
-            return RequestResult(False, True, "starting")
+        """Send one request; at `deadline` (trio's clock) it is given up and answered at once."""
+        route = self.proxy_state.routes.get(traffic_class)
+        if route is None:
+            return RequestResult(False, True, NO_TABLE)
         if self.rng.random() >= self.proxy_state.admitted_fraction(traffic_class):
             self.accumulator.record_request(traffic_class, False)
-            return RequestResult(False, True, "level")
+            return RequestResult(False, True, NOT_ADMITTED)
+        result = await self._attempt_all(traffic_class, route[1], deadline, attempt)
+        self.accumulator.record_request(traffic_class, not result.succeeded)
+        return result
+
+    async def _attempt_all(
+        self,
+        traffic_class: str,
+        retry_policy: RetryPolicy,
+        deadline: float,
+        attempt: AttemptFunction,
+    ) -> RequestResult:
+        """Attempt at one worker after another, as far as the policy and the time allow."""
         not_executed = True
-        last_attempt = None
+        last_attempt: AttemptResult | None = None
         attempted: set[str] = set()
-        retry_policy = self.proxy_state.routes[traffic_class][1]
         for attempt_number in range(1 + MAX_RETRIES[retry_policy.mode]):
             worker = self._pick_worker(traffic_class, attempted)
             if not worker or trio.current_time() >= deadline:
                 break
             attempted.add(worker)
-            last_attempt = await self._attempt(
-                worker, retry_policy, attempt_number, deadline, attempt
-            )
+            time_limit = self._time_limit(retry_policy, deadline)
+            last_attempt = await self._attempt(worker, time_limit, attempt_number, attempt)
             not_executed = not_executed and not last_attempt.may_have_run
-            # Danger: an effect twice. Way 1 goes on only with proof that this try was not begun.
-            if last_attempt.succeeded or retry_policy.mode == 1 and last_attempt.may_have_run:
+            if last_attempt.succeeded:
+                return RequestResult(True, False, "", last_attempt)
+            # Without this, a request that must not be repeated could take effect twice.
+            if retry_policy.mode == RETRY_IF_NOT_EXECUTED and last_attempt.may_have_run:
                 break
-        succeeded = last_attempt is not None and last_attempt.succeeded
-        self.accumulator.record_request(traffic_class, not succeeded)
-        return RequestResult(
-            succeeded,
-            not_executed and not succeeded,
-            "" if last_attempt else "nobody",
-            last_attempt,
-        )
+        reason = NO_ENDPOINT if last_attempt is None else ""
+        return RequestResult(False, not_executed, reason, last_attempt)
 
     def _pick_worker(self, traffic_class: str, attempted: set[str]) -> str:
+        """A worker by weight, other than those attempted; empty if there is none."""
         weights = {
             worker: weight
             for worker, weight in self.proxy_state.usable_weights(traffic_class).items()
             if worker not in attempted
         }
-        return self.rng.choices(list(weights), list(weights.values()))[0] if weights else ""
+        if not weights:
+            return ""
+        return self.rng.choices(list(weights), list(weights.values()))[0]
+
+    @staticmethod
+    def _time_limit(retry_policy: RetryPolicy, deadline: float) -> float:
+        """Seconds for an attempt that begins now."""
+        remaining = deadline - trio.current_time()
+        return min(remaining, retry_policy.attempt_timeout or remaining)
 
     async def _attempt(
-        self,
-        worker: str,
-        retry_policy: RetryPolicy,
-        attempt_number: int,
-        deadline: float,
-        attempt: AttemptFunction,
+        self, worker: str, time_limit: float, attempt_number: int, attempt: AttemptFunction
     ) -> AttemptResult:
-        # given up: it may have run
+        """One attempt; one that is given up at its time limit may have been executed."""
         started = trio.current_time()
-        result = AttemptResult(False, True)
-        remaining = min(deadline - started, retry_policy.attempt_timeout or deadline - started)
-        with trio.move_on_after(remaining):
-            result = await attempt(worker, remaining, attempt_number)
-        self.accumulator.record_attempt(
-            worker, result.succeeded, trio.current_time() - started, result.load_report
-        )
+        result = AttemptResult(succeeded=False, may_have_run=True)
+        with trio.move_on_after(time_limit):
+            result = await attempt(worker, time_limit, attempt_number)
+        latency = trio.current_time() - started
+        self.accumulator.record_attempt(worker, result.succeeded, latency, result.load_report)
         return result
--- a/dunlinlug/client/table_subscriber.py
+++ b/dunlinlug/client/table_subscriber.py
@@ -1,5 +1,6 @@
-"""Follows whichever manager leads: a call open at each, the master's is answered; applies, answers,
-reports.
+"""Follows whichever manager leads: applies its tables, acknowledges them, sends it load reports.
+
+A connection and a call stand open at each manager; only the leader answers its call.
 """
 
 import ssl
@@ -21,23 +22,45 @@
 
 
 class TableSubscriber:
-    """`joined` and `left` are called as streams to a master come and go, `applied` for each
-    response. `reaches` says whether managers are in reach at all (a test may cut them off).
+    """One proxy's subscription to its managers; what it receives goes to `proxy_state`.
+
+    Attributes:
+        current_manager: The manager that answers, or None.
+        last_received_at: When a manager last sent anything (trio's clock), or None.
+        on_connected: Called when a manager begins to answer.
+        on_disconnected: Called when it no longer does.
+        on_applied: Called with what became of each response.
+        is_reachable: Whether managers can be reached; a test may cut them off.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - who the proxy is, what it fills, and how it connects
         self,
         node_id: str,
         zone: str,
         managers: Sequence[Address],
         proxy_state: ProxyState,
         accumulator: ReportAccumulator,
+        *,
         request_rate: float = 0.0,
         reconnect_interval: float = 0.5,
         connect_timeout: float = 1.0,
         rng: Random | None = None,
         tls_context: ssl.SSLContext | None = None,
     ) -> None:
+        """Prepare a subscription; `run` starts it.
+
+        Args:
+            node_id: The proxy's name.
+            zone: Its zone.
+            managers: Addresses of all managers, of which one leads.
+            proxy_state: What the responses are applied to; it may outlive subscriptions.
+            accumulator: Where load reports are taken from.
+            request_rate: Requests a second that the proxy expects to get.
+            reconnect_interval: Mean seconds between connections to one manager.
+            connect_timeout: Seconds for one.
+            rng: Source of randomness; by default one seeded with the node's name.
+            tls_context: None for plain text.
+        """
         self.node_id = node_id
         self.zone = zone
         self.managers = managers
@@ -49,22 +72,22 @@
         self.random_uniform = (rng or Random(node_id)).uniform
         self.tls_context = tls_context
         self.connections: dict[Address, grpc.GrpcConnection] = {}
-        self.current_manager: Address | None = None  # the manager that answers us
+        self.current_manager: Address | None = None
         self.last_received_at: float | None = None
-        self.resume_reading: trio.Event | None = None  # set to stop reading until the event is set
+        self.resume_reading: trio.Event | None = None  # nothing is read until it is set
         self.on_connected: Callable[[], None] = _do_nothing
         self.on_disconnected: Callable[[], None] = _do_nothing
         self.on_applied: Callable[[AppliedResponse], None] = _do_nothing
         self.is_reachable: Callable[[], bool] = lambda: True
 
     def silence_duration(self) -> float | None:
-        """Seconds since the last word of a manager; None if there was none yet."""
-        return (
-            None if self.last_received_at is None else trio.current_time() - self.last_received_at
-        )
+        """Seconds since a manager last sent anything; None if none has yet."""
+        if self.last_received_at is None:
+            return None
+        return trio.current_time() - self.last_received_at
 
     async def run(self) -> None:
-        """Until cancelled; without a manager, all goes on by what is held."""
+        """Follow the managers until cancelled; without one the proxy keeps what it has."""
         async with trio.open_nursery() as nursery:
             for address in self.managers:
                 nursery.start_soon(self._maintain_connection, address)
@@ -85,17 +108,15 @@
             await trio.sleep(self.reconnect_interval * self.random_uniform(0.5, 1.5))
 
     async def _run_calls(self, connection: grpc.GrpcConnection, address: Address) -> None:
-        """One call after another on a link that stands: a manager that leads no more ends the call,
-        not the link.
+        """One call after another while the connection lasts.
+
+        A manager that no longer leads ends the call with a status, not the connection.
         """
         while not connection.protocol.closed:
             try:
                 await self._run_stream(connection, address)
             except* grpc.CallEndedError as group:
-                if any(
-                    isinstance(call_ended, grpc.CallEndedError) and call_ended.status is None
-                    for call_ended in group.exceptions
-                ):
+                if any(_ended_without_status(error) for error in group.exceptions):
                     raise
             finally:
                 if self.current_manager == address:
@@ -104,6 +125,7 @@
             await trio.sleep(0)
 
     async def _run_stream(self, connection: grpc.GrpcConnection, address: Address) -> None:
+        """Subscribe at one manager; its response headers tell that it leads."""
         call = connection.start_call(names.DELTA_ADS_METHOD)
         await call.headers_received.wait()
         if call.ended is not None:
@@ -123,7 +145,7 @@
                 self.on_applied(applied)
 
     def _switch_manager(self, address: Address) -> None:
-        """This manager leads now: what stood to another is over."""
+        """This manager leads now; end the calls at the one before."""
         if self.current_manager is not None:
             self.on_disconnected()
             self.disconnect(self.current_manager)
@@ -131,28 +153,28 @@
         self.on_connected()
 
     async def _send_reports(self, call: grpc.Call) -> None:
-        call.send(
-            load_reports.encode_report(
-                load_reports.LoadReport(self.node_id, self.zone, 0.0), is_first=True
-            )
-        )
+        """Send load reports at about the interval that the manager answers the first one with."""
+        first_report = load_reports.LoadReport(self.node_id, self.zone, 0.0)
+        call.send(load_reports.encode_report(first_report, is_first=True))
         interval = load_reports.decode_response(await call.receive())
         while True:
             await trio.sleep(interval * self.random_uniform(0.9, 1.1))
-            call.send(
-                load_reports.encode_report(
-                    self.accumulator.take_report(trio.current_time()), is_first=False
-                )
-            )
+            report = self.accumulator.take_report(trio.current_time())
+            call.send(load_reports.encode_report(report, is_first=False))
 
     def disconnect(self, address: Address | None) -> None:
-        """End the calls on a link, as if the network had."""
+        """End the calls of a manager's connection, as if the network had."""
         if address in self.connections:
             for call in list(self.connections[address].calls.values()):
                 call.end(None, "broken")
 
     def pause_reading(self, resume_reading: trio.Event | None) -> None:
-        """Read nothing more until the gate is set; None: read on."""
+        """Read nothing more until this event is set; None to read on."""
         self.resume_reading = resume_reading
         for connection in self.connections.values():
             connection.resume_reading = resume_reading
+
+
+def _ended_without_status(error: BaseException) -> bool:
+    """Whether a call ended because its connection broke, not by the manager's word."""
+    return isinstance(error, grpc.CallEndedError) and error.status is None
--- a/dunlinlug/standins/proxy.py
+++ b/dunlinlug/standins/proxy.py
@@ -55,10 +55,10 @@
             manager_addresses,
             self.proxy_state,
             self.accumulator,
-            proxy_config.rate,
-            proxies_config.redial,
-            proxies_config.dial_within,
-            self.rng,
+            request_rate=proxy_config.rate,
+            reconnect_interval=proxies_config.redial,
+            connect_timeout=proxies_config.dial_within,
+            rng=self.rng,
         )
         self.subscriber.on_connected = lambda: self.record.write("joined", proxy=name)
         self.subscriber.on_disconnected = lambda: self.record.write("left", proxy=name)
