--- a/dunlinlug/xds/decoding.py
+++ b/dunlinlug/xds/decoding.py
@@ -1,10 +1,11 @@
-"""xDS resources to plain records, with every check that a proxy makes before it applies one."""
+"""Decodes xDS resources, with every check that a proxy makes before it applies one."""
 
 from dataclasses import dataclass, field
 
 from envoy.config.core.v3 import health_check_pb2
 from envoy.config.endpoint.v3 import endpoint_pb2
-from envoy.config.route.v3 import route_pb2
+from envoy.config.route.v3 import route_components_pb2, route_pb2
+from envoy.type.v3 import percent_pb2
 from google.protobuf.message import DecodeError
 
 from dunlinlug.errors import DunlinlugError
@@ -12,13 +13,19 @@
 
 
 class DecodingError(DunlinlugError):
-    """A resource that cannot be applied; says why, for the answer to its sender."""
+    """A resource that cannot be applied; the text says why, for the NACK to its sender."""
 
 
 @dataclass(frozen=True)
 class DecodedTable:
-    """Weights by worker, their zones, the share let in by product (all if absent), and who is shut
-    in it.
+    """A table as a proxy holds it.
+
+    Attributes:
+        name: Its resource name.
+        weights: Weight by worker (`host:port`).
+        zones: Zone by worker.
+        admitted_fractions: By traffic class; a class that is missing is admitted whole.
+        unhealthy: Workers that this table alone marks as not to be used.
     """
 
     name: str
@@ -29,6 +36,11 @@
 
 
 def decode_table(value: bytes) -> DecodedTable:
+    """Decode a table, or the ejections resource.
+
+    Raises:
+        DecodingError: It is no `ClusterLoadAssignment`, or names a worker twice or without weight.
+    """
     assignment = endpoint_pb2.ClusterLoadAssignment()
     try:
         assignment.ParseFromString(value)
@@ -46,13 +58,12 @@
             weight = entry.load_balancing_weight.value
             if not weight and assignment.cluster_name != names.EJECTIONS_RESOURCE:
                 raise DecodingError(f"{assignment.cluster_name}: {worker} has no weight above 0")
-            weights[worker], zones[worker] = weight / encoding.WEIGHT_SCALE, locality.locality.zone
+            weights[worker] = weight / encoding.WEIGHT_SCALE
+            zones[worker] = locality.locality.zone
             if entry.health_status not in (health_check_pb2.UNKNOWN, health_check_pb2.HEALTHY):
                 unhealthy.add(worker)
     admitted_fractions = {
-        drop.category: 1.0
-        - drop.drop_percentage.numerator
-        / (100, 10_000, encoding.MILLION)[drop.drop_percentage.denominator]
+        drop.category: 1.0 - _decode_fraction(drop.drop_percentage)
         for drop in assignment.policy.drop_overloads
     }
     return DecodedTable(
@@ -60,8 +71,19 @@
     )
 
 
+def _decode_fraction(percentage: percent_pb2.FractionalPercent) -> float:
+    """A fraction from 0 to 1; the denominator is an enum: hundred, ten thousand, million."""
+    denominator = (100, 10_000, encoding.MILLION)[percentage.denominator]
+    fraction: float = percentage.numerator / denominator
+    return fraction
+
+
 def decode_routes(value: bytes) -> dict[str, tuple[str, encoding.RetryPolicy]]:
-    """By product its table's name and the way of trying again."""
+    """Decode the routes: the table's name and the retry policy by traffic class.
+
+    Raises:
+        DecodingError: It is no `RouteConfiguration`, or a virtual host has not exactly one route.
+    """
     route_configuration = route_pb2.RouteConfiguration()
     try:
         route_configuration.ParseFromString(value)
@@ -71,12 +93,22 @@
     for host in route_configuration.virtual_hosts:
         if len(host.routes) != 1 or not host.routes[0].route.cluster:
             raise DecodingError(f"virtual host {host.name}: not exactly one route to a table")
-        policy = host.routes[0].route.retry_policy
-        retries_any_failure = "5xx" in policy.retry_on.split(",")
-        retry_count = policy.num_retries.value
-        retry_mode = 0 if not retry_count else 1 + min(retry_count, 2) if retries_any_failure else 1
-        retry_policy = encoding.RetryPolicy(
-            retry_mode, policy.per_try_timeout.ToNanoseconds() / 1e9
-        )
-        routes_by_class[host.name] = (host.routes[0].route.cluster, retry_policy)
+        route = host.routes[0].route
+        routes_by_class[host.name] = (route.cluster, _decode_retry_policy(route.retry_policy))
     return routes_by_class
+
+
+def _decode_retry_policy(policy: route_components_pb2.RetryPolicy) -> encoding.RetryPolicy:
+    return encoding.RetryPolicy(
+        _decode_retry_mode(policy), policy.per_try_timeout.ToNanoseconds() / 1e9
+    )
+
+
+def _decode_retry_mode(policy: route_components_pb2.RetryPolicy) -> int:
+    """The mode as in `encoding.RetryPolicy`."""
+    retry_count: int = policy.num_retries.value
+    if not retry_count:
+        return 0
+    if "5xx" not in policy.retry_on.split(","):
+        return 1
+    return 1 + min(retry_count, 2)
--- a/dunlinlug/xds/encoding.py
+++ b/dunlinlug/xds/encoding.py
@@ -1,4 +1,4 @@
-"""Tables, withdrawals and routes to xDS resources, as shared bytes.
+"""Encodes tables, ejections and routes as xDS resources.
 
 A resource's version is the hash of its content, so that equal content has one version at every
 manager. Bytes are made once and shared by all proxies that get them.
@@ -19,9 +19,11 @@
 
 from dunlinlug.xds import names
 
-# steps of a weight of 1: xDS weights are whole numbers, ours are parts of listed weights
+# An xDS weight for a weight of 1: those of xDS are whole numbers, ours fractions of listed weights.
 WEIGHT_SCALE = 1000
 MILLION = 1_000_000
+# Retries beyond the first attempt, by the mode of the retry policy.
+RETRIES_BY_MODE = (0, 1, 1, 2)
 
 
 @dataclass(frozen=True)
@@ -35,9 +37,12 @@
 
 @dataclass(frozen=True)
 class RetryPolicy:
-    """How txns of a product are tried again: 0 never, 1 on proof that the first never ran, 2 once
-    and 3 twice after any failure; `per_try` is the seconds that a try may take where it may be
-    followed, or 0.
+    """How requests of a traffic class are retried.
+
+    Attributes:
+        mode: 0 never, 1 once if the first attempt surely was not executed, 2 once and 3 twice after
+            any failure.
+        attempt_timeout: Seconds for an attempt that may be followed by another; 0 for no limit.
     """
 
     mode: int
@@ -74,14 +79,14 @@
 
 
 def encode_endpoint(worker: str) -> endpoint_components_pb2.LbEndpoint:
-    """A worker that may be used."""
+    """A healthy worker, without a weight."""
     return _encode_endpoint(worker, 0, False)
 
 
 def add_drop_policy(
     assignment: endpoint_pb2.ClusterLoadAssignment, category: str, admitted_fraction: float
 ) -> None:
-    """Let in no more than this share."""
+    """Admit no more than this fraction of the requests of a category (a traffic class)."""
     overload = assignment.policy.drop_overloads.add(category=category)
     overload.drop_percentage.numerator = round((1.0 - admitted_fraction) * MILLION)
     overload.drop_percentage.denominator = percent_pb2.FractionalPercent.MILLION
@@ -94,8 +99,15 @@
     admitted_fractions: Mapping[str, float],
     ejected: Iterable[str] = (),
 ) -> EncodedResource:
-    """A table: weights by worker, grouped by the workers' zones; `levels` has the share let in by
-    product.
+    """Encode a table as a `ClusterLoadAssignment`, with a locality for each zone.
+
+    Args:
+        name: The table's resource name.
+        weights: Weight by worker (`host:port`), as a fraction of a listed weight.
+        zones: Zone by worker.
+        admitted_fractions: Admitted fraction by traffic class; a class that is missing is admitted
+            whole.
+        ejected: Workers to mark as draining.
     """
     ejected_workers = set(ejected)
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
@@ -118,7 +130,7 @@
 
 
 def encode_ejections(workers: Iterable[str]) -> EncodedResource:
-    """Who is out of every table, whoever wrote it."""
+    """Encode the workers that are ejected from every table, whichever manager wrote it."""
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=names.EJECTIONS_RESOURCE)
     sorted_workers = sorted(workers)
     if sorted_workers:
@@ -130,7 +142,7 @@
 
 def _encode_retry_policy(policy: RetryPolicy) -> route_components_pb2.RetryPolicy:
     message = route_components_pb2.RetryPolicy()
-    message.num_retries.value = (0, 1, 1, 2)[policy.mode]
+    message.num_retries.value = RETRIES_BY_MODE[policy.mode]
     if policy.mode == 1:
         message.retry_on = "connect-failure,refused-stream,retriable-headers"
         message.retriable_headers.add(name=names.NOT_EXECUTED_HEADER, present_match=True)
@@ -146,13 +158,13 @@
 
 @lru_cache(maxsize=4096)
 def encode_routes(class_routes: tuple[Route, ...]) -> EncodedResource:
-    """Which table each product goes by, and how it is tried again; a virtual host for each product."""
+    """Encode the routes of all traffic classes, with a virtual host for each."""
     route_configuration = route_pb2.RouteConfiguration(name=names.ROUTES_RESOURCE)
-    for traffic_class, name, retry_policy in class_routes:
+    for traffic_class, table, retry_policy in class_routes:
         host = route_configuration.virtual_hosts.add(name=traffic_class, domains=[traffic_class])
         route = host.routes.add()
         route.match.prefix = ""
-        route.route.cluster = name
+        route.route.cluster = table
         route.route.retry_policy.CopyFrom(_encode_retry_policy(retry_policy))
     return _encode_resource(names.ROUTES_RESOURCE, names.ROUTES_TYPE, route_configuration)
 
@@ -162,7 +174,8 @@
     type_url: str, resources: tuple[EncodedResource, ...], removed: tuple[str, ...]
 ) -> bytes:
     response = discovery_pb2.DeltaDiscoveryResponse(type_url=type_url, removed_resources=removed)
-    # Field 2 by hand: each resource is serialized already, and a message may be joined from parts.
+    # Each resource is serialized already, and a protobuf message may be joined from pieces: so
+    # field 2 (resources) is written by hand.
     encoded_resources = [
         b"\x12" + _encode_varint(len(resource.encoded)) + resource.encoded for resource in resources
     ]
@@ -179,7 +192,7 @@
     return bytes(encoded)
 
 
-def encode_response(
+def encode_response(  # noqa: PLR0913, PLR0917 - the fields of the message
     type_url: str,
     resources: tuple[EncodedResource, ...],
     removed: tuple[str, ...],
@@ -187,7 +200,16 @@
     tag: str,
     control_plane_id: str = "dunlinlug",
 ) -> bytes:
-    """A serialized DeltaDiscoveryResponse; all but nonce and tag is made once for all proxies."""
+    """Encode a `DeltaDiscoveryResponse`; type and resources are encoded once for all proxies.
+
+    Args:
+        type_url: The type of the resources.
+        resources: New or changed resources.
+        removed: Names of resources to be removed.
+        nonce: What the answer refers to.
+        tag: Travels as `system_version_info`.
+        control_plane_id: The manager's identifier, as `fencing_term.format_identifier` makes it.
+    """
     proxy_part = discovery_pb2.DeltaDiscoveryResponse(nonce=nonce, system_version_info=tag)
     proxy_part.control_plane.identifier = control_plane_id
     encoded_proxy_part: bytes = proxy_part.SerializeToString()
--- a/dunlinlug/xds/load_reports.py
+++ b/dunlinlug/xds/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports (LRS): a proxy's sums to `LoadStatsRequest` and back to the module's events."""
+"""Load reports (LRS): what a proxy observed, as `LoadStatsRequest` and as plain records."""
 
 from dataclasses import dataclass, field
 
@@ -9,15 +9,23 @@
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.xds import names
 
+MIN_REPORT_INTERVAL = 0.05  # seconds; a shorter interval asked for is taken as this
+
 
 class LoadReportError(DunlinlugError):
-    """Not a load report as agreed."""
+    """A message that is not what LRS has in its place."""
 
 
 @dataclass
 class WorkerStatistics:
-    """A proxy's tries at a worker over a span: `took` sums the seconds of the settled ones, less
-    `untimed` ones whose time is not told.
+    """A proxy's attempts at one worker over the window of a report.
+
+    Attributes:
+        attempts: All of them.
+        failed: Those that did not succeed.
+        total_latency: Seconds, summed over the successful ones except `untimed_successes`.
+        load_metrics: The worker's own load, by metric.
+        untimed_successes: Successful ones of a client that reports no latency.
     """
 
     attempts: int = 0
@@ -29,7 +37,15 @@
 
 @dataclass
 class LoadReport:
-    """What a proxy met over a span: by worker, and by product the txns that came and those voided."""
+    """What a proxy observed over `window` seconds.
+
+    Attributes:
+        node_id: The proxy's name.
+        zone: The proxy's zone.
+        window: Seconds since the last report.
+        workers: Statistics by worker (`host:port`).
+        traffic_classes: Requests, and those of them that failed, by traffic class.
+    """
 
     node_id: str
     zone: str
@@ -39,15 +55,31 @@
 
 
 def encode_report(report: LoadReport, is_first: bool) -> bytes:
-    """One report; the first of a stream names its node."""
+    """Encode one report; the first of a stream says which program sends it."""
     request = lrs_pb2.LoadStatsRequest()
     request.node.id = report.node_id
     request.node.locality.zone = report.zone
     if is_first:
         request.node.user_agent_name = "dunlinlug"
+    window = round(report.window * 1e9)
     worker_statistics = request.cluster_stats.add(cluster_name="workers")
-    worker_statistics.load_report_interval.FromNanoseconds(round(report.window * 1e9))
-    locality = worker_statistics.upstream_locality_stats.add()
+    worker_statistics.load_report_interval.FromNanoseconds(window)
+    _encode_workers(report, worker_statistics.upstream_locality_stats.add())
+    for traffic_class, (requests, failures) in report.traffic_classes.items():
+        class_statistics = request.cluster_stats.add(cluster_name=traffic_class)
+        class_statistics.load_report_interval.FromNanoseconds(window)
+        class_locality = class_statistics.upstream_locality_stats.add()
+        class_locality.load_metric_stats.add(
+            metric_name=names.REQUESTS_METRIC, num_requests_finished_with_metric=requests
+        )
+        class_locality.load_metric_stats.add(
+            metric_name=names.FAILED_REQUESTS_METRIC, num_requests_finished_with_metric=failures
+        )
+    encoded: bytes = request.SerializeToString()
+    return encoded
+
+
+def _encode_workers(report: LoadReport, locality: load_report_pb2.UpstreamLocalityStats) -> None:
     for worker, statistics in report.workers.items():
         entry = locality.upstream_endpoint_stats.add(
             total_issued_requests=statistics.attempts,
@@ -68,22 +100,14 @@
                 total_metric_value=value,
                 num_requests_finished_with_metric=1,
             )
-    for traffic_class, (requests, failures) in report.traffic_classes.items():
-        class_statistics = request.cluster_stats.add(cluster_name=traffic_class)
-        class_statistics.load_report_interval.FromNanoseconds(round(report.window * 1e9))
-        class_locality = class_statistics.upstream_locality_stats.add()
-        class_locality.load_metric_stats.add(
-            metric_name=names.REQUESTS_METRIC, num_requests_finished_with_metric=requests
-        )
-        class_locality.load_metric_stats.add(
-            metric_name=names.FAILED_REQUESTS_METRIC, num_requests_finished_with_metric=failures
-        )
-    encoded: bytes = request.SerializeToString()
-    return encoded
 
 
 def decode_report(data: bytes) -> LoadReport:
-    """Raises LoadFault."""
+    """Decode a report, of our own client or of a plain gRPC client.
+
+    Raises:
+        LoadReportError: It is no `LoadStatsRequest`.
+    """
     request = lrs_pb2.LoadStatsRequest()
     try:
         request.ParseFromString(data)
@@ -94,28 +118,36 @@
         report.window = max(
             report.window, cluster_statistics.load_report_interval.ToNanoseconds() / 1e9
         )
-        if traffic_class := names.traffic_class_of(cluster_statistics.cluster_name):
+        traffic_class = names.traffic_class_of(cluster_statistics.cluster_name)
+        if traffic_class:
             _decode_locality_statistics(report, traffic_class, cluster_statistics)
             continue
         for locality in cluster_statistics.upstream_locality_stats:
-            for entry in locality.upstream_endpoint_stats:
-                _decode_worker_statistics(report, entry)
-            metrics = {
-                metric.metric_name: metric.num_requests_finished_with_metric
-                for metric in locality.load_metric_stats
-            }
-            if names.REQUESTS_METRIC in metrics:
-                report.traffic_classes[cluster_statistics.cluster_name] = (
-                    metrics[names.REQUESTS_METRIC],
-                    metrics.get(names.FAILED_REQUESTS_METRIC, 0),
-                )
+            _decode_own_statistics(report, cluster_statistics.cluster_name, locality)
     return report
 
 
+def _decode_own_statistics(
+    report: LoadReport, cluster_name: str, locality: load_report_pb2.UpstreamLocalityStats
+) -> None:
+    """Add what our own client reports: workers as endpoints, requests of a class as metrics."""
+    for entry in locality.upstream_endpoint_stats:
+        _decode_worker_statistics(report, entry)
+    metrics = {
+        metric.metric_name: metric.num_requests_finished_with_metric
+        for metric in locality.load_metric_stats
+    }
+    if names.REQUESTS_METRIC in metrics:
+        report.traffic_classes[cluster_name] = (
+            metrics[names.REQUESTS_METRIC],
+            metrics.get(names.FAILED_REQUESTS_METRIC, 0),
+        )
+
+
 def _decode_locality_statistics(
     report: LoadReport, traffic_class: str, cluster_statistics: load_report_pb2.ClusterStats
 ) -> None:
-    """A plain gRPC client's sums: a locality is a worker, and no time is told."""
+    """Add what a plain gRPC client reports: a locality is a worker, and there is no latency."""
     requests = cluster_statistics.total_dropped_requests
     total_failures = 0
     for locality in cluster_statistics.upstream_locality_stats:
@@ -126,12 +158,12 @@
             statistics.attempts += successes + failures
             statistics.failed += failures
             statistics.untimed_successes += successes
-        requests = requests + successes + failures
-        total_failures = total_failures + failures
-    previous = report.traffic_classes.get(traffic_class, (0, 0))
+        requests += successes + failures
+        total_failures += failures
+    previous_requests, previous_failures = report.traffic_classes.get(traffic_class, (0, 0))
     report.traffic_classes[traffic_class] = (
-        previous[0] + requests,
-        previous[1] + total_failures + cluster_statistics.total_dropped_requests,
+        previous_requests + requests,
+        previous_failures + total_failures + cluster_statistics.total_dropped_requests,
     )
 
 
@@ -148,13 +180,12 @@
         if metric.metric_name == names.SUCCESS_LATENCY_METRIC:
             statistics.total_latency += metric.total_metric_value
         elif metric.metric_name.startswith(names.LOAD_METRIC_PREFIX):
-            statistics.load_metrics[metric.metric_name.removeprefix(names.LOAD_METRIC_PREFIX)] = (
-                metric.total_metric_value
-            )
+            name = metric.metric_name.removeprefix(names.LOAD_METRIC_PREFIX)
+            statistics.load_metrics[name] = metric.total_metric_value
 
 
 def encode_response(interval: float) -> bytes:
-    """The server's word: report everything, every so many seconds."""
+    """Encode the server's response: report everything, every `interval` seconds."""
     response = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
     response.load_reporting_interval.FromNanoseconds(round(interval * 1e9))
     encoded: bytes = response.SerializeToString()
@@ -162,10 +193,14 @@
 
 
 def decode_response(data: bytes) -> float:
-    """Seconds between reports."""
+    """Decode the server's response: seconds between reports.
+
+    Raises:
+        LoadReportError: It is no `LoadStatsResponse`.
+    """
     response = lrs_pb2.LoadStatsResponse()
     try:
         response.ParseFromString(data)
     except DecodeError as error:
         raise LoadReportError(f"not a LoadStatsResponse: {error}") from None
-    return max(response.load_reporting_interval.ToNanoseconds() / 1e9, 0.05)
+    return max(response.load_reporting_interval.ToNanoseconds() / 1e9, MIN_REPORT_INTERVAL)
--- a/dunlinlug/xds/names.py
+++ b/dunlinlug/xds/names.py
@@ -1,4 +1,4 @@
-"""Names on the xDS wire, each in one place; `docs/protocol.md` tells what each extension means."""
+"""Names on the xDS wire, each in one place; `docs/protocol.md` says what each extension means."""
 
 ENDPOINTS_TYPE = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 ROUTES_TYPE = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
@@ -9,7 +9,8 @@
 STATE_OF_THE_WORLD_ADS_METHOD = (
     "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
 )
-SINGLE_TYPE_METHODS = {  # the full form on a stream for each type
+# State of the world, with a stream for each type.
+SINGLE_TYPE_METHODS = {
     "/envoy.service.listener.v3.ListenerDiscoveryService/StreamListeners": LISTENERS_TYPE,
     "/envoy.service.route.v3.RouteDiscoveryService/StreamRoutes": ROUTES_TYPE,
     "/envoy.service.cluster.v3.ClusterDiscoveryService/StreamClusters": CLUSTERS_TYPE,
@@ -17,37 +18,36 @@
 }
 LRS_METHOD = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
 
-# the ClusterLoadAssignment whose endpoints are withdrawn from every table
+# The ClusterLoadAssignment whose endpoints are ejected from every table.
 EJECTIONS_RESOURCE = "out"
 ROUTES_RESOURCE = "routes"  # the one RouteConfiguration of each proxy
-# client feature: the proxy applies OUT over all its tables
+# Client feature: the proxy applies the ejections over all its tables by itself.
 EJECTION_OVERLAY_FEATURE = "dunlinlug.out"
-NOT_EXECUTED_HEADER = "x-never-ran"  # response header: proof that a txn was not begun
+NOT_EXECUTED_HEADER = "x-never-ran"  # response header: the request surely was not executed
 PREVIOUS_HOSTS_PREDICATE = "envoy.retry_host_predicates.previous_hosts"
 
-# load metrics by product, from a proxy
+# Load metrics by traffic class, from a proxy.
 REQUESTS_METRIC = "dunlinlug.txns"
 FAILED_REQUESTS_METRIC = "dunlinlug.txns_voided"
-# load metric by worker: seconds, summed over settled tries
+# Load metric by worker: seconds, summed over successful attempts.
 SUCCESS_LATENCY_METRIC = "dunlinlug.settle_s"
 LOAD_METRIC_PREFIX = "dunlinlug.load."  # prefix of a worker's own load report
 
 
 def cluster_name(table: str, traffic_class: str) -> str:
-    """What a client of the full form goes by: a table for one product alone, so that drops are that
-    product's.
+    """The cluster of one traffic class in the state-of-the-world form.
+
+    Each class has a cluster of its own, so that the drops in it are those of that class.
     """
     return f"{table}/{traffic_class}"
 
 
 def traffic_class_of(cluster: str) -> str:
-    """The product of such a name; empty if it is none."""
+    """The traffic class in the name of a cluster as `cluster_name` makes it; empty if it is none."""
     segments = cluster.split("/", 2)
     return segments[2] if len(segments) == 3 else ""
 
 
 def table_name(epoch: int, number: int) -> str:
-    """A table's resource name; the epoch keeps a restarted manager's numbers apart from its former
-    ones.
-    """
+    """A table's resource name; the epoch keeps a manager's numbers apart from those before a restart."""
     return f"{epoch}/{number}"
--- a/dunlinlug/xds/state_of_the_world.py
+++ b/dunlinlug/xds/state_of_the_world.py
@@ -1,11 +1,12 @@
-"""The state-of-the-world form: a stream's state, and the four types of resources that a gRPC client
-resolves by.
-
-A client asks for a product's listener and is led to its routes, its cluster and that cluster's
-endpoints. A product's table is a cluster of its own name, each worker a locality of its own: so a
-plain client spreads by our weights, and its locality sums are sums by worker. What is withdrawn is
-left out, as such clients know no overlay. Ways of trying again are left out too: such a client
-keeps no mark, so that a try that we allow could repeat what a former one did.
+"""The state-of-the-world form of xDS: four types of resources, and the state of a stream.
+
+A gRPC client asks for a traffic class's listener, and is led to its routes, its cluster and that
+cluster's endpoints. The table of a class is a cluster with a name of its own, and each worker a
+locality of its own: so a plain client spreads requests by our weights, and its load reports, which
+are by locality, are by worker.
+
+Ejected workers are left out, as such a client knows no overlay. Retry policies are left out too:
+such a client sends no idempotency key, so that a retry that we allow could repeat an effect.
 """
 
 from collections.abc import Iterable, Mapping
@@ -34,12 +35,14 @@
     StreamProtocolError,
 )
 
+# The order in which a client needs them, so that nothing refers to what it does not hold yet
+# ("make before break" in the xDS protocol).
 TYPE_ORDER = (
     names.CLUSTERS_TYPE,
     names.ENDPOINTS_TYPE,
     names.LISTENERS_TYPE,
     names.ROUTES_TYPE,
-)  # make before break
+)
 
 
 class VersionedResource(NamedTuple):
@@ -69,7 +72,7 @@
 
 @lru_cache(maxsize=1024)
 def encode_listener(traffic_class: str) -> VersionedResource:
-    """Where a product's resolution begins."""
+    """Encode the listener of a traffic class, with which its resolution begins."""
     manager = http_connection_manager_pb2.HttpConnectionManager()
     manager.rds.route_config_name = traffic_class
     manager.rds.config_source.ads.SetInParent()
@@ -82,6 +85,7 @@
 
 @lru_cache(maxsize=4096)
 def encode_routes(traffic_class: str, cluster: str) -> VersionedResource:
+    """Encode the route of a traffic class to its cluster."""
     route_configuration = route_pb2.RouteConfiguration(name=traffic_class)
     host = route_configuration.virtual_hosts.add(name=traffic_class, domains=[traffic_class])
     route = host.routes.add()
@@ -92,6 +96,7 @@
 
 @lru_cache(maxsize=4096)
 def encode_cluster(name: str) -> VersionedResource:
+    """Encode a cluster whose endpoints come by EDS, and whose load is reported to us."""
     resource = cluster_pb2.Cluster(
         name=name, type=cluster_pb2.Cluster.EDS, lb_policy=cluster_pb2.Cluster.ROUND_ROBIN
     )
@@ -108,7 +113,15 @@
     admitted_fraction: float,
     ejected: Iterable[str],
 ) -> VersionedResource:
-    """A locality for each worker that may be used, with its weight."""
+    """Encode a cluster's endpoints: a locality for each worker, with its weight.
+
+    Args:
+        name: The cluster's name.
+        weights: Weight by worker, as a fraction of a listed weight.
+        zones: Zone by worker.
+        admitted_fraction: Of the cluster's requests; less than 1 becomes a drop policy.
+        ejected: Workers to leave out.
+    """
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
     ejected_workers = set(ejected)
     for worker, weight in weights.items():
@@ -124,37 +137,50 @@
 
 
 class StateOfTheWorldStream:
-    """The server's state of one stream of this form, for any of the four types or all of them.
-
-    `offer` what should be held; `responses` gives what differs from what was sent of what is asked
-    for.
+    """The server's state of one stream of this form, for one of the four types or all of them.
+
+    Set `resources` to all that the client should hold; `pending_responses` gives what differs, of
+    what it subscribes to, from what was sent.
+
+    Attributes:
+        node_id: The node's name, empty before the first request; `zone` and `metadata` are the
+            node's as well. `features` and `acked_versions` are always empty in this form.
+        control_plane_id: This manager's identifier, with its term if it elects a leader.
+        subscribed: Resource names that the client asks for, by type.
+        sent_versions: Version by name as last sent, by type.
+        pending_nonces: Nonce of the newest response by type, empty once it is answered.
+        rejected_versions: Version by name of the response last rejected, by type.
     """
 
     is_state_of_the_world = True
 
     def __init__(self) -> None:
-        self.node_id = self.zone = ""
+        self.node_id = ""
+        self.zone = ""
         self.metadata: dict[str, object] = {}
         self.features: frozenset[str] = frozenset()
         self.acked_versions: dict[str, dict[str, str]] = {names.ENDPOINTS_TYPE: {}}
         self.control_plane_id = "dunlinlug"
         self.subscribed: dict[str, set[str]] = {}
         self.resources: ResourcesByType = {}
-        self.sent_versions: dict[
-            str, dict[str, str]
-        ] = {}  # by type: the versions by name that went out last
-        self.pending_nonces: dict[str, str] = {}  # by type: the newest, until it is answered
-        self.rejected_versions: dict[
-            str, dict[str, str]
-        ] = {}  # by type: what a client would not take, by name
+        self.sent_versions: dict[str, dict[str, str]] = {}
+        self.pending_nonces: dict[str, str] = {}
+        self.rejected_versions: dict[str, dict[str, str]] = {}
         self.last_nonce = 0
 
     def is_ready(self) -> bool:
+        """Whether the client has asked for listeners, with which resolution begins."""
         return bool(self.subscribed.get(names.LISTENERS_TYPE))
 
     def receive(self, data: bytes, only_type: str = "") -> list[StreamEvent]:
-        """Raises StreamFault for what is not a request of this protocol (or of another type than
-        `only`).
+        """Take one request and give the events that it stands for.
+
+        Args:
+            data: The serialized request.
+            only_type: The one type that this stream serves; empty for all four.
+
+        Raises:
+            StreamProtocolError: It is not a request of this protocol, or names too many resources.
         """
         request = discovery_pb2.DiscoveryRequest()
         try:
@@ -163,28 +189,25 @@
             raise StreamProtocolError(f"not a DiscoveryRequest: {error}") from None
         events: list[StreamEvent] = []
         if not self.node_id:
-            if not request.node.id:
-                raise StreamProtocolError("the first request must name its node")
-            self.node_id = request.node.id
-            self.zone = request.node.locality.zone
-            self.metadata = MessageToDict(request.node.metadata)
-            events.append(NodeIdentified(self.node_id))
-        if request.type_url not in TYPE_ORDER or only_type and request.type_url != only_type:
-            raise StreamProtocolError(
-                f"type {request.type_url!r} is not served; served are {only_type or ', '.join(TYPE_ORDER)}"
-            )
-        if len(request.resource_names) > MAX_RESOURCE_NAMES:  # Danger: a peer could fill our memory
-            raise StreamProtocolError(f"more than {MAX_RESOURCE_NAMES} resource names")
+            events.append(self._identify_node(request))
+        _check_request(request, only_type)
         pending_nonce = self.pending_nonces.get(request.type_url, "")
-        if request.response_nonce and request.response_nonce != pending_nonce and pending_nonce:
-            return (
-                events  # an answer to what is no longer the newest: the protocol has it passed over
-            )
+        answers_pending = request.response_nonce == pending_nonce
+        if request.response_nonce and pending_nonce and not answers_pending:
+            return events  # an answer to a response that is not the newest, which xDS ignores
         self.subscribed[request.type_url] = set(request.resource_names)
-        if request.response_nonce and request.response_nonce == pending_nonce:
+        if request.response_nonce and answers_pending:
             events.append(self._handle_acknowledgement(request, pending_nonce))
         return events
 
+    def _identify_node(self, request: discovery_pb2.DiscoveryRequest) -> NodeIdentified:
+        if not request.node.id:
+            raise StreamProtocolError("the first request must name its node")
+        self.node_id = request.node.id
+        self.zone = request.node.locality.zone
+        self.metadata = MessageToDict(request.node.metadata)
+        return NodeIdentified(self.node_id)
+
     def _handle_acknowledgement(
         self, request: discovery_pb2.DiscoveryRequest, nonce: str
     ) -> StreamEvent:
@@ -196,7 +219,7 @@
         return ResponseRejected(nonce, request.error_detail.message)
 
     def close_type(self, type_url: str) -> None:
-        """The stream of this type has ended: what it asked for and was sent counts no more."""
+        """Forget what the stream of one type asked for and was sent, as it has ended."""
         for state_by_type in (
             self.subscribed,
             self.sent_versions,
@@ -206,51 +229,57 @@
             state_by_type.pop(type_url, None)
 
     def pending_responses(self) -> list[PendingResponse]:
-        """Type, nonce, names and bytes of each response that is due, in the order to send them."""
+        """The responses that are due, in the order to send them; they count as sent from now on."""
         responses = []
         for type_url in TYPE_ORDER:
-            available = self.resources.get(type_url, {})
-            selected = {
-                name: available[name]
-                for name in sorted(self.subscribed.get(type_url, ()))
-                if name in available
-            }
-            versions = {name: version for name, (version, _, _) in selected.items()}
-            previous_versions = self.sent_versions.get(type_url, {})
-            still_subscribed = {
-                name: version
-                for name, version in previous_versions.items()
-                if name in self.subscribed.get(type_url, ())
-            }
-            if versions == still_subscribed and (versions or not previous_versions):
-                self.sent_versions[type_url] = (
-                    versions  # what is only asked for no more needs no word
-                )
+            selected = self._subscribed_resources(type_url)
+            versions = {name: resource.version for name, resource in selected.items()}
+            if self._is_up_to_date(type_url, versions):
+                # A name that is merely no longer subscribed to needs no response.
+                self.sent_versions[type_url] = versions
                 continue
             self.last_nonce += 1
-            self.sent_versions[type_url], self.pending_nonces[type_url] = (
-                versions,
-                str(self.last_nonce),
-            )
-            response = discovery_pb2.DiscoveryResponse(
-                type_url=type_url, nonce=str(self.last_nonce)
-            )
-            response.version_info = xxh3_64_hexdigest(repr(sorted(versions.items())).encode())
-            response.control_plane.identifier = self.control_plane_id
-            response.resources.extend(
-                any_pb2.Any(type_url=type_url, value=body) for _, body, _ in selected.values()
-            )
-            responses.append(
-                PendingResponse(
-                    type_url, str(self.last_nonce), tuple(versions), response.SerializeToString()
-                )
-            )
+            nonce = str(self.last_nonce)
+            self.sent_versions[type_url] = versions
+            self.pending_nonces[type_url] = nonce
+            data = self._encode_response(type_url, nonce, selected)
+            responses.append(PendingResponse(type_url, nonce, tuple(versions), data))
         return responses
 
+    def _subscribed_resources(self, type_url: str) -> dict[str, VersionedResource]:
+        """The resources of one type that there are of those subscribed to, by name, sorted."""
+        available = self.resources.get(type_url, {})
+        return {
+            name: available[name]
+            for name in sorted(self.subscribed.get(type_url, ()))
+            if name in available
+        }
+
+    def _is_up_to_date(self, type_url: str, versions: dict[str, str]) -> bool:
+        """Whether these versions are all that was sent, of what is still subscribed to."""
+        previous_versions = self.sent_versions.get(type_url, {})
+        still_subscribed = {
+            name: version
+            for name, version in previous_versions.items()
+            if name in self.subscribed.get(type_url, ())
+        }
+        return versions == still_subscribed and (bool(versions) or not previous_versions)
+
+    def _encode_response(
+        self, type_url: str, nonce: str, resources: Mapping[str, VersionedResource]
+    ) -> bytes:
+        versions = sorted((name, resource.version) for name, resource in resources.items())
+        response = discovery_pb2.DiscoveryResponse(type_url=type_url, nonce=nonce)
+        response.version_info = xxh3_64_hexdigest(repr(versions).encode())
+        response.control_plane.identifier = self.control_plane_id
+        response.resources.extend(
+            any_pb2.Any(type_url=type_url, value=resource.body) for resource in resources.values()
+        )
+        encoded: bytes = response.SerializeToString()
+        return encoded
+
     def is_converged(self) -> bool:
-        """Whether the client has taken all that is offered of what it asks for, to the endpoints of
-        each route.
-        """
+        """Whether the client holds all that is offered, down to the endpoints of each route."""
         required_clusters = self._routed_clusters()
         return (
             bool(self.subscribed.get(names.LISTENERS_TYPE))
@@ -261,20 +290,31 @@
         )
 
     def has_sent_all(self) -> bool:
+        """Whether all resources that are subscribed to were sent in their present version."""
         return all(
-            self.sent_versions.get(type_url, {}).get(name) == self.resources[type_url][name][0]
+            self.sent_versions.get(type_url, {}).get(name) == self.resources[type_url][name].version
             for type_url in self.resources
             for name in self.subscribed.get(type_url, ())
             if name in self.resources[type_url]
         )
 
     def _routed_clusters(self) -> set[str]:
-        """The clusters that the products which it asks for are routed to."""
+        """The clusters that the routes of the subscribed traffic classes lead to."""
         traffic_classes = self.subscribed.get(names.LISTENERS_TYPE, set())
+        routes = self.resources.get(names.ROUTES_TYPE, {})
         return {
-            cluster_name
-            for traffic_class, (_, _, cluster_name) in self.resources.get(
-                names.ROUTES_TYPE, {}
-            ).items()
+            resource.cluster
+            for traffic_class, resource in routes.items()
             if traffic_class in traffic_classes
         }
+
+
+def _check_request(request: discovery_pb2.DiscoveryRequest, only_type: str) -> None:
+    """Check type and size of a request. Raises StreamProtocolError."""
+    type_url = request.type_url
+    if type_url not in TYPE_ORDER or (only_type and type_url != only_type):
+        served = only_type or ", ".join(TYPE_ORDER)
+        raise StreamProtocolError(f"type {type_url!r} is not served; served are {served}")
+    # Without this limit, a peer could fill our memory.
+    if len(request.resource_names) > MAX_RESOURCE_NAMES:
+        raise StreamProtocolError(f"more than {MAX_RESOURCE_NAMES} resource names")
--- a/dunlinlug/xds/stream.py
+++ b/dunlinlug/xds/stream.py
@@ -1,6 +1,4 @@
-"""The server's state of one delta ADS stream: what was sent under which nonce, and what became of
-it.
-"""
+"""The server's state of one delta ADS stream: what was sent under which nonce, and what is acked."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -12,28 +10,32 @@
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.xds import encoding, names
 
-# resource names that one stream may subscribe to or hold: some thousand times what a proxy needs
+# Resource names that one stream may subscribe to or hold: about a thousand times what a proxy needs.
 MAX_RESOURCE_NAMES = 10_000
 
 
 class StreamProtocolError(DunlinlugError):
-    """The peer does not speak this protocol; the stream is to be ended with this text."""
+    """The peer does not follow the protocol; its stream is to be ended with this text."""
 
 
 @dataclass(frozen=True)
 class NodeIdentified:
-    """The first request: who it is."""
+    """The first request of a stream, which names its node."""
 
     node_id: str
 
 
 @dataclass(frozen=True)
 class ResponseAcknowledged:
+    """The peer has applied the response with this nonce (ACK)."""
+
     nonce: str
 
 
 @dataclass(frozen=True)
 class ResponseRejected:
+    """The peer has rejected the response with this nonce as a whole (NACK)."""
+
     nonce: str
     reason: str
 
@@ -50,30 +52,44 @@
 
 
 class DeltaStream:
-    """Takes serialized requests, gives what they say; makes responses with nonces of its own."""
+    """Takes serialized requests and gives what they say; makes responses with nonces of its own.
+
+    Attributes:
+        node_id: The node's name, empty before the first request; `zone`, `metadata` and `features`
+            are the node's as well.
+        acked_versions: Version by resource name that the peer holds, by type.
+        subscribed: Resource names that the peer subscribes to, by type.
+        unacknowledged: Responses not yet answered, by nonce.
+        control_plane_id: This manager's identifier, with its term if it elects a leader.
+        is_state_of_the_world: Whether this is the state-of-the-world form.
+    """
+
+    is_state_of_the_world = False
 
     def __init__(self) -> None:
-        self.node_id = self.zone = ""
+        self.node_id = ""
+        self.zone = ""
         self.metadata: dict[str, object] = {}
         self.features: frozenset[str] = frozenset()
         self.acked_versions: dict[str, dict[str, str]] = {
             names.ENDPOINTS_TYPE: {},
             names.ROUTES_TYPE: {},
-        }  # at the peer, acked
+        }
         self.subscribed: dict[str, set[str]] = {}
-        self.unacknowledged: dict[str, UnacknowledgedResponse] = {}  # by nonce
+        self.unacknowledged: dict[str, UnacknowledgedResponse] = {}
         self.last_nonce = 0
-        # this manager, and its term if it takes part in succession
         self.control_plane_id = "dunlinlug"
 
-    is_state_of_the_world = False  # whether this stream speaks the state-of-the-world form
-
     def is_ready(self) -> bool:
-        """Whether all has been asked for that a proxy needs."""
+        """Whether the peer has subscribed to all types that a proxy needs."""
         return set(self.subscribed) == {names.ENDPOINTS_TYPE, names.ROUTES_TYPE}
 
     def receive(self, data: bytes) -> list[StreamEvent]:
-        """Raises StreamFault for what is not a request of this protocol."""
+        """Take one request and give the events that it stands for.
+
+        Raises:
+            StreamProtocolError: It is not a request of this protocol, or names too many resources.
+        """
         request = discovery_pb2.DeltaDiscoveryRequest()
         try:
             request.ParseFromString(data)
@@ -83,22 +99,25 @@
         if not self.node_id:
             events.append(self._identify_node(request))
         if request.type_url not in self.acked_versions:
+            served = ", ".join(self.acked_versions)
             raise StreamProtocolError(
-                f"type {request.type_url!r} is not served; served are {', '.join(self.acked_versions)}"
+                f"type {request.type_url!r} is not served; served are {served}"
             )
+        self._update_subscription(request)
+        if request.response_nonce:
+            events += self._handle_acknowledgement(request)
+        return events
+
+    def _update_subscription(self, request: discovery_pb2.DeltaDiscoveryRequest) -> None:
+        acked = self.acked_versions[request.type_url]
         if not request.response_nonce or request.response_nonce not in self.unacknowledged:
-            self.acked_versions[request.type_url].update(request.initial_resource_versions)
+            acked.update(request.initial_resource_versions)
         subscribed_names = self.subscribed.setdefault(request.type_url, set())
         subscribed_names |= set(request.resource_names_subscribe)
         subscribed_names -= set(request.resource_names_unsubscribe)
-        if (
-            len(subscribed_names) > MAX_RESOURCE_NAMES
-            or len(self.acked_versions[request.type_url]) > MAX_RESOURCE_NAMES
-        ):  # Danger: a peer could fill our memory
+        # Without this limit, a peer could fill our memory.
+        if max(len(subscribed_names), len(acked)) > MAX_RESOURCE_NAMES:
             raise StreamProtocolError(f"more than {MAX_RESOURCE_NAMES} resource names")
-        if request.response_nonce:
-            events += self._handle_acknowledgement(request)
-        return events
 
     def _identify_node(self, request: discovery_pb2.DeltaDiscoveryRequest) -> NodeIdentified:
         if not request.node.id:
@@ -115,13 +134,12 @@
         nonce = request.response_nonce
         response = self.unacknowledged.pop(nonce, None)
         if response is None:
-            return []  # an old stream's nonce, or one answered already
+            return []  # a nonce of an earlier stream, or one that was answered before
         if request.HasField("error_detail"):
             return [ResponseRejected(nonce, request.error_detail.message)]
-        type_url, resources, removed = response
-        acked = self.acked_versions[type_url]
-        acked.update((resource.name, resource.version) for resource in resources)
-        for name in removed:
+        acked = self.acked_versions[response.type_url]
+        acked.update((resource.name, resource.version) for resource in response.resources)
+        for name in response.removed:
             acked.pop(name, None)
         return [ResponseAcknowledged(nonce)]
 
@@ -132,7 +150,7 @@
         removed: tuple[str, ...],
         tag: str,
     ) -> tuple[str, bytes]:
-        """A response's nonce and bytes. `tag` travels as system_version_info."""
+        """Make a response, as `encoding.encode_response` does; gives its nonce and bytes."""
         self.last_nonce += 1
         nonce = str(self.last_nonce)
         self.unacknowledged[nonce] = UnacknowledgedResponse(type_url, resources, removed)
--- a/dunlinlug/xds/subscriber.py
+++ b/dunlinlug/xds/subscriber.py
@@ -1,5 +1,6 @@
-"""A proxy's state of its tables, across streams: applies a response whole or not at all, and
-answers it.
+"""A proxy's side of delta ADS: applies a response whole or not at all, and answers it.
+
+The proxy's state outlives streams; a new stream tells the manager which versions it holds.
 """
 
 from dataclasses import dataclass, field
@@ -11,21 +12,39 @@
 from dunlinlug.xds import fencing_term as xds_fencing_term
 from dunlinlug.xds.fencing_term import FencingTerm
 
+INVALID_ARGUMENT = 3  # google.rpc.Code of a NACK
+
 
 @dataclass(frozen=True)
 class AppliedResponse:
-    """What a response did: its tag, the lines it bore, and why it was refused, if it was."""
+    """What became of one response.
+
+    Attributes:
+        type_url: Its type.
+        tag: Its `system_version_info`, from the manager's session.
+        entry_count: Table entries in it; 0 if it was rejected.
+        rejection_reason: Empty if it was applied.
+        control_plane: Term and member of the manager that sent it.
+    """
 
     type_url: str
     tag: str
     entry_count: int
     rejection_reason: str = ""
-    control_plane: tuple[int, str] = (0, "")  # term and member of the manager
+    control_plane: tuple[int, str] = (0, "")
 
 
 @dataclass
 class ProxyState:
-    """All that a proxy goes by. Outlives streams; a new stream says what is held."""
+    """All that a proxy dispatches requests by; it outlives streams.
+
+    Attributes:
+        tables: By resource name.
+        routes: The table's name and the retry policy, by traffic class.
+        ejected: Workers ejected from every table.
+        versions: Version by resource name, by type.
+        fencing_term: The highest term seen.
+    """
 
     tables: dict[str, decoding.DecodedTable] = field(default_factory=dict)
     routes: dict[str, tuple[str, encoding.RetryPolicy]] = field(default_factory=dict)
@@ -36,10 +55,8 @@
     fencing_term: FencingTerm = field(default_factory=FencingTerm)
 
     def usable_weights(self, traffic_class: str) -> dict[str, float]:
-        """The lines that may be picked for this product now, withdrawn ones left out."""
-        table = (
-            self.tables.get(self.routes[traffic_class][0]) if traffic_class in self.routes else None
-        )
+        """Weight by worker that may be picked for this class now; ejected ones are left out."""
+        table = self._table_of(traffic_class)
         if table is None:
             return {}
         return {
@@ -49,15 +66,23 @@
         }
 
     def admitted_fraction(self, traffic_class: str) -> float:
-        table = (
-            self.tables.get(self.routes[traffic_class][0]) if traffic_class in self.routes else None
-        )
-        return 1.0 if table is None else table.admitted_fractions.get(traffic_class, 1.0)
+        """The fraction of this class's requests that are admitted; 1 if no table limits it."""
+        table = self._table_of(traffic_class)
+        if table is None:
+            return 1.0
+        return table.admitted_fractions.get(traffic_class, 1.0)
+
+    def _table_of(self, traffic_class: str) -> decoding.DecodedTable | None:
+        route = self.routes.get(traffic_class)
+        if route is None:
+            return None
+        return self.tables.get(route[0])
 
 
 class DeltaSubscriber:
-    """One stream of a proxy: requests out, responses in. Make a new one for each stream, on the
-    same holdings.
+    """One stream of a proxy: requests out, responses in.
+
+    Make a new one for each stream, on the same state.
     """
 
     def __init__(
@@ -69,7 +94,7 @@
         self.metadata = metadata
 
     def initial_requests(self) -> list[bytes]:
-        """The first requests, one for each type: all tables, and the one route."""
+        """The first requests, one for each type: all tables, and the one route configuration."""
         requests = []
         for type_url, resource_name in (
             (names.ENDPOINTS_TYPE, "*"),
@@ -88,7 +113,11 @@
         return requests
 
     def receive(self, data: bytes) -> tuple[bytes, AppliedResponse]:
-        """Apply one response; gives the answer to send and what was done."""
+        """Apply one response; gives the answer (ACK or NACK) to send, and what became of it.
+
+        Raises:
+            DecodingError: It is no `DeltaDiscoveryResponse`, so there is nothing to answer.
+        """
         response = discovery_pb2.DeltaDiscoveryResponse()
         try:
             response.ParseFromString(data)
@@ -97,17 +126,18 @@
         request = discovery_pb2.DeltaDiscoveryRequest(
             type_url=response.type_url, response_nonce=response.nonce
         )
-        # Danger: an order of a former master, late or from one that was frozen, would undo its
-        # successor's.
+        # Without this, a late response of an earlier leader, or of one whose process was stopped,
+        # would undo what its successor has sent.
         control_plane = xds_fencing_term.parse_identifier(response.control_plane.identifier)
         rejection_reason = self.state.fencing_term.rejection_reason(*control_plane)
         entry_count = 0
         try:
-            entry_count = 0 if rejection_reason else self._apply(response)
+            if not rejection_reason:
+                entry_count = self._apply(response)
         except decoding.DecodingError as decoding_error:
             rejection_reason = str(decoding_error)
         if rejection_reason:
-            request.error_detail.code = 3
+            request.error_detail.code = INVALID_ARGUMENT
             request.error_detail.message = rejection_reason
         return request.SerializeToString(), AppliedResponse(
             response.type_url,
@@ -118,40 +148,49 @@
         )
 
     def _apply(self, response: discovery_pb2.DeltaDiscoveryResponse) -> int:
-        state = self.state
+        """Apply a response whole; gives how many table entries it had. Raises DecodingError."""
         entry_count = 0
         if response.type_url == names.ENDPOINTS_TYPE:
-            tables = dict(state.tables)
-            ejected = state.ejected
-            for resource in response.resources:
-                table = decoding.decode_table(resource.resource.value)
-                entry_count += len(table.weights)
-                if resource.name == names.EJECTIONS_RESOURCE:
-                    ejected = frozenset(table.weights)
-                else:
-                    tables[resource.name] = table
-            for name in response.removed_resources:
-                if any(name == table for table, _ in state.routes.values()):
-                    raise decoding.DecodingError(f"table {name} is in use and cannot be taken away")
-                tables.pop(name, None)
-            state.tables = tables
-            state.ejected = ejected
+            entry_count = self._apply_tables(response)
         elif response.type_url == names.ROUTES_TYPE:
-            routes = state.routes
-            for resource in response.resources:
-                routes = decoding.decode_routes(resource.resource.value)
-            for traffic_class, (name, _) in routes.items():
-                if (
-                    name not in state.tables
-                ):  # Danger: a route to nowhere would leave the product bare
-                    raise decoding.DecodingError(
-                        f"{traffic_class} is routed to table {name}, which is not held"
-                    )
-            state.routes = routes
+            self._apply_routes(response)
         else:
             raise decoding.DecodingError(f"type {response.type_url!r} was not asked for")
-        versions = state.versions[response.type_url]
+        versions = self.state.versions[response.type_url]
         versions.update((resource.name, resource.version) for resource in response.resources)
         for name in response.removed_resources:
             versions.pop(name, None)
         return entry_count
+
+    def _apply_tables(self, response: discovery_pb2.DeltaDiscoveryResponse) -> int:
+        state = self.state
+        entry_count = 0
+        tables = dict(state.tables)
+        ejected = state.ejected
+        for resource in response.resources:
+            table = decoding.decode_table(resource.resource.value)
+            entry_count += len(table.weights)
+            if resource.name == names.EJECTIONS_RESOURCE:
+                ejected = frozenset(table.weights)
+            else:
+                tables[resource.name] = table
+        for name in response.removed_resources:
+            if any(name == table_name for table_name, _ in state.routes.values()):
+                raise decoding.DecodingError(f"table {name} is in use and cannot be taken away")
+            tables.pop(name, None)
+        state.tables = tables
+        state.ejected = ejected
+        return entry_count
+
+    def _apply_routes(self, response: discovery_pb2.DeltaDiscoveryResponse) -> None:
+        routes = self.state.routes
+        for resource in response.resources:
+            routes = decoding.decode_routes(resource.resource.value)
+        for traffic_class, (name, _) in routes.items():
+            # Without this check, a route to a table that is not held would leave the class
+            # without any endpoint.
+            if name not in self.state.tables:
+                raise decoding.DecodingError(
+                    f"{traffic_class} is routed to table {name}, which is not held"
+                )
+        self.state.routes = routes
