--- /dev/null
+++ b/tests/manager/test_channel.py
@@ -0,0 +1,58 @@
+"""The paced channel against a plain model, its limits, and a process that was stopped."""
+
+from random import Random
+
+import pytest
+
+from dunlinlug.ads.response_batch import ResponseBatch
+from dunlinlug.manager.channel import MAX_CATCH_UP_S, PacedChannel
+
+
+@pytest.mark.parametrize("seed", range(10))
+def test_the_channel_keeps_its_rate_and_order(seed: int) -> None:
+    """A message has left when all entries before it and its own have passed at the rate."""
+    rng = Random(seed)
+    channel = PacedChannel(100.0, 50.0, 5, 10.0)
+    now = 0.0
+    free_at = 0.0
+    due = list[tuple[float, int]]()
+    departed = list[tuple[float, int]]()
+    for number in range(200):
+        now += rng.uniform(0.0, MAX_CATCH_UP_S / 2)
+        departed += [(now, int(batch.ordered_at)) for _, batch in channel.pop_due(now)]
+        if rng.random() < 0.6:
+            entry_count = float(rng.randint(1, 8))
+            free_at = max(free_at, now) + entry_count / 100.0
+            due.append((free_at, number))
+            waiting = sum(1 for at, _ in due if at > now)
+            channel.enqueue(now, 0, ResponseBatch(lines=entry_count, ordered_at=float(number)))
+            assert len(channel.queue) <= waiting + 1
+    next_due_at = channel.next_due_at()
+    while next_due_at is not None:
+        now = max(now, next_due_at)
+        departed += [(now, int(batch.ordered_at)) for _, batch in channel.pop_due(now)]
+        next_due_at = channel.next_due_at()
+    assert [number for _, number in departed] == [number for _, number in due]
+    for (at, _), (expected, _) in zip(departed, due, strict=True):
+        assert expected - 1e-9 <= at <= expected + MAX_CATCH_UP_S
+
+
+def test_the_channel_names_the_limit_exceeded_and_forgets_a_proxy_that_left() -> None:
+    channel = PacedChannel(100.0, 50.0, 2, 10.0)
+    assert channel.enqueue(0.0, 1, ResponseBatch(lines=40.0)) == []
+    assert channel.enqueue(0.0, 2, ResponseBatch(lines=20.0)) == ["waiting_most"]
+    assert channel.enqueue(0.1, 1, ResponseBatch(lines=1.0)) == ["waiting_most"]
+    assert "messages_most" in channel.enqueue(0.2, 1, ResponseBatch(lines=1.0))
+    channel.remove_proxy(2)
+    assert channel.queued_entries == 42.0 and [proxy for proxy, _ in channel.queue] == [1, 1, 1]
+    channel.set_rate(0.2, 10.0)
+    assert channel.next_due_at() == pytest.approx(0.2 + 20.0 / 10.0), (
+        "half of the head's entries are left, at a tenth of the rate"
+    )
+
+
+def test_after_the_process_was_stopped_nothing_leaves_in_a_burst() -> None:
+    channel = PacedChannel(100.0, 1000.0, 0, 10.0)
+    for number in range(20):
+        channel.enqueue(0.0, number, ResponseBatch(lines=10.0))
+    assert len(channel.pop_due(60.0)) <= 1 + MAX_CATCH_UP_S * 100.0 / 10.0
