--- a/tests/ads/test_tls.py
+++ b/tests/ads/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS on ADS and LRS: who a proxy is, bad keys, keys changed under standing streams, a certificate that runs out."""
+"""TLS on ADS and LRS: identities, invalid certificates, certificates reloaded, an expired certificate."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -15,29 +15,29 @@
 from tests.fixtures.manager_process import Peer, Running, bound, running, until
 
 
-class Keys:
-    """Certificates of an authority of the test's own, in files."""
+class Certificates:
+    """Certificates of a test's own authority, in files."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.authority = folder, trustme.CA()
         self.authority.cert_pem.write_to_path(folder / "clients.pem")
-        self.serve()
+        self.issue_server_certificate()
 
-    def serve(self) -> None:
-        made = self.authority.issue_cert("127.0.0.1")
-        made.private_key_pem.write_to_path(self.folder / "manager.key")
+    def issue_server_certificate(self) -> None:
+        issued = self.authority.issue_cert("127.0.0.1")
+        issued.private_key_pem.write_to_path(self.folder / "manager.key")
         (self.folder / "manager.pem").write_bytes(
-            b"".join(blob.bytes() for blob in made.cert_chain_pems)
+            b"".join(blob.bytes() for blob in issued.cert_chain_pems)
         )
 
     def client(
-        self, name: str, authority: trustme.CA | None = None, lasts: float = 3600.0
+        self, name: str, authority: trustme.CA | None = None, lifetime: float = 3600.0
     ) -> object:
-        until_then = datetime.now(UTC) + timedelta(seconds=lasts)
-        made = (authority or self.authority).issue_cert(name, not_after=until_then)
+        expires_at = datetime.now(UTC) + timedelta(seconds=lifetime)
+        issued = (authority or self.authority).issue_cert(name, not_after=expires_at)
         cert, key = self.folder / f"{name}.pem", self.folder / f"{name}.key"
-        cert.write_bytes(b"".join(blob.bytes() for blob in made.cert_chain_pems))
-        made.private_key_pem.write_to_path(key)
+        cert.write_bytes(b"".join(blob.bytes() for blob in issued.cert_chain_pems))
+        issued.private_key_pem.write_to_path(key)
         return tls.client_context(cert, key, self.folder / "clients.pem")
 
     @property
@@ -49,53 +49,55 @@
 
 
 @asynccontextmanager
-async def secure(run: Running, context: object, node: str) -> AsyncIterator[Peer]:
-    async with grpc.connect(*run.address, tls_context=context) as link:  # type: ignore[arg-type]
-        yield Peer(link, node)
+async def connect(run: Running, context: object, node: str) -> AsyncIterator[Peer]:
+    async with grpc.connect(*run.address, tls_context=context) as connection:  # type: ignore[arg-type]
+        yield Peer(connection, node)
 
 
-async def ended(call: grpc.Call) -> grpc.CallEndedError:
-    with trio.fail_after(5.0), pytest.raises(grpc.CallEndedError) as found:
+async def call_end(call: grpc.Call) -> grpc.CallEndedError:
+    with trio.fail_after(5.0), pytest.raises(grpc.CallEndedError) as error:
         while True:
             await call.receive()
-    return found.value
+    return error.value
 
 
 async def test_a_proxy_is_who_its_certificate_names(tmp_path: Path) -> None:
-    keys = Keys(tmp_path)
-    async with running(tmp_path, keys.section) as run:
-        context = keys.client("p0.proxies")
+    certificates = Certificates(tmp_path)
+    async with running(tmp_path, certificates.section) as run:
+        context = certificates.client("p0.proxies")
         async with (
-            secure(run, context, "p0.proxies") as good,
-            secure(run, context, "p1.proxies") as impostor,
+            connect(run, context, "p0.proxies") as good,
+            connect(run, context, "p1.proxies") as other,
         ):
             await good.until(bound)
-            end = await ended(impostor.call)
+            end = await call_end(other.call)
             assert end.status == rpc.Status.PERMISSION_DENIED and "p0.proxies" in end.reason
-            report = impostor.link.start_call(names.LRS_METHOD)
+            report = other.link.start_call(names.LRS_METHOD)
             report.send(
                 load_reports.encode_report(
                     load_reports.LoadReport("p1.proxies", "north", 0.0), is_first=True
                 )
             )
-            assert (await ended(report)).status == rpc.Status.PERMISSION_DENIED
+            assert (await call_end(report)).status == rpc.Status.PERMISSION_DENIED
         assert len(run.said("proxy.connected")) == 1
 
 
-async def test_who_shows_no_good_certificate_is_not_served_and_harms_nobody(tmp_path: Path) -> None:
-    keys = Keys(tmp_path)
+async def test_a_peer_without_a_valid_certificate_is_not_served_and_harms_no_other(
+    tmp_path: Path,
+) -> None:
+    certificates = Certificates(tmp_path)
     async with (
-        running(tmp_path, keys.section) as run,
-        secure(run, keys.client("p0.proxies"), "p0.proxies") as good,
+        running(tmp_path, certificates.section) as run,
+        connect(run, certificates.client("p0.proxies"), "p0.proxies") as good,
     ):
         await good.until(bound)
         for context in (
-            keys.client("p2.proxies", trustme.CA()),
-            keys.client("p3.proxies", lasts=-60.0),
+            certificates.client("p2.proxies", trustme.CA()),
+            certificates.client("p3.proxies", lifetime=-60.0),
         ):
             with pytest.raises((OSError, grpc.CallEndedError, ExceptionGroup)):
-                async with secure(run, context, "p2.proxies") as bad:
-                    raise await ended(bad.call)
+                async with connect(run, context, "p2.proxies") as bad:
+                    raise await call_end(bad.call)
         async with await trio.open_tcp_stream(*run.address) as plain:
             await plain.send_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
             with trio.fail_after(5.0):
@@ -107,38 +109,42 @@
         await good.until(lambda h: len(h.usable_weights("press-book")) == 5)
 
 
-async def test_keys_change_on_reload_while_streams_stand(tmp_path: Path) -> None:
-    keys = Keys(tmp_path)
+async def test_a_reload_changes_keys_while_streams_stay_open(tmp_path: Path) -> None:
+    certificates = Certificates(tmp_path)
     async with (
-        running(tmp_path, keys.section) as run,
-        secure(run, keys.client("p0.proxies"), "p0.proxies") as old,
+        running(tmp_path, certificates.section) as run,
+        connect(run, certificates.client("p0.proxies"), "p0.proxies") as old,
     ):
         await old.until(bound)
-        former = keys.authority
-        keys.authority = trustme.CA()
-        keys.authority.cert_pem.write_to_path(tmp_path / "clients.pem")
+        previous_authority = certificates.authority
+        certificates.authority = trustme.CA()
+        certificates.authority.cert_pem.write_to_path(tmp_path / "clients.pem")
         (tmp_path / "manager.key").write_text("not a key")
         run.manager.reloader.reload()
         assert "not a certificate and its key" in run.said("reload.rejected")[-1]["why"]
-        keys.serve()
+        certificates.issue_server_certificate()
         run.manager.reloader.reload()
         assert run.said("reload.done")
-        async with secure(run, keys.client("p1.proxies"), "p1.proxies") as new:
+        async with connect(run, certificates.client("p1.proxies"), "p1.proxies") as new:
             await new.until(bound)
             with pytest.raises((OSError, grpc.CallEndedError, ExceptionGroup)):
-                async with secure(run, keys.client("p2.proxies", former), "p2.proxies") as late:
-                    raise await ended(late.call)
+                async with connect(
+                    run, certificates.client("p2.proxies", previous_authority), "p2.proxies"
+                ) as late:
+                    raise await call_end(late.call)
             run.roster.tell(w1="draining")
             for proxy in (old, new):
                 await proxy.until(lambda h: len(h.usable_weights("press-book")) == 5)
 
 
-async def test_a_certificate_that_runs_out_ends_its_streams(tmp_path: Path) -> None:
-    keys = Keys(tmp_path)
-    async with running(tmp_path, keys.section) as run:
-        async with secure(run, keys.client("p0.proxies", lasts=2.5), "p0.proxies") as short:
+async def test_an_expired_certificate_ends_its_streams(tmp_path: Path) -> None:
+    certificates = Certificates(tmp_path)
+    async with running(tmp_path, certificates.section) as run:
+        async with connect(
+            run, certificates.client("p0.proxies", lifetime=2.5), "p0.proxies"
+        ) as short:
             await short.until(bound)
-            assert (await ended(short.call)).status is None
+            assert (await call_end(short.call)).status is None
         await until(
             lambda: any(
                 "run out" in said["why"] for said in run.said("proxy.authentication_failed")
