--- a/dunlinlug/rpc/__init__.py
+++ b/dunlinlug/rpc/__init__.py
@@ -1,8 +1,9 @@
-"""gRPC over HTTP/2 as bytes in, events out; no sockets and no event loop (in the manner of h11 and
-h2).
+"""gRPC over HTTP/2 as bytes in, events out, in the manner of h11 and h2.
+
+No sockets and no event loop; `dunlinlug.net.grpc` moves the bytes.
 """
 
-from dunlinlug.rpc.connection import Connection, Status
+from dunlinlug.rpc.connection import Connection
 from dunlinlug.rpc.events import (
     CallReset,
     CallStarted,
@@ -14,18 +15,19 @@
     TrailersReceived,
 )
 from dunlinlug.rpc.framing import Deframer, FramingError, frame
+from dunlinlug.rpc.status import Status
 
 __all__ = [
+    "CallReset",
     "CallStarted",
-    "ConnectionClosed",
     "Connection",
+    "ConnectionClosed",
     "Deframer",
     "Event",
     "FramingError",
     "HalfClosed",
-    "MessageReceived",
     "HeadersReceived",
-    "CallReset",
+    "MessageReceived",
     "Status",
     "TrailersReceived",
     "frame",
--- a/dunlinlug/rpc/connection.py
+++ b/dunlinlug/rpc/connection.py
@@ -1,12 +1,11 @@
 """One HTTP/2 connection that carries gRPC calls, for either side.
 
-`receive` takes bytes and gives events, `data_to_send` gives bytes. What flow control holds back
-waits here, call by call, so that a peer that reads nothing delays its own calls alone; `unsent`
-tells how much that is.
+`receive` takes bytes and gives events; `data_to_send` gives bytes. What flow control holds back
+waits here, call by call, so that a peer that reads nothing delays its own calls alone;
+`unsent_bytes` says how much that is.
 """
 
 from collections import deque
-from enum import IntEnum
 from typing import Any
 from urllib.parse import quote, unquote
 
@@ -17,48 +16,53 @@
 import h2.exceptions
 import h2.settings
 
-from dunlinlug.rpc import events as said
+from dunlinlug.rpc.events import (
+    CallReset,
+    CallStarted,
+    ConnectionClosed,
+    Event,
+    HalfClosed,
+    HeadersReceived,
+    MessageReceived,
+    TrailersReceived,
+)
 from dunlinlug.rpc.framing import Deframer, FramingError, frame
+from dunlinlug.rpc.status import Status
 
-MAX_MESSAGE_SIZE = (
-    16 * 2**20
-)  # bytes of one message: some ten times the largest table of a fleet of a thousand
+# Bytes of one message: about ten times the largest table of a fleet of a thousand workers.
+MAX_MESSAGE_SIZE = 16 * 2**20
 INITIAL_WINDOW_SIZE = 2**20  # bytes that a peer may send ahead for each call
-
-
-class Status(IntEnum):
-    """gRPC's status codes, as far as they are used here."""
-
-    OK = 0
-    CANCELLED = 1
-    UNKNOWN = 2
-    INVALID_ARGUMENT = 3
-    DEADLINE_EXCEEDED = 4
-    PERMISSION_DENIED = 7
-    RESOURCE_EXHAUSTED = 8
-    UNIMPLEMENTED = 12
-    INTERNAL = 13
-    UNAVAILABLE = 14
-    UNAUTHENTICATED = 16
+PING_PAYLOAD = b"dunlinlu"  # HTTP/2 wants eight bytes
 
 
 def _decoded_headers(headers: Any) -> dict[str, str]:
-    """Decoded by h2 as its configuration asks; its types allow for bytes as well."""
+    """Headers by name; h2 gives text as configured, though its types allow for bytes as well."""
     return dict(headers or ())
 
 
 class _CallState:
+    """One call: what was received of a message, and what waits to be sent.
+
+    Attributes:
+        queued_bytes: Bytes in the queue.
+        trailers: What ends the call once the queue is empty: [] ends it without trailers, as a
+            client does; None while it goes on.
+        headers_sent: Whether our first headers were sent.
+        finished: Whether our end of the call was sent.
+    """
+
     def __init__(self, max_message_size: int) -> None:
         self.deframer = Deframer(max_message_size)
         self.queue: deque[memoryview] = deque()
-        self.queued_bytes = 0  # bytes in the queue
-        self.trailers: list[tuple[str, str]] | None = (
-            None  # trailers once the queue is empty; [] ends plainly
-        )
-        self.headers_sent = self.finished = False  # our first headers sent, our last
+        self.queued_bytes = 0
+        self.trailers: list[tuple[str, str]] | None = None
+        self.headers_sent = False
+        self.finished = False
 
 
 class Connection:
+    """The state of one connection and of its calls, by HTTP/2 stream number."""
+
     def __init__(self, is_client: bool, max_message_size: int = MAX_MESSAGE_SIZE) -> None:
         self.is_client = is_client
         self.max_message_size = max_message_size
@@ -76,10 +80,11 @@
     # Sending.
 
     def data_to_send(self) -> bytes:
+        """The bytes to be written to the peer, each given once."""
         return self.h2.data_to_send()
 
     def start_call(self, path: str, authority: str) -> int:
-        """Open a call (client side); gives its stream."""
+        """Open a call (client side); gives its stream number."""
         stream_id = self.h2.get_next_available_stream_id()
         self.calls[stream_id] = _CallState(self.max_message_size)
         self.h2.send_headers(
@@ -121,16 +126,18 @@
     def unsent_bytes(self, stream_id: int) -> int:
         """Bytes of this call that the peer's flow control holds back."""
         call = self.calls.get(stream_id)
-        return call.queued_bytes if call else 0
+        if call is None:
+            return 0
+        return call.queued_bytes
 
     def finish(self, stream_id: int, status: Status, text: str = "") -> None:
         """End a call with a status (server side), after what is queued."""
         call = self.calls.get(stream_id)
         if call is None or call.trailers is not None:
             return
-        trailers = [("grpc-status", str(int(status)))] + (
-            [("grpc-message", quote(text))] if text else []
-        )
+        trailers = [("grpc-status", str(int(status)))]
+        if text:
+            trailers.append(("grpc-message", quote(text)))
         if not call.headers_sent:
             call.headers_sent = True
             trailers = [(":status", "200"), ("content-type", "application/grpc"), *trailers]
@@ -138,13 +145,14 @@
         self._send_available(stream_id)
 
     def half_close(self, stream_id: int) -> None:
-        """Say that nothing more will come (client side)."""
+        """End the client's half of a call, after what is queued."""
         call = self.calls.get(stream_id)
         if call is not None and call.trailers is None:
             call.trailers = []
             self._send_available(stream_id)
 
     def cancel(self, stream_id: int) -> None:
+        """Reset a call, without a status; what is queued is lost."""
         if self.calls.pop(stream_id, None) is not None and not self.closed:
             try:
                 self.h2.reset_stream(stream_id, h2.errors.ErrorCodes.CANCEL)
@@ -152,24 +160,30 @@
                 return  # it ended in the same moment
 
     def ping(self) -> None:
+        """Ask the peer for a sign of life."""
         if not self.closed:
-            self.h2.ping(b"dunlinlu")
+            self.h2.ping(PING_PAYLOAD)
 
     def close(self) -> None:
+        """Tell the peer that the connection ends (GOAWAY)."""
         if not self.closed:
             self.closed = True
             self.h2.close_connection()
 
     def _send_available(self, stream_id: int) -> None:
-        """Danger: a call or the whole connection may have ended in this same moment; what is unsent
-        is then lost.
-        """
+        # The call or the whole connection may have ended in this same moment. What is unsent is then
+        # lost; without the except clause, the caller would get the error of a peer's doing.
         try:
             self._send_queued(stream_id, self.calls[stream_id])
         except h2.exceptions.ProtocolError:
             self.calls.pop(stream_id, None)
 
+    def _send_all_available(self) -> None:
+        for stream_id in list(self.calls):
+            self._send_available(stream_id)
+
     def _send_queued(self, stream_id: int, call: _CallState) -> None:
+        """Send as much of the queue as the windows allow, and the end of the call after it."""
         while call.queue:
             window = min(
                 self.h2.local_flow_control_window(stream_id), self.h2.max_outbound_frame_size
@@ -180,7 +194,8 @@
             if len(chunk) <= window:
                 call.queue.popleft()
             else:
-                chunk, call.queue[0] = chunk[:window], chunk[window:]
+                call.queue[0] = chunk[window:]
+                chunk = chunk[:window]
             call.queued_bytes -= len(chunk)
             self.h2.send_data(stream_id, bytes(chunk))
         if call.trailers and not call.finished:
@@ -192,9 +207,10 @@
 
     # Receiving.
 
-    def receive(self, data: bytes) -> list[said.Event]:
-        """Take bytes; a fault of one call ends that call, a fault of the connection ends all of
-        them.
+    def receive(self, data: bytes) -> list[Event]:
+        """Take bytes and give the events they stand for.
+
+        An error in one call ends that call; an error of the connection ends all of them.
         """
         if self.closed:
             return []
@@ -203,41 +219,52 @@
         except h2.exceptions.ProtocolError as error:
             self.closed = True
             self.calls.clear()
-            return [said.ConnectionClosed(f"not HTTP/2 as agreed: {type(error).__name__}: {error}")]
-        events: list[said.Event] = []
+            return [ConnectionClosed(f"not HTTP/2 as agreed: {type(error).__name__}: {error}")]
+        events: list[Event] = []
         for event in h2_events:
             events += self._handle(event)
         return events
 
-    def _handle(self, event: h2.events.Event) -> list[said.Event]:
+    def _handle(self, event: h2.events.Event) -> list[Event]:
+        events: list[Event] = []
         match event:
             case h2.events.RequestReceived():
-                return self._handle_request(event)
+                events = self._handle_request(event)
             case h2.events.ResponseReceived():
-                return self._handle_response(event)
+                events = self._handle_response(event)
             case h2.events.TrailersReceived():
-                return self._handle_trailers(event.stream_id or 0, _decoded_headers(event.headers))
+                headers = _decoded_headers(event.headers)
+                events = self._handle_trailers(event.stream_id or 0, headers)
             case h2.events.DataReceived():
-                return self._handle_data(event)
-            case h2.events.StreamEnded() if event.stream_id in self.calls:
-                if self.is_client:
-                    self.calls.pop(event.stream_id)
-                    return [said.CallReset(event.stream_id, "ended without a status")]
-                return [said.HalfClosed(event.stream_id)]
-            case h2.events.StreamReset() if self.calls.pop(event.stream_id or 0, None):
-                return [said.CallReset(event.stream_id or 0, f"reset with code {event.error_code}")]
+                events = self._handle_data(event)
+            case h2.events.StreamEnded():
+                events = self._handle_stream_end(event.stream_id or 0)
+            case h2.events.StreamReset():
+                events = self._handle_reset(event)
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
-                for stream_id in list(self.calls):
-                    self._send_available(stream_id)
+                self._send_all_available()
             case h2.events.ConnectionTerminated():
                 self.closed = True
                 self.calls.clear()
-                return [
-                    said.ConnectionClosed(f"the peer said goodbye with code {event.error_code}")
-                ]
-        return []
+                reason = f"the peer said goodbye with code {event.error_code}"
+                events = [ConnectionClosed(reason)]
+        return events
 
-    def _handle_request(self, event: h2.events.RequestReceived) -> list[said.Event]:
+    def _handle_stream_end(self, stream_id: int) -> list[Event]:
+        if stream_id not in self.calls:
+            return []
+        if not self.is_client:
+            return [HalfClosed(stream_id)]
+        self.calls.pop(stream_id)
+        return [CallReset(stream_id, "ended without a status")]
+
+    def _handle_reset(self, event: h2.events.StreamReset) -> list[Event]:
+        stream_id = event.stream_id or 0
+        if self.calls.pop(stream_id, None) is None:
+            return []
+        return [CallReset(stream_id, f"reset with code {event.error_code}")]
+
+    def _handle_request(self, event: h2.events.RequestReceived) -> list[Event]:
         stream_id = event.stream_id or 0
         headers = _decoded_headers(event.headers)
         content_type = headers.get("content-type", "")
@@ -253,45 +280,42 @@
         metadata = tuple(
             (name, value) for name, value in headers.items() if not name.startswith(":")
         )
-        return [said.CallStarted(stream_id, headers.get(":path", ""), metadata)]
+        return [CallStarted(stream_id, headers.get(":path", ""), metadata)]
 
-    def _handle_response(self, event: h2.events.ResponseReceived) -> list[said.Event]:
+    def _handle_response(self, event: h2.events.ResponseReceived) -> list[Event]:
         stream_id = event.stream_id or 0
         headers = _decoded_headers(event.headers)
         if "grpc-status" in headers:
             return self._handle_trailers(stream_id, headers)
         if headers.get(":status") != "200":
             self.calls.pop(stream_id, None)
-            return [
-                said.CallReset(stream_id, f"answered with HTTP status {headers.get(':status')}")
-            ]
-        return [said.HeadersReceived(stream_id)]
+            return [CallReset(stream_id, f"answered with HTTP status {headers.get(':status')}")]
+        return [HeadersReceived(stream_id)]
 
-    def _handle_trailers(self, stream_id: int, headers: dict[str, str]) -> list[said.Event]:
+    def _handle_trailers(self, stream_id: int, headers: dict[str, str]) -> list[Event]:
         if not self.is_client or self.calls.pop(stream_id, None) is None:
             return []
         return [
-            said.TrailersReceived(
+            TrailersReceived(
                 stream_id,
                 int(headers.get("grpc-status", "2")),
                 unquote(headers.get("grpc-message", "")),
             )
         ]
 
-    def _handle_data(self, event: h2.events.DataReceived) -> list[said.Event]:
+    def _handle_data(self, event: h2.events.DataReceived) -> list[Event]:
         stream_id = event.stream_id or 0
-        call = self.calls.get(event.stream_id or 0)
+        call = self.calls.get(stream_id)
         self.h2.acknowledge_received_data(event.flow_controlled_length or 0, stream_id)
         if call is None:
             return []
         try:
             return [
-                said.MessageReceived(stream_id, data)
-                for data in call.deframer.feed(event.data or b"")
+                MessageReceived(stream_id, data) for data in call.deframer.feed(event.data or b"")
             ]
         except FramingError as error:
             if self.is_client:
                 self.cancel(stream_id)
             else:
-                self.finish(stream_id, Status(error.status), str(error))
-            return [said.CallReset(stream_id, str(error))]
+                self.finish(stream_id, error.status, str(error))
+            return [CallReset(stream_id, str(error))]
--- a/dunlinlug/rpc/events.py
+++ b/dunlinlug/rpc/events.py
@@ -1,4 +1,4 @@
-"""What a gRPC connection tells its user. Streams are HTTP/2's numbers."""
+"""Events of a gRPC connection; `stream_id` is the number of a call's HTTP/2 stream."""
 
 from dataclasses import dataclass
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class HeadersReceived:
-    """The server's first headers have come (client side)."""
+    """The server has accepted the call by its response headers (client side)."""
 
     stream_id: int
 
 
 @dataclass(frozen=True)
 class MessageReceived:
-    """One whole message, its prefix taken off."""
+    """One whole message, without its length prefix."""
 
     stream_id: int
     data: bytes
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class CallReset:
-    """The call was cut without a status, by the peer or for a fault of its own."""
+    """The call ended without a status, by the peer or for an error in what the peer sent."""
 
     stream_id: int
     reason: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class ConnectionClosed:
-    """The connection can't be used any more."""
+    """The connection cannot be used any more, and all its calls have ended."""
 
     reason: str
 
--- a/dunlinlug/rpc/framing.py
+++ b/dunlinlug/rpc/framing.py
@@ -1,43 +1,53 @@
-"""gRPC's length-prefixed messages: one byte of compression flag, four of length, then the message."""
+"""gRPC's length-prefixed messages: one byte of compression flag, four of length, then the message.
+
+Source: PROTOCOL-HTTP2.md of gRPC, "Length-Prefixed-Message".
+"""
 
 import struct
 
 from dunlinlug.errors import DunlinlugError
+from dunlinlug.rpc.status import Status
 
 PREFIX = struct.Struct(">BI")
 
 
 class FramingError(DunlinlugError):
-    """A message that this side does not take; `status` is gRPC's code for it."""
+    """A message that this side does not accept; `status` is what its call is to end with."""
 
-    def __init__(self, status: int, message: str) -> None:
+    def __init__(self, status: Status, message: str) -> None:
         super().__init__(message)
         self.status = status
 
 
 def frame(message: bytes) -> bytes:
+    """The message with its prefix, uncompressed."""
     return PREFIX.pack(0, len(message)) + message
 
 
 class Deframer:
-    """Gathers a call's bytes until whole messages are there; never holds more than one message's
-    bound.
-    """
+    """Gathers a call's bytes into whole messages; never holds more than the largest and a read."""
 
     def __init__(self, max_message_size: int) -> None:
         self.max_message_size = max_message_size
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
+        """Take bytes; gives the messages that are complete with them.
+
+        Raises:
+            FramingError: A message is compressed or over the size limit.
+        """
         self.buffer += data
         messages = []
         while len(self.buffer) >= PREFIX.size:
             compressed, length = PREFIX.unpack_from(self.buffer)
             if compressed:
-                raise FramingError(12, "compressed messages are not taken here")
-            if length > self.max_message_size:  # Danger: a peer could make us hold any amount
+                raise FramingError(Status.UNIMPLEMENTED, "compressed messages are not taken here")
+            # Without this limit, a peer could make us hold any amount.
+            if length > self.max_message_size:
                 raise FramingError(
-                    8, f"a message of {length} bytes is over the bound of {self.max_message_size}"
+                    Status.RESOURCE_EXHAUSTED,
+                    f"a message of {length} bytes is over the bound of {self.max_message_size}",
                 )
             if len(self.buffer) < PREFIX.size + length:
                 break
