--- a/bench/fanout.py
+++ b/bench/fanout.py
@@ -27,6 +27,7 @@
 from dunlinlug.decision.settings import TrafficClass
 from dunlinlug.manager.channel import PacedChannel
 from dunlinlug.net import grpc as own_grpc
+from dunlinlug.net import grpc_server
 from dunlinlug.xds import encoding, names
 from dunlinlug.xds.stream import DeltaStream, NodeIdentified
 
@@ -98,7 +99,7 @@
 
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        nursery.start_soon(own_grpc.serve, listeners, answer)
+        nursery.start_soon(grpc_server.serve, listeners, answer)
         print(listeners[0].socket.getsockname()[1], flush=True)
         while len(sessions) < proxies:
             await trio.sleep(0.01)
--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -28,7 +28,7 @@
 from dunlinlug.manager import structured_logging
 from dunlinlug.manager.signals import SignalReceiver
 from dunlinlug.manager.skewed_clock import SkewedClock
-from dunlinlug.net import grpc
+from dunlinlug.net import grpc_server
 from dunlinlug.net.tls import TlsConfigError
 from dunlinlug.storage.store import StoreError
 
@@ -170,15 +170,18 @@
     ) -> None:
         """Serve proxies: ADS and LRS over gRPC."""
         server = self.config.section(manager_config.ServerConfig)
+        options = grpc_server.ServerOptions(
+            first_call_timeout=server.hello_within,
+            idle_timeout=server.quiet_most,
+            on_error=self._log_connection_error,
+            get_tls_context=self.reloader.get_tls_context,
+            on_unauthenticated=self._log_authentication_failure,
+        )
         nursery.start_soon(
-            grpc.serve,
+            grpc_server.serve,
             listeners,
             self.components.service.handle_call,
-            server.hello_within,
-            server.quiet_most,
-            self._log_connection_error,
-            self.reloader.get_tls_context,
-            self._log_authentication_failure,
+            options,
         )
 
     def _log_connection_error(self, error: Exception) -> None:
--- a/dunlinlug/net/__init__.py
+++ b/dunlinlug/net/__init__.py
@@ -1,1 +1,1 @@
-"""The thin trio layer: sockets for the protocol packages, nothing decided and nothing parsed here."""
+"""Sockets over trio for the protocol packages: gRPC, HTTP/1.1 and TLS; nothing is decided here."""
--- a/dunlinlug/net/grpc.py
+++ b/dunlinlug/net/grpc.py
@@ -1,5 +1,6 @@
-"""Moves the bytes of `dunlinlug.rpc` over trio streams; each link's tasks live in the nursery of
-`run`.
+"""gRPC over trio streams: moves the bytes of `dunlinlug.rpc`, and connects clients.
+
+Each connection's tasks live in the nursery of its `run`.
 """
 
 import os
@@ -12,20 +13,18 @@
 
 from dunlinlug import rpc
 from dunlinlug.errors import DunlinlugError
-from dunlinlug.net import tls
 
 READ_SIZE = 2**16  # bytes asked of a socket at a time
-# messages a peer may send ahead of their handling before its call is ended
+# Messages that a peer may send ahead of their handling before its call is ended.
 MAX_PENDING_MESSAGES = 256
-# seconds for what is being written at the end, and a goodbye: none is owed to a peer that is stuck
+# Seconds at the end for what is being written and for GOAWAY; a peer that takes nothing gets none.
 CLOSE_TIMEOUT = 0.5
-MAX_UNWRITTEN_BYTES = (
-    2**22
-)  # bytes left to write from which on nothing more is read: a peer must take its answers
+# Bytes left to write above which nothing more is read, as the peer must take its answers first.
+MAX_UNWRITTEN_BYTES = 2**22
 
 
 class CallEndedError(DunlinlugError):
-    """The call is over: its status (None if it was cut) and what was said."""
+    """The call is over: its status (None if it ended without one) and the reason."""
 
     def __init__(self, status: int | None, reason: str) -> None:
         super().__init__(reason)
@@ -34,7 +33,13 @@
 
 
 class Call:
-    """One call in progress; messages are bytes."""
+    """One call in progress; messages are bytes.
+
+    Attributes:
+        ended: How it ended, or None.
+        headers_received: Set once the server's first headers have come (client side), or it ended.
+        scope: Cancel it to stop what serves the call.
+    """
 
     def __init__(self, connection: "GrpcConnection", stream_id: int, path: str) -> None:
         self.connection = connection
@@ -44,27 +49,31 @@
             MAX_PENDING_MESSAGES
         )
         self.ended: CallEndedError | None = None
-        self.headers_received = (
-            trio.Event()
-        )  # client side: the server's first headers have come, or it has ended
+        self.headers_received = trio.Event()
         self.scope = trio.CancelScope()
 
     async def receive(self) -> bytes:
-        """The next message; raises CallEnded after the last."""
+        """The next message.
+
+        Raises:
+            CallEndedError: There is none after the last.
+        """
         try:
             return await self.message_receiver.receive()
         except trio.EndOfChannel:
             raise self.ended or CallEndedError(None, "the peer ended the call") from None
 
     def send(self, message: bytes, buffered: bool = False) -> None:
-        """Queue a message; ask `unsent` before piling up more. With `more`, it leaves with the next
-        one.
+        """Queue a message; look at `unsent_bytes` before queueing many.
+
+        With `buffered`, it is written together with the next one.
         """
         self.connection.protocol.send(self.stream_id, message)
         if not buffered:
             self.connection.flush()
 
     def accept(self) -> None:
+        """Send the response headers (server side)."""
         self.connection.protocol.accept(self.stream_id)
         self.connection.flush()
 
@@ -81,45 +90,51 @@
             await self.connection.write_completed.wait()
 
     def finish(self, status: rpc.Status, text: str = "") -> None:
+        """End the call with a status (server side), after what is queued."""
         self.connection.protocol.finish(self.stream_id, status, text)
         self.connection.flush()
 
     def cancel(self) -> None:
+        """Reset the call."""
         self.connection.protocol.cancel(self.stream_id)
         self.connection.flush()
 
     def end(self, status: int | None, reason: str) -> None:
+        """The call has ended; only the first end counts."""
         self.ended = self.ended or CallEndedError(status, reason)
         self.headers_received.set()
         self.message_sender.close()
 
 
 class GrpcConnection:
-    """A socket with its connection and calls."""
+    """A socket with its protocol state and its calls by stream number.
+
+    Attributes:
+        identity: The peer's name by its certificate; empty without TLS.
+        outgoing: Bytes taken from the protocol and not yet written, `unwritten_bytes` in all.
+        last_received_at: When the last byte came (trio's clock).
+        resume_reading: Nothing is read until this event is set; None to read.
+    """
 
     def __init__(
         self, socket: trio.abc.Stream, protocol: rpc.Connection, identity: str = ""
     ) -> None:
-        """`identity` is the peer's name by its certificate, if it showed one."""
         self.socket = socket
         self.protocol = protocol
         self.identity = identity
         self.calls: dict[int, Call] = {}
-        # something to write
         self.write_requested = trio.Event()
-        # something was written
         self.write_completed = trio.Event()
-        # bytes taken from the connection and not yet written
         self.outgoing = list[bytes]()
         self.unwritten_bytes = 0
         self.last_received_at = trio.current_time()
-        self.resume_reading: trio.Event | None = None  # set to stop reading until the event is set
+        self.resume_reading: trio.Event | None = None
         self.write_scope = trio.CancelScope()
         self.write_interrupted = False
         self.close_deadline = inf
 
     def flush(self) -> None:
-        """Take what the connection has to send; the writer is woken only if there is something."""
+        """Write what the protocol has to send; the writer gets what does not leave at once."""
         data = self.protocol.data_to_send()
         if data and not self.unwritten_bytes:
             data = data[self._write_now(data) :]
@@ -129,8 +144,10 @@
             self.write_requested.set()
 
     def _write_now(self, data: bytes) -> int:
-        """Bytes that the socket took without waiting: saves a switch to the writer for nearly every
-        message. An error is left for the writer to meet.
+        """Write what the socket takes without waiting; gives the number of bytes.
+
+        It saves a switch to the writer task for nearly every message. An error is left to the
+        writer, which meets it again.
         """
         if not isinstance(self.socket, trio.SocketStream):
             return 0
@@ -140,6 +157,7 @@
             return 0
 
     def start_call(self, path: str, authority: str = "manager") -> Call:
+        """Open a call (client side)."""
         stream_id = self.protocol.start_call(path, authority)
         self.calls[stream_id] = Call(self, stream_id, path)
         self.flush()
@@ -151,9 +169,13 @@
         first_call_timeout: float = 10.0,
         idle_timeout: float = 60.0,
     ) -> None:
-        """Move bytes until either side closes. A peer must open a call within `hello` seconds, if
-        we answer calls, and let no more than `quiet_most` seconds pass without a byte (we ping
-        it at a third of that).
+        """Move bytes until either side closes.
+
+        Args:
+            handler: Serves each call of the peer's; None on the client side.
+            first_call_timeout: Seconds until the peer must have opened a call, with a handler.
+            idle_timeout: Seconds without a byte after which the connection is closed; the peer is
+                pinged after a third of that.
         """
         try:
             async with trio.open_nursery() as nursery:
@@ -169,18 +191,21 @@
         finally:
             for call in list(self.calls.values()):
                 call.end(None, "the link broke")
-            with trio.move_on_at(self.close_deadline) as scope:
-                scope.shield = True
-                self.protocol.close()
-                if (
-                    not self.write_interrupted
-                ):  # Danger: behind half a frame, the goodbye would be read as the rest of it
-                    self.flush()
-                    with suppress(
-                        trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError
-                    ):
-                        await self.socket.send_all(b"".join(self.outgoing))
-            await trio.aclose_forcefully(self.socket)
+            await self._close()
+
+    async def _close(self) -> None:
+        """Say goodbye, as far as the peer takes it in time, and close the socket."""
+        with trio.move_on_at(self.close_deadline) as scope:
+            scope.shield = True
+            self.protocol.close()
+            # Behind half a frame, GOAWAY would be read as the rest of that frame.
+            if not self.write_interrupted:
+                self.flush()
+                with suppress(
+                    trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError
+                ):
+                    await self.socket.send_all(b"".join(self.outgoing))
+        await trio.aclose_forcefully(self.socket)
 
     async def _read(
         self, nursery: trio.Nursery, handler: Callable[[Call], Awaitable[None]] | None
@@ -209,18 +234,11 @@
     ) -> None:
         match event:
             case rpc.CallStarted(stream_id, path) if handler is not None:
-                call = self.calls[stream_id] = Call(self, stream_id, path)
+                call = Call(self, stream_id, path)
+                self.calls[stream_id] = call
                 nursery.start_soon(self._serve_call, call, handler)
             case rpc.MessageReceived(stream_id, data) if stream_id in self.calls:
-                try:
-                    self.calls[stream_id].message_sender.send_nowait(data)
-                except trio.WouldBlock:  # Danger: a peer that floods would fill our memory
-                    self.calls[stream_id].finish(
-                        rpc.Status.RESOURCE_EXHAUSTED, "messages come too fast"
-                    )
-                    self._end_call(stream_id, None, "flooded")
-                except (trio.BrokenResourceError, trio.ClosedResourceError):
-                    return
+                self._handle_message(self.calls[stream_id], data)
             case rpc.HeadersReceived(stream_id) if stream_id in self.calls:
                 self.calls[stream_id].headers_received.set()
             case rpc.HalfClosed(stream_id):
@@ -233,6 +251,16 @@
                 for stream_id in list(self.calls):
                     self._end_call(stream_id, None, reason)
 
+    def _handle_message(self, call: Call, data: bytes) -> None:
+        try:
+            call.message_sender.send_nowait(data)
+        except trio.WouldBlock:
+            # Without this limit, a peer that sends without pause would fill our memory.
+            call.finish(rpc.Status.RESOURCE_EXHAUSTED, "messages come too fast")
+            self._end_call(call.stream_id, None, "flooded")
+        except (trio.BrokenResourceError, trio.ClosedResourceError):
+            return
+
     def _end_call(self, stream_id: int, status: int | None, reason: str) -> None:
         if stream_id in self.calls:
             self.calls.pop(stream_id).end(status, reason)
@@ -251,7 +279,8 @@
             data = b"".join(self.outgoing)
             self.outgoing = []
             try:
-                # Danger: cancelled in the middle, nobody would know how much of a frame has gone.
+                # Without the shield, nobody would know after a cancellation how much of a frame
+                # was written.
                 with trio.CancelScope(
                     shield=True, deadline=self.close_deadline
                 ) as self.write_scope:
@@ -268,8 +297,9 @@
     async def _close_when_idle(
         self, scope: trio.CancelScope, first_call_timeout: float | None, idle_timeout: float
     ) -> None:
-        """Ends a link that is silent for too long; at its end, however that comes, bounds what is
-        still written.
+        """Cancel `scope` once the connection is idle; after that, limit the time of writing.
+
+        The limit is set however the connection ends, as this task ends with it.
         """
         try:
             await self._cancel_when_idle(scope, first_call_timeout, idle_timeout)
@@ -288,7 +318,7 @@
                 and not self.calls
                 and now >= started + first_call_timeout
             ):
-                scope.cancel()  # a client that connects and says nothing holds no place here
+                scope.cancel()  # a client that opens no call takes up no connection
             if now >= self.last_received_at + idle_timeout:
                 scope.cancel()
             if now >= self.last_received_at + idle_timeout / 3:
@@ -296,80 +326,34 @@
                 self.flush()
 
 
-async def serve(
-    listeners: list[trio.SocketListener],
-    handler: Callable[[Call], Awaitable[None]],
-    first_call_timeout: float = 10.0,
-    idle_timeout: float = 60.0,
-    on_error: Callable[[Exception], None] | None = None,
-    get_tls_context: Callable[[], ssl.SSLContext | None] = lambda: None,
-    on_unauthenticated: Callable[[str], None] = lambda reason: None,
-) -> None:
-    """Serve calls on these listeners until cancelled. What goes wrong in a link ends that link and
-    is told to `fault`; without it, it ends the serving. `secure` gives the TLS context for each
-    new connection, so that keys may change while streams stand; who shows no good certificate is
-    told to `unproven`.
-    """
-
-    async def serve_socket(socket: trio.SocketStream) -> None:
-        try:
-            context = get_tls_context()
-            if context is None:
-                await GrpcConnection(socket, rpc.Connection(is_client=False)).run(
-                    handler, first_call_timeout, idle_timeout
-                )
-            else:
-                await serve_tls(socket, context)
-        except Exception as error:
-            if on_error is None:
-                raise
-            on_error(error)
-
-    async def serve_tls(socket: trio.SocketStream, context: ssl.SSLContext) -> None:
-        stream = trio.SSLStream(socket, context, server_side=True, https_compatible=True)
-        try:
-            with trio.fail_after(first_call_timeout):
-                await stream.do_handshake()
-        except (trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError) as error:
-            on_unauthenticated(str(error.__cause__ or "no handshake in time"))
-            await trio.aclose_forcefully(stream)
-            return
-        # Danger: a certificate that has run out meanwhile would go on being believed for as long as
-        # its stream stands.
-        with trio.move_on_after(max(tls.remaining_validity(stream), 0.0)) as scope:
-            await GrpcConnection(
-                stream, rpc.Connection(is_client=False), tls.peer_identity(stream)
-            ).run(handler, first_call_timeout, idle_timeout)
-        if scope.cancelled_caught:
-            on_unauthenticated(f"the certificate of {tls.peer_identity(stream)} has run out")
-
-    await trio.serve_listeners(serve_socket, listeners)
-
-
 @asynccontextmanager
-async def connect(
+async def connect(  # noqa: PLR0913 - where to, and how
     host: str,
     port: int,
     connect_timeout: float = 2.0,
+    *,
     idle_timeout: float = 60.0,
     tls_context: ssl.SSLContext | None = None,
     server_name: str = "",
 ) -> AsyncIterator[GrpcConnection]:
-    """A client's link, for the time of the block; raises OSError if nobody answers within that many
-    seconds. With a `context` it is TLS, and the server's certificate must be for `name` (or the
-    host).
+    """A client's connection, for the time of the block.
+
+    Args:
+        host: The server's host.
+        port: Its port.
+        connect_timeout: Seconds for connecting, with TLS.
+        idle_timeout: As in `GrpcConnection.run`.
+        tls_context: None for plain text.
+        server_name: The name that the server's certificate must have; by default the host's.
+
+    Raises:
+        OSError: Nobody answers in time, or TLS fails.
     """
     socket: trio.abc.Stream
     with trio.move_on_after(connect_timeout) as scope:
         socket = await trio.open_tcp_stream(host, port)
         if tls_context is not None:
-            socket = trio.SSLStream(
-                socket, tls_context, server_hostname=server_name or host, https_compatible=True
-            )
-            try:
-                await socket.do_handshake()
-            except trio.BrokenResourceError as error:
-                raise OSError(f"no TLS with {host}:{port}: {error.__cause__}") from None
+            socket = await _start_tls(socket, tls_context, server_name or host, f"{host}:{port}")
     if scope.cancelled_caught:
         raise TimeoutError(f"no connection to {host}:{port} within {connect_timeout} s")
     connection = GrpcConnection(socket, rpc.Connection(is_client=True))
@@ -379,3 +363,15 @@
             yield connection
         finally:
             nursery.cancel_scope.cancel()
+
+
+async def _start_tls(
+    socket: trio.SocketStream, context: ssl.SSLContext, server_name: str, address: str
+) -> trio.abc.Stream:
+    """A client's side of the handshake. Raises OSError if it fails."""
+    stream = trio.SSLStream(socket, context, server_hostname=server_name, https_compatible=True)
+    try:
+        await stream.do_handshake()
+    except trio.BrokenResourceError as error:
+        raise OSError(f"no TLS with {address}: {error.__cause__}") from None
+    return stream
--- /dev/null
+++ b/dunlinlug/net/grpc_server.py
@@ -0,0 +1,91 @@
+"""Serves gRPC calls on listeners, plain or by TLS; each connection's errors end it alone."""
+
+import ssl
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+
+import trio
+
+from dunlinlug import rpc
+from dunlinlug.net import tls
+from dunlinlug.net.grpc import Call, GrpcConnection
+
+
+@dataclass(frozen=True)
+class ServerOptions:
+    """How a server treats its connections.
+
+    Attributes:
+        first_call_timeout: Seconds until a peer must have opened a call, and finished TLS.
+        idle_timeout: Seconds without a byte after which a connection is closed; the peer is pinged
+            after a third of that.
+        on_error: Takes an error of the handler's, which then ends that connection alone; without
+            it, the error ends the server.
+        get_tls_context: The context for a connection accepted now, so that keys may change while
+            streams are open; None for plain text.
+        on_unauthenticated: Takes the reason why a peer was refused by TLS.
+    """
+
+    first_call_timeout: float = 10.0
+    idle_timeout: float = 60.0
+    on_error: Callable[[Exception], None] | None = None
+    get_tls_context: Callable[[], ssl.SSLContext | None] = lambda: None
+    on_unauthenticated: Callable[[str], None] | None = None
+
+
+async def serve(
+    listeners: list[trio.SocketListener],
+    handler: Callable[[Call], Awaitable[None]],
+    options: ServerOptions | None = None,
+) -> None:
+    """Serve calls on these listeners until cancelled; `handler` serves each to its end."""
+    server = _Server(handler, options or ServerOptions())
+    await trio.serve_listeners(server.serve_socket, listeners)
+
+
+class _Server:
+    """Serves accepted sockets, plain or by TLS."""
+
+    def __init__(self, handler: Callable[[Call], Awaitable[None]], options: ServerOptions) -> None:
+        self.handler = handler
+        self.options = options
+
+    async def serve_socket(self, socket: trio.SocketStream) -> None:
+        """Serve one connection to its end."""
+        try:
+            context = self.options.get_tls_context()
+            if context is None:
+                await self._serve_connection(socket)
+            else:
+                await self._serve_tls(socket, context)
+        except Exception as error:  # of any kind: one connection's error must not end the others
+            if self.options.on_error is None:
+                raise
+            self.options.on_error(error)
+
+    async def _serve_connection(self, stream: trio.abc.Stream, identity: str = "") -> None:
+        connection = GrpcConnection(stream, rpc.Connection(is_client=False), identity)
+        await connection.run(
+            self.handler, self.options.first_call_timeout, self.options.idle_timeout
+        )
+
+    async def _serve_tls(self, socket: trio.SocketStream, context: ssl.SSLContext) -> None:
+        stream = trio.SSLStream(socket, context, server_side=True, https_compatible=True)
+        try:
+            with trio.fail_after(self.options.first_call_timeout):
+                await stream.do_handshake()
+        except (trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError) as error:
+            self._report_unauthenticated(str(error.__cause__ or "no handshake in time"))
+            await trio.aclose_forcefully(stream)
+            return
+        identity = tls.peer_identity(stream)
+        # Without this limit, an expired certificate would be accepted for as long as its stream
+        # stays open.
+        with trio.move_on_after(max(tls.remaining_validity(stream), 0.0)) as scope:
+            await self._serve_connection(stream, identity)
+        if scope.cancelled_caught:
+            self._report_unauthenticated(f"the certificate of {identity} has run out")
+
+    def _report_unauthenticated(self, reason: str) -> None:
+        if self.options.on_unauthenticated is not None:
+            self.options.on_unauthenticated(reason)
--- a/dunlinlug/net/http.py
+++ b/dunlinlug/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over trio by h11: a small server, and a client that keeps its connections."""
+"""HTTP/1.1 over trio by h11: a small server, and a client that reuses its connections."""
 
 import json
 from collections import deque
@@ -13,17 +13,19 @@
 from dunlinlug.errors import DunlinlugError
 
 READ_SIZE = 2**16
-MAX_BODY_SIZE = (
-    8 * 2**20
-)  # bytes of a body that is still taken: a list of ten thousand workers is a third of it
-IDEMPOTENT = frozenset(
-    {"GET", "HEAD", "PUT", "DELETE", "OPTIONS"}
-)  # RFC 9110, 9.2.2: twice has the effect of once
+# Bytes of the largest body accepted; a list of ten thousand workers is a third of it.
+MAX_BODY_SIZE = 8 * 2**20
+MAX_HEADER_SIZE = 2**16  # bytes of a request's head
+# Methods for which two requests have the effect of one (RFC 9110, 9.2.2).
+IDEMPOTENT = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 
 
 class HttpError(DunlinlugError):
-    """The exchange failed; `sent` tells whether the peer may have begun to act on the request,
-    `answered` whether it said anything.
+    """An exchange failed.
+
+    Attributes:
+        request_sent: Whether the peer may have begun to act on the request.
+        response_started: Whether anything of a response came.
     """
 
     def __init__(self, message: str, request_sent: bool, response_started: bool = False) -> None:
@@ -34,6 +36,8 @@
 
 @dataclass(frozen=True)
 class Request:
+    """A request as the server received it; header names are in lower case."""
+
     method: str
     path: str
     query: Mapping[str, str]
@@ -43,12 +47,15 @@
 
 @dataclass(frozen=True)
 class Response:
+    """A response, on either side."""
+
     status: int
     headers: Mapping[str, str] = field(default_factory=dict)
     body: bytes = b""
 
     @classmethod
     def json(cls, value: Any, status: int = 200, **headers: str) -> "Response":
+        """A response with a JSON body; in the names of headers `_` stands for `-`."""
         extra_headers = {name.replace("_", "-"): text for name, text in headers.items()}
         return cls(
             status,
@@ -58,7 +65,7 @@
 
 
 class AbortConnectionError(DunlinlugError):
-    """Raised by a handler to break the connection without an answer."""
+    """Raised by a handler to close the connection without a response."""
 
 
 def _decoded_headers(headers: Any) -> dict[str, str]:
@@ -107,7 +114,7 @@
 
 
 class _GracefulShutdown:
-    """Requests under way when serving is to end: each may still be answered, for so many seconds."""
+    """Requests under way when serving is to end: each has `grace_period` seconds to be answered."""
 
     def __init__(self, grace_period: float) -> None:
         self.grace_period = grace_period
@@ -115,13 +122,16 @@
         self.active_scopes = set[trio.CancelScope]()
 
     def begin(self) -> None:
+        """Set the deadline of all requests under way."""
         self.deadline = trio.current_time() + self.grace_period
         for scope in self.active_scopes:
             scope.deadline = self.deadline
 
     async def shield(self, exchange: Callable[[], Awaitable[None]]) -> None:
-        """Danger: cancelled between a request's effect and its answer, the caller would not know
-        what was done.
+        """Run an exchange that a cancellation from outside does not interrupt.
+
+        Without this, one cancelled between a request's effect and its response would leave the
+        caller not knowing what was done.
         """
         if not self.grace_period:
             await exchange()
@@ -137,7 +147,7 @@
 async def _serve_connection(
     handler: Handler, stream: trio.SocketStream, idle_timeout: float, shutdown: _GracefulShutdown
 ) -> None:
-    connection = h11.Connection(h11.SERVER, max_incomplete_event_size=2**16)
+    connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_SIZE)
     request: Request | None = None
 
     async def exchange() -> None:
@@ -173,7 +183,7 @@
 def _encode_response(
     connection: h11.Connection, response: Response, headers_only: bool = False
 ) -> bytes:
-    """The answer's bytes; a `bare` one tells of its body and has none, as HEAD wants it."""
+    """The response's bytes; with `headers_only`, for HEAD, its length without its body."""
     headers = [*response.headers.items(), ("content-length", str(len(response.body)))]
     data = connection.send(h11.Response(status_code=response.status, headers=headers)) or b""
     if response.body and not headers_only:
@@ -187,9 +197,13 @@
     idle_timeout: float = inf,
     grace_period: float = 0.0,
 ) -> None:
-    """Answer requests on these listeners until cancelled; a peer that takes longer than
-    `quiet_most` seconds to make a request is disconnected. Once cancelled nothing is accepted
-    any more, and what is under way has `finish` seconds to be answered.
+    """Answer requests on these listeners until cancelled.
+
+    Args:
+        handler: Answers each request.
+        listeners: Where connections are accepted.
+        idle_timeout: Seconds that a peer may take to send a request.
+        grace_period: Seconds after a cancellation for requests under way; none are accepted then.
     """
     shutdown = _GracefulShutdown(grace_period)
 
@@ -206,9 +220,19 @@
             shutdown.begin()
 
 
+@dataclass(frozen=True)
+class _OutgoingRequest:
+    method: str
+    path: str
+    headers: Mapping[str, str]
+    body: bytes
+
+
 class Client:
-    """One peer's address, with connections kept between requests (`idle_most` of them). An answer's
-    body may hold `largest` bytes.
+    """Sends requests to one address.
+
+    Up to `max_idle_connections` stay open between requests; a response's body may have
+    `max_body_size` bytes.
     """
 
     def __init__(
@@ -227,27 +251,32 @@
     async def request(
         self, method: str, path: str, headers: Mapping[str, str] | None = None, body: bytes = b""
     ) -> Response:
-        """One exchange; put a cancel scope round it for its bound. Raises HttpFault."""
+        """One exchange; put a cancel scope around it to limit its time.
+
+        Raises:
+            HttpError: It failed, and was not or must not be repeated.
+        """
         reused = await self._take_idle_connection()
         stream, connection = reused or await self._connect()
         completed = False
         try:
-            response = await self._exchange(stream, connection, method, path, headers or {}, body)
+            request = _OutgoingRequest(method, path, headers or {}, body)
+            response = await self._exchange(stream, connection, request)
             completed = True
         except HttpError as error:
-            # A kept connection that its server closed as we wrote. Danger: what may have an effect
-            # is not said again unless it was not sent; nor is anything that the peer began to
-            # answer.
-            if reused and (
-                not error.request_sent or method in IDEMPOTENT and not error.response_started
-            ):
+            # The server may have closed an idle connection as we wrote. Without this condition, a
+            # request with an effect could be repeated after it was sent, or after the peer began
+            # to answer.
+            is_repeatable = method in IDEMPOTENT and not error.response_started
+            if reused and (not error.request_sent or is_repeatable):
                 return await self.request(method, path, headers, body)
             raise
         finally:
             if not completed:
                 await trio.aclose_forcefully(stream)
         if connection.our_state is h11.DONE and connection.their_state is h11.DONE:
-            # Danger: bytes behind a whole answer would be taken for the answer to the next request.
+            # Without this check, bytes behind a whole response would be taken for the response to
+            # the next request.
             unread_bytes, _ = connection.trailing_data
             connection.start_next_cycle()
             if not unread_bytes and len(self.idle_connections) < self.max_idle_connections:
@@ -257,8 +286,9 @@
         return response
 
     async def _take_idle_connection(self) -> tuple[trio.SocketStream, h11.Connection] | None:
-        """A connection that stands and is silent. Danger: one that is readable between requests was
-        closed, or holds what nobody asked for.
+        """An open connection with nothing to read, if there is one.
+
+        One that is readable between requests was closed, or holds what nobody asked for.
         """
         while self.idle_connections:
             stream, connection = self.idle_connections.pop()
@@ -280,26 +310,37 @@
         self,
         stream: trio.SocketStream,
         connection: h11.Connection,
-        method: str,
-        path: str,
-        headers: Mapping[str, str],
-        body: bytes,
+        request: _OutgoingRequest,
     ) -> Response:
-        pairs = [
+        await self._send_request(stream, connection, request)
+        return await self._receive_response(stream, connection)
+
+    async def _send_request(
+        self,
+        stream: trio.SocketStream,
+        connection: h11.Connection,
+        request: _OutgoingRequest,
+    ) -> None:
+        headers = [
             ("host", f"{self.host}:{self.port}"),
-            *headers.items(),
-            ("content-length", str(len(body))),
+            *request.headers.items(),
+            ("content-length", str(len(request.body))),
         ]
         try:
-            data = connection.send(h11.Request(method=method, target=path, headers=pairs)) or b""
-            if body:
-                data += connection.send(h11.Data(data=body)) or b""
+            head = h11.Request(method=request.method, target=request.path, headers=headers)
+            data = connection.send(head) or b""
+            if request.body:
+                data += connection.send(h11.Data(data=request.body)) or b""
             data += connection.send(h11.EndOfMessage()) or b""
             await stream.send_all(data)
         except (h11.LocalProtocolError, ValueError) as error:
             raise HttpError(f"this can't be asked: {error}", request_sent=False) from None
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise HttpError(f"the connection broke: {error}", request_sent=False) from None
+
+    async def _receive_response(
+        self, stream: trio.SocketStream, connection: h11.Connection
+    ) -> Response:
         event: Any = None
         try:
             event = await _next_event(connection, stream)
@@ -323,5 +364,6 @@
             ) from None
 
     async def close(self) -> None:
+        """Close the idle connections."""
         while self.idle_connections:
             await trio.aclose_forcefully(self.idle_connections.pop()[0])
--- a/dunlinlug/net/tls.py
+++ b/dunlinlug/net/tls.py
@@ -1,6 +1,4 @@
-"""TLS by the standard library's ssl: contexts from files, who a peer is, and until when its
-certificate holds.
-"""
+"""TLS by the standard library's ssl: contexts from files, peers' identities and their expiry."""
 
 import ssl
 import time
@@ -14,7 +12,7 @@
 
 
 class TlsConfigError(DunlinlugError, ValueError):
-    """Keys that cannot be used; the text says which and why."""
+    """A certificate or key file that cannot be used; the text says which and why."""
 
 
 def _configure(context: ssl.SSLContext, cert: Path, key: Path, authority: Path) -> ssl.SSLContext:
@@ -35,8 +33,10 @@
 
 
 def server_context(cert: Path, key: Path, clients: Path) -> ssl.SSLContext:
-    """For a server that asks each client for a certificate of the authority in `clients`. Raises
-    TlsFault.
+    """A context for a server; each client must have a certificate of the authority in `clients`.
+
+    Raises:
+        TlsConfigError: A file cannot be used.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.verify_mode = ssl.CERT_REQUIRED
@@ -44,19 +44,21 @@
 
 
 def client_context(cert: Path, key: Path, servers: Path) -> ssl.SSLContext:
-    """For a client with a certificate of its own. Raises TlsFault."""
+    """A context for a client with a certificate of its own.
+
+    Raises:
+        TlsConfigError: A file cannot be used.
+    """
     return _configure(ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT), cert, key, servers)
 
 
 def _peer_certificate(stream: trio.SSLStream[trio.SocketStream]) -> dict[str, object]:
-    found: dict[str, object] = stream.getpeercert() or {}
-    return found
+    certificate: dict[str, object] = stream.getpeercert() or {}
+    return certificate
 
 
 def peer_identity(stream: trio.SSLStream[trio.SocketStream]) -> str:
-    """The peer's name: the first DNS name or URI of its certificate, else its common name, else
-    nothing.
-    """
+    """The peer's name: the first DNS name or URI of its certificate, or its common name, or ""."""
     certificate = _peer_certificate(stream)
     alternatives = certificate.get("subjectAltName", ())
     for kind, value in alternatives:  # type: ignore[attr-defined]
@@ -71,5 +73,5 @@
 
 
 def remaining_validity(stream: trio.SSLStream[trio.SocketStream]) -> float:
-    """Seconds for which the peer's certificate still holds, by the wall clock."""
+    """Seconds until the peer's certificate expires, by the wall clock; negative after that."""
     return ssl.cert_time_to_seconds(str(_peer_certificate(stream)["notAfter"])) - time.time()
--- a/tests/race_conditions/test_ads_shutdown.py
+++ b/tests/race_conditions/test_ads_shutdown.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from dunlinlug import rpc
-from dunlinlug.net import grpc
+from dunlinlug.net import grpc, grpc_server
 from tests.command_line.test_command_line import Process
 from tests.config.test_manager_config import manager_file
 
@@ -79,7 +79,7 @@
 
     async def serve() -> None:
         with scope:
-            await grpc.serve(doors, answer)
+            await grpc_server.serve(doors, answer)
 
     with trio.fail_after(8):
         async with trio.open_nursery() as nursery:
