--- a/dunlinlug/ads/fleet_composition.py
+++ b/dunlinlug/ads/fleet_composition.py
@@ -19,7 +19,8 @@
 from dunlinlug.config.reader import ConfigFile
 from dunlinlug.fleet.election.leadership import Leadership
 from dunlinlug.fleet.membership.service import Membership
-from dunlinlug.fleet.ownership.service import Ownership
+from dunlinlug.fleet.ownership.options import LeaseTiming
+from dunlinlug.fleet.ownership.service import Ownership, OwnershipConfig
 from dunlinlug.fleet.ownership.shared_health_checks import HealthCheckCoordinator
 from dunlinlug.fleet.ownership.shared_overrides import SharedOverrides
 from dunlinlug.fleet.shared_keys import read_keys
@@ -117,11 +118,17 @@
         config = self.components.config
         election = config.section(manager_config.ElectionConfig)
         members = config.sections(manager_config.MemberConfig)
+        timing = {
+            "lease": election.lease,
+            "heartbeat_interval": election.beat,
+            "drift": election.drift,
+            "recovery_timeout": election.forgets,
+        }
         leadership = Leadership(
             election.member,
             {name: member.peers for name, member in members.items()},
             self.keys.election,
-            _log_timing(election),
+            timing,
             election.first,
             self.components.store,
             self.components.settings,
@@ -173,11 +180,9 @@
         if not config.on:
             return None
         self_id = self.components.config.section(manager_config.MembershipConfig).me
+        timing = LeaseTiming(config.lease, config.beat, config.drift, config.forgets)
         return Ownership(
-            self_id,
-            self._membership_addresses(),
-            self.keys.membership,
-            _log_timing(config),
+            OwnershipConfig(self_id, self._membership_addresses(), self.keys.membership, timing),
             self.components.store,
             Random(f"{self.seed} owners {self_id} {self.components.epoch}"),
             self.components.log_event,
@@ -220,15 +225,3 @@
             self.components.log_event,
             time.time,
         )
-
-
-def _log_timing(
-    config: manager_config.ElectionConfig | manager_config.LeaseConfig,
-) -> dict[str, float]:
-    """Seconds (`drift`: a fraction) by the keywords of a replicated log's protocol."""
-    return {
-        "lease": config.lease,
-        "heartbeat_interval": config.beat,
-        "drift": config.drift,
-        "recovery_timeout": config.forgets,
-    }
--- a/dunlinlug/client/table_subscriber.py
+++ b/dunlinlug/client/table_subscriber.py
@@ -22,9 +22,18 @@
 
 
 class TableSubscriber:
-    """One proxy's subscription to its managers; what it receives goes to `proxy_state`.
+    """One proxy's subscription to its managers; `run` starts it.
 
     Attributes:
+        node_id: The proxy's name, `zone` its zone.
+        managers: Addresses of all managers, of which one leads.
+        proxy_state: What responses are applied to; it may outlive subscriptions.
+        accumulator: Where load reports are taken from.
+        request_rate: Requests a second that the proxy expects to get.
+        reconnect_interval: Mean seconds between connections to one manager; `connect_timeout`
+            seconds for one.
+        random_uniform: Draws by `rng`, by default one seeded with the node's name.
+        tls_context: None for plain text.
         current_manager: The manager that answers, or None.
         last_received_at: When a manager last sent anything (trio's clock), or None.
         on_connected: Called when a manager begins to answer.
@@ -47,20 +56,6 @@
         rng: Random | None = None,
         tls_context: ssl.SSLContext | None = None,
     ) -> None:
-        """Prepare a subscription; `run` starts it.
-
-        Args:
-            node_id: The proxy's name.
-            zone: Its zone.
-            managers: Addresses of all managers, of which one leads.
-            proxy_state: What the responses are applied to; it may outlive subscriptions.
-            accumulator: Where load reports are taken from.
-            request_rate: Requests a second that the proxy expects to get.
-            reconnect_interval: Mean seconds between connections to one manager.
-            connect_timeout: Seconds for one.
-            rng: Source of randomness; by default one seeded with the node's name.
-            tls_context: None for plain text.
-        """
         self.node_id = node_id
         self.zone = zone
         self.managers = managers
