--- a/dunlinlug/ads/admin_server.py
+++ b/dunlinlug/ads/admin_server.py
@@ -81,7 +81,7 @@
         components.store.put_overrides,
         validation.record_rejections,
     )
-    validation.register_observer(registry.end_invalid)
+    validation.set_validated_callback(registry.end_invalid)
     status = ManagerStatus(components, validation, overrides)
     return AdminApi(
         read_token(Path(config.token_file)),
--- a/dunlinlug/ads/composition.py
+++ b/dunlinlug/ads/composition.py
@@ -21,9 +21,10 @@
 from dunlinlug.discovery.blocking_query import BlockingQuery
 from dunlinlug.guard import OrderValidator
 from dunlinlug.manager.channel import PacedChannel
-from dunlinlug.manager.decision_loop import DecisionLoop, DecisionModule
+from dunlinlug.manager.decision_loop import DecisionLoop
 from dunlinlug.manager.endpoint_watcher import EndpointWatcher
 from dunlinlug.manager.health_checks import HealthChecker
+from dunlinlug.manager.interfaces import DecisionModule
 from dunlinlug.manager.order_validation import RecordingOrderValidation
 from dunlinlug.manager.report_aggregator import ReportAggregator
 from dunlinlug.net import http
--- a/dunlinlug/ads/delivery.py
+++ b/dunlinlug/ads/delivery.py
@@ -10,7 +10,7 @@
 from dunlinlug.ads.response_batch import ResponseBatch
 from dunlinlug.ads.session import DeltaSession
 from dunlinlug.ads.state_of_the_world_session import StateOfTheWorldSession
-from dunlinlug.manager.decision_loop import LeadershipGate
+from dunlinlug.manager.interfaces import ReplicatedLeadership
 from dunlinlug.xds import names
 
 Session = DeltaSession | StateOfTheWorldSession
@@ -22,9 +22,9 @@
     def __init__(self, installer: XdsTableInstaller) -> None:
         self.installer = installer
         self.sessions: dict[int, Session] = {}
-        self.leadership: LeadershipGate | None = None
+        self.leadership: ReplicatedLeadership | None = None
 
-    def require_lease(self, leadership: LeadershipGate) -> None:
+    def require_lease(self, leadership: ReplicatedLeadership) -> None:
         """Deliver only while this gate says that we hold the leader's lease."""
         self.leadership = leadership
 
--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -158,7 +158,7 @@
         handlers = OrderHandlers(
             components, self.fleet.shared_health_checks, self.leader_tasks, nursery.start_soon
         )
-        components.loop.register_order_handlers(handlers.by_kind())
+        handlers.register(components.loop)
         nursery.start_soon(components.loop.run)
         nursery.start_soon(components.service.submit_reports)
         discovery = self.config.section(manager_config.DiscoveryConfig)
--- a/dunlinlug/ads/order_handlers.py
+++ b/dunlinlug/ads/order_handlers.py
@@ -1,12 +1,12 @@
 """Who carries out the decision module's orders that are not for proxies."""
 
 from collections.abc import Callable
-from typing import Any
 
 from dunlinlug.ads.composition import ManagerComponents
 from dunlinlug.ads.leadership_callbacks import LeaderTasks
 from dunlinlug.decision.orders import CheckHealth, ListEndpoints, WatchEndpoints
 from dunlinlug.fleet.ownership.shared_health_checks import HealthCheckCoordinator
+from dunlinlug.manager.decision_loop import DecisionLoop
 
 
 class OrderHandlers:
@@ -24,13 +24,11 @@
         self.leader_tasks = leader_tasks
         self.start_task = start_task
 
-    def by_kind(self) -> dict[type, Callable[[Any], None]]:
-        """The handler of each kind of order, as `DecisionLoop.register_order_handlers` takes it."""
-        return {
-            CheckHealth: self._check_health,
-            WatchEndpoints: self._watch_endpoints,
-            ListEndpoints: self._list_endpoints,
-        }
+    def register(self, loop: DecisionLoop) -> None:
+        """Carry out this loop's orders from now on."""
+        loop.handle_orders(CheckHealth, self._check_health)
+        loop.handle_orders(WatchEndpoints, self._watch_endpoints)
+        loop.handle_orders(ListEndpoints, self._list_endpoints)
 
     def _check_health(self, order: CheckHealth) -> None:
         """Check once for all members where they share health checks, else by ourselves."""
--- a/dunlinlug/ads/proxy_state.py
+++ b/dunlinlug/ads/proxy_state.py
@@ -185,7 +185,7 @@
                     self.zones,
                     self.ejected,
                 )
-            batch.lines = entry_count + self.message_overhead + (ack_number is not None)
+            batch.entry_count = entry_count + self.message_overhead + (ack_number is not None)
             if ejections is not None and proxy in self.proxies_with_new_ejections:
                 self._add_ejections(batch, proxy_state, ejections)
             self._add_changed_tables(batch, proxy, encoded_tables)
--- a/dunlinlug/ads/response_batch.py
+++ b/dunlinlug/ads/response_batch.py
@@ -19,7 +19,7 @@
         state_of_the_world: All that a state-of-the-world client should hold; None for a delta one.
         ack_requests: Number of each acknowledgement requested, and when it was (event loop's
             clock, seconds).
-        lines: Table entries that this batch counts for on the channel.
+        entry_count: Table entries that this batch counts for on the channel.
         ordered_at: When the first part of it was ordered (event loop's clock, seconds).
         reply_count: How many replies of the module were merged into it.
     """
@@ -29,7 +29,7 @@
     removed_tables: set[str] = field(default_factory=set)
     state_of_the_world: ResourcesByType | None = None
     ack_requests: list[tuple[int, float]] = field(default_factory=list)
-    lines: float = 0.0
+    entry_count: float = 0.0
     ordered_at: float = 0.0
     reply_count: int = 1
 
@@ -47,5 +47,5 @@
         self.routes = later.routes or self.routes
         self.state_of_the_world = later.state_of_the_world or self.state_of_the_world
         self.ack_requests += later.ack_requests
-        self.lines += later.lines
+        self.entry_count += later.entry_count
         self.reply_count += later.reply_count
--- a/dunlinlug/ads/session.py
+++ b/dunlinlug/ads/session.py
@@ -111,7 +111,7 @@
         # monotonic clock, which all processes of a machine share), how many entries it counts
         # for, and how many replies it merges.
         ordered_at = batch.ordered_at - trio.current_time() + time.monotonic()
-        tag = f"{ordered_at:.6f} {batch.lines:g} {batch.reply_count}"
+        tag = f"{ordered_at:.6f} {batch.entry_count:g} {batch.reply_count}"
         last = len(responses) - 1
         for position, response in enumerate(responses):
             nonce, data = self.stream.respond(
--- a/dunlinlug/ads/table_view.py
+++ b/dunlinlug/ads/table_view.py
@@ -119,7 +119,7 @@
         )
 
     def _describe_entry(self, worker: str, weight: float) -> EntryDescription:
-        listed_worker = self.validator.workers.get(worker)
+        listed_worker = self.validator.endpoints.by_id.get(worker)
         return EntryDescription(
             worker=worker,
             weight=round(weight, 6),
--- a/tests/ads/test_proxy_state.py
+++ b/tests/ads/test_proxy_state.py
@@ -136,16 +136,16 @@
     weights: list[Order] = [SetWeight(1, worker, 1.0) for worker in WORKERS[:3]]
     ejection = SetEjected(WORKERS[0], True)
     batch = installer.apply_orders([*weights, ejection], 0.0)[0]
-    assert batch.lines == MESSAGE_OVERHEAD + 1, "a proxy without a table gets all ejections"
+    assert batch.entry_count == MESSAGE_OVERHEAD + 1, "a proxy without a table gets all ejections"
     assignment = AssignTable(0, (0, 1), 1)
     batch = installer.apply_orders([assignment, RequestAcknowledgement(1, False)], 1.0)[0]
     # The assignment, the table's three entries, and the ejected one of them.
-    assert batch.lines == MESSAGE_OVERHEAD + ACK_REQUEST + (1 + 3 + 1)
+    assert batch.entry_count == MESSAGE_OVERHEAD + ACK_REQUEST + (1 + 3 + 1)
     ejection_elsewhere = SetEjected(WORKERS[5], True)
     assert installer.apply_orders([ejection_elsewhere], 2.0) == {}, "in no table of the proxy"
     weight = SetWeight(1, WORKERS[3], 0.5)
     batch = installer.apply_orders([weight, RequestAcknowledgement(2, True)], 3.0)[0]
-    assert batch.lines == MESSAGE_OVERHEAD + ACK_REQUEST + 1
+    assert batch.entry_count == MESSAGE_OVERHEAD + ACK_REQUEST + 1
 
 
 def test_a_reconnected_proxy_loses_old_tables_once_it_is_assigned_new_ones() -> None:
--- a/tests/fleet/ownership/test_shared_overrides.py
+++ b/tests/fleet/ownership/test_shared_overrides.py
@@ -51,7 +51,7 @@
     await until(
         lambda: all(
             manager.components.validation
-            and len(manager.components.validation.validator.workers) == len(WORKERS)
+            and len(manager.components.validation.validator.endpoints.by_id) == len(WORKERS)
             for manager in managers.managers.values()
         )
     )
--- a/tests/manager/test_channel.py
+++ b/tests/manager/test_channel.py
@@ -25,7 +25,9 @@
             free_at = max(free_at, now) + entry_count / 100.0
             due.append((free_at, number))
             waiting = sum(1 for at, _ in due if at > now)
-            channel.enqueue(now, 0, ResponseBatch(lines=entry_count, ordered_at=float(number)))
+            channel.enqueue(
+                now, 0, ResponseBatch(entry_count=entry_count, ordered_at=float(number))
+            )
             assert len(channel.queue) <= waiting + 1
     next_due_at = channel.next_due_at()
     while next_due_at is not None:
@@ -39,10 +41,10 @@
 
 def test_the_channel_names_the_limit_exceeded_and_forgets_a_proxy_that_left() -> None:
     channel = PacedChannel(100.0, 50.0, 2, 10.0)
-    assert channel.enqueue(0.0, 1, ResponseBatch(lines=40.0)) == []
-    assert channel.enqueue(0.0, 2, ResponseBatch(lines=20.0)) == ["waiting_most"]
-    assert channel.enqueue(0.1, 1, ResponseBatch(lines=1.0)) == ["waiting_most"]
-    assert "messages_most" in channel.enqueue(0.2, 1, ResponseBatch(lines=1.0))
+    assert channel.enqueue(0.0, 1, ResponseBatch(entry_count=40.0)) == []
+    assert channel.enqueue(0.0, 2, ResponseBatch(entry_count=20.0)) == ["waiting_most"]
+    assert channel.enqueue(0.1, 1, ResponseBatch(entry_count=1.0)) == ["waiting_most"]
+    assert "messages_most" in channel.enqueue(0.2, 1, ResponseBatch(entry_count=1.0))
     channel.remove_proxy(2)
     assert channel.queued_entries == 42.0 and [proxy for proxy, _ in channel.queue] == [1, 1, 1]
     channel.set_rate(0.2, 10.0)
@@ -54,5 +56,5 @@
 def test_after_the_process_was_stopped_nothing_leaves_in_a_burst() -> None:
     channel = PacedChannel(100.0, 1000.0, 0, 10.0)
     for number in range(20):
-        channel.enqueue(0.0, number, ResponseBatch(lines=10.0))
+        channel.enqueue(0.0, number, ResponseBatch(entry_count=10.0))
     assert len(channel.pop_due(60.0)) <= 1 + MAX_CATCH_UP_S * 100.0 / 10.0
--- a/tests/recorded/record_operators.py
+++ b/tests/recorded/record_operators.py
@@ -346,7 +346,7 @@
             if manager.config.section(manager_config.ElectionConfig).member:
                 _stand_among_others(manager, nursery)
             answers = await _answers(manager, steps, clock)
-            pins = manager.components.store.overrides()
+            pins = [one.to_plain() for one in manager.components.store.overrides()]
             manager.components.store.close()
             nursery.cancel_scope.cancel()
         return {"answers": answers, "pins": pins}
