--- a/bench/fanout.py
+++ b/bench/fanout.py
@@ -21,11 +21,13 @@
 
 from dunlinlug.ads.proxy_state import XdsTableInstaller
 from dunlinlug.ads.session import DeltaSession
+from dunlinlug.ads.session_callbacks import SessionCallbacks
 from dunlinlug.decision.events import Acknowledged, Event
 from dunlinlug.decision.orders import AssignTable, Order, RequestAcknowledgement, SetWeight
 from dunlinlug.decision.settings import TrafficClass
 from dunlinlug.manager.channel import PacedChannel
 from dunlinlug.net import grpc as own_grpc
+from dunlinlug.net import grpc_server
 from dunlinlug.xds import encoding, names
 from dunlinlug.xds.stream import DeltaStream, NodeIdentified
 
@@ -80,7 +82,7 @@
                 if session is None and len(stream.subscribed) == 2:
                     number = len(sessions)
                     session = sessions[number] = DeltaSession(
-                        number, call, stream, 0.0, tell, lambda *a, **k: None
+                        number, call, stream, 0.0, SessionCallbacks(tell, lambda *a, **k: None)
                     )
                     desk.add_proxy(number, True, ())
                     nursery.start_soon(session.run_sender)
@@ -97,7 +99,7 @@
 
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        nursery.start_soon(own_grpc.serve, listeners, answer)
+        nursery.start_soon(grpc_server.serve, listeners, answer)
         print(listeners[0].socket.getsockname()[1], flush=True)
         while len(sessions) < proxies:
             await trio.sleep(0.01)
--- a/dunlinlug/fleet/election/interfaces.py
+++ b/dunlinlug/fleet/election/interfaces.py
@@ -31,7 +31,6 @@
     """The service that proxies connect to.
 
     Attributes:
-        on_higher_term: Called with a term that a proxy has seen and that is higher than ours.
         control_plane_id: Names us and our term to proxies.
         term: The term in which we lead.
         leading: Set while we lead; calls of proxies wait for it.
@@ -40,7 +39,6 @@
         sessions: Sessions of the proxies that are connected, by number.
     """
 
-    on_higher_term: Callable[[int], None]
     control_plane_id: str
     term: int
     leading: trio.Event
@@ -51,6 +49,9 @@
     def close_streams(self, reason: str) -> None:
         """Ends all streams of proxies and lets later calls wait until we lead."""
 
+    def register_term_observer(self, on_higher_term: Callable[[int], None]) -> None:
+        """Calls this with each term that a proxy has seen and that is higher than ours."""
+
 
 class LeadershipHost(Protocol):
     """What the manager around its leadership does as leader, and the overrides it replicates."""
--- a/dunlinlug/fleet/election/leadership.py
+++ b/dunlinlug/fleet/election/leadership.py
@@ -86,7 +86,7 @@
         self.last_error = ""
         self.recovery_timeout = timing["recovery_timeout"]
         decision_loop.set_leadership(self)
-        proxy_service.on_higher_term = self.observe_term
+        proxy_service.register_term_observer(self.observe_term)
         proxy_service.close_streams("not master yet")
 
     def register_host(self, host: LeadershipHost) -> None:
--- a/dunlinlug/fleet/membership/service.py
+++ b/dunlinlug/fleet/membership/service.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 from random import Random
-from typing import Any
+from typing import Any, Protocol
 
 import trio
 
@@ -52,6 +52,25 @@
     return PartitionStatus.ALONE if len(addresses) > 1 else PartitionStatus.ALL
 
 
+class MembershipHost(Protocol):
+    """What the manager around a membership provides to it, and what it is notified of."""
+
+    def submit_event(self, event: Event) -> None:
+        """Take an event for the decision module."""
+
+    def listed_workers(self) -> Mapping[str, Endpoint] | None:
+        """The endpoint list as service discovery gave it here; None before the first."""
+
+    def current_load(self) -> ManagerLoad:
+        """The load of this manager since the last call."""
+
+    def on_partition_change(self, status: PartitionStatus, limits: PartitionLimits) -> None:
+        """This manager's side of a partition, and what it may do there, has changed."""
+
+    def on_member_change(self, change: MemberStateChanged) -> None:
+        """A member has another state."""
+
+
 class Membership:
     """One manager's membership.
 
@@ -118,6 +137,14 @@
         self.partition = Debounced(_initial_status(addresses), clock(), probe_interval)
         self.recent_changes: deque[status_report.TimedChange] = deque(maxlen=MAX_RECENT_CHANGES)
 
+    def register_host(self, host: MembershipHost) -> None:
+        """Take facts from `host` and notify it, from now on."""
+        self.on_event = host.submit_event
+        self.listed_workers = host.listed_workers
+        self.current_load = host.current_load
+        self.on_partition_change = host.on_partition_change
+        self.on_member_change = host.on_member_change
+
     @property
     def partition_status(self) -> PartitionStatus:
         """On which side of a partition we are."""
--- a/dunlinlug/manager/decision_loop.py
+++ b/dunlinlug/manager/decision_loop.py
@@ -75,6 +75,10 @@
         self.pending_events.append(event)
         self.event_arrived.set()
 
+    def notify_channel_changed(self) -> None:
+        """Look at the channel anew, as its rate has changed."""
+        self.channel_changed.set()
+
     def stop(self) -> None:
         """Decide nothing from now on.
 
--- a/dunlinlug/manager/endpoint_watcher.py
+++ b/dunlinlug/manager/endpoint_watcher.py
@@ -46,6 +46,10 @@
         self.start_times = StartTimes()
         self.failing = False
 
+    def forget_list(self) -> None:
+        """Report the next list as a snapshot, whatever was reported before."""
+        self.last_list = None
+
     async def watch(self, retry_failures: bool) -> None:
         """Follow the list until cancelled.
 
--- a/dunlinlug/manager/health_checks.py
+++ b/dunlinlug/manager/health_checks.py
@@ -70,6 +70,10 @@
         self.parse_report = parse_report
         self.limit = trio.CapacityLimiter(max(max_concurrent, 1))
 
+    def register_result_handler(self, submit: Callable[[Event], None]) -> None:
+        """Send results to `submit` from now on, in place of where they went before."""
+        self.submit = submit
+
     async def check(self, worker: str) -> None:
         """Check one worker once; always submits one result."""
         async with self.limit:
--- a/dunlinlug/manager/order_validation.py
+++ b/dunlinlug/manager/order_validation.py
@@ -55,6 +55,10 @@
         """Have `callback` called after each reply, with the time and the enforced rejections."""
         self.on_validated = callback
 
+    def replace_validator(self, validator: OrderValidator) -> None:
+        """Validate by another state from now on, as a new leader does."""
+        self.validator = validator
+
     def validate(
         self,
         now: float,
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -156,13 +156,13 @@
         await proxy.until(bound)
         run.roster.workers[0] = replace(WORKERS[0], started_at=time.time())
         run.roster.tell(w1="ready")
-        validator = run.manager.validation.validator
+        validator = run.manager.components.validation.validator
         await until(lambda: bool(validator.endpoints.warming_up))
-        run.manager.loop.pending_events += [
+        run.manager.components.loop.pending_events += [
             DemandReported(0, BOOK, 500, 0, 1.0),
             *(EndpointReported("north", worker.id, 9, 0, 0.1, 1.0) for worker in WORKERS[1:]),
         ]
-        run.manager.loop.event_arrived.set()
+        run.manager.components.loop.event_arrived.set()
         await until(lambda: bool(validator.estimates.demand))
         status, answer = await client.activate(weights={FIRST_TWO[0]: 100.0})
         assert status == 409
@@ -200,7 +200,7 @@
         await proxy.until(lambda state: set(state.usable_weights(BOOK)) == set(FIRST_TWO))
         assert len(proxy.holdings.usable_weights(READ)) == 6
         await proxy.until(lambda state: len(state.usable_weights(BOOK)) == 6)
-    assert run.manager.store is not None
+    assert run.manager.components.store is not None
     assert [fields["why"] for fields in run.said("override.ended")] == ["its time is up"]
 
 
--- a/tests/decision/test_order_rejection.py
+++ b/tests/decision/test_order_rejection.py
@@ -191,7 +191,7 @@
     drained = WORKERS[3].id
     async with running(tmp_path, make=EmptyTableModule) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
-        run.manager.loop.module.is_rejecting = True  # type: ignore[attr-defined]
+        run.manager.components.loop.module.is_rejecting = True  # type: ignore[attr-defined]
         run.roster.tell(w3="draining")
         await proxy.until(lambda h: drained in h.ejected)
         await until(lambda: bool(run.said("guard.order_rejected")))
--- a/tests/fleet/election/test_leadership.py
+++ b/tests/fleet/election/test_leadership.py
@@ -138,8 +138,8 @@
         with pytest.raises(ValueError, match="not another member"):
             await first.leadership.transfer_leadership(first.leadership.self_id)
         to = next(m for m in "abc" if m != first.leadership.self_id)
-        first.loop.submit(DemandReported(0, "view-map", 1, 0, 0.1))
-        first.loop.run_batch(trio.current_time())
+        first.components.loop.submit(DemandReported(0, "view-map", 1, 0, 0.1))
+        first.components.loop.run_batch(trio.current_time())
         assert not first.leadership.protocol.is_caught_up(to), (
             "a batch is under way to it at the very moment"
         )
@@ -344,14 +344,18 @@
         )  # its datagrams are lost, its frames go on
         await until(
             lambda: all(
-                not m.loop.module.state.partition_limits.may_change_weights
+                not m.components.loop.module.state.partition_limits.may_change_weights
                 for m in run.managers.values()
             )
         )
         to = next(name for name in run.managers if name != first.leadership.self_id)
         await first.leadership.transfer_leadership(to)
         assert await run.led(but=first.leadership.self_id) is run.managers[to]
-        await until(lambda: run.managers[to].loop.module.state.partition_limits.may_change_weights)
+        await until(
+            lambda: (
+                run.managers[to].components.loop.module.state.partition_limits.may_change_weights
+            )
+        )
 
 
 async def test_a_successor_uses_its_own_service_discovery(tmp_path: Path) -> None:
--- a/tests/fleet/ownership/test_shared_overrides.py
+++ b/tests/fleet/ownership/test_shared_overrides.py
@@ -50,7 +50,8 @@
     )
     await until(
         lambda: all(
-            manager.validation and len(manager.validation.validator.endpoints.by_id) == len(WORKERS)
+            manager.components.validation
+            and len(manager.components.validation.validator.endpoints.by_id) == len(WORKERS)
             for manager in managers.managers.values()
         )
     )
--- a/tests/manager/test_manager.py
+++ b/tests/manager/test_manager.py
@@ -13,6 +13,7 @@
 
 from dunlinlug import rpc
 from dunlinlug.ads.main import Manager
+from dunlinlug.ads.stored_endpoint_list import submit_stored_list
 from dunlinlug.config import manager_config
 from dunlinlug.net import grpc
 from dunlinlug.storage.store import Store, StoreError
@@ -70,11 +71,13 @@
     async with running(tmp_path) as run, peer(run, "valid") as valid, peer(run, "slow") as slow:
         await valid.until(bound)
         await slow.until(bound)
-        service = run.manager.service
+        service = run.manager.components.service
         session = service.sessions[service.proxy_numbers["slow"]]
         for n in range(30):
             run.roster.tell(**{f"w{n % 3}": "draining" if n % 6 < 3 else "ready"})
-            await until(lambda: run.manager.endpoint_watcher.state.index == run.roster.index)
+            await until(
+                lambda: run.manager.components.endpoint_watcher.state.index == run.roster.index
+            )
         await valid.until(lambda h: not h.ejected & {w.id for w in WORKERS[:3]})
         assert len(session.in_flight) <= 8, "the rest is merged"
         await valid.until(bound)
@@ -86,7 +89,7 @@
 ) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
-        await until(lambda: not run.manager.service.sessions[0].in_flight)
+        await until(lambda: not run.manager.components.service.sessions[0].in_flight)
         tables_before = dict(proxy.holdings.tables)
         rejection_count = 0
 
@@ -122,7 +125,9 @@
         assert WORKERS[1].id in proxy.holdings.ejected, (
             "an ejection is not lost with the tables beside it"
         )
-        tables_in_use = run.manager.loop.module.state.assignments.proxies[0].tables_in_use  # type: ignore[attr-defined]
+        tables_in_use = run.manager.components.loop.module.state.assignments.proxies[
+            0
+        ].tables_in_use  # type: ignore[attr-defined]
         assert any(ack_number for tables in tables_in_use.values() for _, ack_number in tables), (
             "the module got no acknowledgement"
         )
@@ -168,7 +173,7 @@
             with trio.fail_after(5.0), pytest.raises(grpc.CallEndedError):
                 while True:
                     await first.take()
-            assert len(run.manager.service.sessions) == 1
+            assert len(run.manager.components.service.sessions) == 1
 
 
 async def test_reports_reach_the_module_at_the_configured_rate(tmp_path: Path) -> None:
@@ -191,13 +196,13 @@
             {"ticket-read": (9, 2), "unknown": (1, 0)},
         )
         call.send(load_reports.encode_report(report, is_first=False))
-        module = run.manager.loop.module
+        module = run.manager.components.loop.module
         await until(lambda: bool(module.state.admission_controller.arrivals["ticket-read"]))  # type: ignore[attr-defined]
         detector = module.state.outlier_detector  # type: ignore[attr-defined]
         row = module.state.fleet.row_by_id[WORKERS[0].id]  # type: ignore[attr-defined]
         await until(lambda: bool(detector.attempts[row]))
         assert detector.failure_rate(row) == pytest.approx(0.4) and "127.0.0.1:9" not in {
-            worker for _, worker in run.manager.report_aggregator.endpoint_totals
+            worker for _, worker in run.manager.components.report_aggregator.endpoint_totals
         }
 
 
@@ -219,10 +224,10 @@
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         run.roster.workers[5] = replace(WORKERS[5], started_at=1000.0)
         run.roster.tell()
-        await until(lambda: bool(run.manager.endpoint_watcher.start_times))
-        fleet = run.manager.loop.module.state.fleet  # type: ignore[attr-defined]
+        await until(lambda: bool(run.manager.components.endpoint_watcher.start_times))
+        fleet = run.manager.components.loop.module.state.fleet  # type: ignore[attr-defined]
         await proxy.until(bound)
-        run.manager.endpoint_watcher.clock_offset = lambda: (
+        run.manager.components.endpoint_watcher.clock_offset = lambda: (
             trio.current_time() - time.time() + 3600.0
         )
         run.roster.tell(w0="draining")
@@ -236,7 +241,7 @@
 async def test_an_internal_error_with_one_peer_ends_that_connection_alone(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
-        run.manager.service.proxy_numbers = None  # type: ignore[assignment]
+        run.manager.components.service.proxy_numbers = None  # type: ignore[assignment]
         async with grpc.connect(*run.address) as other:
             call = other.start_call(names.DELTA_ADS_METHOD)
             request = discovery_pb2.DeltaDiscoveryRequest(type_url=names.ROUTES_TYPE)
@@ -256,13 +261,13 @@
         await proxy.until(bound)
         with pytest.raises(StoreError, match="another manager"):
             Store(tmp_path / "store")
-        assert run.manager.epoch == 1
+        assert run.manager.components.epoch == 1
     path = manager_file(tmp_path, ("store = unused", f"store = {tmp_path / 'store'}"))
     restarted = Manager(path, manager_config.load_manager_config(path))
-    restarted._submit_stored_list()
-    stored_list = restarted.loop.pending_events[0]
-    restarted.store.close()
-    assert restarted.epoch == 2 and stored_list.update_type == "kept"  # type: ignore[union-attr]
+    submit_stored_list(restarted.components)
+    stored_list = restarted.components.loop.pending_events[0]
+    restarted.components.store.close()
+    assert restarted.components.epoch == 2 and stored_list.update_type == "kept"  # type: ignore[union-attr]
     assert [w.id for w in stored_list.endpoints] == sorted(w.id for w in WORKERS)  # type: ignore[union-attr]
 
 
@@ -307,7 +312,7 @@
 
 def all_acknowledged(run: Running) -> bool:
     """Return whether the module has acknowledgements of all proxies for all that it ordered."""
-    proxies = run.manager.loop.module.state.assignments.proxies  # type: ignore[attr-defined]
+    proxies = run.manager.components.loop.module.state.assignments.proxies  # type: ignore[attr-defined]
     return bool(proxies) and all(
         proxy.tables_in_use and not ack_number
         for proxy in proxies.values()
--- a/tests/race_conditions/test_ads_shutdown.py
+++ b/tests/race_conditions/test_ads_shutdown.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from dunlinlug import rpc
-from dunlinlug.net import grpc
+from dunlinlug.net import grpc, grpc_server
 from tests.command_line.test_command_line import Process
 from tests.config.test_manager_config import manager_file
 
@@ -82,7 +82,7 @@
 
     async def serve() -> None:
         with scope:
-            await grpc.serve(listeners, answer)
+            await grpc_server.serve(listeners, answer)
 
     with trio.fail_after(8):
         async with trio.open_nursery() as nursery:
