--- a/dunlinlug/fleet/membership/service.py
+++ b/dunlinlug/fleet/membership/service.py
@@ -116,7 +116,9 @@
         self.current_load: Callable[[], ManagerLoad] = lambda: NO_LOAD
         self.listed_workers: Callable[[], Mapping[str, Endpoint] | None] = lambda: None
         self.on_event: Callable[[Event], None] = _ignore_event
-        self.on_partition_change: Callable[[PartitionStatus, PartitionLimits], None] = _ignore_partition_change
+        self.on_partition_change: Callable[[PartitionStatus, PartitionLimits], None] = (
+            _ignore_partition_change
+        )
         self.on_member_change: Callable[[MemberStateChanged], None] = _ignore_member_change
         seeds = _seed_addresses(addresses, self_id)
         self.protocol = MembershipProtocol(
--- a/tests/recorded/write_states.py
+++ b/tests/recorded/write_states.py
@@ -11,10 +11,9 @@
 from pathlib import Path
 from random import Random
 
-from dunlinlug.fleet.succession import facts
-
 from dunlinlug import interface, terms
 from dunlinlug.balance import Balancer
+from dunlinlug.fleet.succession import facts
 
 PROXIES, WORKERS, ZONES = 6, 14, ("north", "south", "east")
 TURN, BEFORE, AFTER = 0.1, 250, 150  # seconds of a turn; turns before the first state and after it
