--- a/tests/recorded/write_states.py
+++ b/tests/recorded/write_states.py
@@ -7,6 +7,8 @@
 (`after.state`). The names of this program are those of the recorded version, and change with the recording alone.
 """
 
+# ruff: noqa: I001 - the imports are the recorded version's, whose modules are not in this tree
+
 import sys
 from pathlib import Path
 from random import Random
