--- a/dunlinlug/ads/membership_callbacks.py
+++ b/dunlinlug/ads/membership_callbacks.py
@@ -8,7 +8,7 @@
 from dunlinlug.fleet.election.leadership import Leadership
 from dunlinlug.fleet.membership.load import ManagerLoad
 from dunlinlug.fleet.membership.messages import MemberStateChanged
-from dunlinlug.fleet.membership.partition import PartitionLimits
+from dunlinlug.fleet.membership.partition import PartitionLimits, PartitionStatus
 from dunlinlug.fleet.membership.service import Membership
 from dunlinlug.fleet.ownership.service import Ownership
 from dunlinlug.manager.decision_loop import DecisionLoop
@@ -53,7 +53,7 @@
 
     def on_partition_change(
         self,
-        status: str,  # noqa: ARG002 - the module goes by the limits, operators by the status
+        status: PartitionStatus,  # noqa: ARG002 - the module goes by the limits, operators by the status
         limits: PartitionLimits,
     ) -> None:
         """Notify the decision module of its new limits."""
--- a/dunlinlug/fleet/election/interfaces.py
+++ b/dunlinlug/fleet/election/interfaces.py
@@ -50,7 +50,7 @@
         """Ends all streams of proxies and lets later calls wait until we lead."""
 
     def register_term_observer(self, on_higher_term: Callable[[int], None]) -> None:
-        """Calls this with a term that a proxy has seen and that is higher than ours."""
+        """Calls this with each term that a proxy has seen and that is higher than ours."""
 
 
 class LeadershipHost(Protocol):
--- a/dunlinlug/fleet/membership/service.py
+++ b/dunlinlug/fleet/membership/service.py
@@ -64,7 +64,7 @@
     def current_load(self) -> ManagerLoad:
         """The load of this manager since the last call."""
 
-    def on_partition_change(self, status: str, limits: PartitionLimits) -> None:
+    def on_partition_change(self, status: PartitionStatus, limits: PartitionLimits) -> None:
         """This manager's side of a partition, and what it may do there, has changed."""
 
     def on_member_change(self, change: MemberStateChanged) -> None:
@@ -116,7 +116,9 @@
         self.current_load: Callable[[], ManagerLoad] = lambda: NO_LOAD
         self.listed_workers: Callable[[], Mapping[str, Endpoint] | None] = lambda: None
         self.on_event: Callable[[Event], None] = _ignore_event
-        self.on_partition_change: Callable[[str, PartitionLimits], None] = _ignore_partition_change
+        self.on_partition_change: Callable[[PartitionStatus, PartitionLimits], None] = (
+            _ignore_partition_change
+        )
         self.on_member_change: Callable[[MemberStateChanged], None] = _ignore_member_change
         seeds = _seed_addresses(addresses, self_id)
         self.protocol = MembershipProtocol(
--- a/dunlinlug/fleet/membership/transport.py
+++ b/dunlinlug/fleet/membership/transport.py
@@ -38,7 +38,7 @@
     was logged. `bind_address` is where to listen, if not at the member's own address.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - one parameter a collaborator
         self,
         protocol: MembershipProtocol,
         keys: list[bytes],
