--- a/dunlinlug/ads/membership_callbacks.py
+++ b/dunlinlug/ads/membership_callbacks.py
@@ -53,7 +53,7 @@
 
     def on_partition_change(
         self,
-        status: PartitionStatus,  # noqa: ARG002 - the module goes by the limits, operators by the status
+        status: PartitionStatus,  # noqa: ARG002 - the module needs the limits alone
         limits: PartitionLimits,
     ) -> None:
         """Notify the decision module of its new limits."""
