--- a/dunlinlug/ads/composition.py
+++ b/dunlinlug/ads/composition.py
@@ -1,6 +1,6 @@
 """Builds the components of a manager from its configuration, before anything runs.
 
-No component is started here and no socket is opened: only the store is opened, as its epoch goes into
+No component is started here and no socket is opened: only the store is, as its epoch goes into
 the names of tables. What needs the running event loop is built in `fleet_composition`.
 """
 
--- a/dunlinlug/ads/leadership_callbacks.py
+++ b/dunlinlug/ads/leadership_callbacks.py
@@ -107,7 +107,7 @@
         self.leader_tasks.cancel_all()
 
     def current_overrides(self) -> list[dict[str, Any]]:
-        """Operator overrides in force, as plain records for followers; none without an admin API."""
+        """Operator overrides in force, as plain records; none without an admin API."""
         if self.overrides is None:
             return []
         return self.overrides.to_plain()
--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -67,7 +67,7 @@
         self.admin_address: tuple[str, int] | None = None
 
     def create_fleet(self, start_task: Callable[..., None]) -> FleetComponents:
-        """Build the components among other managers and show them to operators; nothing is started."""
+        """Build the components among other managers and show them to operators."""
         self.fleet = FleetBuilder(
             self.components, self.fleet_keys, self.admin_api, self.leader_tasks, start_task
         ).build()
@@ -125,7 +125,7 @@
         shutdown.finish_shutdown(self.components)
 
     async def _start_membership(self, nursery: trio.Nursery) -> None:
-        """Join the other managers, then own work among them. Raises OSError if the port is taken."""
+        """Join the other managers, then own work. Raises OSError if the port is taken."""
         fleet = self.fleet
         if fleet.membership is None:
             return
--- a/dunlinlug/ads/resource_encoding.py
+++ b/dunlinlug/ads/resource_encoding.py
@@ -14,7 +14,7 @@
 
 
 class ResourceEncoder:
-    """Encodes resources for one set of traffic classes; see `XdsTableInstaller` for the arguments."""
+    """Encodes resources for one set of traffic classes; arguments as in `XdsTableInstaller`."""
 
     def __init__(
         self,
--- a/dunlinlug/ads/response_batch.py
+++ b/dunlinlug/ads/response_batch.py
@@ -1,4 +1,4 @@
-"""What one reply of the decision module sends to one proxy, with the acknowledgements it requests."""
+"""What one reply of the decision module sends to one proxy, with acknowledgement requests."""
 
 from dataclasses import dataclass, field
 
--- a/dunlinlug/ads/shutdown.py
+++ b/dunlinlug/ads/shutdown.py
@@ -1,4 +1,4 @@
-"""How a manager stops: it waits for a signal, decides no more, takes its leave, closes its store."""
+"""How a manager stops: it waits for a signal, decides no more, leaves, closes its store."""
 
 from collections.abc import Callable
 
--- a/dunlinlug/ads/table_view.py
+++ b/dunlinlug/ads/table_view.py
@@ -13,7 +13,7 @@
 
 
 class EntryDescription(TypedDict):
-    """One worker of a table: weight, and its state in the endpoint list ("unknown" if not in it)."""
+    """One worker of a table: weight, and its listed state ("unknown" if it is not listed)."""
 
     worker: str
     weight: float
@@ -23,7 +23,7 @@
 
 
 class TableDescription(TypedDict):
-    """A table as proxies use it for one class: how many, admitted fraction, retry policy, entries."""
+    """A table as proxies use it for one class: admitted fraction, retry policy, entries."""
 
     table: str
     proxies: int
--- a/dunlinlug/xds/names.py
+++ b/dunlinlug/xds/names.py
@@ -43,11 +43,11 @@
 
 
 def traffic_class_of(cluster: str) -> str:
-    """The traffic class in the name of a cluster as `cluster_name` makes it; empty if it is none."""
+    """The traffic class in a name made by `cluster_name`; empty if it is none."""
     segments = cluster.split("/", 2)
     return segments[2] if len(segments) == 3 else ""
 
 
 def table_name(epoch: int, number: int) -> str:
-    """A table's resource name; the epoch keeps a manager's numbers apart from those before a restart."""
+    """A table's resource name; the epoch keeps numbers apart from those before a restart."""
     return f"{epoch}/{number}"
--- a/dunlinlug/xds/stream.py
+++ b/dunlinlug/xds/stream.py
@@ -1,4 +1,4 @@
-"""The server's state of one delta ADS stream: what was sent under which nonce, and what is acked."""
+"""The server's state of one delta ADS stream: what was sent by nonce, and what is acked."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.xds import encoding, names
 
-# Resource names that one stream may subscribe to or hold: about a thousand times what a proxy needs.
+# Resource names that one stream may subscribe to or hold: a thousand times a proxy's need.
 MAX_RESOURCE_NAMES = 10_000
 
 
