--- a/bench/crowd.py
+++ b/bench/crowd.py
@@ -4,13 +4,14 @@
     python -m bench.crowd --workers 5000 --products 2 --proxies 20 [--module former|present|both] [--runs 3]
     python -m bench.crowd --table [--module both]
 
-All proxies join within half a second, as when seven in ten managers die at once; then reports and answers come at the
-agreed rate, an eighth of 200 workers is bad, and from the tenth second on thirty are replaced. Module and the
-platform's orders, no socket: what is measured is deciding and rendering. Each size runs in a process of its own; times
-are seconds of CPU, memory is what the process holds above an empty manager's.
+All proxies join within half a second, as when seven in ten managers die at once; then reports and
+answers come at the agreed rate, an eighth of 200 workers is bad, and from the tenth second on
+thirty are replaced. Module and the platform's orders, no socket: what is measured is deciding and
+rendering. Each size runs in a process of its own; times are seconds of CPU, memory is what the
+process holds above an empty manager's.
 
-With a size, or the table of sizes, deciding is told apart from rendering; `former` is `tests/reference_model`, and
-`both` plays each size with the one and with the other, by turns.
+With a size, or the table of sizes, deciding is told apart from rendering; `former` is
+`tests/reference_model`, and `both` plays each size with the one and with the other, by turns.
 """
 
 import argparse
--- a/bench/fanout.py
+++ b/bench/fanout.py
@@ -1,11 +1,13 @@
-"""Fan-out: one changed line, and one whole table with its routes, to many proxies; beside a grpcio server.
+"""Fan-out: one changed line, and one whole table with its routes, to many proxies; beside a grpcio
+server.
 
-    python -m bench.fanout [--proxies 10,50,150,500] [--workers 100] [--rounds 40]
+python -m bench.fanout [--proxies 10,50,150,500] [--workers 100] [--rounds 40]
 
-Both servers run in a process of their own, one after the other for each size, and send the same resources to the same
-clients (four processes, which answer without applying). Told are seconds from the decision to the last answer (p50,
-p99) and milliseconds of server CPU a message. The whole path of ours is measured: orders, desk, channel (at no pace),
-sessions, h2. The grpcio server (asyncio, C core) is given its bytes ready but for the nonce.
+Both servers run in a process of their own, one after the other for each size, and send the same
+resources to the same clients (four processes, which answer without applying). Told are seconds from
+the decision to the last answer (p50, p99) and milliseconds of server CPU a message. The whole path
+of ours is measured: orders, desk, channel (at no pace), sessions, h2. The grpcio server (asyncio, C
+core) is given its bytes ready but for the nonce.
 """
 
 import argparse
--- a/bench/hung.py
+++ b/bench/hung.py
@@ -1,11 +1,13 @@
-"""How soon five managers withdraw a hung worker, with and without what the others' proxies met; paired seeds.
+"""How soon five managers withdraw a hung worker, with and without what the others' proxies met;
+paired seeds.
 
-    python -m bench.hung [--pairs 20]
+python -m bench.hung [--pairs 20]
 
-Each manager's proxies send txns evenly to 200 workers; reports come by zone and worker, rationed to 80 lines a second
-as on the platform, so that each covers some seconds. One worker hangs: its txns end voided two seconds later. A part
-of all tries is voided by chance. Modules, evidence and time are as in service; proxies and workers are sums, words
-between managers take a few milliseconds and one in twenty is lost. No sockets: what is measured is judging.
+Each manager's proxies send txns evenly to 200 workers; reports come by zone and worker, rationed to
+80 lines a second as on the platform, so that each covers some seconds. One worker hangs: its txns
+end voided two seconds later. A part of all tries is voided by chance. Modules, evidence and time
+are as in service; proxies and workers are sums, words between managers take a few milliseconds and
+one in twenty is lost. No sockets: what is measured is judging.
 """
 
 import argparse
@@ -120,7 +122,9 @@
 
 
 def play(seed: int, rate: float, chance_voids: float, shares: bool) -> tuple[list[float], int]:
-    """Seconds from the hang to the withdrawal at each manager that withdrew it, and healthy ones withdrawn."""
+    """Seconds from the hang to the withdrawal at each manager that withdrew it, and healthy ones
+    withdrawn.
+    """
     sites, words = (
         [Site(n, seed, rate, chance_voids) for n in range(MANAGERS)],
         Random(f"{seed} words"),
--- a/bench/loop.py
+++ b/bench/loop.py
@@ -1,10 +1,12 @@
-"""The decision loop: seconds of CPU a simulated second, module and desk apart, on a clock of its own.
+"""The decision loop: seconds of CPU a simulated second, module and desk apart, on a clock of its
+own.
 
-    python -m bench.loop [--seconds 30]
+python -m bench.loop [--seconds 30]
 
-Proxies join, a fifth of the workers is deployed in batches, every report cycle brings what proxies met (rationed as on
-the wire), answers come a transit after the channel has let a message go. No socket: what is measured is deciding and
-rendering. Sizes are one manager's part of each deployment's large day, as `docs/design.md` gives them.
+Proxies join, a fifth of the workers is deployed in batches, every report cycle brings what proxies
+met (rationed as on the wire), answers come a transit after the channel has let a message go. No
+socket: what is measured is deciding and rendering. Sizes are one manager's part of each
+deployment's large day, as `docs/design.md` gives them.
 """
 
 import argparse
@@ -30,7 +32,8 @@
 from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, SafetyLimits, TrafficClass
 from dunlinlug.manager.channel import PacedChannel
 
-# By name: products, proxies, workers, lines a second, lines a message, messages in 10 s, report lines a second.
+# By name: products, proxies, workers, lines a second, lines a message, messages in 10 s, report
+# lines a second.
 SIZES = {
     "heredia-orders": (2, 18, 21, 1200.0, 4.0, 30, 80.0),
     "ch-north": (3, 28, 24, 4400.0, 10.0, 0, 200.0),
--- a/bench/loss.py
+++ b/bench/loss.py
@@ -1,11 +1,13 @@
-"""A site lost in the middle of refusals: revenue with the guard on, off, and with a guard that refuses all.
+"""A site lost in the middle of refusals: revenue with the guard on, off, and with a guard that
+refuses all.
 
-    python -m bench.loss [--seeds 4] [--at-once 3]
+python -m bench.loss [--seeds 4] [--at-once 3]
 
-Plays, through sockets on loopback, a day with three zones of workers of which one dies unseen for 9 s, under a module
-that is careless from 3 s on: of every reply that lays a table, four in ten have their lines left out or one worker's
-weight raised fifty times. Its chance is seeded, so that the same seed draws alike under each guard. Told are revenue
-within the SLA time (whole, and in the worst 10 s) and the rules broken; a day that breaks one counts for nothing.
+Plays, through sockets on loopback, a day with three zones of workers of which one dies unseen for 9
+s, under a module that is careless from 3 s on: of every reply that lays a table, four in ten have
+their lines left out or one worker's weight raised fifty times. Its chance is seeded, so that the
+same seed draws alike under each guard. Told are revenue within the SLA time (whole, and in the
+worst 10 s) and the rules broken; a day that breaks one counts for nothing.
 """
 
 import argparse
--- a/bench/members.py
+++ b/bench/members.py
@@ -1,11 +1,13 @@
-"""Membership in simulated time: time to detect, false verdicts, messages; beside two baselines of ours.
+"""Membership in simulated time: time to detect, false verdicts, messages; beside two baselines of
+ours.
 
     python -m bench.members [--hours 1] [--runs 40] [--largest 100]
     python -m bench.members --drawn 1000 [--processes 8]
 
-Ours, plain SWIM (a suspicion of fixed length, no witnesses, no distrust of itself, each verdict believed) and
-heartbeats of each to all (five missed). A beat is 0.2 s, a message takes 0.5 to 2 ms. A slow one begins its turns up
-to a second late. No sockets and no CPU times: what is measured are the protocols.
+Ours, plain SWIM (a suspicion of fixed length, no witnesses, no distrust of itself, each verdict
+believed) and heartbeats of each to all (five missed). A beat is 0.2 s, a message takes 0.5 to 2 ms.
+A slow one begins its turns up to a second late. No sockets and no CPU times: what is measured are
+the protocols.
 """
 
 import argparse
@@ -143,7 +145,9 @@
 
 
 def death(kind: str, size: int, loss: float, seed: int) -> tuple[float, float, float, float]:
-    """Seconds from a death to the first and the last that says so; messages and bytes a second of one before it."""
+    """Seconds from a death to the first and the last that says so; messages and bytes a second of
+    one before it.
+    """
     net = SimulatedNetwork(seed, loss=loss, protocol_factory=making(kind, size), measure=True)
     net.start_cluster(size)
     settle = 10.0
@@ -183,7 +187,9 @@
 
 
 def drawn_hour(seed: int) -> tuple[int, int, int]:
-    """An hour of ours with size, loss and one slow member drawn: its size, verdicts on the slow one, on the others."""
+    """An hour of ours with size, loss and one slow member drawn: its size, verdicts on the slow
+    one, on the others.
+    """
     chance = Random(f"drawn hour {seed}")
     size, slow = chance.randint(3, 7), chance.uniform(0.2, 1.0)
     net = SimulatedNetwork(seed, loss=chance.uniform(0.0, 0.05))
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -1,9 +1,11 @@
-"""Owners of fleet-wide work in simulated time: from a death to the next owner's first effect, messages, moves; CPU.
+"""Owners of fleet-wide work in simulated time: from a death to the next owner's first effect,
+messages, moves; CPU.
 
-    python -m bench.owner [--runs 200]
+python -m bench.owner [--runs 200]
 
-A lease of 1 s, a beat of 0.2 s, messages of 0.5 to 2 ms, clocks 2% apart; owners act for what they hold each 20 ms. The
-membership's detector is not simulated: without it a steward's death is seen by the lease alone.
+A lease of 1 s, a beat of 0.2 s, messages of 0.5 to 2 ms, clocks 2% apart; owners act for what they
+hold each 20 ms. The membership's detector is not simulated: without it a steward's death is seen by
+the lease alone.
 """
 
 import argparse
@@ -24,7 +26,9 @@
 
 
 def death(members: int, steward: bool, detected: bool, seed: int) -> tuple[float, int, int]:
-    """Seconds to the next owner's first effect for a piece of the dead; slots moved, and the least possible."""
+    """Seconds to the next owner's first effect for a piece of the dead; slots moved, and the least
+    possible.
+    """
     tasks = tuple(f"work/{n}" for n in range(12))
     net = SimulatedNetwork(
         seed, SimulationOptions(members, tasks, shards=256, effect_interval=0.02)
--- a/bench/replicate.py
+++ b/bench/replicate.py
@@ -1,9 +1,11 @@
-"""Replication to standbys: CPU and bytes a simulated second, beside the loop's own, and the whole's size and time.
+"""Replication to standbys: CPU and bytes a simulated second, beside the loop's own, and the whole's
+size and time.
 
-    python -m bench.replicate [--seconds 30]
+python -m bench.replicate [--seconds 30]
 
-The same simulated streams of events as `bench.loop`, at 18 proxies x 18 workers and at 150 x 112. Told for one standby:
-writing and sealing a batch at the master; reading it and running the module along at the standby.
+The same simulated streams of events as `bench.loop`, at 18 proxies x 18 workers and at 150 x 112.
+Told for one standby: writing and sealing a batch at the master; reading it and running the module
+along at the standby.
 """
 
 import argparse
--- a/bench/scale/__init__.py
+++ b/bench/scale/__init__.py
@@ -1,15 +1,18 @@
-"""Hollow members beside real ones: what a fleet of many managers costs, and whether it stays right, on one machine.
+"""Hollow members beside real ones: what a fleet of many managers costs, and whether it stays right,
+on one machine.
 
     python -m bench.scale run FILE.ini [--sizes 30,100]           # play it, again if it was played
     python -m bench.scale sweep FOLDER_OR_FILES [--sizes 30,100]  # play what has no result yet
     python -m bench.scale report
 
-Real are managers by `dunlinlug manager`'s own code, each a process; hollow are members that speak the same protocols,
-many to a process, without what is not measured. `docs/scale.md` says how they are validated and what the limits are.
+Real are managers by `dunlinlug manager`'s own code, each a process; hollow are members that speak
+the same protocols, many to a process, without what is not measured. `docs/scale.md` says how they
+are validated and what the limits are.
 
-A run writes one file, `bench/scale/results/SCENARIO-MEMBERS-sSEED.json`, keys sorted; one that ended early writes the
-same as `.partial`, which no sweep takes for a result. Seconds and shares are by the rig's clock, which goes at `clock`
-of true time, so that a share of 0.01 is 10 ms of processor time in one second of the members' own clocks.
+A run writes one file, `bench/scale/results/SCENARIO-MEMBERS-sSEED.json`, keys sorted; one that
+ended early writes the same as `.partial`, which no sweep takes for a result. Seconds and shares are
+by the rig's clock, which goes at `clock` of true time, so that a share of 0.01 is 10 ms of
+processor time in one second of the members' own clocks.
 
     scenario, seed, date
     machine      {cores, memory_gb, load: [before, after]}   load: the machine's average over a minute
--- a/bench/scale/accounting.py
+++ b/bench/scale/accounting.py
@@ -1,4 +1,6 @@
-"""Sums over processes and members, by role; and whether hollow members did as real ones. Free of I/O."""
+"""Sums over processes and members, by role; and whether hollow members did as real ones. Free of
+I/O.
+"""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
@@ -11,7 +13,8 @@
     0.05  # part of a role's messages from which a kind is compared by itself: rarer ones are chance
 )
 LIST = "list"  # queries of discovery, which are not words between members
-FEWEST = 200  # messages of a kind at the real members from which it is compared: below, a tenth is chance
+# messages of a kind at the real members from which it is compared: below, a tenth is chance
+FEWEST = 200
 
 
 class Meter:
@@ -66,7 +69,9 @@
 
 @dataclass
 class Reading:
-    """What one process said of itself at one moment: `cpu_s`, `control_s` and kinds count from its start."""
+    """What one process said of itself at one moment: `cpu_s`, `control_s` and kinds count from its
+    start.
+    """
 
     cpu_s: float
     rss_mb: float
@@ -77,7 +82,9 @@
 
 @dataclass
 class Role:
-    """All that the processes of one role did between their first reading of the span and their last."""
+    """All that the processes of one role did between their first reading of the span and their
+    last.
+    """
 
     processes: int = 0
     members: int = 0
@@ -126,8 +133,10 @@
 
 
 def compared(real: Mapping[str, Any], hollow: Mapping[str, Any], error: float) -> dict[str, Any]:
-    """Messages and bytes of an average hollow member beside an average real one, and whether all that tell enough
-    differ by at most `error`. Without one of the two, or with too little said, nothing is valid."""
+    """Messages and bytes of an average hollow member beside an average real one, and whether all
+    that tell enough differ by at most `error`. Without one of the two, or with too little said,
+    nothing is valid.
+    """
     rows: dict[str, dict[str, float]] = {}
     worst, judged = 0.0, 0
     everything = sum(_count(real, "all", way) for way in ("in", "out"))
--- a/bench/scale/budget.py
+++ b/bench/scale/budget.py
@@ -13,7 +13,9 @@
 
 
 def over(rss_mb: float, processes: int, memory_mb: int, processes_most: int) -> str:
-    """Which bound is passed, in words; nothing while none is. Shared pages count for each process that has them."""
+    """Which bound is passed, in words; nothing while none is. Shared pages count for each process
+    that has them.
+    """
     if rss_mb > memory_mb:
         return f"the run's processes hold {rss_mb:.0f} MB, over its bound of {memory_mb} MB"
     if processes > processes_most:
@@ -37,7 +39,9 @@
 
 
 class Datagrams:
-    """What waits unread at members' sockets and what was dropped there, by role; a socket is known by its inode."""
+    """What waits unread at members' sockets and what was dropped there, by role; a socket is known
+    by its inode.
+    """
 
     def __init__(self, roles: Mapping[int, str]) -> None:
         self.roles = dict(roles)  # by port
--- a/bench/scale/discovery.py
+++ b/bench/scale/discovery.py
@@ -1,7 +1,8 @@
 """A stand-in discovery that lists thousands of workers and changes some of them when told to.
 
-It speaks the list's blocking queries as the day's roster does; the body of each version is made once. Who asks is told
-by the service that is asked for: real managers ask for `actual`, hollow members for `hollow`, names of one length.
+It speaks the list's blocking queries as the day's roster does; the body of each version is made
+once. Who asks is told by the service that is asked for: real managers ask for `actual`, hollow
+members for `hollow`, names of one length.
 """
 
 import json
--- a/bench/scale/fit.py
+++ b/bench/scale/fit.py
@@ -1,8 +1,10 @@
-"""Least squares on measured sizes: a cost as a sum of terms, each with its error, and how far off a held-out size was.
+"""Least squares on measured sizes: a cost as a sum of terms, each with its error, and how far off a
+held-out size was.
 
-A term is 1, or a product of sizes such as `workers*products` or `members^2`, or `log2(members)`. Residuals are taken as
-parts of what was measured, as costs range over three decades and a second's error is a part of the second. A term whose
-coefficient comes out below nothing is left out and the rest is fitted anew: no size makes a cost less.
+A term is 1, or a product of sizes such as `workers*products` or `members^2`, or `log2(members)`.
+Residuals are taken as parts of what was measured, as costs range over three decades and a second's
+error is a part of the second. A term whose coefficient comes out below nothing is left out and the
+rest is fitted anew: no size makes a cost less.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -20,8 +22,9 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """`errors` are standard errors of the coefficients, `spread` the typical residual as a part of what was measured;
-    both 0 where there are as many terms as points."""
+    """`errors` are standard errors of the coefficients, `spread` the typical residual as a part of
+    what was measured; both 0 where there are as many terms as points.
+    """
 
     terms: tuple[str, ...]
     coefficients: tuple[float, ...]
@@ -36,8 +39,9 @@
         )
 
     def error_at(self, sizes: Point) -> float:
-        """Part of `at` by which it may be off, from the coefficients' errors alone; an upper bound, as these hang
-        together."""
+        """Part of `at` by which it may be off, from the coefficients' errors alone; an upper bound,
+        as these hang together.
+        """
         said = self.at(sizes)
         return (
             sum(e * value(term, sizes) for term, e in zip(self.terms, self.errors, strict=True))
@@ -71,7 +75,9 @@
 
 
 def fit(points: Iterable[Point], terms: Sequence[str]) -> Fit:
-    """Raises FitFault where there are fewer points than terms, a cost that is not above 0, or sizes that don't vary."""
+    """Raises FitFault where there are fewer points than terms, a cost that is not above 0, or sizes
+    that don't vary.
+    """
     rows = list(points)
     if len(rows) < len(terms):
         raise FitError(f"{len(rows)} points do not fit {len(terms)} terms")
@@ -109,5 +115,7 @@
 
 
 def off(model: Fit, held: Point) -> float:
-    """How far the prediction is from what was then measured, as a part of it; above 0: predicted too much."""
+    """How far the prediction is from what was then measured, as a part of it; above 0: predicted
+    too much.
+    """
     return model.at(held) / held["y"] - 1.0
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -1,8 +1,10 @@
-"""A process of hollow members: each speaks the members' real protocol and discovery's, and decides nothing.
+"""A process of hollow members: each speaks the members' real protocol and discovery's, and decides
+nothing.
 
-Machine, codec, sockets, standing and the facts told each second are the project's own classes. Left out are the
-decision module, tables, proxies, probes, the store and the log; the list's body is read to its end and not parsed (the
-print of it that a member tells comes in a header of the stand-in discovery's), and no proxies' evidence is told.
+Machine, codec, sockets, standing and the facts told each second are the project's own classes. Left
+out are the decision module, tables, proxies, probes, the store and the log; the list's body is read
+to its end and not parsed (the print of it that a member tells comes in a header of the stand-in
+discovery's), and no proxies' evidence is told.
 """
 
 import json
@@ -30,7 +32,8 @@
 from dunlinlug.fleet.membership.service import Membership
 from dunlinlug.net import http
 
-PRINTS = "x-prints"  # the stand-in discovery's header: how many workers, and the list's print by its parts
+# the stand-in discovery's header: how many workers, and the list's print by its parts
+PRINTS = "x-prints"
 WAIT, WITHIN = (
     10.0,
     3.0,
@@ -117,7 +120,9 @@
         return made
 
     def _acquainted(self, machine: MembershipProtocol) -> None:
-        """As after a long time together: all members are known, and nothing of them is left to be told."""
+        """As after a long time together: all members are known, and nothing of them is left to be
+        told.
+        """
         now = trio.current_time()
         for told in msgspec.msgpack.decode(self.told["acquaintance"], type=list[MemberState]):
             if told.name != self.name:
@@ -127,8 +132,9 @@
         machine.state = Lifecycle.ALIVE
 
     def _begin(self, machine: MembershipProtocol) -> None:
-        """From now on, each at its own time within a beat. Danger: made some seconds ago, it would count that as time
-        in which it was stopped, and distrust itself."""
+        """From now on, each at its own time within a beat. Danger: made some seconds ago, it would
+        count that as time in which it was stopped, and distrust itself.
+        """
         now = trio.current_time()
         machine.next_sync_at += now - machine.now
         machine.now = machine.next_due_at = now
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -1,10 +1,11 @@
 """The tables of docs/CAPACITY.md, made from `results/*.json` and from nothing else.
 
-    python -m bench.scale.page [--check]
+python -m bench.scale.page [--check]
 
-Puts each table between its markers; `--check` writes nothing and ends with status 1 where page and data differ. A
-figure is a sum of slopes at the size to plan with. Each slope is fitted to the points of its series and held against
-the points that were kept out of the fit; a figure without a slope reads "not known".
+Puts each table between its markers; `--check` writes nothing and ends with status 1 where page and
+data differ. A figure is a sum of slopes at the size to plan with. Each slope is fitted to the
+points of its series and held against the points that were kept out of the fit; a figure without a
+slope reads "not known".
 """
 
 import argparse
@@ -25,7 +26,9 @@
 RESULTS = Path(__file__).parent / "results"
 PAGE = Path(__file__).parents[2] / "docs" / "CAPACITY.md"
 MARKED = re.compile(r"(<!-- table ([a-z0-9-]+) -->\n).*?(<!-- end -->)", re.DOTALL)
-FAR = 0.25  # part by which a held-out size may be off until the page says so in words: what a change of load does
+# part by which a held-out size may be off until the page says so in words: what a change of load
+# does
+FAR = 0.25
 
 # The size to plan with, and what a manager may spend on control in a second.
 MANAGERS, WORKERS, SERVICES, CHANGES = 940, 5000, 270, 810
@@ -385,8 +388,9 @@
 
 
 def value(data: Data, row: Row) -> float | None:
-    """What was measured at this size where it was played, else what its slope says; None where a slope is not there, or
-    has shown that it does not carry so far."""
+    """What was measured at this size where it was played, else what its slope says; None where a
+    slope is not there, or has shown that it does not carry so far.
+    """
     total = 0.0
     for times, key, sizes in row.parts:
         found, at = data.fitted(key), {**SIZES, **sizes}
@@ -416,14 +420,17 @@
 
 
 def broken(found: Fitted, sizes: Mapping[str, float]) -> bool:
-    """Danger: a slope that missed a size which was held out, carried on beyond all that was played, is a guess; one
-    that missed it by twice as much says nothing of any other size."""
+    """Danger: a slope that missed a size which was held out, carried on beyond all that was played,
+    is a guess; one that missed it by twice as much says nothing of any other size.
+    """
     worst = abs(found.worst() or 0.0)
     return worst > 2 * FAR or worst > FAR and beyond(found, sizes)[0] > 1.0
 
 
 def trust(data: Data, row: Row) -> str:
-    """How far off a slope's held-out size was at the most, and how far beyond all that was played this is."""
+    """How far off a slope's held-out size was at the most, and how far beyond all that was played
+    this is.
+    """
     errors, farthest = list[float](), (1.0, "")
     for _, key, sizes in row.parts:
         if (found := data.fitted(key)) is not None:
@@ -1107,7 +1114,9 @@
 
 
 def six(data: Data) -> str:
-    """A change on its way from discovery to the last proxy of a manager with 5,000 workers and 20 proxies."""
+    """A change on its way from discovery to the last proxy of a manager with 5,000 workers and 20
+    proxies.
+    """
     line = (
         ASSUMED * (1 + HEAD + 1) / PACE
     )  # a line, the message's head and its mark, for each proxy
@@ -1191,7 +1200,9 @@
 
 
 def texts(data: Data) -> str:
-    """The decision module's texts beside each other, as measured at each size; of one alone if there is but one."""
+    """The decision module's texts beside each other, as measured at each size; of one alone if
+    there is but one.
+    """
     found = {
         text: data.series[f"module-{text}"] for text in TEXTS if f"module-{text}" in data.series
     }
@@ -1238,7 +1249,9 @@
 
 
 def settled(data: Data) -> str:
-    """Members that have long known each other from the start of a play, beside those that truly joined."""
+    """Members that have long known each other from the start of a play, beside those that truly
+    joined.
+    """
     rows = []
     ours, true = (
         {
@@ -1301,7 +1314,9 @@
 
 
 def rig(data: Data) -> str:
-    """What hollow and real managers took on loopback, run by run. What is not valid is told, and counts for nothing."""
+    """What hollow and real managers took on loopback, run by run. What is not valid is told, and
+    counts for nothing.
+    """
     rows = []
     for run in data.runs.values():
         sizes, times, truth, roles = run["sizes"], run["times"], run["truth"], run["roles"]
--- a/bench/scale/part.py
+++ b/bench/scale/part.py
@@ -1,5 +1,7 @@
-"""What every process of a run shares: a slowed clock, JSON lines in and out, figures of itself, an end at the close of
-its input. Whoever started it is gone then, so nothing is left behind even if that was killed."""
+"""What every process of a run shares: a slowed clock, JSON lines in and out, figures of itself, an
+end at the close of its input. Whoever started it is gone then, so nothing is left behind even if
+that was killed.
+"""
 
 import json
 import os
@@ -40,7 +42,9 @@
 
 
 class Slowed(SkewedClock):
-    """So many seconds of the rig pass in one true second: beats, waits and bounds of a process all go at this rate."""
+    """So many seconds of the rig pass in one true second: beats, waits and bounds of a process all
+    go at this rate.
+    """
 
     def __init__(self, rate: float) -> None:
         if not 0.01 <= rate <= 1.0:
@@ -97,7 +101,9 @@
 
 
 class CountedOpener(codec.DatagramOpener):
-    """Hears nothing of who is `beyond` a cut. Danger: real managers don't know of the cut and send on."""
+    """Hears nothing of who is `beyond` a cut. Danger: real managers don't know of the cut and send
+    on.
+    """
 
     meter: Meter
     beyond: frozenset[str] = frozenset()
@@ -138,9 +144,11 @@
 
 
 def instrument(membership: Membership, meter: Meter, watch: Stopwatch) -> CountedOpener:
-    """Count a member's words by kind, and time what it does for them: on a real and a hollow member the same way.
+    """Count a member's words by kind, and time what it does for them: on a real and a hollow member
+    the same way.
 
-    Not timed is what trio does between: waiting, waking and scheduling of the member's tasks."""
+    Not timed is what trio does between: waiting, waking and scheduling of the member's tasks.
+    """
     link = membership.transport
     sealer, opener = (
         CountedSealer(link.sealer.key, link.sealer.session_id),
@@ -170,7 +178,9 @@
 
 
 class Verdicts:
-    """Members said to have failed, as (true monotonic time, by, of), until they are asked for; bounded."""
+    """Members said to have failed, as (true monotonic time, by, of), until they are asked for;
+    bounded.
+    """
 
     MOST = 200_000  # two zones of a tenth of 940 members, each told of by all the others
 
--- a/bench/scale/proxies.py
+++ b/bench/scale/proxies.py
@@ -1,4 +1,6 @@
-"""Hollow proxies: each follows one real manager's tables by the project's own subscriber, reports, carries no txns."""
+"""Hollow proxies: each follows one real manager's tables by the project's own subscriber, reports,
+carries no txns.
+"""
 
 import json
 import sys
@@ -22,10 +24,13 @@
 REDIAL = (
     0.5  # seconds from a stream's end to the next dialling, drawn from half to one and a half of it
 )
-OPENING = 30.0  # seconds for a stream to be opened: a manager before 5,000 workers is busy that long after its start
+# seconds for a stream to be opened: a manager before 5,000 workers is busy that long after its
+# start
+OPENING = 30.0
 PRODUCTS = ("read", "book")  # as the managers' files of the rig have them
 TRIED = 20  # workers of its table that each says each second it would send to
-ROWS = 400_000  # lines of record kept by the process: a run of an hour of the largest number of proxies planned
+# lines of record kept by the process: a run of an hour of the largest number of proxies planned
+ROWS = 400_000
 RATE = 2.0  # txns a second that each says it has
 
 
--- a/bench/scale/real.py
+++ b/bench/scale/real.py
@@ -1,8 +1,10 @@
-"""A real manager, `dunlinlug manager FILE.ini` as it is, on the rig's clock, with its members' words counted.
+"""A real manager, `dunlinlug manager FILE.ini` as it is, on the rig's clock, with its members'
+words counted.
 
-Added are the counts round its codec, the processor time of its members' part, and answers on standard output. Told that
-the fleet has settled, it drops what it has left to tell of its joining: that takes minutes with hundreds of members,
-and hollow ones begin without. It is stopped by SIGTERM or the close of its input, and reloads at SIGHUP, as any.
+Added are the counts round its codec, the processor time of its members' part, and answers on
+standard output. Told that the fleet has settled, it drops what it has left to tell of its joining:
+that takes minutes with hundreds of members, and hollow ones begin without. It is stopped by SIGTERM
+or the close of its input, and reloads at SIGHUP, as any.
 """
 
 import json
@@ -76,7 +78,9 @@
 
     @staticmethod
     def clock_at() -> tuple[float, float]:
-        """One moment on the clock of all processes, and on ours, by which its messages say when they were ordered."""
+        """One moment on the clock of all processes, and on ours, by which its messages say when
+        they were ordered.
+        """
         return time.monotonic(), trio.current_time()
 
     async def obey(self, command: part.Command) -> dict[str, Any]:
--- a/bench/scale/rules.py
+++ b/bench/scale/rules.py
@@ -1,7 +1,9 @@
-"""The rules at the real managers, by the project's own audit: bare proxies, late drains, the channel's pace.
+"""The rules at the real managers, by the project's own audit: bare proxies, late drains, the
+channel's pace.
 
-Free of I/O. The rig has no txns: hollow proxies say each second what they would send to, a few drawn workers of their
-tables, as tries. So effects done twice, and cold workers that fall over, can't be told here; the days judge those.
+Free of I/O. The rig has no txns: hollow proxies say each second what they would send to, a few
+drawn workers of their tables, as tries. So effects done twice, and cold workers that fall over,
+can't be told here; the days judge those.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -47,8 +49,9 @@
     listed: Mapping[int, Mapping[str, Any]],
     ends: float,
 ) -> list[rules.Violation]:
-    """Of one manager that ran all the time: what its proxies recorded, and the versions of the list that it took and
-    when; all in seconds on the manager's clock, which began at 0."""
+    """Of one manager that ran all the time: what its proxies recorded, and the versions of the list
+    that it took and when; all in seconds on the manager's clock, which began at 0.
+    """
     records = Records(book)
     for line in sorted(lines, key=lambda line: float(line["at"])):
         records.by_event[line["e"]].append(line)
--- a/bench/scale/run.py
+++ b/bench/scale/run.py
@@ -1,4 +1,6 @@
-"""One run: starts all parts, walks the plan, judges, and leaves no process; gives its result as one dictionary."""
+"""One run: starts all parts, walks the plan, judges, and leaves no process; gives its result as one
+dictionary.
+"""
 
 import functools
 import json
@@ -22,10 +24,13 @@
 from bench.scale.budget import RunError
 from dunlinlug.config.reader import ConfigFile
 
-POLL = 1.0  # the rig's seconds from one look at all parts to the next, and what times of views are told to
+# the rig's seconds from one look at all parts to the next, and what times of views are told to
+POLL = 1.0
 NEAR = 0.25  # the same while something is waited for
 SHOWN = 5.0  # true seconds between lines of progress
-DROPS = 0.01  # part of the datagrams that may be dropped unread before the figures are the machine's, not the fleet's
+# part of the datagrams that may be dropped unread before the figures are the machine's, not the
+# fleet's
+DROPS = 0.01
 LISTED = 30.0  # the rig's seconds for the list's last change to reach all after the end
 Say = Callable[[str], None]
 
@@ -148,7 +153,8 @@
             async with trio.open_nursery() as nursery:
                 for one in self.parts[1:]:
                     nursery.start_soon(one.ready, ready)
-            # Danger: begun one process after the other, those that run would take those that don't yet for dead.
+            # Danger: begun one process after the other, those that run would take those that don't
+            # yet for dead.
             await self._ask_all({"do": "up", "names": self.plan.hollow}, ("hollow",))
             if self.plan.real and self.book.section(scenario.Proxies).count:
                 proxies = await self._start(
@@ -387,7 +393,8 @@
         for n, name in enumerate(self.plan.real):
             said = found.get(self.reals[name])
             if said is None or name in self.timeline.downs:
-                continue  # its proxies' records tell of two managers, of which each has a clock of its own
+                # its proxies' records tell of two managers, of which each has a clock of its own
+                continue
             monotonic, own = said["clock_at"]
             theirs = [
                 {**line, "at": own + (line["at"] - monotonic) * self.plan.clock}
@@ -479,7 +486,9 @@
 
 
 def figures(run: Run, why: str, validated: dict[str, bool]) -> dict[str, Any]:
-    """The result of a run. `validated` tells of earlier runs, by size, whether hollow members did as real ones."""
+    """The result of a run. `validated` tells of earlier runs, by size, whether hollow members did
+    as real ones.
+    """
     span = run.ended or (run.at() if run.measuring else 0.0)
     asked = accounting.together(run.roles["discovery"].kinds).get("list actual")
     if (
@@ -560,7 +569,9 @@
 
 
 def validated(results: Path) -> dict[str, bool]:
-    """Of runs at 5 and 30 members that compare hollow members with real ones, whether they were valid."""
+    """Of runs at 5 and 30 members that compare hollow members with real ones, whether they were
+    valid.
+    """
     found: dict[str, bool] = {}
     for path in sorted(results.glob("validate-*.json")):
         with path.open(encoding="utf-8") as file:
@@ -578,7 +589,9 @@
 def play(
     book: ConfigFile, size: int, results: Path, say: Say = to_stderr
 ) -> tuple[Path, dict[str, Any]]:
-    """Play one size and write its result; one that ended early is written as `.partial` and counts as not played."""
+    """Play one size and write its result; one that ended early is written as `.partial` and counts
+    as not played.
+    """
     run = Run(book, size, say)
     try:
         why = trio.run(run.play)
--- a/bench/scale/scenario.py
+++ b/bench/scale/scenario.py
@@ -1,4 +1,6 @@
-"""What is played, from an INI file, and its timeline drawn from a seed. No sockets; times are the rig's seconds."""
+"""What is played, from an INI file, and its timeline drawn from a seed. No sockets; times are the
+rig's seconds.
+"""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -14,8 +16,10 @@
 ZONES = 10  # a zone is a tenth of all
 MOST = 940  # hollow members and real ones: the largest fleet that is asked for
 REAL_MOST = 20  # real managers on one machine
-PACE = 1200  # lines a second that a real manager's channel carries; a changed configuration has up to half less
-LEFT_ALONE = 2  # hollow members that no step takes down: seeds by which those that start again find the others
+# lines a second that a real manager's channel carries; a changed configuration has up to half less
+PACE = 1200
+# hollow members that no step takes down: seeds by which those that start again find the others
+LEFT_ALONE = 2
 
 
 @attrs.frozen
@@ -55,7 +59,9 @@
 
 @attrs.frozen
 class Members:
-    """[members]: `real` managers among all; `follows` of the hollow ones ask discovery for the list."""
+    """[members]: `real` managers among all; `follows` of the hollow ones ask discovery for the
+    list.
+    """
 
     real: Count = Count(5)
     per_process: Count = Count(50)
@@ -87,8 +93,10 @@
 
 @attrs.frozen
 class Bounds:
-    """[bounds]: where the run stops itself. `error` is the part by which a hollow member may differ from a real one;
-    `views_within` the seconds after a fault's end in which all views are to be equal."""
+    """[bounds]: where the run stops itself. `error` is the part by which a hollow member may differ
+    from a real one; `views_within` the seconds after a fault's end in which all views are to be
+    equal.
+    """
 
     memory_mb: Count = Count(12000)
     processes: Count = Count(200)
@@ -105,8 +113,10 @@
 
 @attrs.frozen
 class Step:
-    """[step NAME]. `size`: workers of each churn, members of a rack or of one step of a restart; `part`: of all
-    members, behind the cut; `every`: from one churn, restart step or change of configuration to the next."""
+    """[step NAME]. `size`: workers of each churn, members of a rack or of one step of a restart;
+    `part`: of all members, behind the cut; `every`: from one churn, restart step or change of
+    configuration to the next.
+    """
 
     kind: Literal["churn", "rack", "zone", "split", "restart", "configure"]
     at: Seconds
@@ -122,7 +132,9 @@
 
 @dataclass(frozen=True)
 class Act:
-    """One thing that is done: churn, down, up, leave, cut, heal, configure; to whom; `value` is a size or a pace."""
+    """One thing that is done: churn, down, up, leave, cut, heal, configure; to whom; `value` is a
+    size or a pace.
+    """
 
     at: float
     do: str
--- a/bench/scale/slopes.py
+++ b/bench/scale/slopes.py
@@ -1,13 +1,15 @@
-"""Slopes: what each part of a manager costs by the sizes of the fleet, measured by plays that are small and simulated.
-
-    python -m bench.scale.slopes [NAME…] [--text before] [--small]
-
-Without names all are measured, in some ten minutes. Each writes `results/slope-NAME.json`: its points, with the sizes
-and the load of the machine at the time, and the points that were held out, which no fit sees. CPU is process time of
-one core of the machine that measured, and beside it stands the pace: the CPU of a fixed piece of work before and after
-the play. Workers, proxies, collectors and members are simulated, no socket is opened. `module` writes under the text's
-name too, so that two texts of the decision module stand beside each other.
-`--small` plays small sizes alone and writes nothing: for a look while one works at a part.
+"""Slopes: what each part of a manager costs by the sizes of the fleet, measured by plays that are
+small and simulated.
+
+python -m bench.scale.slopes [NAME…] [--text before] [--small]
+
+Without names all are measured, in some ten minutes. Each writes `results/slope-NAME.json`: its
+points, with the sizes and the load of the machine at the time, and the points that were held out,
+which no fit sees. CPU is process time of one core of the machine that measured, and beside it
+stands the pace: the CPU of a fixed piece of work before and after the play. Workers, proxies,
+collectors and members are simulated, no socket is opened. `module` writes under the text's name
+too, so that two texts of the decision module stand beside each other. `--small` plays small sizes
+alone and writes nothing: for a look while one works at a part.
 """
 
 import argparse
@@ -94,7 +96,8 @@
     9.0,
 )  # seconds: joins, the ordinary ones from, replacements, the end
 BAD = 8  # one worker of so many is bad, as in bench/crowd.py
-PACED = 200  # times that the fixed piece of work is done: a tenth of a second before and after each play
+# times that the fixed piece of work is done: a tenth of a second before and after each play
+PACED = 200
 REPEATED, GOES = (
     0.1,
     5,
@@ -105,8 +108,10 @@
 
 
 class Sized(bench_loop.Fleet):
-    """A manager's surroundings at any size, by the script of bench/crowd.py in fewer seconds: all proxies join within
-    half a second, reports come at the agreed rate, some workers are bad, thirty are replaced."""
+    """A manager's surroundings at any size, by the script of bench/crowd.py in fewer seconds: all
+    proxies join within half a second, reports come at the agreed rate, some workers are bad,
+    thirty are replaced.
+    """
 
     def __init__(self, case: Case) -> None:
         products, proxies, workers = (int(case[key]) for key in ("products", "proxies", "workers"))
@@ -333,8 +338,10 @@
 
 
 class SealedNetwork(SimulatedNetwork):
-    """Members whose datagrams are sealed and opened as in service, counted by kind, with the CPU of it all. With
-    `facts` each tells the others what it carries and a print of its list, as a manager does."""
+    """Members whose datagrams are sealed and opened as in service, counted by kind, with the CPU of
+    it all. With `facts` each tells the others what it carries and a print of its list, as a
+    manager does.
+    """
 
     def __init__(self, seed: int, loss: float = 0.01, facts: bool = True) -> None:
         super().__init__(seed, loss=loss)
@@ -367,7 +374,9 @@
             )
             machine.next_reconnect_at = self.now + reconnects.RECONNECT_INTERVALS * BEAT
             self._arm_timer(node)
-        gc.freeze()  # a manager holds one such table, not all: going through them all would be counted as its work
+        # a manager holds one such table, not all: going through them all would be counted as its
+        # work
+        gc.freeze()
 
     def start(self, name: str, *given: Any, **more: Any) -> Node:
         node = super().start(name, *given, **more)
@@ -468,7 +477,9 @@
 
 
 def play_joined(case: Case) -> Found:
-    """As `play_members`, from a true joining and long after it: that what is settled from the start is like it."""
+    """As `play_members`, from a true joining and long after it: that what is settled from the start
+    is like it.
+    """
     size = int(case["members"])
     net = SealedNetwork(3)
     for n in range(size):
@@ -541,8 +552,9 @@
 
 
 def last_knows(net: SealedNetwork, since: float, of: dict[str, float], now: str) -> list[float]:
-    """For each named, seconds from when it happened to it until the last that was there all the while said so; who
-    comes later hears of it only then."""
+    """For each named, seconds from when it happened to it until the last that was there all the
+    while said so; who comes later hears of it only then.
+    """
     last: dict[str, float] = {}
     for seen in net.observed_changes:
         news = seen.after == now and (now == "failed" or seen.before in ("left", "failed"))
@@ -557,7 +569,9 @@
 
 
 def whole_again(net: SealedNetwork, size: int) -> float:
-    """Seconds until all that there are have one view, with everybody in it; `AGAIN` if they never do."""
+    """Seconds until all that there are have one view, with everybody in it; `AGAIN` if they never
+    do.
+    """
     began = net.now
     while net.now < began + AGAIN:
         net.run(net.now + STEP)
@@ -573,7 +587,9 @@
 
 
 def play_churn(case: Case) -> Found:
-    """One restart a second (a goodbye, and back half a second later), or one failure, among so many."""
+    """One restart a second (a goodbye, and back half a second later), or one failure, among so
+    many.
+    """
     size, fails = int(case["members"]), bool(case["failures"])
     net = SealedNetwork(5)
     net.settled(size)
@@ -604,7 +620,9 @@
 
 
 def play_lost(case: Case) -> Found:
-    """So many die at once and start again after a while; of a member that lives, the dearest seconds."""
+    """So many die at once and start again after a while; of a member that lives, the dearest
+    seconds.
+    """
     size, lost = int(case["members"]), int(case["lost"])
     net = SealedNetwork(7)
     net.settled(size)
@@ -629,7 +647,9 @@
 
 
 def play_halves(case: Case) -> Found:
-    """Two halves apart until each has condemned the other, and together again until all have one view."""
+    """Two halves apart until each has condemned the other, and together again until all have one
+    view.
+    """
     size = int(case["members"])
     net = SealedNetwork(9)
     net.settled(size)
@@ -682,7 +702,9 @@
 
 
 def play_operators(case: Case) -> Found:
-    """What `fleet show` asks of a manager: the members, who sees whom, and the last verdicts, as JSON."""
+    """What `fleet show` asks of a manager: the members, who sees whom, and the last verdicts, as
+    JSON.
+    """
     host, sent = hosted(int(case["members"]), lambda: 1.0), 0
 
     def shows() -> None:
@@ -693,7 +715,9 @@
 
 
 def play_host(case: Case) -> Found:
-    """A manager's looks at its standing, burdens, lists and evidence, with nothing changed; no socket stands."""
+    """A manager's looks at its standing, burdens, lists and evidence, with nothing changed; no
+    socket stands.
+    """
     size, workers, at = int(case["members"]), int(case["workers"]), 0.0
     host = hosted(size, lambda: at)
     me, told = host.self_id, host.protocol.table.members
@@ -815,7 +839,9 @@
 
 
 def play_messages(case: Case) -> Found:
-    """Each kind of message from a collector or a proxy, from bytes to the module's event, before so many workers."""
+    """Each kind of message from a collector or a proxy, from bytes to the module's event, before so
+    many workers.
+    """
     workers = {f"10.0.{n // 250}.{n % 250}:8080": None for n in range(int(case["workers"]))}
     heard: list[Event] = []
     peers = PeerRegistry(
@@ -867,7 +893,9 @@
 
 
 def play_table(case: Case) -> Found:
-    """A whole table to proxies that join: laid, rendered once for all in one state, bytes of it for each."""
+    """A whole table to proxies that join: laid, rendered once for all in one state, bytes of it for
+    each.
+    """
     workers, products, proxies = (int(case[key]) for key in ("workers", "products", "proxies"))
     names = tuple(f"product-{k}" for k in range(products))
     listed = tuple(
@@ -915,7 +943,9 @@
 
 
 def play_succession(case: Case) -> Found:
-    """The master's batches for one standby, the standby running along, and the whole that a new one is given."""
+    """The master's batches for one standby, the standby running along, and the whole that a new one
+    is given.
+    """
     products, proxies, workers = (int(case[key]) for key in ("products", "proxies", "workers"))
     shared = Following((products, proxies, workers, PACE, HEAD, MOST, HEARD))
     span = 6.0
@@ -981,7 +1011,9 @@
 
 
 def play_empty(case: Case) -> Found:
-    """A process that has imported all that a front runs and does nothing: resident bytes, CPU of its start."""
+    """A process that has imported all that a front runs and does nothing: resident bytes, CPU of
+    its start.
+    """
     program = (
         f"import {PARTS[int(case['front'])]}, resource, time\n"
         "print(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024, time.process_time())"
@@ -996,8 +1028,9 @@
 
 
 class Series(NamedTuple):
-    """`about` says what a point is; the fits see `points`, and none of them `held`. Of several plays of a size the one
-    counts in which the machine's pace was best."""
+    """`about` says what a point is; the fits see `points`, and none of them `held`. Of several
+    plays of a size the one counts in which the machine's pace was best.
+    """
 
     about: str
     play: Callable[[Case], Found]
@@ -1136,7 +1169,9 @@
 
 
 def pace() -> float:
-    """Seconds of CPU of a fixed piece of work, as it goes just now: a core that is shared does less in a second."""
+    """Seconds of CPU of a fixed piece of work, as it goes just now: a core that is shared does less
+    in a second.
+    """
     chance, began = Random(1), time.thread_time()
     for _ in range(PACED):
         values = [chance.random() for _ in range(1000)]
--- a/bench/scale/stage.py
+++ b/bench/scale/stage.py
@@ -1,4 +1,6 @@
-"""Starts the processes of a run, talks to them, and ends each by its id; gives every part its place and its file."""
+"""Starts the processes of a run, talks to them, and ends each by its id; gives every part its place
+and its file.
+"""
 
 import contextlib
 import json
@@ -112,7 +114,9 @@
     beat: float,
     pace: int,
 ) -> Path:
-    """The INI of one real manager; `at` has `serves NAME` of those that serve proxies, and discovery."""
+    """The INI of one real manager; `at` has `serves NAME` of those that serve proxies, and
+    discovery.
+    """
     text = MANAGER.format(
         serves=written(at[f"serves {me}"]),
         store=folder / f"store-{me}",
--- a/bench/scale/sweep.py
+++ b/bench/scale/sweep.py
@@ -1,4 +1,6 @@
-"""Many runs, one after the other; what has a result is passed over, so that a sweep can be taken up again."""
+"""Many runs, one after the other; what has a result is passed over, so that a sweep can be taken up
+again.
+"""
 
 from pathlib import Path
 
--- a/bench/scale/truth.py
+++ b/bench/scale/truth.py
@@ -1,7 +1,9 @@
-"""What was so, beside what members said: who was down when, who was cut from whom, and which verdicts were false.
+"""What was so, beside what members said: who was down when, who was cut from whom, and which
+verdicts were false.
 
-Free of I/O. Times are the rig's seconds from the begin of the measured span. A member counts as down from when it was
-told to stop until it has said that it runs again, and a verdict may still come in for a while after the fault's end.
+Free of I/O. Times are the rig's seconds from the begin of the measured span. A member counts as
+down from when it was told to stop until it has said that it runs again, and a verdict may still
+come in for a while after the fault's end.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -15,8 +17,9 @@
 
 
 def grace(beat: float, size: int) -> float:
-    """Seconds after a fault's end in which a verdict may still be told of it: a suspicion without witnesses and with
-    some distrust of oneself, then the rounds in which all hear of a verdict."""
+    """Seconds after a fault's end in which a verdict may still be told of it: a suspicion without
+    witnesses and with some distrust of oneself, then the rounds in which all hear of a verdict.
+    """
     return beat * (
         1.5 * MAX_SUSPICION_INTERVALS * max(1.0, log10(max(size, 1))) + 2 * log2(size + 1)
     )
@@ -82,8 +85,9 @@
         return any(spell.begin <= at < spell.end for spell in self.downs.get(name, ()))
 
     def excuses(self, verdict: Verdict, late: float) -> bool:
-        """Whether `of` was down, or a cut stood between the two. For a while after a cut's end anyone may pass on what
-        was said behind it."""
+        """Whether `of` was down, or a cut stood between the two. For a while after a cut's end
+        anyone may pass on what was said behind it.
+        """
         downs = any(
             spell.begin <= verdict.at <= spell.end + late
             for spell in self.downs.get(verdict.of, ())
@@ -108,8 +112,9 @@
 def seen(
     verdicts: Sequence[Verdict], timeline: Timeline, everyone: Iterable[str]
 ) -> dict[str, Any]:
-    """For each member that went down without a goodbye and stayed so: seconds until each other says that it has
-    failed, until the last does, and how many never did before it was back."""
+    """For each member that went down without a goodbye and stayed so: seconds until each other says
+    that it has failed, until the last does, and how many never did before it was back.
+    """
     first = dict[tuple[str, str, float], float]()
     spells = {
         name: [s for s in found if (name, s.begin) not in timeline.planned]
@@ -154,8 +159,9 @@
 def reached(
     changes: Mapping[int, float], taken: Mapping[str, Sequence[tuple[int, float]]]
 ) -> list[float]:
-    """Of each change of the list, seconds until the last follower held it, or one after it; changes that some never
-    got are left out here, as `lost` tells of them."""
+    """Of each change of the list, seconds until the last follower held it, or one after it; changes
+    that some never got are left out here, as `lost` tells of them.
+    """
     found = []
     for index, at in sorted(changes.items()):
         times = [
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,9 +1,9 @@
 """Soak: a manager under load with streams breaking all the time; is its memory flat?
 
-    python -m bench.soak [--minutes 10] [--proxies 30]
+python -m bench.soak [--minutes 10] [--proxies 30]
 
-Plays a day made from `days/first.ini`: every 2 s half of all streams break at once, every 20 s a rolling deploy. Told
-are the manager's resident memory by minute and the verdict on the day.
+Plays a day made from `days/first.ini`: every 2 s half of all streams break at once, every 20 s a
+rolling deploy. Told are the manager's resident memory by minute and the verdict on the day.
 """
 
 import argparse
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -4,9 +4,10 @@
     python -m bench.takeover --revenue [--seeds 3]             a quiet day undisturbed, with a frozen master, and with
                                                                one manager, killed and started by hand after 8 s
 
-Soaks play `days/three-managers.ini` on loopback with a rolling deploy every 16 s in place of its troubles, and a
-trouble to whoever leads every 4 s, 2.2 s long, with a lease of 1 s. Told are seconds to the first proxy's order and to
-the last proxy's, the rules broken, and what the audit says of two masters.
+Soaks play `days/three-managers.ini` on loopback with a rolling deploy every 16 s in place of its
+troubles, and a trouble to whoever leads every 4 s, 2.2 s long, with a lease of 1 s. Told are
+seconds to the first proxy's order and to the last proxy's, the rules broken, and what the audit
+says of two masters.
 """
 
 import argparse
@@ -25,7 +26,9 @@
 
 
 def knowing(text: str) -> str:
-    """The same day with managers that know each other, so that the members' detector tells of a failed master."""
+    """The same day with managers that know each other, so that the members' detector tells of a
+    failed master.
+    """
     text = re.sub(r"(?m)^peers = (.*):(\d+)$", r"knows = \1:\2", text)
     return text.replace(
         "[member a]", "[members]\nme = a\nkey_file = unused\nbeat = 100ms\n\n[member a]", 1
@@ -52,7 +55,9 @@
 
 
 def spans(found: records.Records) -> tuple[list[float], list[float]]:
-    """For each strike of a master: seconds to the first proxy's and to the last proxy's order of a higher term."""
+    """For each strike of a master: seconds to the first proxy's and to the last proxy's order of a
+    higher term.
+    """
     strikes = [line for line in found.lines_of("member") if line["do"] in ("stall", "kill")]
     applied = [line for line in found.lines_of("applied") if not line["refused"]]
     proxies = {line["proxy"] for line in applied}
--- a/bench/tapped.py
+++ b/bench/tapped.py
@@ -4,8 +4,8 @@
     python -m bench.tapped FILE              what the guard would refuse of the module's own orders on that day
     python -m bench.tapped --replies FILE    every reply on a line, so that two texts of the module can be compared
 
-The judge's word is counted and nothing is held back. Told are orders, refusals by rule and kind of order, and one
-example of each.
+The judge's word is counted and nothing is held back. Told are orders, refusals by rule and kind of
+order, and one example of each.
 """
 
 import argparse
--- a/dunlinlug/ads/fleet_composition.py
+++ b/dunlinlug/ads/fleet_composition.py
@@ -1,7 +1,7 @@
 """Builds what a manager has among others: leadership, membership, ownership of shards.
 
-Unlike the components in `composition` these read the event loop's clock as they are made, so they are
-built once it runs.
+Unlike the components in `composition` these read the event loop's clock as they are made, so they
+are built once it runs.
 """
 
 import time
@@ -37,7 +37,10 @@
 
 @dataclass(frozen=True)
 class FleetComponents:
-    """A manager's components among others; each is None where the configuration has no section for it.
+    """A manager's components for its fleet.
+
+    Each is None where the configuration has no section for
+    it.
 
     Attributes:
         shared_health_checks: There is one exactly where there is an `ownership`.
--- a/dunlinlug/decision/desired_state.py
+++ b/dunlinlug/decision/desired_state.py
@@ -1,4 +1,4 @@
-"""What the planner wants of the proxies' tables, for the reconciler to order the difference to it."""
+"""What the planner wants of the proxies' tables; the reconciler orders the difference to it."""
 
 from dataclasses import dataclass
 
--- a/dunlinlug/decision/flow_control.py
+++ b/dunlinlug/decision/flow_control.py
@@ -180,7 +180,7 @@
         entries_each: float,
         urgency: Urgency,
     ) -> bool:
-        """Charge so many entries to each of these proxies; False, and nothing, if they may not go."""
+        """Charge entries to each of these proxies; False, without a charge, if they may not go."""
         entries = self.cost(proxy_ids, entries_each, urgency)
         if entries is None:
             return False
--- a/dunlinlug/decision/planner.py
+++ b/dunlinlug/decision/planner.py
@@ -101,7 +101,7 @@
 
 
 def update_weights(state: DecisionState, now: float) -> None:
-    """Plan the weight of each row for which something changed, that warms up, or that is blocked."""
+    """Plan the weight of each row that changed, that warms up, or that is blocked."""
     base_weights = state.fleet.base_weights
     state.rows_to_plan |= state.fleet.take_changed_rows() | (
         state.outlier_detector.take_changed_rows()
@@ -144,7 +144,9 @@
 def _transient_limits(
     state: DecisionState, now: float, tables: list[Table], conditions: FleetConditions
 ) -> dict[int, float]:
-    """Return by row the weight fraction over which an endpoint on probation or warming up is ejected.
+    """Return the weight fraction over which an endpoint that warms up is ejected, by row.
+
+    The same holds for an endpoint on probation.
 
     Without this, an endpoint that warms up would be overloaded where a table still gives it its
     former weight. In a retry storm, which brings it many times its weight, it is ejected whatever
@@ -233,7 +235,9 @@
     ejected: set[int],
     limits: dict[int, float],
 ) -> tuple[set[int], bool]:
-    """Return what to eject so that no table is left without endpoint, and if a current one would be.
+    """Return what to eject so that no table is left without endpoint.
+
+    The second value tells whether a current table would have been.
 
     Where all of a table are to be ejected, those that warm up or are on probation stay in use, or
     any if there are none such. Where classes keep to their zone, one warm endpoint of each zone
--- a/dunlinlug/decision/reconciler.py
+++ b/dunlinlug/decision/reconciler.py
@@ -91,7 +91,7 @@
 
 
 def report_limits(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> None:
-    """Log the weight limits that changed, and check the health of ejected endpoints that are due."""
+    """Log changed weight limits, and check the health of ejected endpoints that are due."""
     detector = state.outlier_detector
     due_ejections = detector.due_ejections(batch.now)
     rows = {*state.rows_to_plan, *due_ejections} & desired.weight_fractions.keys()
--- a/dunlinlug/decision/state/assignments.py
+++ b/dunlinlug/decision/state/assignments.py
@@ -37,7 +37,7 @@
         self.groups_by_table: dict[Table, dict[AssignedTables, None]] = {}
 
     def rebuild_derived(self) -> None:
-        """Let classes that use the same tables share one list again, after reading from the wire."""
+        """Let classes that use the same tables share one list again after a read from the wire."""
         for proxy in self.proxies.values():
             merged: dict[tuple[TableInUse, ...], list[TableInUse]] = {}
             proxy.tables_in_use = {
@@ -213,7 +213,7 @@
         )
 
     def lagging_classes(self, updates: Mapping[int, tuple[Table, Table]], since: float) -> set[int]:
-        """Return the classes that have a lagging proxy, given by class the old table and the new."""
+        """Return the classes with a lagging proxy, given the old table and the new by class."""
         classes_by_update: dict[tuple[bool, Table], list[int]] = {}
         for traffic_class, (old_table, table) in updates.items():
             classes_by_update.setdefault((old_table is table, table), []).append(traffic_class)
--- a/dunlinlug/decision/state/desired_weights.py
+++ b/dunlinlug/decision/state/desired_weights.py
@@ -111,7 +111,7 @@
         return table.differing_rows
 
     def _rows_to_compare(self, table: Table, include_missing: bool) -> Iterable[int]:
-        """Return the rows that changed since the table was compared, or all if that is not known."""
+        """Return the rows changed since the table was compared, or all if that is not known."""
         if table.log_position >= self.truncated and table.missing_included == include_missing:
             new_entries = self.change_log[table.log_position - self.truncated :]
             return {*new_entries, *table.changed_rows}
--- a/dunlinlug/decision/state/outlier_statistics.py
+++ b/dunlinlug/decision/state/outlier_statistics.py
@@ -151,7 +151,7 @@
     def record(
         self, row: int, now: float, attempts: float, failed: float, mean_latency: float
     ) -> None:
-        """Add a report of so many attempts and failed ones; the latency is of those that succeeded."""
+        """Add a report of attempts and failed ones; the latency is of those that succeeded."""
         decay = 0.5 ** ((now - self.reported_at[row]) / self.half_life)
         self.reported_at[row] = now
         self.attempts[row] = self.attempts[row] * decay + attempts
--- a/dunlinlug/decision/state/pending_acks.py
+++ b/dunlinlug/decision/state/pending_acks.py
@@ -91,7 +91,7 @@
                 del self.pending_replies[ack_number]
 
     def forget_proxy(self, proxy_id: int) -> None:
-        """Drop what waits for a proxy that has left or connected anew: it will not acknowledge it."""
+        """Drop what waits for a proxy that left or connected anew: it will not acknowledge it."""
         self._remove(proxy_id, list(self.awaited_acks.get(proxy_id, ())))
         self.awaited_acks.pop(proxy_id, None)
         # What it was sent still counts. If it were forgotten with the connection, a proxy that
--- a/dunlinlug/decision/subsets.py
+++ b/dunlinlug/decision/subsets.py
@@ -123,7 +123,7 @@
 
 
 def _full_table(state: DecisionState) -> Table | None:
-    """Return the one table that all classes use; None if there are several or the channel is slow."""
+    """Return the one table of all classes; None if there are several or the channel is slow."""
     if state.is_channel_constrained or len(set(state.tables.current_tables.values())) != 1:
         return None
     return state.tables.current_tables[0]
@@ -148,7 +148,10 @@
     capacities: dict[Table, float],
     rows_by_zone: dict[str, set[int]],
 ) -> Table:
-    """Return the small table that would be asked least with this proxy, one of its zone if possible."""
+    """Return the small table that would be asked least with this proxy.
+
+    One with an endpoint of the proxy's zone goes first where there is one.
+    """
     request_rate = state.assignments.proxies[proxy_id].request_rate
     return min(
         capacities,
--- a/dunlinlug/decision/table_update.py
+++ b/dunlinlug/decision/table_update.py
@@ -120,7 +120,7 @@
 def _needs_split(
     state: DecisionState, desired: DesiredState, table: Table, weights: Weights
 ) -> bool:
-    """Whether a class that uses this table needs other weights, so that it cannot change in place."""
+    """Whether a class that uses this table needs other weights, so it cannot change in place."""
     return desired.differs_by_class() and any(
         desired.weights[traffic_class] is not weights
         for traffic_class, current_table in state.tables.current_tables.items()
@@ -182,7 +182,7 @@
     is_crowded: bool,
     new_proxies: bool,
 ) -> None:
-    """Assign the new proxies, or the others, to the current tables, as far as the channel allows."""
+    """Assign the new proxies, or the others, to the current tables as the channel allows."""
     current_tables = state.tables.current_tables
     urgency = NEW_PROXY
     if not new_proxies:
--- a/dunlinlug/guard/order_rules.py
+++ b/dunlinlug/guard/order_rules.py
@@ -97,7 +97,7 @@
         return replace(rejection, allowed_anyway=not previous_tables)
 
     def _unusable_table(self, order: AssignTable, previous_tables: list[int]) -> Rejection:
-        """Reject a table without a usable entry; it is the lesser harm if earlier ones have none."""
+        """Reject a table without a usable entry; the lesser harm if earlier ones have none."""
         entry_count = len(self.usage.table(order.table_id).weights)
         is_previous_usable = any(
             self.usage.usable_workers(previous_table) for previous_table in previous_tables
--- a/dunlinlug/rpc/connection.py
+++ b/dunlinlug/rpc/connection.py
@@ -171,8 +171,8 @@
             self.h2.close_connection()
 
     def _send_available(self, stream_id: int) -> None:
-        # The call or the whole connection may have ended in this same moment. What is unsent is then
-        # lost; without the except clause, the caller would get the error of a peer's doing.
+        # The call or the whole connection may have ended in this same moment. What is unsent is
+        # then lost; without the except clause, the caller would get the error of a peer's doing.
         try:
             self._send_queued(stream_id, self.calls[stream_id])
         except h2.exceptions.ProtocolError:
--- a/dunlinlug/simulator/codec.py
+++ b/dunlinlug/simulator/codec.py
@@ -130,7 +130,7 @@
 
 
 def _read_guarded(verb: str, read: Callable[[], Read]) -> Read:
-    """Read a body; raises WireError, which names the event, for a field that is not as it must be."""
+    """Read a body; raises WireError, which names the event, for a field that is wrong."""
     try:
         return read()
     except KeyError as error:
--- a/tests/ads/test_tls.py
+++ b/tests/ads/test_tls.py
@@ -1,4 +1,6 @@
-"""TLS on ADS and LRS: identities, invalid certificates, certificates reloaded, an expired certificate."""
+"""TLS on ADS and LRS: identities, invalid certificates, certificates reloaded, an expired
+certificate.
+"""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
--- a/tests/bench/test_capacity_page.py
+++ b/tests/bench/test_capacity_page.py
@@ -1,5 +1,6 @@
-"""The capacity page says what the runs measured: its tables come from their data, its fits from a code that is tried
-on costs whose coefficients are known."""
+"""The capacity page says what the runs measured: its tables come from their data, its fits from a
+code that is tried on costs whose coefficients are known.
+"""
 
 import json
 import shutil
@@ -51,7 +52,9 @@
 
 
 def rows_of(data: page.Data, series: str) -> list[str]:
-    """What the page's tables of measurements say of a series; they hold each of these rows as it is."""
+    """What the page's tables of measurements say of a series; they hold each of these rows as it
+    is.
+    """
     rows = [
         " | ".join(page.slope_row(key, found))
         for key, slope in page.SLOPES.items()
@@ -70,7 +73,9 @@
 
 
 def test_with_noise_they_lie_within_the_error_that_is_told_and_the_spread_is_the_noise() -> None:
-    """Of a hundred fits each coefficient lies within two standard errors as often as that promises, and not always."""
+    """Of a hundred fits each coefficient lies within two standard errors as often as that promises,
+    and not always.
+    """
     within, spreads = [0] * len(TERMS), []
     for seed in range(100):
         found = fit(generated(seed, 0.05), TERMS)
@@ -149,7 +154,9 @@
 
 @pytest.mark.parametrize("name", sorted(path.name for path in page.RESULTS.glob("slope-*.json")))
 def test_a_changed_figure_of_any_series_is_seen(results: Path, name: str) -> None:
-    """Each figure that a slope is fitted to or held against is on the page, and each row of one of them."""
+    """Each figure that a slope is fitted to or held against is on the page, and each row of one of
+    them.
+    """
     series = name.removeprefix("slope-").removesuffix(".json")
     fields = {slope.field: None for slope in page.SLOPES.values() if slope.series == series}
     beside = (
@@ -302,7 +309,9 @@
 
 
 def test_members_settled_from_the_start_stay_so_and_speak_no_more_than_the_beat_asks() -> None:
-    """Without loss nothing is news: a ping and an answer a beat and member, facts to each other one each second."""
+    """Without loss nothing is news: a ping and an answer a beat and member, facts to each other one
+    each second.
+    """
     size, span = 12, 10.0
     net = slopes.SealedNetwork(1, loss=0.0)
     net.settled(size)
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -1,4 +1,6 @@
-"""The scale rig: its pure parts beside slow plain models, its faults, and short runs judged by counts."""
+"""The scale rig: its pure parts beside slow plain models, its faults, and short runs judged by
+counts.
+"""
 
 import json
 import os
@@ -233,7 +235,9 @@
 
 
 class StartsAgain(truth.Timeline):
-    """Without the guard on overlaps: who is down is taken down once more, and never comes back from the first."""
+    """Without the guard on overlaps: who is down is taken down once more, and never comes back from
+    the first.
+    """
 
     def down(self, at: float, names: Any, planned: bool = False) -> None:
         for name in names:
@@ -947,7 +951,8 @@
     for role in ("real", "hollow"):
         messages, members = roles[role]["messages"], roles[role]["members"]
         assert {"ping", "ack", "news", "whole", "list"} <= messages.keys()
-        # A ping each beat; with deaths and a cut some more for others and at once, never as many again.
+        # A ping each beat; with deaths and a cut some more for others and at once, never as many
+        # again.
         assert members * beats / 3 <= messages["ping"]["out"] <= members * beats * 2
         assert (
             messages["ack"]["out"]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,8 @@
-"""KNOWN-RED.txt at the root: tests that fail for a fault that is known and not mended yet, `test -- cause -- issue`.
+"""KNOWN-RED.txt at the root: tests that fail for a fault that is known and not mended yet, `test --
+cause -- issue`.
 
-They run all the same; that they fail is printed and passes over, that one passes is printed as due to be taken off.
+They run all the same; that they fail is printed and passes over, that one passes is printed as due
+to be taken off.
 """
 
 import ast
--- a/tests/decision/histories.py
+++ b/tests/decision/histories.py
@@ -1,8 +1,9 @@
-"""Generated histories for `tests/decision/reference_decisions.py`: a manager's surroundings in simulated time, from a seed alone.
+"""Generated histories for `tests/decision/reference_decisions.py`: a manager's surroundings in
+simulated time, from a seed alone.
 
-Workers have a true state that shapes what proxies meet; a channel of the trade's pace, proxies that answer, fall silent
-and come back, discovery with releases and losses, an operator's pins, cuts between managers, and orders refused.
-Times are seconds.
+Workers have a true state that shapes what proxies meet; a channel of the trade's pace, proxies that
+answer, fall silent and come back, discovery with releases and losses, an operator's pins, cuts
+between managers, and orders refused. Times are seconds.
 """
 
 import heapq
@@ -482,7 +483,9 @@
     # Workers come and go.
 
     def release(self) -> None:
-        """Rolling: each batch drains, goes, and starts again under its name, or others start in its place."""
+        """Rolling: each batch drains, goes, and starts again under its name, or others start in its
+        place.
+        """
         self.said["releases"] += 1
         names, anew = self.some(2, 60), self.random.random() < 0.5
         batch, gap = self.random.choice([1, 5, 20]), self.random.choice([0.2, 1.0, 2.0])
@@ -614,8 +617,9 @@
             )
 
     def storm(self) -> None:
-        """All void and are slow, or void a tenth; word of it comes later than its end, so that voids go on at a usual
-        pace."""
+        """All void and are slow, or void a tenth; word of it comes later than its end, so that
+        voids go on at a usual pace.
+        """
         self.said["storms"] += 1
         self.load, length = (
             self.random.choice(["storm", "storm", "even"]),
@@ -668,8 +672,9 @@
         self.at(self.now + self.random.uniform(1.0, 15.0), PartitionLimitsChanged(0.2))
 
     def zone_lost(self) -> None:
-        """Its proxies leave and its workers answer nobody; after a while both are there again, the proxies one by
-        one."""
+        """Its proxies leave and its workers answer nobody; after a while both are there again, the
+        proxies one by one.
+        """
         self.said["zones lost"] += 1
         zone, after = self.random.choice(self.zones), self.random.choice([2.0, 8.0])
         names = [name for name, machine in self.machines.items() if machine.zone == zone]
--- a/tests/decision/reference_decisions.py
+++ b/tests/decision/reference_decisions.py
@@ -1,11 +1,12 @@
 """Same decisions: the former decision module and the present one over the same generated histories.
 
-    python -m tests.decision.reference_decisions --seeds 100:200 [--turns 2.0] [--shrink]
+python -m tests.decision.reference_decisions --seeds 100:200 [--turns 2.0] [--shrink]
 
-A history is drawn from its seed alone: what a manager is told at its start, then turns of events. The former text
-(`tests/reference_model`) drives it in simulated time, as answers, probes, refusals and timers follow its orders; its orders
-are kept beside the events, and the present text gets the very same turns and must give the very same orders.
-Where only floats differ, by no more than a part in 1e9, that counts as rounding and the comparison goes on.
+A history is drawn from its seed alone: what a manager is told at its start, then turns of events.
+The former text (`tests/reference_model`) drives it in simulated time, as answers, probes, refusals
+and timers follow its orders; its orders are kept beside the events, and the present text gets the
+very same turns and must give the very same orders. Where only floats differ, by no more than a part
+in 1e9, that counts as rounding and the comparison goes on.
 """
 
 import argparse
@@ -163,7 +164,9 @@
 
 
 def replay(history: History, make: Callable[[ManagerSettings], Decides] = Balancer) -> Verdict:
-    """Give the present text the history's turns, up to the first difference that is not of rounding."""
+    """Give the present text the history's turns, up to the first difference that is not of
+    rounding.
+    """
     module, verdict = make(history.trade), Verdict()
     for place, turn in enumerate(history.turns):
         try:
@@ -187,8 +190,10 @@
 def shrink(
     difference: Difference, make: Callable[[ManagerSettings], Decides] = Balancer, tries: int = 200
 ) -> Difference:
-    """Cut turns, then events, for as long as the two texts still differ, each with this many tries. The rest stays as
-    it was, so a cut history may hold answers to marks that were never given; both texts pass over those."""
+    """Cut turns, then events, for as long as the two texts still differ, each with this many tries.
+    The rest stays as it was, so a cut history may hold answers to marks that were never given;
+    both texts pass over those.
+    """
     from tests.reference_model.balance import Balancer as Former
 
     def differs(cut: list[tuple[float, tuple[Event, ...]]]) -> bool:
@@ -230,7 +235,8 @@
         size //= 2
 
 
-# Counting what of the former text ran: a counter at the head of each block and of each arm of a conditional.
+# Counting what of the former text ran: a counter at the head of each block and of each arm of a
+# conditional.
 
 
 class _Blocks(ast.NodeTransformer):
--- a/tests/decision/rules_model.py
+++ b/tests/decision/rules_model.py
@@ -1,4 +1,6 @@
-"""A slow, plain model of proxies, channel and safety rules: it applies orders to the letter and names broken rules."""
+"""A slow, plain model of proxies, channel and safety rules: it applies orders to the letter and
+names broken rules.
+"""
 
 from collections import defaultdict
 from random import Random
@@ -71,7 +73,9 @@
         self.restart()
 
     def restart(self) -> None:
-        """A new process: what waits, is in flight or was ejected is lost, and no proxy is connected."""
+        """A new process: what waits, is in flight or was ejected is lost, and no proxy is
+        connected.
+        """
         self.tables: dict[int, dict[str, float]] = defaultdict(dict)
         self.ejected: set[str] = set()
         self.assigned: dict[
@@ -91,7 +95,9 @@
         self.zone: dict[int, str] = {}  # of proxies
 
     def step(self, span: float, events: list[Event]) -> None:
-        """Let time pass, deliver what is due, give the module its events, apply its orders, and check every rule."""
+        """Let time pass, deliver what is due, give the module its events, apply its orders, and
+        check every rule.
+        """
         self.now += span
         capacity = span * self.settings.channel.entries_per_second * self.pace
         while self.queue and capacity > 0:
@@ -314,7 +320,9 @@
 
 
 def random_override(rng: Random) -> OverrideChanged:
-    """A subset, an exclusion, other weights within what a slow start allows, or the end of an override."""
+    """A subset, an exclusion, other weights within what a slow start allows, or the end of an
+    override.
+    """
     names = rng.sample([endpoint(n).id for n in range(9)], rng.randrange(1, 6))
     weights = tuple((name, rng.choice([0.5, 1.0, 1.0])) for name in names)
     return OverrideChanged(
@@ -331,8 +339,9 @@
 
 
 def run(model: Model, seed: int, steps: int = 400, overrides: float = 0.0) -> Model:
-    """A generated run of events: endpoints drain, restart and come, proxies and the manager come and go, and in
-    this part of the steps an operator sets an override."""
+    """A generated run of events: endpoints drain, restart and come, proxies and the manager come
+    and go, and in this part of the steps an operator sets an override.
+    """
     rng, override_rng = Random(seed), Random(f"{seed} pins")
     fleet = {n: endpoint(n) for n in range(9)}
     start: list[Event] = [EndpointsUpdated("kept", tuple(fleet.values()))]
--- a/tests/decision/state/test_incremental_state.py
+++ b/tests/decision/state/test_incremental_state.py
@@ -1,4 +1,6 @@
-"""State kept up change by change, each part beside a slow, plain model that walks all of it; a fault in it is seen."""
+"""State kept up change by change, each part beside a slow, plain model that walks all of it; a
+fault in it is seen.
+"""
 
 from collections.abc import Callable
 from fractions import Fraction
@@ -357,7 +359,9 @@
 
 
 def play_assignments(seed: int) -> None:
-    """Classes that share a list go on with one; lagging, levels and missing tables beside a walk by proxy and class."""
+    """Classes that share a list go on with one; lagging, levels and missing tables beside a walk by
+    proxy and class.
+    """
     rng, assignments = Random(seed), Assignments(5)
     tables = [
         assignments.add_table(Table(n, {1: 1.0}, {1: 1.0}, [admission_level(1.0, 1)] * 5))
--- a/tests/decision/state/test_state_models.py
+++ b/tests/decision/state/test_state_models.py
@@ -301,7 +301,9 @@
 
 
 def test_rows_of_endpoints_that_went_are_reused() -> None:
-    """A day of replacements, one endpoint at a time: rows do not grow, and no row in use is given away."""
+    """A day of replacements, one endpoint at a time: rows do not grow, and no row in use is given
+    away.
+    """
     fleet, rng = Fleet(fmean), Random(3)
     present = [endpoint(n) for n in range(20)]
     fleet.apply_update(EndpointsUpdated("whole", tuple(present)), set)
--- a/tests/decision/test_order_rejection.py
+++ b/tests/decision/test_order_rejection.py
@@ -1,4 +1,6 @@
-"""The module after a rejection: it goes by what is installed, and does not order the same with each batch."""
+"""The module after a rejection: it goes by what is installed, and does not order the same with each
+batch.
+"""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -31,7 +33,9 @@
 
 
 class RejectingHost:
-    """Runs a module and rejects its orders of one kind while `is_rejecting`; records them with their time."""
+    """Runs a module and rejects its orders of one kind while `is_rejecting`; records them with
+    their time.
+    """
 
     def __init__(self, rejected_kind: type, is_rejected: object = lambda order: True) -> None:
         self.module, self.rejected_kind, self.is_rejected, self.is_rejecting = (
@@ -187,7 +191,9 @@
 async def test_a_manager_restarted_while_a_rejected_table_is_outstanding_starts_clean(
     tmp_path: Path,
 ) -> None:
-    """The drain that caused the update is not delayed by the rejection, nor forgotten over the restart."""
+    """The drain that caused the update is not delayed by the rejection, nor forgotten over the
+    restart.
+    """
     drained = WORKERS[3].id
     async with running(tmp_path, make=EmptyTableModule) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
--- a/tests/decision/test_reference_decisions.py
+++ b/tests/decision/test_reference_decisions.py
@@ -1,4 +1,6 @@
-"""The decision module orders what the reference model does, over generated histories: see `reference_decisions.py`."""
+"""The decision module orders what the reference model does, over generated histories: see
+`reference_decisions.py`.
+"""
 
 import ast
 import gc
@@ -24,8 +26,8 @@
 from tests.decision.reference_decisions import Decides, History, alike, record, replay, shrink
 from tests.reference_model.balance import Balancer as ReferenceBalancer
 
-# Chosen so that among them they hold what is rare: the first show all the faults below, two have 1,000 workers and
-# more, the last four a tie that the last bit of a sum decides.
+# Chosen so that among them they hold what is rare: the first show all the faults below, two have
+# 1,000 workers and more, the last four a tie that the last bit of a sum decides.
 SEEDS = (
     33,
     5,
@@ -126,8 +128,8 @@
     "turns with a level of 0.90": 100,
 }
 
-# The module's text with one small fault each: what stands there once, and what is put for it. Both are written as
-# `ast.unparse` lays a text out, so that formatting doesn't matter.
+# The module's text with one small fault each: what stands there once, and what is put for it. Both
+# are written as `ast.unparse` lays a text out, so that formatting doesn't matter.
 FAULTS = {
     "a constant of outlier statistics": ("HALF_LIFE = 0.8", "HALF_LIFE = 0.81"),
     "a constant of contrast": ("MIN_FAILURE_CONTRAST = 3.0", "MIN_FAILURE_CONTRAST = 2.5"),
@@ -183,7 +185,9 @@
 
 @pytest.fixture(scope="module")
 def histories() -> Iterator[list[History]]:
-    """They stay, some hundred thousand events: not to be gone through at each collection of garbage."""
+    """They stay, some hundred thousand events: not to be gone through at each collection of
+    garbage.
+    """
     played = []
     for seed in SEEDS:
         played.append(record(seed))
--- a/tests/decision/test_regressions.py
+++ b/tests/decision/test_regressions.py
@@ -19,7 +19,9 @@
 def report(
     model: Model, observations: dict[int, tuple[int, int, float]], seconds: float
 ) -> list[Order]:
-    """Let proxies report each half second: by endpoint the attempts, the failed ones, and the latency."""
+    """Let proxies report each half second: by endpoint the attempts, the failed ones, and the
+    latency.
+    """
     orders: list[Order] = []
     for _ in range(round(seconds / 0.5)):
         reports = [
@@ -325,7 +327,9 @@
 
 
 def test_five_managers_together_give_a_warming_endpoint_what_one_would() -> None:
-    """Each serves a fifth of the proxies and raises by the endpoint's age: their parts add up to its weight."""
+    """Each serves a fifth of the proxies and raises by the endpoint's age: their parts add up to
+    its weight.
+    """
     models = [reported_model(12.0, seed=n) for n in range(6)]
     for model in models:
         model.step(0.1, [EndpointsUpdated("changes", (endpoint(10, "ready", model.now - 0.5),))])
--- a/tests/decision/test_safety_rules.py
+++ b/tests/decision/test_safety_rules.py
@@ -192,8 +192,9 @@
 
 
 class BunchedEvents(Model):
-    """What comes in four steps comes in one instant, in a random order: a connection ahead of the disconnection that it
-    follows, gone and ready, an acknowledgement and the reset behind it."""
+    """What comes in four steps comes in one instant, in a random order: a connection ahead of the
+    disconnection that it follows, gone and ready, an acknowledgement and the reset behind it.
+    """
 
     def __init__(self, settings: ManagerSettings, seed: int) -> None:
         self.random = Random(f"{seed} order")
--- a/tests/decision/test_subsets.py
+++ b/tests/decision/test_subsets.py
@@ -1,4 +1,6 @@
-"""Small tables that stay and are updated, where the channel cannot carry one table to all within a slow start."""
+"""Small tables that stay and are updated, where the channel cannot carry one table to all within a
+slow start.
+"""
 
 from random import Random
 
@@ -207,8 +209,9 @@
 
 
 def overload(model: Model, **queue: float) -> tuple[float, float]:
-    """An overload of 4 s, then 6 s in which late failures are still reported, beside the queues that endpoints report;
-    gives the admitted fraction at the end of each."""
+    """An overload of 4 s, then 6 s in which late failures are still reported, beside the queues
+    that endpoints report; gives the admitted fraction at the end of each.
+    """
     admitted_fractions = []
     for seconds, load in ((4.0, {}), (6.0, queue)):
         for _ in range(round(2 * seconds)):
--- a/tests/decision/test_turn_costs.py
+++ b/tests/decision/test_turn_costs.py
@@ -1,8 +1,8 @@
-"""The cost of a batch goes with what changed, not with what there is: counted in bytecode instructions run, never in
-time, nor in lines, whose number goes with the formatting.
+"""The cost of a batch goes with what changed, not with what there is: counted in bytecode
+instructions run, never in time, nor in lines, whose number goes with the formatting.
 
-The same events come to a small deployment and to a large one. The reference model, and the module with a shortcut taken
-out, must be seen to cost more.
+The same events come to a small deployment and to a large one. The reference model, and the module
+with a shortcut taken out, must be seen to cost more.
 """
 
 import sys
--- a/tests/fleet/membership/test_transport.py
+++ b/tests/fleet/membership/test_transport.py
@@ -1,4 +1,6 @@
-"""The membership's wire and sockets: sealed datagrams, fuzzed ones, several members on loopback, the command."""
+"""The membership's wire and sockets: sealed datagrams, fuzzed ones, several members on loopback,
+the command.
+"""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
--- a/tests/fleet/ownership/test_health_check_assignment.py
+++ b/tests/fleet/ownership/test_health_check_assignment.py
@@ -31,7 +31,9 @@
 
 
 def test_an_owner_that_does_not_reach_a_worker_is_not_believed_without_a_check() -> None:
-    """Cut off from the worker, it would say for all that it is dead; each checks, as seldom as without an owner."""
+    """Cut off from the worker, it would say for all that it is dead; each checks, as seldom as
+    without an owner.
+    """
     shared = SharedHealthChecks(0.4)
     failed = HealthCheckResult("w", False, "timeout", 0.4, 10.0)
     assert shared.record_remote_result(failed, 10.0, 3) is RemoteResultUse.STORE, (
--- a/tests/race_conditions/processes.py
+++ b/tests/race_conditions/processes.py
@@ -113,7 +113,9 @@
 
 
 class Managers:
-    """Manager processes before one discovery, each with a folder, a configuration and a log of its own."""
+    """Manager processes before one discovery, each with a folder, a configuration and a log of its
+    own.
+    """
 
     def __init__(self, folder: Path, discovery_address: str, count: int, **overrides: Any) -> None:
         self.folder = folder
@@ -253,7 +255,9 @@
 async def send_in_pieces(
     stream: trio.SocketStream, pieces: Iterable[bytes], timeout: float = 8.0
 ) -> None:
-    """Write each piece once the peer's process has read the one before, so that it reads each alone."""
+    """Write each piece once the peer's process has read the one before, so that it reads each
+    alone.
+    """
     stream.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
     with trio.fail_after(timeout):
         for piece in pieces:
--- a/tests/race_conditions/test_ads_shutdown.py
+++ b/tests/race_conditions/test_ads_shutdown.py
@@ -91,7 +91,8 @@
             await trio.testing.wait_all_tasks_blocked()  # the writer stands in the middle of it
             scope.cancel()
             stopped_at = trio.current_time()
-            if not peer_reads:  # until the time is over, then at once: the incomplete frame leaves room for a GOAWAY
+            # until the time is over, then at once: the incomplete frame leaves room for a GOAWAY
+            if not peer_reads:
                 await trio.testing.wait_all_tasks_blocked()
                 await trio.sleep_until(connections[0].close_deadline)
                 with suppress(BlockingIOError):
--- a/tests/race_conditions/test_discovery_failures.py
+++ b/tests/race_conditions/test_discovery_failures.py
@@ -180,7 +180,9 @@
 
 
 class RepeatingDiscovery:
-    """Sends a complete list at once for each query, by turns others; once `finishing`, the last one."""
+    """Sends a complete list at once for each query, by turns others; once `finishing`, the last
+    one.
+    """
 
     def __init__(self, versions_advance: bool) -> None:
         self.versions_advance, self.server = versions_advance, ScriptedDiscovery(self.respond)
@@ -212,7 +214,9 @@
 async def test_complete_lists_in_quick_succession_lead_to_the_last_one(
     tmp_path: Path, versions_advance: bool
 ) -> None:
-    """No proxy gets more messages than allowed or unusable ones, and ejected workers are readmitted."""
+    """No proxy gets more messages than allowed or unusable ones, and ejected workers are
+    readmitted.
+    """
     max_messages = 10
     window = 2.0
     discovery = RepeatingDiscovery(versions_advance)
--- a/tests/race_conditions/test_kill_points.py
+++ b/tests/race_conditions/test_kill_points.py
@@ -55,7 +55,9 @@
 
 
 class ThreeManagers:
-    """Three managers with their proxies, and requests at the proxies; the first one is to be killed."""
+    """Three managers with their proxies, and requests at the proxies; the first one is to be
+    killed.
+    """
 
     def __init__(self, managers: Managers, nursery: trio.Nursery) -> None:
         self.managers = managers
--- a/tests/race_conditions/test_platform_sockets.py
+++ b/tests/race_conditions/test_platform_sockets.py
@@ -136,7 +136,8 @@
             old.close()
             await trio.testing.wait_all_tasks_blocked()
             old = new
-        # Read before the new hello it counts, and the old connection's end comes next; else it does not.
+        # Read before the new hello it counts, and the old connection's end comes next; else it does
+        # not.
         report_indexes = [
             n for n, event in enumerate(running.events) if isinstance(event, DemandReported)
         ]
@@ -247,7 +248,9 @@
         assert connection.unsent, "the socket took a part of it"
         client.sendall(
             DEMAND_REPORT
-        )  # not read by the server: closed with it, the connection would be reset and its output lost
+            # not read by the server: closed with it, the connection would be reset and its output
+            # lost
+        )
         received = b""
 
         async def read() -> None:
--- a/tests/recorded/fleet_examples.py
+++ b/tests/recorded/fleet_examples.py
@@ -1,4 +1,6 @@
-"""One example or more of each message that managers send each other, by the name under which it is recorded."""
+"""One example or more of each message that managers send each other, by the name under which it is
+recorded.
+"""
 
 from dunlinlug.decision.events import (
     Acknowledged,
--- a/tests/recorded/fleet_facts.py
+++ b/tests/recorded/fleet_facts.py
@@ -1,5 +1,7 @@
-"""What managers say inside their messages, made by the present code from fixed values: facts' keys and bodies, names of
-work, prefaces of connections, prints that are compared. Each is bytes or a number by a name."""
+"""What managers say inside their messages, made by the present code from fixed values: facts' keys
+and bodies, names of work, prefaces of connections, prints that are compared. Each is bytes or a
+number by a name.
+"""
 
 from typing import Any
 
--- a/tests/recorded/neutral_decisions.py
+++ b/tests/recorded/neutral_decisions.py
@@ -1,8 +1,10 @@
-"""Events, orders and a manager's settings as JSON under names of the wire, whatever our classes and fields are called.
+"""Events, orders and a manager's settings as JSON under names of the wire, whatever our classes and
+fields are called.
 
-The simulator's wire names are used where it has one. Times are exact seconds under names without the wire's `Us`, and
-floats are written by `repr`, so that two texts are equal only if every value is equal to the last bit. Patterns and
-constructors are positional: renaming a field changes nothing here.
+The simulator's wire names are used where it has one. Times are exact seconds under names without
+the wire's `Us`, and floats are written by `repr`, so that two texts are equal only if every value
+is equal to the last bit. Patterns and constructors are positional: renaming a field changes nothing
+here.
 """
 
 import json
--- a/tests/recorded/plain.py
+++ b/tests/recorded/plain.py
@@ -1,7 +1,7 @@
 """Events, orders and settings as plain JSON values for recorded data.
 
-Keys and words are those of the wire (`dunlinlug/drill`) and of the INI files, never names of the code, so that recorded
-values stay as they are when classes and fields are renamed.
+Keys and words are those of the wire (`dunlinlug/drill`) and of the INI files, never names of the
+code, so that recorded values stay as they are when classes and fields are renamed.
 """
 
 import json
--- a/tests/recorded/record_decisions.py
+++ b/tests/recorded/record_decisions.py
@@ -1,11 +1,13 @@
-"""Digests of what the decision module orders, over drawn histories, days that were played, and a simulator's session.
+"""Digests of what the decision module orders, over drawn histories, days that were played, and a
+simulator's session.
 
     python -m tests.recorded.record_decisions --check    # all seeds; ends with 1 if one differs
     python -m tests.recorded.record_decisions            # write the digests anew: only for a change that is meant
     python -m tests.recorded.record_decisions --day days/first.ini   # play a day and keep what was heard
 
-A history is driven by the former text (`tests/former`), so that its events do not hang on the module under test, which
-hears the same turns. A digest covers the settings, every turn's clock and events, and the orders.
+A history is driven by the former text (`tests/former`), so that its events do not hang on the
+module under test, which hears the same turns. A digest covers the settings, every turn's clock and
+events, and the orders.
 """
 
 import argparse
--- a/tests/recorded/record_drill.py
+++ b/tests/recorded/record_drill.py
@@ -1,8 +1,9 @@
 """Record a short session of the simulator's adapter: its lines in and out, byte for byte.
 
-    python -m tests.recorded.record_drill
+python -m tests.recorded.record_drill
 
-The other side of the session is a plain simulator: it answers each seal and each poll, and rings each bell when due.
+The other side of the session is a plain simulator: it answers each seal and each poll, and rings
+each bell when due.
 """
 
 import io
--- a/tests/recorded/record_fleet.py
+++ b/tests/recorded/record_fleet.py
@@ -1,8 +1,8 @@
 """Records what managers send each other: `python -m tests.recorded.record_fleet`.
 
-To be run only where a form is changed on purpose, with the change told in CHANGELOG.md: the data is what managers in
-service write, and `test_fleet_bytes.py` holds the code to it. The state of a module is that of a real one after many
-turns of a generated history.
+To be run only where a form is changed on purpose, with the change told in CHANGELOG.md: the data is
+what managers in service write, and `test_fleet_bytes.py` holds the code to it. The state of a
+module is that of a real one after many turns of a generated history.
 """
 
 import json
@@ -152,8 +152,10 @@
 
 
 def settled(whole: bytes) -> Any:
-    """What the whole says, with the one map in order whose order is by chance: tables come into `at` of the seating
-    out of a set, in the order of their addresses in memory, and are looked up in it alone."""
+    """What the whole says, with the one map in order whose order is by chance: tables come into
+    `at` of the seating out of a set, in the order of their addresses in memory, and are looked
+    up in it alone.
+    """
     plain = msgpack.unpackb(whole, strict_map_key=False)
     fields = dict(zip(plain[3::2], plain[4::2], strict=True))
     module = dict(zip(fields["module"][1::2], fields["module"][2::2], strict=True))
--- a/tests/recorded/record_operators.py
+++ b/tests/recorded/record_operators.py
@@ -1,9 +1,9 @@
 """Record the operators' endpoint: requests, and the status and body of each answer.
 
-    python -m tests.recorded.record_operators
+python -m tests.recorded.record_operators
 
-A manager is put together from an INI file and its loop is turned by hand, on a clock that moves only where a step says
-so. Nothing is served and no socket is opened.
+A manager is put together from an INI file and its loop is turned by hand, on a clock that moves
+only where a step says so. Nothing is served and no socket is opened.
 """
 
 import json
@@ -125,7 +125,9 @@
 
 
 def _fleet() -> list[Plain]:
-    """What a manager of four proxies has heard: the list, their joining, their demand, and what workers settled."""
+    """What a manager of four proxies has heard: the list, their joining, their demand, and what
+    workers settled.
+    """
     joined = [
         {"verb": "Joined", "proxy": n, "locality": "north", "weight": 20.0, "yes": True}
         for n in range(4)
@@ -335,7 +337,9 @@
 
 
 def play(name: str, steps: list[Plain], folder: Path) -> Plain:
-    """All answers of one manager, none to steps that ask nothing, and the pins that its store has at the end."""
+    """All answers of one manager, none to steps that ask nothing, and the pins that its store has
+    at the end.
+    """
     text = PLAYS[name][0]
     clock = MockClock()
     clock.jump(100.0)
--- a/tests/recorded/record_package.py
+++ b/tests/recorded/record_package.py
@@ -1,11 +1,11 @@
 """Record the dunlinlug package of a commit as test data for `test_rolling_upgrade.py`.
 
-    python tests/recorded/record_package.py cb53846
+python tests/recorded/record_package.py cb53846
 
-writes `tests/recorded/data/dunlinlug-recorded.zip` with the `.py` files of `dunlinlug/` at that commit, by
-`git archive`: file times are the commit's, in UTC, and the commit's id is the archive's comment, so the same commit
-and the same git give the same bytes. Record again only for a version that was released: the test upgrades managers
-from it to this checkout.
+writes `tests/recorded/data/dunlinlug-recorded.zip` with the `.py` files of `dunlinlug/` at that
+commit, by `git archive`: file times are the commit's, in UTC, and the commit's id is the archive's
+comment, so the same commit and the same git give the same bytes. Record again only for a version
+that was released: the test upgrades managers from it to this checkout.
 """
 
 import os
--- a/tests/recorded/record_platform.py
+++ b/tests/recorded/record_platform.py
@@ -422,7 +422,9 @@
 
 
 def settings(text: str, variables: dict[str, str], folder: Path) -> Plain:
-    """What a configuration gives at the start, or what is said of it; the file's name is written as FILE."""
+    """What a configuration gives at the start, or what is said of it; the file's name is written as
+    FILE.
+    """
     path = folder / "router.json"
     path.write_text(text)
     try:
--- a/tests/recorded/record_session.py
+++ b/tests/recorded/record_session.py
@@ -1,7 +1,9 @@
-"""A simulator's side of a short session with the adapter, from a fixed seed: `python -m tests.recorded.record_session`.
+"""A simulator's side of a short session with the adapter, from a fixed seed: `python -m
+tests.recorded.record_session`.
 
-Two managers with workers that drain, go, fail and come back. Marks are answered, timers rung and probes answered as the
-adapter orders; the lines that it was sent are kept, and later replayed as bytes whatever it answers.
+Two managers with workers that drain, go, fail and come back. Marks are answered, timers rung and
+probes answered as the adapter orders; the lines that it was sent are kept, and later replayed as
+bytes whatever it answers.
 """
 
 import gzip
--- a/tests/recorded/record_store.py
+++ b/tests/recorded/record_store.py
@@ -174,7 +174,9 @@
 
 
 def got(folder: Path) -> Plain:
-    """What the code's own functions read of a store, and the number of the life that begins with it."""
+    """What the code's own functions read of a store, and the number of the life that begins with
+    it.
+    """
     shown = read_rejections(folder)
     kept = Store(folder)
     body, vote, owners = kept.endpoint_list(), kept.vote(), kept.vote(OWNERS_LOG)
--- a/tests/recorded/record_xds.py
+++ b/tests/recorded/record_xds.py
@@ -1,10 +1,12 @@
 """Bytes of the xDS, load report and gRPC forms, and what is read from them, as recorded.
 
-    python -m tests.recorded.record_xds    # write the record anew: only for a change of the wire that is meant
+python -m tests.recorded.record_xds    # write the record anew: only for a change of the wire that
+is meant
 
-`written()` makes bytes by every writer, `read_back()` reads such bytes to plain values, `conversations()` lets both
-sides of a stream talk. A message with a map of several entries has no one writing: it is kept, and compared, in
-protobuf's deterministic serialization. Bytes are kept in base64; floats are compared exactly.
+`written()` makes bytes by every writer, `read_back()` reads such bytes to plain values,
+`conversations()` lets both sides of a stream talk. A message with a map of several entries has no
+one writing: it is kept, and compared, in protobuf's deterministic serialization. Bytes are kept in
+base64; floats are compared exactly.
 """
 
 import base64
@@ -304,7 +306,9 @@
 
 
 def delta_conversation() -> Plain:
-    """A manager and a proxy over delta ADS: applied, refused for what it bears, and refused for its term."""
+    """A manager and a proxy over delta ADS: applied, refused for what it bears, and refused for its
+    term.
+    """
     server, holdings = stream.DeltaStream(), subscriber.ProxyState()
     proxy = subscriber.DeltaSubscriber(holdings, "p1", "south", {"products": ["read"]})
     steps: list[Plain] = []
@@ -379,7 +383,9 @@
 
 
 def full_conversation() -> Plain:
-    """A plain client of the full form: it asks on, takes, refuses once, and is led to another table."""
+    """A plain client of the full form: it asks on, takes, refuses once, and is led to another
+    table.
+    """
     server, steps = state_of_the_world.StateOfTheWorldStream(), list[Plain]()
     server.control_plane_id = fencing_term.format_identifier(7, "a")
 
--- a/tests/recorded/recording_manager.py
+++ b/tests/recorded/recording_manager.py
@@ -1,4 +1,6 @@
-"""A manager that writes down what its decision module hears: `recording_manager OUT FILE`, as a day starts it."""
+"""A manager that writes down what its decision module hears: `recording_manager OUT FILE`, as a day
+starts it.
+"""
 
 import sys
 from collections.abc import Iterable
@@ -15,7 +17,9 @@
 
 
 class RecordingBalancer(Balancer):
-    """The decision module; each turn's clock and events go to a file, one line a turn, after the settings."""
+    """The decision module; each turn's clock and events go to a file, one line a turn, after the
+    settings.
+    """
 
     def __init__(self, settings: ManagerSettings, out: TextIO) -> None:
         super().__init__(settings)
--- a/tests/recorded/sections.py
+++ b/tests/recorded/sections.py
@@ -1,7 +1,7 @@
 """The INI files' sections as plain JSON values, key by key.
 
-Each function names the keys as they stand in a file, so that the recorded values stay as they are when a class or a
-field of the code has another name.
+Each function names the keys as they stand in a file, so that the recorded values stay as they are
+when a class or a field of the code has another name.
 """
 
 from collections.abc import Callable
--- a/tests/recorded/test_decisions.py
+++ b/tests/recorded/test_decisions.py
@@ -1,4 +1,5 @@
-"""The decision module orders what it did when `record_decisions.py` wrote its digests, to the last bit of each float.
+"""The decision module orders what it did when `record_decisions.py` wrote its digests, to the last
+bit of each float.
 
 Half of the seeds run here; `python -m tests.recorded.record_decisions --check` runs all.
 """
--- a/tests/recorded/test_drill_bytes.py
+++ b/tests/recorded/test_drill_bytes.py
@@ -1,4 +1,6 @@
-"""The simulator's adapter writes the recorded bytes to the recorded lines, and reads them to the recorded values."""
+"""The simulator's adapter writes the recorded bytes to the recorded lines, and reads them to the
+recorded values.
+"""
 
 import json
 
--- a/tests/recorded/test_fleet_bytes.py
+++ b/tests/recorded/test_fleet_bytes.py
@@ -1,4 +1,6 @@
-"""The code reads what managers in service write, and writes the same: held to bytes recorded by `record_fleet`."""
+"""The code reads what managers in service write, and writes the same: held to bytes recorded by
+`record_fleet`.
+"""
 
 import json
 from typing import Any
@@ -129,7 +131,9 @@
 
 
 def test_a_module_written_now_is_the_recorded_one() -> None:
-    """The same history leads to the same state, so that the wire names are those of the attributes of old."""
+    """The same history leads to the same state, so that the wire names are those of the attributes
+    of old.
+    """
     module, following = record.lived_module()
     whole = replicated_state.serialize_snapshot(module, record.standing(following[0][0]))
     assert record.settled(whole) == record.settled((record.DATA / "whole.bin").read_bytes())
--- a/tests/recorded/test_rolling_upgrade.py
+++ b/tests/recorded/test_rolling_upgrade.py
@@ -1,7 +1,8 @@
-"""Rolling upgrade of three managers, as processes, from the recorded version of the package to this checkout.
+"""Rolling upgrade of three managers, as processes, from the recorded version of the package to this
+checkout.
 
-Managers of both versions lead and follow side by side, under traffic and a deploy. The recorded version is
-`data/dunlinlug-recorded.zip` (see `record_package.py`).
+Managers of both versions lead and follow side by side, under traffic and a deploy. The recorded
+version is `data/dunlinlug-recorded.zip` (see `record_package.py`).
 """
 
 import json
@@ -28,7 +29,8 @@
 from dunlinlug.scenarios.runner import ScenarioProcess, ScenarioRunner
 from tests.config.test_manager_config import manager_file
 
-# Names in the managers' logs, for each version. A change of the present names changes `PRESENT_LOG` alone.
+# Names in the managers' logs, for each version. A change of the present names changes `PRESENT_LOG`
+# alone.
 
 
 @dataclass(frozen=True)
@@ -82,12 +84,14 @@
 )
 PRESENT_LOG = LogNames()
 
-# Answers of the operators' HTTP endpoint, which both versions give alike: `GET /fleet`, `GET /members`, `GET /work`.
+# Answers of the operators' HTTP endpoint, which both versions give alike: `GET /fleet`, `GET
+# /members`, `GET /work`.
 LEADER, LEADS, TERM, POSITION, BEHIND = "master", "leads", "term", "position", "behind"
 COUNTS, REFUSED_FRAMES = "counts", "refused_"
 OWNED = "holds"
 
-# Reasons for which a carrier of work refuses it when a manager is restarted, also among managers of one version.
+# Reasons for which a carrier of work refuses it when a manager is restarted, also among managers of
+# one version.
 ORDINARY_REASONS = ("this carrier follows no log yet", "number ", "it came before")
 
 ROOT = Path(__file__).parent.parent.parent
@@ -98,7 +102,8 @@
 WITHIN = 15.0  # seconds for each step of the upgrade, of which most take one or two
 LENGTH = 30  # seconds of the day; the upgrade is to end within it
 
-# A busy machine is to change no leader by itself; the duties leave room for a takeover by this lease.
+# A busy machine is to change no leader by itself; the duties leave room for a takeover by this
+# lease.
 CHANGES = (
     ("length = 24s", f"length = {LENGTH}s"),
     ("lease = 1s", "lease = 2s"),
@@ -126,7 +131,9 @@
     log: LogNames
 
     def python(self, *arguments: str) -> tuple[str, ...]:
-        """A command in which `source` comes before the editable install; `-P` keeps out the current directory."""
+        """A command in which `source` comes before the editable install; `-P` keeps out the current
+        directory.
+        """
         return ("env", f"PYTHONPATH={self.source}", sys.executable, "-P", *arguments)
 
     @property
@@ -312,7 +319,9 @@
         await self.carries(member)
 
     async def owns(self, member: str) -> None:
-        """Wait until this member owns work of the fleet, as it does once it has been there for a few seconds."""
+        """Wait until this member owns work of the fleet, as it does once it has been there for a
+        few seconds.
+        """
         await self.until(member, "an owner of work", lambda state: state[OWNED] > 0, "/work")
 
     async def carries(self, member: str) -> None:
@@ -444,7 +453,9 @@
 def test_a_follower_of_this_version_is_in_the_very_state_of_a_recorded_leader(
     tmp_path: Path,
 ) -> None:
-    """What this version writes is byte for byte what the recorded one does, so that each reads the other's."""
+    """What this version writes is byte for byte what the recorded one does, so that each reads the
+    other's.
+    """
     file = manager_file(tmp_path)
     script = str(Path(__file__).parent / "write_states.py")
     subprocess.run(RECORDED.python(script, str(file), str(tmp_path)), check=True)
--- a/tests/recorded/test_roster_bytes.py
+++ b/tests/recorded/test_roster_bytes.py
@@ -1,4 +1,6 @@
-"""The roster's answers are read to the recorded values; queries and answers are written as the recorded bytes."""
+"""The roster's answers are read to the recorded values; queries and answers are written as the
+recorded bytes.
+"""
 
 from tests.recorded import record_roster
 from tests.recorded.plain import as_json, read_json
--- a/tests/recorded/test_store_bytes.py
+++ b/tests/recorded/test_store_bytes.py
@@ -1,4 +1,6 @@
-"""A store that was written before is read to the recorded values, and the same values are written as the same bytes."""
+"""A store that was written before is read to the recorded values, and the same values are written
+as the same bytes.
+"""
 
 import shutil
 from pathlib import Path
--- a/tests/recorded/test_wire_forms.py
+++ b/tests/recorded/test_wire_forms.py
@@ -1,4 +1,6 @@
-"""Whatever travels between managers has its wire name declared, and nothing else of its class travels."""
+"""Whatever travels between managers has its wire name declared, and nothing else of its class
+travels.
+"""
 
 from collections import deque
 from copy import copy
@@ -58,7 +60,9 @@
 
 
 def attributes_of(form: WireForm, instance: Any) -> set[str]:
-    """The attributes that a form has to declare: of the module's state also those of its inlined parts."""
+    """The attributes that a form has to declare: of the module's state also those of its inlined
+    parts.
+    """
     if form is not module_state.MODULE:
         return set(vars(instance))
     parts = module_state.INLINED_OBJECTS
--- a/tests/recorded/test_xds_bytes.py
+++ b/tests/recorded/test_xds_bytes.py
@@ -1,4 +1,6 @@
-"""xDS, load reports and gRPC: the bytes that `record_xds.py` kept are written still, and read to the same values."""
+"""xDS, load reports and gRPC: the bytes that `record_xds.py` kept are written still, and read to
+the same values.
+"""
 
 import json
 from typing import Any
--- a/tests/recorded/write_states.py
+++ b/tests/recorded/write_states.py
@@ -1,10 +1,12 @@
 """Run by the recorded version of the package: what a leader sends to its followers, as files.
 
-    PYTHONPATH=tests/recorded/data/dunlinlug-recorded.zip python -P tests/recorded/write_states.py MANAGER.ini FOLDER
+PYTHONPATH=tests/recorded/data/dunlinlug-recorded.zip python -P tests/recorded/write_states.py
+MANAGER.ini FOLDER
 
-A decision module goes through a few hundred turns of drawn events. `FOLDER` gets its state after some of them
-(`before.state`), the batches of the turns that follow (`0000.batch` and so on), and its state after these
-(`after.state`). The names of this program are those of the recorded version, and change with the recording alone.
+A decision module goes through a few hundred turns of drawn events. `FOLDER` gets its state after
+some of them (`before.state`), the batches of the turns that follow (`0000.batch` and so on), and
+its state after these (`after.state`). The names of this program are those of the recorded version,
+and change with the recording alone.
 """
 
 # ruff: noqa: I001 - the imports are the recorded version's, whose modules are not in this tree
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -58,7 +58,9 @@
 
 
 def names_of(tree: ast.AST) -> Iterator[str]:
-    """What a module defines or uses by name, and every word of its strings; no comment or docstring."""
+    """What a module defines or uses by name, and every word of its strings; no comment or
+    docstring.
+    """
     docstrings = docstring_nodes(tree)
     for node in ast.walk(tree):
         if id(node) in docstrings:
