--- a/bench/scale/accounting.py
+++ b/bench/scale/accounting.py
@@ -1,5 +1,6 @@
-"""Sums over processes and members, by role; and whether hollow members did as real ones. Free of
-I/O.
+"""Sums over processes and members by role, and simulated members compared with real ones.
+
+Free of I/O.
 """
 
 from collections import Counter
@@ -9,48 +10,51 @@
 
 FIELDS = ("in", "out", "bytes_in", "bytes_out")
 Kinds = dict[str, Counter[str]]
-TELLING = (
-    0.05  # part of a role's messages from which a kind is compared by itself: rarer ones are chance
-)
-LIST = "list"  # queries of discovery, which are not words between members
-# messages of a kind at the real members from which it is compared: below, a tenth is chance
-FEWEST = 200
+# Fraction of a role's messages from which a kind is compared by itself: rarer ones are noise.
+MIN_COMPARED_FRACTION = 0.05
+# Queries of discovery, which are not messages between members.
+LIST = "list"
+# Messages of a kind at the real members from which it is compared: with fewer, a difference of a
+# tenth is noise.
+MIN_COMPARED_MESSAGES = 200
 
 
 class Meter:
-    """What one process counted since its start, by kind of message."""
+    """Counts of one process since its start, by kind of message."""
 
     def __init__(self) -> None:
         self.kinds: Kinds = {}
         self.counts: Counter[str] = Counter()
 
-    def add(self, kind: str, way: str, size: int) -> None:
-        """`way` is in or out."""
-        held = self.kinds.setdefault(kind, Counter())
-        held[way] += 1
-        held[f"bytes_{way}"] += size
+    def add(self, kind: str, direction: str, size: int) -> None:
+        """Count one message of `size` bytes; `direction` is "in" or "out"."""
+        totals = self.kinds.setdefault(kind, Counter())
+        totals[direction] += 1
+        totals[f"bytes_{direction}"] += size
 
-    def said(self) -> dict[str, dict[str, int]]:
+    def snapshot(self) -> dict[str, dict[str, int]]:
+        """Return the messages and bytes of each kind, in and out."""
         return {
-            kind: {name: held[name] for name in FIELDS} for kind, held in sorted(self.kinds.items())
+            kind: {name: totals[name] for name in FIELDS}
+            for kind, totals in sorted(self.kinds.items())
         }
 
 
 def less(
     after: Mapping[str, Mapping[str, int]], before: Mapping[str, Mapping[str, int]]
 ) -> dict[str, dict[str, int]]:
-    """What came between two readings of one meter."""
+    """Return the difference of two snapshots of one meter."""
     return {
         kind: {name: held[name] - before.get(kind, {}).get(name, 0) for name in FIELDS}
         for kind, held in after.items()
     }
 
 
-def together(parts: Iterable[Mapping[str, Mapping[str, int]]]) -> dict[str, dict[str, int]]:
-    """The sums over several meters."""
+def together(meters: Iterable[Mapping[str, Mapping[str, int]]]) -> dict[str, dict[str, int]]:
+    """Return the sums over the snapshots of several meters."""
     found: dict[str, dict[str, int]] = {}
-    for part in parts:
-        for kind, held in part.items():
+    for snapshot in meters:
+        for kind, held in snapshot.items():
             sums = found.setdefault(kind, dict.fromkeys(FIELDS, 0))
             for name in FIELDS:
                 sums[name] += held[name]
@@ -58,7 +62,7 @@
 
 
 def turned(held: Mapping[str, int]) -> dict[str, int]:
-    """The same messages from the other end."""
+    """Return the same messages as counted at the other end."""
     return {
         "in": held["out"],
         "out": held["in"],
@@ -69,8 +73,9 @@
 
 @dataclass
 class Reading:
-    """What one process said of itself at one moment: `cpu_s`, `control_s` and kinds count from its
-    start.
+    """Resource usage that one process reported at one moment.
+
+    `cpu_s`, `control_s` and kinds count from its start; `rss_mb` is what is resident now.
     """
 
     cpu_s: float
@@ -82,9 +87,7 @@
 
 @dataclass
 class Role:
-    """All that the processes of one role did between their first reading of the span and their
-    last.
-    """
+    """Totals of the processes of one role over the measured interval."""
 
     processes: int = 0
     members: int = 0
@@ -96,6 +99,7 @@
     queues: Counter[str] = field(default_factory=Counter)  # by name, the longest that was seen
 
     def add(self, before: Reading, after: Reading, members: int) -> None:
+        """Add a process by its readings at the begin and the end of the interval."""
         self.processes += 1
         self.members += members
         self.cpu_s += after.cpu_s - before.cpu_s
@@ -106,11 +110,15 @@
             self.counts[name] += count - before.counts.get(name, 0)
 
     def queue(self, lengths: Mapping[str, int]) -> None:
+        """Keep the longest length that was seen of each queue."""
         for name, length in lengths.items():
             self.queues[name] = max(self.queues[name], length)
 
     def figures(self, span: float) -> dict[str, Any]:
-        """As a result tells them; `span` is the measured time in the rig's seconds."""
+        """Return the totals by the result file's keys.
+
+        `span` is the measured interval in seconds of the rig's clock.
+        """
         per = 1 / (span * self.members) if span > 0 and self.members else 0.0
         kinds = together(self.kinds)
         sums = {
@@ -133,18 +141,21 @@
 
 
 def compared(real: Mapping[str, Any], hollow: Mapping[str, Any], error: float) -> dict[str, Any]:
-    """Messages and bytes of an average hollow member beside an average real one, and whether all
-    that tell enough differ by at most `error`. Without one of the two, or with too little said,
-    nothing is valid.
+    """Compare messages and bytes of an average simulated member with an average real one.
+
+    The result is valid if all rows with enough messages differ by at most the fraction `error`. It
+    is not valid without members of both roles, or with too few messages.
     """
     rows: dict[str, dict[str, float]] = {}
-    worst, judged = 0.0, 0
-    everything = sum(_count(real, "all", way) for way in ("in", "out"))
+    worst = 0.0
+    judged = 0
+    everything = sum(_count(real, "all", direction) for direction in ("in", "out"))
     for kind in sorted({*real["messages"], *hollow["messages"], "all"}):
         for name in FIELDS:
-            one, other = (_part(role, kind, name) for role in (real, hollow))
-            said = _count(real, kind, name.removeprefix("bytes_"))
-            tells = said >= FEWEST and (kind in ("all", LIST) or said >= TELLING * everything / 2)
+            one, other = (_per_member(role, kind, name) for role in (real, hollow))
+            messages = _count(real, kind, name.removeprefix("bytes_"))
+            is_frequent = messages >= MIN_COMPARED_FRACTION * everything / 2
+            is_judged = messages >= MIN_COMPARED_MESSAGES and (kind in ("all", LIST) or is_frequent)
             if not one and not other:
                 continue
             apart = abs(other - one) / one if one else float(other > 0)
@@ -152,10 +163,11 @@
                 "real": round(one, 3),
                 "hollow": round(other, 3),
                 "apart": round(apart, 4),
-                "judged": int(tells),
+                "judged": int(is_judged),
             }
-            if tells:
-                worst, judged = max(worst, apart), judged + 1
+            if is_judged:
+                worst = max(worst, apart)
+                judged += 1
     return {
         "rows": rows,
         "worst": round(worst, 4),
@@ -172,22 +184,26 @@
     return kinds.get(kind, {}).get(name, 0)
 
 
-def _part(role: Mapping[str, Any], kind: str, name: str) -> float:
+def _per_member(role: Mapping[str, Any], kind: str, name: str) -> float:
     return _count(role, kind, name) / role["members"] if role["members"] else 0.0
 
 
 def spread(values: Sequence[float]) -> dict[str, float | int]:
-    """Seconds as p50, p99 and the most, by a histogram of hundredths of a part."""
+    """Return count, median, 99th percentile and maximum of durations in seconds.
+
+    The percentiles come from a histogram with three significant digits.
+    """
     from hdrh.histogram import HdrHistogram  # a library that only runs need
 
     if not values:
         return {"count": 0}
-    kept = HdrHistogram(1, 3_600_000_000, 3)  # microseconds up to an hour, to three figures
+    # Microseconds up to an hour, to three significant digits.
+    histogram = HdrHistogram(1, 3_600_000_000, 3)
     for value in values:
-        kept.record_value(max(1, round(value * 1e6)))
+        histogram.record_value(max(1, round(value * 1e6)))
     return {
         "count": len(values),
-        "p50": round(kept.get_value_at_percentile(50) / 1e6, 4),
-        "p99": round(kept.get_value_at_percentile(99) / 1e6, 4),
+        "p50": round(histogram.get_value_at_percentile(50) / 1e6, 4),
+        "p99": round(histogram.get_value_at_percentile(99) / 1e6, 4),
         "most": round(max(values), 4),
     }
--- a/bench/scale/budget.py
+++ b/bench/scale/budget.py
@@ -1,4 +1,4 @@
-"""What a run takes of the machine, as the kernel tells it, and the bounds at which it stops itself."""
+"""Resource usage of a run as the kernel reports it, and the limits at which the run stops."""
 
 import os
 from collections.abc import Iterable, Mapping
@@ -9,22 +9,23 @@
 
 
 class RunError(Exception):
-    """The run could not go on; the text says why in one line."""
+    """The run could not continue; the text gives the reason in one line."""
 
 
-def over(rss_mb: float, processes: int, memory_mb: int, processes_most: int) -> str:
-    """Which bound is passed, in words; nothing while none is. Shared pages count for each process
-    that has them.
+def over(rss_mb: float, processes: int, memory_mb: int, max_processes: int) -> str:
+    """Return which limit is exceeded as a sentence, or an empty string.
+
+    Shared pages count for each process that maps them.
     """
     if rss_mb > memory_mb:
         return f"the run's processes hold {rss_mb:.0f} MB, over its bound of {memory_mb} MB"
-    if processes > processes_most:
-        return f"the run has {processes} processes, over its bound of {processes_most}"
+    if processes > max_processes:
+        return f"the run has {processes} processes, over its bound of {max_processes}"
     return ""
 
 
 def resident(pid: int) -> float:
-    """Megabytes; none of a process that is gone."""
+    """Return the resident megabytes of a process; 0 if it has ended."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_MB
     except (OSError, IndexError, ValueError):
@@ -32,6 +33,7 @@
 
 
 def memory_gb() -> float:
+    """Return the machine's memory in gigabytes; 0 if the kernel does not report it."""
     for line in Path("/proc/meminfo").read_text().splitlines():
         if line.startswith("MemTotal"):
             return round(int(line.split()[1]) / 2**20, 1)
@@ -39,8 +41,9 @@
 
 
 class Datagrams:
-    """What waits unread at members' sockets and what was dropped there, by role; a socket is known
-    by its inode.
+    """Unread bytes at members' UDP sockets and datagrams dropped there, by role.
+
+    A socket is identified by its inode.
     """
 
     def __init__(self, roles: Mapping[int, str]) -> None:
@@ -50,27 +53,31 @@
         self.longest: dict[str, int] = {}
 
     def look(self, lines: Iterable[str]) -> None:
-        """Of /proc/net/udp."""
+        """Read the socket lines of /proc/net/udp."""
         for line in lines:
-            words = line.split()
-            if len(words) < 13 or ":" not in words[1]:
+            fields = line.split()
+            if len(fields) < 13 or ":" not in fields[1]:
                 continue
-            role = self.roles.get(int(words[1].rpartition(":")[2], 16))
+            role = self.roles.get(int(fields[1].rpartition(":")[2], 16))
             if role is None:
                 continue
-            unread, key = int(words[4].rpartition(":")[2], 16), (role, words[9])
+            unread = int(fields[4].rpartition(":")[2], 16)
+            key = (role, fields[9])
             self.longest[role] = max(self.longest.get(role, 0), unread)
-            self.drops[key] = int(words[12])
+            self.drops[key] = int(fields[12])
 
     def begin(self) -> None:
-        """What was dropped until now does not count."""
-        self.first, self.longest = dict(self.drops), {}
+        """Start counting here: what was dropped until now is left out."""
+        self.first = dict(self.drops)
+        self.longest = {}
 
     def dropped(self, role: str) -> int:
+        """Return the datagrams dropped at the sockets of a role since `begin`."""
         return sum(
             count - self.first.get(key, 0) for key, count in self.drops.items() if key[0] == role
         )
 
 
 def udp_lines() -> list[str]:
+    """Return the socket lines of /proc/net/udp, without the heading."""
     return Path("/proc/net/udp").read_text().splitlines()[1:]
--- a/bench/scale/discovery.py
+++ b/bench/scale/discovery.py
@@ -1,8 +1,8 @@
-"""A stand-in discovery that lists thousands of workers and changes some of them when told to.
+"""Simulated service discovery: lists thousands of workers and changes some of them on command.
 
-It speaks the list's blocking queries as the day's roster does; the body of each version is made
-once. Who asks is told by the service that is asked for: real managers ask for `actual`, hollow
-members for `hollow`, names of one length.
+It answers the blocking queries of the endpoint list; the body of each version is encoded once. The
+role of a client follows from the service in its query: real managers query `actual`, simulated
+members query `hollow`, names of equal length.
 """
 
 import json
@@ -30,7 +30,7 @@
 
 
 def fleet(count: int) -> dict[str, Endpoint]:
-    """Workers at places that nobody dials."""
+    """Return so many workers by id, at addresses that are never connected to."""
     made = [
         Endpoint(
             f"10.{n // 62500}.{n // 250 % 250}.{n % 250 + 1}:8080",
@@ -46,9 +46,9 @@
     return {worker.id: worker for worker in made}
 
 
-def churned(workers: dict[str, Endpoint], size: int, chance: Random) -> list[Endpoint]:
-    """So many drawn workers turn from ready to draining, or back."""
-    drawn = chance.sample(sorted(workers), min(size, len(workers)))
+def churned(workers: dict[str, Endpoint], size: int, rng: Random) -> list[Endpoint]:
+    """Return `size` workers drawn by `rng`, each turned from ready to draining or back."""
+    drawn = rng.sample(sorted(workers), min(size, len(workers)))
     return [
         replace(workers[name], state="draining" if workers[name].state == "ready" else "ready")
         for name in drawn
@@ -56,11 +56,16 @@
 
 
 class Discovery:
-    def __init__(self, told: Mapping[str, Any]) -> None:
-        self.meter, self.chance = Meter(), Random(f"{told['seed']} workers")
-        self.workers, self.index, self.changed = fleet(told["workers"]), FIRST, trio.Event()
+    """The endpoint list with its versions, and the answers to queries and commands."""
+
+    def __init__(self, settings: Mapping[str, Any]) -> None:
+        self.meter = Meter()
+        self.rng = Random(f"{settings['seed']} workers")
+        self.workers = fleet(settings["workers"])
+        self.index = FIRST
+        self.changed = trio.Event()
         self.changes: dict[int, float] = {}
-        self.states: dict[int, dict[str, str]] = {FIRST: {}}  # by version, what was changed in it
+        self.states: dict[int, dict[str, str]] = {FIRST: {}}  # changed workers by version
         self.waiting = 0
         self._write()
 
@@ -70,11 +75,13 @@
         self.changes[self.index] = time.monotonic()
 
     async def answer(self, request: http.Request) -> http.Response:
+        """Answer a query; one that has the current version waits for a change or its timeout."""
         role = request.path.rpartition("/")[2]
         self.meter.add(
             f"list {role}",
             "in",
-            len(request.path) + sum(len(k) + len(v) + 2 for k, v in request.query.items()),
+            len(request.path)
+            + sum(len(name) + len(value) + 2 for name, value in request.query.items()),
         )
         if int(request.query.get("index", "0")) == self.index:
             self.waiting += 1
@@ -87,9 +94,10 @@
         return http.Response(200, {INDEX_HEADER: str(self.index), PRINTS: self.printed}, self.body)
 
     async def obey(self, command: part.Command) -> dict[str, Any]:
+        """Execute one command of the run and return its answer."""
         match command["do"]:
             case "churn":
-                changed = churned(self.workers, command["value"], self.chance)
+                changed = churned(self.workers, command["value"], self.rng)
                 self.workers.update({worker.id: worker for worker in changed})
                 self.index += 1
                 self.states[self.index] = {worker.id: worker.state for worker in changed}
@@ -120,9 +128,10 @@
         return {"did": command["do"]}
 
 
-async def main(told: Mapping[str, Any]) -> None:
-    discovery = Discovery(told)
-    host, port = told["discovery"]
+async def main(settings: Mapping[str, Any]) -> None:
+    """Serve discovery until the input closes."""
+    discovery = Discovery(settings)
+    host, port = settings["discovery"]
     try:
         listeners = await trio.open_tcp_listeners(port, host=host, backlog=1024)
     except OSError as fault:
--- a/bench/scale/fit.py
+++ b/bench/scale/fit.py
@@ -1,10 +1,11 @@
-"""Least squares on measured sizes: a cost as a sum of terms, each with its error, and how far off a
-held-out size was.
+"""Least-squares models of a measured cost as a sum of terms in the sizes of a run.
+
+Each coefficient comes with its standard error, and a model can be checked on a held-out size.
 
 A term is 1, or a product of sizes such as `workers*products` or `members^2`, or `log2(members)`.
-Residuals are taken as parts of what was measured, as costs range over three decades and a second's
-error is a part of the second. A term whose coefficient comes out below nothing is left out and the
-rest is fitted anew: no size makes a cost less.
+Residuals are relative to the measured cost, as costs range over three decades and the measurement
+error grows with the cost. A term whose coefficient comes out negative is left out and the rest is
+fitted again: no size makes a cost smaller.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -17,13 +18,16 @@
 
 
 class FitError(ValueError):
-    """Points and terms that no fit can be made of; the text says why."""
+    """No model can be fitted to these points and terms; the text gives the reason."""
 
 
 @dataclass(frozen=True)
 class Fit:
-    """`errors` are standard errors of the coefficients, `spread` the typical residual as a part of
-    what was measured; both 0 where there are as many terms as points.
+    """A fitted model: terms, their coefficients and how sure these are.
+
+    `errors` are standard errors of the coefficients, `spread` the typical residual as a fraction of
+    the measured cost; both are 0 where there are as many terms as points. `largest` is the largest
+    value of each size among the points.
     """
 
     terms: tuple[str, ...]
@@ -33,24 +37,25 @@
     largest: Mapping[str, float]
 
     def at(self, sizes: Point) -> float:
-        """What it says of these sizes. Raises FitFault if a size that it needs is missing."""
+        """Return the predicted cost at these sizes. Raises FitError if a needed size is missing."""
         return sum(
-            c * value(term, sizes) for term, c in zip(self.terms, self.coefficients, strict=True)
+            coefficient * value(term, sizes)
+            for term, coefficient in zip(self.terms, self.coefficients, strict=True)
         )
 
     def error_at(self, sizes: Point) -> float:
-        """Part of `at` by which it may be off, from the coefficients' errors alone; an upper bound,
-        as these hang together.
+        """Return the relative error of `at` that follows from the coefficients' errors alone.
+
+        It is an upper bound, as the coefficients are correlated.
         """
-        said = self.at(sizes)
-        return (
-            sum(e * value(term, sizes) for term, e in zip(self.terms, self.errors, strict=True))
-            / said
+        total_error = sum(
+            error * value(term, sizes) for term, error in zip(self.terms, self.errors, strict=True)
         )
+        return total_error / self.at(sizes)
 
 
 def value(term: str, sizes: Point) -> float:
-    """Raises FitFault for a size that is not given."""
+    """Return the value of a term at these sizes. Raises FitError for a size that is missing."""
     found = 1.0
     for factor in term.split("*"):
         name, _, power = factor.partition("^")
@@ -65,7 +70,7 @@
 
 
 def is_quadratic(term: str) -> bool:
-    """Whether it holds a product of two sizes, or one size twice."""
+    """Return whether the term holds a product of two sizes, or one size squared."""
     powers = [
         float(factor.partition("^")[2] or 1)
         for factor in term.split("*")
@@ -75,47 +80,53 @@
 
 
 def fit(points: Iterable[Point], terms: Sequence[str]) -> Fit:
-    """Raises FitFault where there are fewer points than terms, a cost that is not above 0, or sizes
-    that don't vary.
+    """Fit the cost `y` of the points as a sum of terms with coefficients of 0 or more.
+
+    Raises FitError where there are fewer points than terms, a cost that is not above 0, or sizes
+    that do not vary.
     """
     rows = list(points)
     if len(rows) < len(terms):
         raise FitError(f"{len(rows)} points do not fit {len(terms)} terms")
     if any(row["y"] <= 0 for row in rows):
         raise FitError("a cost that is not above 0")
-    kept = list(terms)
+    remaining = list(terms)
     while True:
         costs = np.array([row["y"] for row in rows])
-        table = np.array([[value(term, row) for term in kept] for row in rows]) / costs[:, None]
+        table = (
+            np.array([[value(term, row) for term in remaining] for row in rows]) / costs[:, None]
+        )
         scale = np.abs(table).max(axis=0)
-        if not scale.all() or np.linalg.matrix_rank(table / scale) < len(kept):
-            raise FitError(f"the sizes do not vary enough to tell {', '.join(kept)} apart")
-        found = np.linalg.lstsq(table / scale, np.ones(len(rows)), rcond=None)[0] / scale
-        below = [n for n, (term, c) in enumerate(zip(kept, found, strict=True)) if c < 0]
-        if not below:
+        if not scale.all() or np.linalg.matrix_rank(table / scale) < len(remaining):
+            raise FitError(f"the sizes do not vary enough to tell {', '.join(remaining)} apart")
+        coefficients = np.linalg.lstsq(table / scale, np.ones(len(rows)), rcond=None)[0] / scale
+        negative = [index for index, coefficient in enumerate(coefficients) if coefficient < 0]
+        if not negative:
             break
-        # The one that matters most goes first: the others may come out above nothing without it.
-        worst = min(below, key=lambda n: float((table[:, n] * found[n]).mean()))
-        del kept[worst]
-        if not kept:
+        # The largest contribution is removed first: the others may become positive without it.
+        worst = min(
+            negative, key=lambda index: float((table[:, index] * coefficients[index]).mean())
+        )
+        del remaining[worst]
+        if not remaining:
             raise FitError("no term is left that makes a cost")
-    rest = 1.0 - table @ found
-    free = len(rows) - len(kept)
-    spread = float(np.sqrt((rest**2).sum() / free)) if free else 0.0
+    residuals = 1.0 - table @ coefficients
+    degrees_of_freedom = len(rows) - len(remaining)
+    spread = 0.0
+    if degrees_of_freedom:
+        spread = float(np.sqrt((residuals**2).sum() / degrees_of_freedom))
     inverse = np.linalg.inv((table / scale).T @ (table / scale))
     errors = spread * np.sqrt(np.diag(inverse)) / scale
     names = {name for row in rows for name in row if name != "y"}
     return Fit(
-        tuple(kept),
-        tuple(map(float, found)),
+        tuple(remaining),
+        tuple(map(float, coefficients)),
         tuple(map(float, errors)),
         spread,
         {name: max(float(row.get(name, 0.0)) for row in rows) for name in sorted(names)},
     )
 
 
-def off(model: Fit, held: Point) -> float:
-    """How far the prediction is from what was then measured, as a part of it; above 0: predicted
-    too much.
-    """
-    return model.at(held) / held["y"] - 1.0
+def off(model: Fit, held_out: Point) -> float:
+    """Return the relative error of the prediction at a held-out point; positive if too high."""
+    return model.at(held_out) / held_out["y"] - 1.0
--- a/bench/scale/part.py
+++ b/bench/scale/part.py
@@ -62,7 +62,7 @@
 def own_reading(meter: Meter, control_s: float = 0.0) -> Reading:
     with open("/proc/self/statm", encoding="ascii") as file:
         resident = int(file.read().split()[1]) * PAGE_MB
-    return Reading(time.process_time(), resident, meter.said(), control_s, dict(meter.counts))
+    return Reading(time.process_time(), resident, meter.snapshot(), control_s, dict(meter.counts))
 
 
 def say(**said: Any) -> None:
--- a/bench/scale/sweep.py
+++ b/bench/scale/sweep.py
@@ -1,5 +1,6 @@
-"""Many runs, one after the other; what has a result is passed over, so that a sweep can be taken up
-again.
+"""Selection of the runs of a sweep.
+
+Runs that have a result are skipped, so that an interrupted sweep can be resumed.
 """
 
 from pathlib import Path
@@ -9,26 +10,33 @@
 
 
 def files(named: list[Path]) -> list[Path]:
-    """INI files, and those in folders, each once, in order."""
+    """Return the named INI files and those in named folders, each once, in order."""
     found: dict[Path, None] = {}
     for path in named:
-        for one in sorted(path.glob("*.ini")) if path.is_dir() else [path]:
-            found[one] = None
+        scenario_paths = sorted(path.glob("*.ini")) if path.is_dir() else [path]
+        for scenario_path in scenario_paths:
+            found[scenario_path] = None
     return list(found)
 
 
 def wanted(
-    books: list[ConfigFile], sizes: list[int], results: Path
+    scenarios: list[ConfigFile], sizes: list[int], results: Path
 ) -> list[tuple[ConfigFile, int]]:
-    """What is still to be played, smaller sizes first, as larger ones are judged by them."""
+    """Return the runs without a result, as pairs of a scenario and a number of members.
+
+    Smaller sizes come first, as larger ones are validated by them. `sizes` limits the sizes that
+    are run; empty, all sizes of the scenarios are.
+    """
     pairs = [
-        (book, int(size))
-        for book in books
-        for size in book.section(scenario.Scale).sizes
+        (scenario_file, int(size))
+        for scenario_file in scenarios
+        for size in scenario_file.section(scenario.Scale).sizes
         if not sizes or int(size) in sizes
     ]
     pairs = [
-        (book, size) for book, size in pairs if not (results / run.name_of(book, size)).exists()
+        (scenario_file, size)
+        for scenario_file, size in pairs
+        if not (results / run.name_of(scenario_file, size)).exists()
     ]
     return sorted(
         pairs,
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -350,7 +350,8 @@
         for counted in (False, True):
             if counted:
                 before = [
-                    accounting.Reading(n, 10.0, meter.said(), 0.5) for n, meter in enumerate(meters)
+                    accounting.Reading(n, 10.0, meter.snapshot(), 0.5)
+                    for n, meter in enumerate(meters)
                 ]
             for _ in range(100):
                 kind, way, size = (
@@ -361,7 +362,7 @@
                 chance.choice(meters).add(kind, way, size)
                 log.append((kind, way, size, counted))
         for n, meter in enumerate(meters):
-            role.add(before[n], accounting.Reading(n + 2.0, 20.0 + n, meter.said(), 1.0), 4)
+            role.add(before[n], accounting.Reading(n + 2.0, 20.0 + n, meter.snapshot(), 1.0), 4)
         found = role.figures(10.0)
         for kind in "pang":
             for way in ("in", "out"):
@@ -516,7 +517,7 @@
     opener.beyond = frozenset({"a"})
     with pytest.raises(AuthenticationError, match="cut"):
         opener.open(sealer.seal(ping))
-    assert meter.said() == {
+    assert meter.snapshot() == {
         "ping": {"in": 1, "out": 2, "bytes_in": len(data), "bytes_out": 2 * len(data)}
     }
     assert meter.counts == {"refused replay": 1, "refused cut": 1}
