--- a/bench/scale/proxies.py
+++ b/bench/scale/proxies.py
@@ -1,5 +1,6 @@
-"""Hollow proxies: each follows one real manager's tables by the project's own subscriber, reports,
-carries no txns.
+"""Simulated proxies: each subscribes to the tables of one real manager and sends it load reports.
+
+They use the project's own subscriber and carry no requests.
 """
 
 import json
@@ -21,96 +22,105 @@
 from dunlinlug.xds import load_reports, names
 from dunlinlug.xds.subscriber import DeltaSubscriber, ProxyState
 
-REDIAL = (
-    0.5  # seconds from a stream's end to the next dialling, drawn from half to one and a half of it
-)
-# seconds for a stream to be opened: a manager before 5,000 workers is busy that long after its
-# start
-OPENING = 30.0
-PRODUCTS = ("read", "book")  # as the managers' files of the rig have them
-TRIED = 20  # workers of its table that each says each second it would send to
-# lines of record kept by the process: a run of an hour of the largest number of proxies planned
-ROWS = 400_000
-RATE = 2.0  # txns a second that each says it has
+# Mean seconds from the end of a stream to the next connection attempt; drawn from half to one and
+# a half of it.
+RECONNECT_DELAY = 0.5
+# Seconds for a stream to be opened: a manager of 5,000 workers is busy that long after its start.
+OPEN_TIMEOUT = 30.0
+# The traffic classes of the managers' configuration files in this benchmark.
+TRAFFIC_CLASSES = ("read", "book")
+# Workers of its table that each proxy records each second as those it would send to.
+RECORDED_WORKERS = 20
+# Record lines stored by the process: a run of an hour with the largest planned number of proxies.
+MAX_RECORD_LINES = 400_000
+# Requests per second that each proxy reports as its demand.
+REPORTED_RATE = 2.0
+
 
+class SimulatedProxy:
+    """A proxy that keeps one manager's tables and appends what it did to a shared record."""
 
-class HollowProxy:
     def __init__(
         self,
         name: str,
         zone: str,
-        place: tuple[str, int],
+        address: tuple[str, int],
         meter: Meter,
-        chance: Random,
+        rng: Random,
         record: list[RecordLine],
     ) -> None:
-        self.name, self.zone, self.place, self.meter, self.chance = name, zone, place, meter, chance
-        self.holdings, self.tally, self.joined, self.record = (
-            ProxyState(),
-            ReportAccumulator(name, zone),
-            False,
-            record,
-        )
-        self.bare = dict[str, bool]()
-
-    def _write(self, event: str, **said: Any) -> None:
-        if len(self.record) < ROWS:
-            self.record.append(rules.row(time.monotonic(), event, self.name, **said))
+        self.name = name
+        self.zone = zone
+        self.address = address
+        self.meter = meter
+        self.rng = rng
+        self.state = ProxyState()
+        self.report_accumulator = ReportAccumulator(name, zone)
+        self.connected = False
+        self.record = record
+        self.without_endpoint = dict[str, bool]()
+
+    def _write(self, event: str, **details: Any) -> None:
+        if len(self.record) < MAX_RECORD_LINES:
+            self.record.append(rules.row(time.monotonic(), event, self.name, **details))
         else:
             self.meter.counts["unrecorded"] += 1
 
-    def _see_bare(self) -> None:
-        for product in PRODUCTS:
-            bare = not self.holdings.usable_weights(product)
-            if bare != self.bare.get(product, False):
-                self.bare[product] = bare
-                self._write("bare", product=product, on=bare)
+    def _record_availability(self) -> None:
+        """Record each change between having an endpoint for a traffic class and having none."""
+        for name in TRAFFIC_CLASSES:
+            without_endpoint = not self.state.usable_weights(name)
+            if without_endpoint != self.without_endpoint.get(name, False):
+                self.without_endpoint[name] = without_endpoint
+                self._write("bare", product=name, on=without_endpoint)
 
-    async def _try(self) -> None:
-        """What it would send to now."""
+    async def _record_attempts(self) -> None:
+        """Record each second to which workers the proxy would send requests now."""
         while True:
             await trio.sleep(1.0)
-            usable = sorted(self.holdings.usable_weights(PRODUCTS[0]))
-            for worker in self.chance.sample(usable, min(TRIED, len(usable))):
+            usable = sorted(self.state.usable_weights(TRAFFIC_CLASSES[0]))
+            for worker in self.rng.sample(usable, min(RECORDED_WORKERS, len(usable))):
                 self._write("try", worker=worker)
 
     async def run(self) -> None:
+        """Connect to the manager, again whenever the stream ends, until cancelled."""
         while True:
             try:
-                async with grpc.connect(*self.place) as link:
+                async with grpc.connect(*self.address) as link:
                     await self._stream(link)
             except* (OSError, grpc.CallEndedError, trio.TooSlowError):
                 self.meter.counts["ended"] += 1
-            if self.joined:
+            if self.connected:
                 self._write("left")
-            self.joined = False
-            await trio.sleep(REDIAL * self.chance.uniform(0.5, 1.5))
+            self.connected = False
+            await trio.sleep(RECONNECT_DELAY * self.rng.uniform(0.5, 1.5))
 
     async def _stream(self, link: grpc.GrpcConnection) -> None:
         call = link.start_call(names.DELTA_ADS_METHOD)
-        with trio.fail_after(
-            OPENING
-        ):  # Danger: taken and never answered, it would wait for the run's end
+        # Without this, a call that is accepted and never answered would wait for the run's end.
+        with trio.fail_after(OPEN_TIMEOUT):
             await call.headers_received.wait()
         if call.ended is not None:
             raise call.ended
-        subscriber = DeltaSubscriber(self.holdings, self.name, self.zone, {"txns_per_s": RATE})
+        subscriber = DeltaSubscriber(
+            self.state, self.name, self.zone, {"txns_per_s": REPORTED_RATE}
+        )
         for request in subscriber.initial_requests():
             self._send(call, request, "ads")
-        self.joined = True
+        self.connected = True
         self._write("joined")
-        self._see_bare()
+        self._record_availability()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._report, link.start_call(names.LRS_METHOD))
-            nursery.start_soon(self._try)
+            nursery.start_soon(self._record_attempts)
             while True:
                 data = await call.receive()
                 self.meter.add("ads", "in", len(data))
                 answer, done = subscriber.receive(data)
                 self.meter.counts["refused"] += bool(done.rejection_reason)
-                if len(self.record) < ROWS:
+                if len(self.record) < MAX_RECORD_LINES:
                     self.record.append(rules.applied(time.monotonic(), self.name, done))
-                self._see_bare()
+                self._record_availability()
                 self._send(call, answer, "ads")
 
     def _send(self, call: grpc.Call, data: bytes, kind: str) -> None:
@@ -127,39 +137,43 @@
         )
         data = await call.receive()
         self.meter.add("lrs", "in", len(data))
-        cycle = load_reports.decode_response(data)
+        interval = load_reports.decode_response(data)
         while True:
-            await trio.sleep(cycle * self.chance.uniform(0.9, 1.1))
+            await trio.sleep(interval * self.rng.uniform(0.9, 1.1))
             self._send(
                 call,
                 load_reports.encode_report(
-                    self.tally.take_report(trio.current_time()), is_first=False
+                    self.report_accumulator.take_report(trio.current_time()), is_first=False
                 ),
                 "lrs",
             )
 
 
 class Proxies:
-    def __init__(self, told: Mapping[str, Any]) -> None:
-        self.meter, self.record = Meter(), list[RecordLine]()
-        places = [(p[0], p[1]) for p in told["managers"]]
+    """All simulated proxies of one process, with their shared meter and record."""
+
+    def __init__(self, settings: Mapping[str, Any]) -> None:
+        self.meter = Meter()
+        self.record = list[RecordLine]()
+        addresses = [(host, port) for host, port in settings["managers"]]
         self.proxies = [
-            HollowProxy(
-                f"p{n}",
-                ZONES[n % len(ZONES)],
-                places[n % len(places)],
+            SimulatedProxy(
+                f"p{index}",
+                ZONES[index % len(ZONES)],
+                addresses[index % len(addresses)],
                 self.meter,
-                Random(f"{told['seed']} p{n}"),
+                Random(f"{settings['seed']} p{index}"),
                 self.record,
             )
-            for n in range(told["count"])
+            for index in range(settings["count"])
         ]
 
     async def obey(self, command: part.Command) -> dict[str, Any]:
+        """Execute one command of the run and return its answer."""
         if command["do"] == "record":
             return {"did": "record", "lines": self.record}
-        joined = sum(proxy.joined for proxy in self.proxies)
-        tables = sum(bool(proxy.holdings.tables) for proxy in self.proxies)
+        joined = sum(proxy.connected for proxy in self.proxies)
+        tables = sum(bool(proxy.state.tables) for proxy in self.proxies)
         return {
             "did": command["do"],
             "at": time.monotonic(),
@@ -169,8 +183,9 @@
         }
 
 
-async def main(told: Mapping[str, Any]) -> None:
-    proxies = Proxies(told)
+async def main(settings: Mapping[str, Any]) -> None:
+    """Run the proxies until the input closes."""
+    proxies = Proxies(settings)
     async with trio.open_nursery() as nursery:
         for proxy in proxies.proxies:
             nursery.start_soon(proxy.run)
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -1043,7 +1043,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Danger: it would wait for the run's end, and its manager's rules would be judged on nobody."""
-    monkeypatch.setattr(proxies, "OPENING", 0.05)
+    monkeypatch.setattr(proxies, "OPEN_TIMEOUT", 0.05)
     taken, again = list[trio.SocketStream](), trio.Event()
 
     async def silent(stream: trio.SocketStream) -> None:
@@ -1055,7 +1055,7 @@
     async with trio.open_nursery() as nursery:
         doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(trio.serve_listeners, silent, doors)
-        made = proxies.HollowProxy(
+        made = proxies.SimulatedProxy(
             "p0",
             "a",
             ("127.0.0.1", doors[0].socket.getsockname()[1]),
@@ -1066,5 +1066,5 @@
         nursery.start_soon(made.run)
         with trio.fail_after(10):
             await again.wait()
-        assert made.meter.counts["ended"] >= 1 and not made.joined
+        assert made.meter.counts["ended"] >= 1 and not made.connected
         nursery.cancel_scope.cancel()
