--- a/dunlinlug/fleet/owner/machine.py
+++ b/dunlinlug/fleet/owner/machine.py
@@ -38,18 +38,35 @@
 class Machine:
     """One member. `kept`, `lease` to `uniform` are the log's (see succession); `born` numbers this process's life."""
 
-    def __init__(self, me: str, kept: log_words.Keep, now: float, lease: float, beat: float, drift: float,
-                 forgets: float, uniform: Callable[[float, float], float], born: int = 1, slots: int = SLOTS,
-                 log: type[succession.Machine] = succession.Machine) -> None:
+    def __init__(
+        self,
+        me: str,
+        kept: log_words.Keep,
+        now: float,
+        lease: float,
+        beat: float,
+        drift: float,
+        forgets: float,
+        uniform: Callable[[float, float], float],
+        born: int = 1,
+        slots: int = SLOTS,
+        log: type[succession.Machine] = succession.Machine,
+    ) -> None:
         self.me, self.born, self.lease, self.beat, self.slots = me, born, lease, beat, slots
         self.log, self.forgets = log(me, kept, now, lease, beat, drift, forgets, uniform), forgets
-        self.shorter = (1.0 - drift) / (1.0 + drift)  # seconds of ours that surely end within one of another's
+        self.shorter = (1.0 - drift) / (
+            1.0 + drift
+        )  # seconds of ours that surely end within one of another's
         self.book = Book(slots)
         self.leased_until, self.leased_term, self.sure = -inf, 0, NOWHERE
         self.steward, self.former, self.renew_at = "", "", now
         self.pending: Granted | None = None
-        self.given: dict[int, int] = {}  # slots that we gave up, with the numbers under which they were ours
-        self.behind: dict[int, int] = {}  # slots of which a carrier has seen a higher number than ours
+        self.given: dict[
+            int, int
+        ] = {}  # slots that we gave up, with the numbers under which they were ours
+        self.behind: dict[
+            int, int
+        ] = {}  # slots of which a carrier has seen a higher number than ours
         self.notes: dict[str, tuple[int, bytes]] = {}  # records on their way into the log
         self.holding: frozenset[tuple[int, int]] = frozenset()
         # As steward: by member, until when what it was given may last; its latest renewal, by its clock and by ours;
@@ -57,7 +74,12 @@
         self.until: dict[str, float] = {}
         self.sent: dict[str, tuple[float, float]] = {}
         self.lives: dict[str, int] = {}
-        self.steady, self.began, self.failed, self.look_at = deal.Steady(lease), now, set[str](), inf
+        self.steady, self.began, self.failed, self.look_at = (
+            deal.Steady(lease),
+            now,
+            set[str](),
+            inf,
+        )
 
     def clone(self) -> "Machine":
         """An independent copy, for the search."""
@@ -74,7 +96,11 @@
         """The number under which we may act for a slot at this moment, or none. Asked again right before each effect
         leaves, also after the last wait."""
         number = self.book.numbers[slot]
-        if self.book.owners[slot] != self.me or self.given.get(slot) == number or self.behind.get(slot, -1) >= number:
+        if (
+            self.book.owners[slot] != self.me
+            or self.given.get(slot) == number
+            or self.behind.get(slot, -1) >= number
+        ):
             return None
         return number if number <= numbered(self._agreed()) and now < self._ends(now) else None
 
@@ -124,8 +150,14 @@
         if self.log.leading or not self.log.master:
             return []
         away = tuple(sorted(self.given.items()))
-        orders: Orders = [log_words.Send(self.log.master, Renew(  # type: ignore[arg-type]
-            self.log.term, self.me, now, self.born, tuple(sorted(self.behind.items())), away))]
+        orders: Orders = [
+            log_words.Send(
+                self.log.master,
+                Renew(  # type: ignore[arg-type]
+                    self.log.term, self.me, now, self.born, tuple(sorted(self.behind.items())), away
+                ),
+            )
+        ]
         return orders + self._tell_notes(now)
 
     def _hold(self, now: float) -> Orders:
@@ -134,8 +166,11 @@
             del self.given[slot]
         for slot in [slot for slot, seen in self.behind.items() if self._not_ours(slot, seen)]:
             del self.behind[slot]
-        holding = frozenset((slot, number) for slot in self.book.owned(self.me)
-                            if (number := self.may(now, slot)) is not None)
+        holding = frozenset(
+            (slot, number)
+            for slot in self.book.owned(self.me)
+            if (number := self.may(now, slot)) is not None
+        )
         if holding == self.holding:
             return []
         self.holding = holding
@@ -152,8 +187,14 @@
             return []
         orders = self._lived(now, self.me, self.born)
         self.steady.seen(self.me, now)
-        here = {member for member in self.log.roll.members if member == self.me or self.until.get(member, -inf) > now}
-        gone = {owner for owner in set(self.book.owners) if owner not in here and self._over(now, owner)}
+        here = {
+            member
+            for member in self.log.roll.members
+            if member == self.me or self.until.get(member, -inf) > now
+        }
+        gone = {
+            owner for owner in set(self.book.owners) if owner not in here and self._over(now, owner)
+        }
         for member in list(self.until):
             if member not in here:
                 self.steady.gone(member)
@@ -167,7 +208,9 @@
         steady = {member for member in able if self.steady.able(member, now)}
         if moves := deal.level(self.book.owners, self.book.closing, steady, self.book.closing):
             orders += self._append(now, books.Close(tuple(moves)))
-        return orders + self._give_away(now, self.me, tuple((slot, self.book.numbers[slot]) for slot in self.given))
+        return orders + self._give_away(
+            now, self.me, tuple((slot, self.book.numbers[slot]) for slot in self.given)
+        )
 
     def _over(self, now: float, owner: str) -> bool:
         """Whether all that this owner was ever given has ended. What a former steward gave ended before we were voted
@@ -179,21 +222,35 @@
         return now >= self.began + (self.beat / 2 if known else GRACE * self.lease)
 
     def _renewed(self, now: float, renew: Renew) -> Orders:
-        if not self.log.leading or renew.sender not in self.log.roll.members or renew.term != self.log.term:
+        if (
+            not self.log.leading
+            or renew.sender not in self.log.roll.members
+            or renew.term != self.log.term
+        ):
             return []
-        if not self.log.may_order(now):  # the first come before a majority has answered; they are granted with that
+        if not self.log.may_order(
+            now
+        ):  # the first come before a majority has answered; they are granted with that
             self.lives.setdefault(renew.sender, renew.born)
             if self.lives[renew.sender] == renew.born:
-                self.sent[renew.sender] = max(self.sent.get(renew.sender, (-inf, now)), (renew.sent, now))
+                self.sent[renew.sender] = max(
+                    self.sent.get(renew.sender, (-inf, now)), (renew.sent, now)
+                )
             return []
         seen = max((number for _, number in renew.behind), default=0)
-        if term_of(seen) > self.log.term:  # Danger: numbers of ours would be refused for as long as we lead
+        if (
+            term_of(seen) > self.log.term
+        ):  # Danger: numbers of ours would be refused for as long as we lead
             return self._of_log(now, self.log.fenced(now, term_of(seen)))
         self.failed.discard(renew.sender)
         orders = self._lived(now, renew.sender, renew.born)
-        again = tuple((slot, renew.sender) for slot, number in renew.behind
-                      if slot < self.slots and self.book.owners[slot] == renew.sender
-                      and self.book.numbers[slot] <= number)
+        again = tuple(
+            (slot, renew.sender)
+            for slot, number in renew.behind
+            if slot < self.slots
+            and self.book.owners[slot] == renew.sender
+            and self.book.numbers[slot] <= number
+        )
         if again:
             orders += self._append(now, books.Deal(again, SEEN))
         orders += self._give_away(now, renew.sender, renew.away)
@@ -206,7 +263,15 @@
         left, (sent, heard) = self.log.lease_end(now) - now, self.sent[member]
         # It counts from when it sent. Danger: counted from now, grants told again would keep a dead one's work for it.
         self.until[member] = max(self.until.get(member, -inf), heard + left)
-        granted = Granted(self.log.term, self.me, sent, left, self.log.position, self.log.committed, self.lives[member])
+        granted = Granted(
+            self.log.term,
+            self.me,
+            sent,
+            left,
+            self.log.position,
+            self.log.committed,
+            self.lives[member],
+        )
         return [log_words.Send(member, granted)]  # type: ignore[arg-type]
 
     def _lived(self, now: float, member: str, born: int) -> Orders:
@@ -220,8 +285,13 @@
 
     def _give_away(self, now: float, member: str, away: Iterable[tuple[int, int]]) -> Orders:
         """What its owner has given up goes to whom it was meant for, or back to the pool."""
-        owners = [(slot, self.book.closing.get(slot, "")) for slot, number in away
-                  if slot < self.slots and self.book.owners[slot] == member and self.book.numbers[slot] == number]
+        owners = [
+            (slot, self.book.closing.get(slot, ""))
+            for slot, number in away
+            if slot < self.slots
+            and self.book.owners[slot] == member
+            and self.book.numbers[slot] == number
+        ]
         dealt = tuple((slot, to if to in self.log.roll.members else "") for slot, to in owners)
         return self._append(now, books.Deal(dealt, "moved")) if dealt else []
 
@@ -233,7 +303,9 @@
     def move(self, now: float, slot: int, to: str) -> Orders:
         """An operator's word. Raises ValueError if it can't be."""
         if not self.log.may_order(now):
-            raise ValueError(f"only the steward moves work: {self.log.master or 'nobody at the moment'}")
+            raise ValueError(
+                f"only the steward moves work: {self.log.master or 'nobody at the moment'}"
+            )
         if to not in self.log.roll.members or to != self.me and self.until.get(to, -inf) <= now:
             raise ValueError(f"{to!r} is no member that is here")
         if not self.book.owners[slot]:
@@ -249,7 +321,9 @@
         slot = self.book.slot_of(piece)
         number = self.may(now, slot)
         if number is None or len(body) > books.BODY:
-            raise ValueError(f"{piece} is not ours" if number is None else f"over {books.BODY} bytes")
+            raise ValueError(
+                f"{piece} is not ours" if number is None else f"over {books.BODY} bytes"
+            )
         self.notes.pop(piece, None)
         self.notes[piece] = (number, body)
         return self._tell_notes(now)
@@ -261,9 +335,13 @@
     def _tell_notes(self, now: float) -> Orders:
         """Danger: a record that was noted while the piece moved on would set its next owner back; the book refuses it
         by its number, and here it is dropped."""
-        for piece in [p for p, (number, body) in self.notes.items() if self._settled(p, number, body)]:
+        for piece in [
+            p for p, (number, body) in self.notes.items() if self._settled(p, number, body)
+        ]:
             del self.notes[piece]
-        items = tuple((piece, number, body) for piece, (number, body) in list(self.notes.items())[:NOTES])
+        items = tuple(
+            (piece, number, body) for piece, (number, body) in list(self.notes.items())[:NOTES]
+        )
         if not items:
             return []
         if self.log.leading:
@@ -274,20 +352,30 @@
     def _settled(self, piece: str, number: int, body: bytes) -> bool:
         slot = self.book.slot_of(piece)
         held = self.book.records.get(piece, (number, b""))
-        return self.book.numbers[slot] != number or held == (number, body) and self.log.position <= self._agreed()
+        return (
+            self.book.numbers[slot] != number
+            or held == (number, body)
+            and self.log.position <= self._agreed()
+        )
 
     def _heard_notes(self, now: float, note: Note) -> Orders:
         if not self.log.may_order(now) or note.term != self.log.term:
             return []
-        items = tuple((piece, number, body) for piece, number, body in note.items
-                      if self.book.owners[self.book.slot_of(piece)] == note.sender and len(body) <= books.BODY
-                      and self.book.numbers[self.book.slot_of(piece)] == number
-                      and self.book.records.get(piece) != (number, body))
+        items = tuple(
+            (piece, number, body)
+            for piece, number, body in note.items
+            if self.book.owners[self.book.slot_of(piece)] == note.sender
+            and len(body) <= books.BODY
+            and self.book.numbers[self.book.slot_of(piece)] == number
+            and self.book.records.get(piece) != (number, body)
+        )
         return self._append(now, books.Noted(items)) if items else []
 
     def give_up(self, now: float, slots: Iterable[int]) -> Orders:
         """We have stopped acting for these, and never will again under the numbers that they have."""
-        self.given.update((slot, self.book.numbers[slot]) for slot in slots if self.book.owners[slot] == self.me)
+        self.given.update(
+            (slot, self.book.numbers[slot]) for slot in slots if self.book.owners[slot] == self.me
+        )
         self.renew_at = now
         return self.tick(now)
 
@@ -332,7 +420,11 @@
 
     def _granted(self, granted: Granted) -> Orders:
         # Danger: an answer to our former life, whose clock was another.
-        if granted.term != self.log.term or granted.sender != self.log.master or granted.born != self.born:
+        if (
+            granted.term != self.log.term
+            or granted.sender != self.log.master
+            or granted.born != self.born
+        ):
             return []
         self.pending = granted
         return []
@@ -370,13 +462,19 @@
                     self.until, self.sent, self.lives = {}, {}, {}
                     self.steady, self.began, self.renew_at = deal.Steady(self.lease), now, now
                     # Who led before us has been silent to a majority for a lease: no grace for what it owns.
-                    self.failed |= {name for name in (self.steward or self.former,) if name not in ("", self.me)}
+                    self.failed |= {
+                        name for name in (self.steward or self.former,) if name not in ("", self.me)
+                    }
                     made += [order, *self._append(now, books.Begin())]
                 case log_words.Committed():
                     # At once, so that a new owner need not wait for its next renewal.
                     if self.log.may_order(now):
-                        for member in [member for member in self.sent if member in self.log.roll.members]:
-                            made += self._lived(now, member, self.lives[member]) + self._grant(now, member)
+                        for member in [
+                            member for member in self.sent if member in self.log.roll.members
+                        ]:
+                            made += self._lived(now, member, self.lives[member]) + self._grant(
+                                now, member
+                            )
                 case _:
                     made.append(order)
         return made
@@ -386,10 +484,20 @@
             return self._changes(self.book.take(books.read(order.entry), order.position))
         before, self.book = self.book, books.read_whole(order.body, self.slots)
         owners, numbers = self.book.owners, self.book.numbers
-        return self._changes(books.Change(slot, owners[slot], numbers[slot], "as the steward has it")
-                             for slot in range(self.slots) if numbers[slot] != before.numbers[slot])
+        return self._changes(
+            books.Change(slot, owners[slot], numbers[slot], "as the steward has it")
+            for slot in range(self.slots)
+            if numbers[slot] != before.numbers[slot]
+        )
 
     @staticmethod
     def _changes(changes: Iterable[books.Change]) -> Orders:
-        return [Dealt(change.slot, change.owner, change.number, change.why + f" to {change.to}" * bool(change.to))
-                for change in changes]
+        return [
+            Dealt(
+                change.slot,
+                change.owner,
+                change.number,
+                change.why + f" to {change.to}" * bool(change.to),
+            )
+            for change in changes
+        ]
--- a/dunlinlug/fleet/owner/network.py
+++ b/dunlinlug/fleet/owner/network.py
@@ -33,7 +33,9 @@
     dead: bool = False
     queue: list[Any] = field(default_factory=list)
     counts: Counter[int] = field(default_factory=Counter)
-    decided: list[tuple[str, int]] = field(default_factory=list)  # pieces to act for, with the numbers as decided
+    decided: list[tuple[str, int]] = field(
+        default_factory=list
+    )  # pieces to act for, with the numbers as decided
     origin: float = 0.0
     armed: float = -1.0
 
@@ -44,12 +46,34 @@
 class Network:
     """`pieces` are acted for, `carriers` see the effects; without `fenced` or `second_look` to see what comes of it."""
 
-    def __init__(self, seed: int, members: int = 3, pieces: tuple[str, ...] = ("x", "y"), carriers: int = 2,
-                 lease: float = 1.0, beat: float = 0.2, drift: float = 0.02, loss: float = 0.0, doubles: float = 0.0,
-                 delay: tuple[float, float] = (0.0005, 0.002), act: float = 0.1, slots: int = 8, make: Make = Machine,
-                 fenced: bool = True, second_look: bool = True, late_effects: float = 0.0) -> None:
+    def __init__(
+        self,
+        seed: int,
+        members: int = 3,
+        pieces: tuple[str, ...] = ("x", "y"),
+        carriers: int = 2,
+        lease: float = 1.0,
+        beat: float = 0.2,
+        drift: float = 0.02,
+        loss: float = 0.0,
+        doubles: float = 0.0,
+        delay: tuple[float, float] = (0.0005, 0.002),
+        act: float = 0.1,
+        slots: int = 8,
+        make: Make = Machine,
+        fenced: bool = True,
+        second_look: bool = True,
+        late_effects: float = 0.0,
+    ) -> None:
         self.chance, self.lease, self.beat, self.drift = Random(seed), lease, beat, drift
-        self.loss, self.doubles, self.delay, self.act, self.slots, self.make = loss, doubles, delay, act, slots, make
+        self.loss, self.doubles, self.delay, self.act, self.slots, self.make = (
+            loss,
+            doubles,
+            delay,
+            act,
+            slots,
+            make,
+        )
         self.fenced, self.second_look, self.late_effects = fenced, second_look, late_effects
         self.names = tuple(f"m{n}" for n in range(members))
         self.pieces, self.now, self.numbers = pieces, 0.0, count()
@@ -66,10 +90,29 @@
     def start(self, name: str, rate: float = 1.0, disk: bool = True) -> Node:
         """A process begins, with what its disk holds or without."""
         before = self.nodes.get(name)
-        kept = before.kept if before and disk else log_words.Keep(0, "", log_words.Roll(FIRST, self.names))
-        node = Node(name, self.make(name, kept, self.now, self.lease, self.beat, self.drift, 10 * self.lease,
-                                    self.chance.uniform, self.chance.randrange(1, 2**62), self.slots), kept,
-                    before.rate if before else rate, origin=self.now)
+        kept = (
+            before.kept
+            if before and disk
+            else log_words.Keep(0, "", log_words.Roll(FIRST, self.names))
+        )
+        node = Node(
+            name,
+            self.make(
+                name,
+                kept,
+                self.now,
+                self.lease,
+                self.beat,
+                self.drift,
+                10 * self.lease,
+                self.chance.uniform,
+                self.chance.randrange(1, 2**62),
+                self.slots,
+            ),
+            kept,
+            before.rate if before else rate,
+            origin=self.now,
+        )
         self.nodes[name] = node
         self._arm(node)
         self._later(self.act * self.chance.random(), "act", node)
@@ -83,7 +126,9 @@
         node.frozen = on
         if not on and not node.dead:
             queue, node.queue = node.queue, []
-            self._act_out(node)  # what it had decided before it stopped goes first, as its next line of code would
+            self._act_out(
+                node
+            )  # what it had decided before it stopped goes first, as its next line of code would
             for message in queue:
                 self._hear(node, message)
             self._tick(node)
@@ -155,8 +200,11 @@
                 case Dealt():
                     if node.machine.log.leading:
                         self.moves.append((self.now, order))
-        closing = [slot for slot in node.machine.book.closing
-                   if node.machine.book.owners[slot] == node.name and slot not in node.machine.given]
+        closing = [
+            slot
+            for slot in node.machine.book.closing
+            if node.machine.book.owners[slot] == node.name and slot not in node.machine.given
+        ]
         if closing:
             self.obey(node, node.machine.give_up(node.clock(self.now), closing))
         self._arm(node)
@@ -186,8 +234,13 @@
             return
         now = node.clock(self.now)
         for slot in sorted({node.machine.book.slot_of(piece) for piece in self.pieces}):
-            holders = [n.name for n in self.nodes.values() if not n.dead and not n.frozen
-                       and n.machine.may(n.clock(self.now), slot) is not None]
+            holders = [
+                n.name
+                for n in self.nodes.values()
+                if not n.dead
+                and not n.frozen
+                and n.machine.may(n.clock(self.now), slot) is not None
+            ]
             if len(holders) > 1:
                 self.twice.append(f"{self.now:.3f}: {', '.join(holders)} may act for slot {slot}")
         for piece in self.pieces:
@@ -207,22 +260,55 @@
             for carrier in self.fences:
                 late = self.chance.uniform(0.0, self.late_effects)
                 for _ in range(1 + (self.chance.random() < self.doubles)):
-                    self._later(self.chance.uniform(*self.delay) + late, "come", (node.name, carrier, effect))
+                    self._later(
+                        self.chance.uniform(*self.delay) + late,
+                        "come",
+                        (node.name, carrier, effect),
+                    )
 
     def _at_carrier(self, carrier: str, effect: Effect) -> None:
-        fence, slot = self.fences[carrier], self.nodes[self.names[0]].machine.book.slot_of(effect.piece)
+        fence, slot = (
+            self.fences[carrier],
+            self.nodes[self.names[0]].machine.book.slot_of(effect.piece),
+        )
         why = fence.admits(slot, effect.number, effect.sender, effect.count)
         done = not why or not self.fenced
-        self.seen.append(Seen(self.now, carrier, effect.piece, effect.number, effect.count, effect.sender, done))
+        self.seen.append(
+            Seen(self.now, carrier, effect.piece, effect.number, effect.count, effect.sender, done)
+        )
         if why and why != "it came before":
             mark = fence.seen(slot)
-            self._later(self.chance.uniform(*self.delay), "come", (carrier, effect.sender, Outcome(
-                0, carrier, effect.piece, effect.number, effect.count, False, mark.number, mark.owner)))
+            self._later(
+                self.chance.uniform(*self.delay),
+                "come",
+                (
+                    carrier,
+                    effect.sender,
+                    Outcome(
+                        0,
+                        carrier,
+                        effect.piece,
+                        effect.number,
+                        effect.count,
+                        False,
+                        mark.number,
+                        mark.owner,
+                    ),
+                ),
+            )
 
     # What was seen.
 
     def owners(self) -> dict[str, list[str]]:
         """By piece, who may act for it now."""
-        return {piece: [node.name for node in self.nodes.values() if not node.dead and not node.frozen
-                        and node.machine.may(node.clock(self.now), node.machine.book.slot_of(piece)) is not None]
-                for piece in self.pieces}
+        return {
+            piece: [
+                node.name
+                for node in self.nodes.values()
+                if not node.dead
+                and not node.frozen
+                and node.machine.may(node.clock(self.now), node.machine.book.slot_of(piece))
+                is not None
+            ]
+            for piece in self.pieces
+        }
--- a/dunlinlug/fleet/owner/pinning.py
+++ b/dunlinlug/fleet/owner/pinning.py
@@ -41,17 +41,35 @@
 class SharedPins:
     """`faults` are the guard's kinds of refusal; `wall` is the wall clock."""
 
-    def __init__(self, owners: Ownership, board: Board, faults: tuple[type[Exception], ...], note: Callable[..., None],
-                 wall: Callable[[], float]) -> None:
-        self.owners, self.board, self.faults, self.note, self.wall = owners, board, faults, note, wall
+    def __init__(
+        self,
+        owners: Ownership,
+        board: Board,
+        faults: tuple[type[Exception], ...],
+        note: Callable[..., None],
+        wall: Callable[[], float],
+    ) -> None:
+        self.owners, self.board, self.faults, self.note, self.wall = (
+            owners,
+            board,
+            faults,
+            note,
+            wall,
+        )
         self.taken: dict[str, bytes] = {}  # by product, what of the log was taken last
 
     def decides(self, product: str) -> None:
         """Raises NotOurs. Asked before an operator's change is made here, in the same turn."""
         if self.owners.may(piece_of(product)) is None:
             owner = self.owners.owner_of(piece_of(product))
-            said = f"{owner} decides on pins of {product}; say it there" if owner not in ("", self.owners.me) else (
-                f"nobody decides on pins of {product} at the moment: no majority of the members, or a change under way")
+            said = (
+                f"{owner} decides on pins of {product}; say it there"
+                if owner not in ("", self.owners.me)
+                else (
+                    f"nobody decides on pins of {product} at the moment: "
+                    "no majority of the members, or a change under way"
+                )
+            )
             raise NotOurs(said)
 
     def changed(self, product: str) -> None:
--- a/dunlinlug/fleet/owner/probes.py
+++ b/dunlinlug/fleet/owner/probes.py
@@ -39,7 +39,9 @@
 
     def __init__(self, within: float) -> None:
         self.within = within
-        self.wishes: dict[str, float] = {}  # workers that our module waits for, and when we look again
+        self.wishes: dict[
+            str, float
+        ] = {}  # workers that our module waits for, and when we look again
         self.under_way: set[str] = set()
         self.results: dict[str, Result] = {}
         self.own: dict[str, float] = {}  # when we probed for ourselves last
--- a/dunlinlug/fleet/owner/probing.py
+++ b/dunlinlug/fleet/owner/probing.py
@@ -28,8 +28,14 @@
 class Probing:
     """`probe` makes one probe and ends in a `Probed` given to `done`; `tell` is the module's ear."""
 
-    def __init__(self, owners: Ownership, within: float, probe: Callable[[str], Awaitable[None]],
-                 tell: Callable[[face.Event], None], start: Callable[..., Any]) -> None:
+    def __init__(
+        self,
+        owners: Ownership,
+        within: float,
+        probe: Callable[[str], Awaitable[None]],
+        tell: Callable[[face.Event], None],
+        start: Callable[..., Any],
+    ) -> None:
         self.owners, self.probe, self.tell, self.start = owners, probe, tell, start
         self.shared, self.probed = Shared(within), 0
         owners.wanted["probe"], owners.carry["probe"] = self._wanted, self._carried
@@ -51,7 +57,9 @@
 
     def _wanted(self, want: Want) -> None:
         worker = want.body.decode(errors="replace")
-        if self.owners.may(probes.piece_of(worker)) is None or want.piece != probes.piece_of(worker):
+        if self.owners.may(probes.piece_of(worker)) is None or want.piece != probes.piece_of(
+            worker
+        ):
             return  # not ours any more, or for the moment: who wishes it looks after itself
         found = self.shared.asked(self.owners.clock(), worker)
         if isinstance(found, Result):
@@ -72,8 +80,15 @@
         self._share(result)
 
     def _share(self, result: Result) -> None:
-        body = msgspec.msgpack.encode(Told(result.worker, result.ok, result.result, result.took,
-                                           self.owners.clock() - result.at))
+        body = msgspec.msgpack.encode(
+            Told(
+                result.worker,
+                result.ok,
+                result.result,
+                result.took,
+                self.owners.clock() - result.at,
+            )
+        )
         for member in self.owners.others():
             self.owners.order(member, probes.piece_of(result.worker), body)
 
--- a/dunlinlug/fleet/owner/search.py
+++ b/dunlinlug/fleet/owner/search.py
@@ -32,7 +32,11 @@
 from dunlinlug.fleet.succession.search import MEMBERS, changed, machine_form, no_chance, relative
 
 LEASE, BEAT, DRIFT = 15, 5, 0.2  # units of a true clock ...
-UNITS = (6, 4, 5)  # ... of which each member's clock counts so many in a tick: as far apart as the drift allows
+UNITS = (
+    6,
+    4,
+    5,
+)  # ... of which each member's clock counts so many in a tick: as far apart as the drift allows
 PAST = -20  # units from which on a time is past for every purpose: more than a lease on any clock
 SLOTS, CARRIERS = 2, ("x", "y")
 PIECES = {0: "p", 1: "q"}  # pieces are their slots here
@@ -116,10 +120,17 @@
                     flying.append((to, message))
             case words.Keep() as kept:
                 disk = kept
-    asked = [slot for slot in machine.book.closing if machine.book.owners[slot] == machine.me
-             and slot not in machine.given]
-    made = replace(world, machines=changed(world.machines, n, machine), disks=changed(world.disks, n, disk),
-                   flying=tuple(flying))
+    asked = [
+        slot
+        for slot in machine.book.closing
+        if machine.book.owners[slot] == machine.me and slot not in machine.given
+    ]
+    made = replace(
+        world,
+        machines=changed(world.machines, n, machine),
+        disks=changed(world.disks, n, disk),
+        flying=tuple(flying),
+    )
     return obey(made, n, machine, machine.give_up(_clock(world, n), asked)) if asked else made
 
 
@@ -147,24 +158,37 @@
             decided = world.decided[n]
             for slot in range(SLOTS) if left.effects and decided is None else ():
                 if (number := machine.may(now, slot)) is not None:
-                    yield f"{me} decides for {PIECES[slot]}", partial(_decided, world, n, (slot, number))
-            if decided is not None and (not self.looks or machine.may(now, decided[0]) == decided[1]):
+                    yield (
+                        f"{me} decides for {PIECES[slot]}",
+                        partial(_decided, world, n, (slot, number)),
+                    )
+            if decided is not None and (
+                not self.looks or machine.may(now, decided[0]) == decided[1]
+            ):
                 for carrier in CARRIERS:
-                    yield f"{me}'s effect for {PIECES[decided[0]]} leaves for {carrier}", partial(
-                        _left, world, n, decided, carrier)
+                    yield (
+                        f"{me}'s effect for {PIECES[decided[0]]} leaves for {carrier}",
+                        partial(_left, world, n, decided, carrier),
+                    )
         yield from self._arrivals(world)
 
     def _arrivals(self, world: World) -> Iterator[Step]:
         left = world.left
         for n, (to, message) in enumerate(world.flying):
-            rest = replace(world, flying=(*world.flying[:n], *world.flying[n + 1:]))
+            rest = replace(world, flying=(*world.flying[:n], *world.flying[n + 1 :]))
             name = _name(to, message)
             yield f"{name} arrives", partial(_arrived, rest, to, message, self.fenced)
             if left.doubled:
                 again = replace(world, left=replace(left, doubled=left.doubled - 1))
-                yield f"{name} arrives, and will again", partial(_arrived, again, to, message, self.fenced)
+                yield (
+                    f"{name} arrives, and will again",
+                    partial(_arrived, again, to, message, self.fenced),
+                )
             if left.lost:
-                yield f"{name} is lost", partial(replace, rest, left=replace(left, lost=left.lost - 1))
+                yield (
+                    f"{name} is lost",
+                    partial(replace, rest, left=replace(left, lost=left.lost - 1)),
+                )
 
     def judge(self, world: World) -> str:
         if world.broken:
@@ -182,7 +206,9 @@
         return len(world.flying) <= world.left.flying
 
     def revives(self, world: World) -> bool:
-        world = replace(world, left=replace(world.left, terms=99, restarts=0, doubled=0, lost=0, wiped=0))
+        world = replace(
+            world, left=replace(world.left, terms=99, restarts=0, doubled=0, lost=0, wiped=0)
+        )
         for _ in range(SOON * LEASE):
             world = _settled(world, (0, 1, 2))
             if all(_owners(world, slot) for slot in range(SLOTS)):
@@ -199,23 +225,38 @@
 def _restarted(world: World, n: int, wiped: bool) -> World:
     kept = words.Keep(0, "", words.Roll(1, MEMBERS)) if wiped else world.disks[n]
     left, life = world.left, world.lives[n] + 1
-    left = replace(left, wiped=left.wiped - 1) if wiped else replace(left, restarts=left.restarts - 1)
+    left = (
+        replace(left, wiped=left.wiped - 1) if wiped else replace(left, restarts=left.restarts - 1)
+    )
     again = _begun(type(world.machines[n]), n, kept, _clock(world, n), life)
-    return replace(world, machines=changed(world.machines, n, again), disks=changed(world.disks, n, kept),
-                   lives=changed(world.lives, n, life), decided=changed(world.decided, n, None),
-                   counts=changed(world.counts, n, 0), left=left)
+    return replace(
+        world,
+        machines=changed(world.machines, n, again),
+        disks=changed(world.disks, n, kept),
+        lives=changed(world.lives, n, life),
+        decided=changed(world.decided, n, None),
+        counts=changed(world.counts, n, 0),
+        left=left,
+    )
 
 
 def _decided(world: World, n: int, what: tuple[int, int]) -> World:
-    return replace(world, decided=changed(world.decided, n, what),
-                   left=replace(world.left, effects=world.left.effects - 1))
+    return replace(
+        world,
+        decided=changed(world.decided, n, what),
+        left=replace(world.left, effects=world.left.effects - 1),
+    )
 
 
 def _left(world: World, n: int, decided: tuple[int, int], carrier: str) -> World:
     count = world.counts[n] + 1
     effect = Effect(0, MEMBERS[n], PIECES[decided[0]], decided[1], count, b"")
-    return replace(world, decided=changed(world.decided, n, None), counts=changed(world.counts, n, count),
-                   flying=(*world.flying, (carrier, effect)))
+    return replace(
+        world,
+        decided=changed(world.decided, n, None),
+        counts=changed(world.counts, n, count),
+        flying=(*world.flying, (carrier, effect)),
+    )
 
 
 def _arrived(world: World, to: str, message: Any, fenced: bool) -> World:
@@ -236,18 +277,36 @@
     before = fence.seen(slot)
     why = fence.admits(slot, effect.number, effect.sender, effect.count)
     if why and fenced:
-        told = Outcome(0, CARRIERS[n], effect.piece, effect.number, effect.count, False, before.number, before.owner)
-        return world if why == "it came before" else replace(world, flying=(*world.flying, (effect.sender, told)))
+        told = Outcome(
+            0,
+            CARRIERS[n],
+            effect.piece,
+            effect.number,
+            effect.count,
+            False,
+            before.number,
+            before.owner,
+        )
+        return (
+            world
+            if why == "it came before"
+            else replace(world, flying=(*world.flying, (effect.sender, told)))
+        )
     broken = f"{CARRIERS[n]} does {effect.sender}'s effect, though {why}" if why else ""
-    return replace(world, fences=changed(world.fences, n, tuple(sorted(fence.marks.items()))), broken=broken)
+    return replace(
+        world, fences=changed(world.fences, n, tuple(sorted(fence.marks.items()))), broken=broken
+    )
 
 
 def _name(to: str, message: Any) -> str:
     if isinstance(message, Effect):
         return f"{message.sender}'s effect {message.count} for {message.piece} under {message.number:#x} at {to}"
     # A trace is gone through again by its names, so they tell apart what differs.
-    more = {key: len(value) if key in ("entries", "body") else value for key, value in vars(message).items()
-            if key not in ("sender", "term", "roll")}
+    more = {
+        key: len(value) if key in ("entries", "body") else value
+        for key, value in vars(message).items()
+        if key not in ("sender", "term", "roll")
+    }
     said = " ".join(f"{key}={value}" for key, value in more.items())
     return f"{message.sender}'s {type(message).__name__} of term {message.term} for {to} ({said})"
 
@@ -259,15 +318,49 @@
     def rel(value: float) -> int:
         return relative(min(value, now + 100), now, PAST) if value != -inf else PAST
 
-    pending = (m.pending.term, rel(m.pending.sent), m.pending.left, m.pending.upto, m.pending.committed,
-               m.pending.born) if m.pending else ()
-    as_steward = (sorted((k, rel(v)) for k, v in m.until.items()), sorted((k, rel(s), rel(h)) for k, (s, h) in
-                  m.sent.items()), sorted(m.lives.items()), rel(m.began), rel(m.look_at),
-                  sorted((k, min(now - v, int(m.steady.wait[k] * LEASE)), m.steady.wait[k])
-                         for k, v in m.steady.since.items())) if m.log.leading else ()
-    return (machine_form(m.log, now, PAST), m.book.owners, m.book.numbers, sorted(m.book.closing.items()),
-            sorted(m.book.lives.items()), rel(m.leased_until), m.leased_term, m.sure, rel(m.renew_at), m.steward,
-            sorted(m.given.items()), sorted(m.behind.items()), pending, as_steward)
+    pending = (
+        (
+            m.pending.term,
+            rel(m.pending.sent),
+            m.pending.left,
+            m.pending.upto,
+            m.pending.committed,
+            m.pending.born,
+        )
+        if m.pending
+        else ()
+    )
+    as_steward = (
+        (
+            sorted((k, rel(v)) for k, v in m.until.items()),
+            sorted((k, rel(s), rel(h)) for k, (s, h) in m.sent.items()),
+            sorted(m.lives.items()),
+            rel(m.began),
+            rel(m.look_at),
+            sorted(
+                (k, min(now - v, int(m.steady.wait[k] * LEASE)), m.steady.wait[k])
+                for k, v in m.steady.since.items()
+            ),
+        )
+        if m.log.leading
+        else ()
+    )
+    return (
+        machine_form(m.log, now, PAST),
+        m.book.owners,
+        m.book.numbers,
+        sorted(m.book.closing.items()),
+        sorted(m.book.lives.items()),
+        rel(m.leased_until),
+        m.leased_term,
+        m.sure,
+        rel(m.renew_at),
+        m.steward,
+        sorted(m.given.items()),
+        sorted(m.behind.items()),
+        pending,
+        as_steward,
+    )
 
 
 def _flight_form(world: World, to: str, message: Any) -> tuple[Any, ...]:
@@ -280,23 +373,45 @@
 
 
 def form(world: World) -> int:
-    plain = ([_owner_form(m, _clock(world, n)) for n, m in enumerate(world.machines)], world.lives, world.decided,
-             world.counts, sorted(repr(_flight_form(world, *flight)) for flight in world.flying),
-             [[(slot, *vars(mark).values()) for slot, mark in fence] for fence in world.fences],
-             [tuple(vars(d).values())[:2] for d in world.disks], tuple(vars(world.left).values()))
+    plain = (
+        [_owner_form(m, _clock(world, n)) for n, m in enumerate(world.machines)],
+        world.lives,
+        world.decided,
+        world.counts,
+        sorted(repr(_flight_form(world, *flight)) for flight in world.flying),
+        [[(slot, *vars(mark).values()) for slot, mark in fence] for fence in world.fences],
+        [tuple(vars(d).values())[:2] for d in world.disks],
+        tuple(vars(world.left).values()),
+    )
     number: int = xxhash.xxh3_128_intdigest(msgpack.packb(plain))
     return number
 
 
-def search(states: int, seconds: float = 1e9, make: Callable[..., Machine] = Machine, bounds: Bounds | None = None,
-           model: Model | None = None, revive_each: int = 0, prefix: Iterable[str] = ()) -> Found:
+def search(
+    states: int,
+    seconds: float = 1e9,
+    make: Callable[..., Machine] = Machine,
+    bounds: Bounds | None = None,
+    model: Model | None = None,
+    revive_each: int = 0,
+    prefix: Iterable[str] = (),
+) -> Found:
     """Breadth first, from where `prefix` leads."""
     model = model or Model()
-    return breadth(model, led(model, start(make, bounds or Bounds()), prefix), states, seconds, revive_each)
-
-
-def walks(seconds: float, seed: int, make: Callable[..., Machine] = Machine, bounds: Bounds | None = None,
-          model: Model | None = None, length: int = 80, number: int = 10**9) -> Found:
+    return breadth(
+        model, led(model, start(make, bounds or Bounds()), prefix), states, seconds, revive_each
+    )
+
+
+def walks(
+    seconds: float,
+    seed: int,
+    make: Callable[..., Machine] = Machine,
+    bounds: Bounds | None = None,
+    model: Model | None = None,
+    length: int = 80,
+    number: int = 10**9,
+) -> Found:
     return swarm(model or Model(), start(make, bounds or DEEP), seconds, seed, length, number)
 
 
@@ -306,8 +421,12 @@
 def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("--states", type=int, default=1_000_000)
-    parser.add_argument("--seconds", type=float, default=600, help="for the breadth, and for each of the walks")
-    parser.add_argument("--walkers", type=int, default=4, help="processes that walk, with seeds of their own")
+    parser.add_argument(
+        "--seconds", type=float, default=600, help="for the breadth, and for each of the walks"
+    )
+    parser.add_argument(
+        "--walkers", type=int, default=4, help="processes that walk, with seeds of their own"
+    )
     given = parser.parse_args()
     with ProcessPoolExecutor(given.walkers + 1) as pool:
         wide = pool.submit(search, given.states, given.seconds, revive_each=997)
--- a/dunlinlug/fleet/search.py
+++ b/dunlinlug/fleet/search.py
@@ -48,9 +48,13 @@
 
     def said(self, how: str, again: str) -> str:
         """For people; `again` is what a revived state has."""
-        tried = f"; {again} in {self.revived[0]} of {self.revived[1]} tried" if self.revived[1] else ""
-        head = (f"{how}: {self.states} states{' (all within the bounds)' if self.whole else ''}; "
-                f"broken: {self.broken or 'nothing'}{tried}")
+        tried = (
+            f"; {again} in {self.revived[0]} of {self.revived[1]} tried" if self.revived[1] else ""
+        )
+        head = (
+            f"{how}: {self.states} states{' (all within the bounds)' if self.whole else ''}; "
+            f"broken: {self.broken or 'nothing'}{tried}"
+        )
         return "\n".join([head, *(f"{n:3d}  {step}" for n, step in enumerate(self.trace, 1))])
 
 
@@ -65,7 +69,9 @@
     return world
 
 
-def breadth(model: Model, first: Any, states: int, seconds: float = 1e9, revive_each: int = 0) -> Found:
+def breadth(
+    model: Model, first: Any, states: int, seconds: float = 1e9, revive_each: int = 0
+) -> Found:
     """Breadth first, so that the trace is a shortest one."""
     queue, seen = deque([(first, model.form(first))]), {model.form(first): (0, "")}
     ends, tried, revived = time.monotonic() + seconds, 0, 0
@@ -100,7 +106,9 @@
 # Walks: deeper than the breadth can reach.
 
 
-def walk(model: Model, seed: str, length: int, first: Any, seen: set[int] | None = None) -> tuple[list[str], str]:
+def walk(
+    model: Model, seed: str, length: int, first: Any, seen: set[int] | None = None
+) -> tuple[list[str], str]:
     """One run of drawn steps, to its length or to a state that breaks a property: the steps and what is broken.
     Each walk draws what it likes to do (swarm verification): evenly drawn steps come back to the same few states."""
     chance, world, trace = Random(seed), first, list[str]()
@@ -143,7 +151,7 @@
     """The trace less all steps that it does not need; none of those left can be left out."""
     n = 0
     while n < len(trace):
-        shorter = trace[:n] + trace[n + 1:]
+        shorter = trace[:n] + trace[n + 1 :]
         if replay(model, shorter, first):
             trace, n = shorter, 0
         else:
@@ -151,7 +159,9 @@
     return trace
 
 
-def swarm(model: Model, first: Any, seconds: float, seed: int, length: int = 60, walks: int = 10**9) -> Found:
+def swarm(
+    model: Model, first: Any, seconds: float, seed: int, length: int = 60, walks: int = 10**9
+) -> Found:
     """Walks until one breaks a property; its trace is shortened."""
     seen, ends = set[int](), time.monotonic() + seconds
     for n in range(walks):
--- a/dunlinlug/fleet/succession/codec.py
+++ b/dunlinlug/fleet/succession/codec.py
@@ -17,10 +17,14 @@
 from dunlinlug.fleet.succession import words
 
 NONCE, MAC = 16, 32
-LARGEST = 2**26  # bytes of a frame: the whole of five hundred proxies and two thousand workers is a tenth of it
+LARGEST = (
+    2**26
+)  # bytes of a frame: the whole of five hundred proxies and two thousand workers is a tenth of it
 HEAD = struct.Struct(f">IQ{NAME}s{MAC}s")
-KINDS = {kind.__name__: kind for kind in
-         (words.Ask, words.Answer, words.Beat, words.Whole, words.Heard, words.Pass)}
+KINDS = {
+    kind.__name__: kind
+    for kind in (words.Ask, words.Answer, words.Beat, words.Whole, words.Heard, words.Pass)
+}
 PLACES = ("position", "base", "upto", "committed")  # fields that are places of the log
 ROWS = ("behind", "away", "items")  # fields that are rows of plain values
 Kinds = Mapping[str, Any]
@@ -35,8 +39,10 @@
 
 
 def pack(message: object) -> bytes:
-    fields = {key: list(vars(value).values()) if isinstance(value, words.Roll) else value
-              for key, value in vars(message).items()}
+    fields = {
+        key: list(vars(value).values()) if isinstance(value, words.Roll) else value
+        for key, value in vars(message).items()
+    }
     made: bytes = msgpack.packb([type(message).__name__, fields])
     return made
 
@@ -68,14 +74,27 @@
     def frame(self, message: object) -> bytes:
         body = pack(message)
         self.number += 1
-        return HEAD.pack(len(body), self.number, short(self.key), _mac(self.key, self.nonce, self.number, body)) + body
+        return (
+            HEAD.pack(
+                len(body),
+                self.number,
+                short(self.key),
+                _mac(self.key, self.nonce, self.number, body),
+            )
+            + body
+        )
 
 
 class Opener:
     """Bytes in, messages out. Raises Forged; the connection is then to be ended."""
 
     def __init__(self, keys: list[bytes], nonce: bytes, kinds: Kinds = KINDS) -> None:
-        self.keys, self.nonce, self.number, self.kinds = {short(key): key for key in keys}, nonce, 0, kinds
+        self.keys, self.nonce, self.number, self.kinds = (
+            {short(key): key for key in keys},
+            nonce,
+            0,
+            kinds,
+        )
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Any]:
@@ -84,11 +103,15 @@
         while len(self.buffer) >= HEAD.size:
             length, number, name, mac = HEAD.unpack_from(self.buffer)
             if length > LARGEST or name not in self.keys or number != self.number + 1:
-                raise Forged("an unknown key" if name not in self.keys else "a frame out of order or over the bound")
+                raise Forged(
+                    "an unknown key"
+                    if name not in self.keys
+                    else "a frame out of order or over the bound"
+                )
             if len(self.buffer) < HEAD.size + length:
                 break
-            body = bytes(self.buffer[HEAD.size:HEAD.size + length])
-            del self.buffer[:HEAD.size + length]
+            body = bytes(self.buffer[HEAD.size : HEAD.size + length])
+            del self.buffer[: HEAD.size + length]
             if not hmac.compare_digest(_mac(self.keys[name], self.nonce, number, body), mac):
                 raise Forged("a frame that its key has not signed")
             self.number = number
--- a/dunlinlug/fleet/succession/facts.py
+++ b/dunlinlug/fleet/succession/facts.py
@@ -16,7 +16,14 @@
 from dunlinlug.fleet.succession.plain import Codec, PlainFault
 from dunlinlug.manager.laid import Laid
 
-OWN = ("fleet", "account", "health", "gate", "seating", "lines")  # the module's parts, which a fresh module has already
+OWN = (
+    "fleet",
+    "account",
+    "health",
+    "gate",
+    "seating",
+    "lines",
+)  # the module's parts, which a fresh module has already
 
 
 @dataclass
@@ -47,22 +54,47 @@
     module: dict[str, Any] = field(default_factory=dict)
 
 
-EVENTS = [kind for kind in vars(face).values() if isinstance(kind, type) and kind.__module__ == face.__name__]
-CODEC = Codec(Batch, Standing, Laid, Account, Gate, Health, outstanding.Stretch, listing.Fleet, state.Change,
-              seating.Seating, seating.Table, seating.Proxy, lines.Lines, cover.Cover, *EVENTS)
+EVENTS = [
+    kind
+    for kind in vars(face).values()
+    if isinstance(kind, type) and kind.__module__ == face.__name__
+]
+CODEC = Codec(
+    Batch,
+    Standing,
+    Laid,
+    Account,
+    Gate,
+    Health,
+    outstanding.Stretch,
+    listing.Fleet,
+    state.Change,
+    seating.Seating,
+    seating.Table,
+    seating.Proxy,
+    lines.Lines,
+    cover.Cover,
+    *EVENTS,
+)
 
 
 def listed(fleet: listing.Fleet) -> list[face.Worker]:
     """The list as the module knows it."""
     columns = zip(fleet.ids, fleet.zones, fleet.ready, fleet.weight, fleet.since, strict=True)
-    return [face.Worker(key, zone, "", 0, "ready" if ready else "gone", weight, since)
-            for key, zone, ready, weight, since in columns]
+    return [
+        face.Worker(key, zone, "", 0, "ready" if ready else "gone", weight, since)
+        for key, zone, ready, weight, since in columns
+    ]
 
 
 def all_left(module: Any) -> list[face.Left]:
     """Whoever was joined with a former master, for a module of ours that went by its batches. Danger: a proxy that has
     not come here yet would be sent orders, and waited for, as long as it stays away."""
-    return [face.Left(proxy) for proxy in module.seating.proxies] if isinstance(module, Balancer) else []
+    return (
+        [face.Left(proxy) for proxy in module.seating.proxies]
+        if isinstance(module, Balancer)
+        else []
+    )
 
 
 def write_batch(batch: Batch) -> bytes:
@@ -91,7 +123,10 @@
     if not isinstance(standing, Standing):
         raise PlainFault("not the whole")
     module, found = Balancer(trade), standing.module
-    if found["account"].channel != trade.channel or len(found["current"]) not in (0, len(trade.products)):
+    if found["account"].channel != trade.channel or len(found["current"]) not in (
+        0,
+        len(trade.products),
+    ):
         raise PlainFault("it was told another trade; all members need the same settings")
     for key, value in found.items():
         if key in OWN:
--- a/dunlinlug/fleet/succession/helm.py
+++ b/dunlinlug/fleet/succession/helm.py
@@ -31,7 +31,9 @@
     out: set[str]
     zones: dict[str, str]
 
-    def restore(self, epoch: int, tables: dict[int, Laid], out: set[str], zones: dict[str, str]) -> None: ...
+    def restore(
+        self, epoch: int, tables: dict[int, Laid], out: set[str], zones: dict[str, str]
+    ) -> None: ...
 
 
 class Service(Protocol):
@@ -52,14 +54,36 @@
     """`begin` is called when we become master (true if nothing was inherited), `end` when we no longer are. `pins` are
     those that stand, as plain records, and `pinned` takes those of another."""
 
-    def __init__(self, me: str, places: dict[str, tuple[str, int]], keys: list[bytes], timing: dict[str, float],
-                 first: tuple[str, ...], kept: Kept, trade: face.Trade, loop: Loop, desk: Desk, service: Service,
-                 chance: Random, note: Callable[..., None]) -> None:
-        self.me, self.kept, self.trade, self.loop, self.desk, self.service = me, kept, trade, loop, desk, service
+    def __init__(
+        self,
+        me: str,
+        places: dict[str, tuple[str, int]],
+        keys: list[bytes],
+        timing: dict[str, float],
+        first: tuple[str, ...],
+        kept: Kept,
+        trade: face.Trade,
+        loop: Loop,
+        desk: Desk,
+        service: Service,
+        chance: Random,
+        note: Callable[..., None],
+    ) -> None:
+        self.me, self.kept, self.trade, self.loop, self.desk, self.service = (
+            me,
+            kept,
+            trade,
+            loop,
+            desk,
+            service,
+        )
         self.note = note
         found = kept.vote()
-        before = words.Keep(found[0], found[1], words.Roll(found[2], tuple(found[3]))) if found else words.Keep(
-            0, "", words.Roll(1, tuple(sorted(first or places))))
+        before = (
+            words.Keep(found[0], found[1], words.Roll(found[2], tuple(found[3])))
+            if found
+            else words.Keep(0, "", words.Roll(1, tuple(sorted(first or places))))
+        )
         self.machine = Machine(me, before, trio.current_time(), uniform=chance.uniform, **timing)
         self.peers = Peers(me, places, keys, self._hear, note)
         self.wake = trio.Event()
@@ -87,8 +111,13 @@
     def share(self, now: float, events: Sequence[face.Event], left_out: list[int]) -> int:
         numbers, self.service.fresh = self.service.fresh, {}
         pins = self.pins()
-        batch = facts.Batch(now + self.loop.shift, list(events), left_out, numbers,
-                            pins if pins != self.told_pins else None)
+        batch = facts.Batch(
+            now + self.loop.shift,
+            list(events),
+            left_out,
+            numbers,
+            pins if pins != self.told_pins else None,
+        )
         self.told_pins = pins
         entry = facts.write_batch(batch)
         self.bytes_shared += len(entry)
@@ -137,7 +166,9 @@
         """Waits up to a lease for what is under way to that member: on a busy fleet a batch nearly always is. Raises
         ValueError if it is not ready to take over then."""
         if to not in self.machine.roll.members or to == self.me:
-            raise ValueError(f"{to!r} is not another member; they are {', '.join(self.machine.roll.members)}")
+            raise ValueError(
+                f"{to!r} is not another member; they are {', '.join(self.machine.roll.members)}"
+            )
         with trio.move_on_after(self.machine.lease):
             while self.leads(trio.current_time()) and not self.machine.has_all(to):
                 await self.wake.wait()
@@ -189,8 +220,12 @@
         self.loop.inbox = [*facts.all_left(self.loop.module)]
         self.begin(fresh)
         # The first entry of our term, with which all before it are sealed.
-        self._obey(self.machine.append(trio.current_time(), facts.write_batch(
-            facts.Batch(trio.current_time() + self.loop.shift, [], [], {}))))
+        self._obey(
+            self.machine.append(
+                trio.current_time(),
+                facts.write_batch(facts.Batch(trio.current_time() + self.loop.shift, [], [], {})),
+            )
+        )
         self.service.open.set()
         self.loop.come.set()
         self.note("succession.leads", term=term, position=self.machine.position[1], fresh=fresh)
@@ -237,9 +272,20 @@
     def whole(self) -> bytes:
         module = self.loop.module
         assert isinstance(module, Balancer)
-        return facts.write_whole(module, facts.Standing(
-            trio.current_time() + self.loop.shift, self.desk.epoch, self.desk.tables, self.desk.out, self.desk.zones,
-            self.service.numbers, self.loop.timers, self.kept.body() or b"", self.pins()))
+        return facts.write_whole(
+            module,
+            facts.Standing(
+                trio.current_time() + self.loop.shift,
+                self.desk.epoch,
+                self.desk.tables,
+                self.desk.out,
+                self.desk.zones,
+                self.service.numbers,
+                self.loop.timers,
+                self.kept.body() or b"",
+                self.pins(),
+            ),
+        )
 
     def _restore(self, body: bytes) -> None:
         module, standing = facts.read_whole(body, self.trade)
@@ -255,9 +301,17 @@
     def state(self) -> dict[str, Any]:
         """For people: who leads, since when and why, terms and lag."""
         machine, now = self.machine, trio.current_time()
-        return {"member": self.me, "members": list(machine.roll.members), "term": machine.term,
-                "master": machine.master or None, "leads": self.leads(now),
-                "since": round(now - machine.master_since, 3), "changed": self.why,
-                "changed_ago": round(now - self.changed_at, 3), "position": machine.position[1],
-                "behind": None if machine.leading else machine.behind,
-                "lags": machine.lags() if machine.leading else None, "takeovers": self.takeovers}
+        return {
+            "member": self.me,
+            "members": list(machine.roll.members),
+            "term": machine.term,
+            "master": machine.master or None,
+            "leads": self.leads(now),
+            "since": round(now - machine.master_since, 3),
+            "changed": self.why,
+            "changed_ago": round(now - self.changed_at, 3),
+            "position": machine.position[1],
+            "behind": None if machine.leading else machine.behind,
+            "lags": machine.lags() if machine.leading else None,
+            "takeovers": self.takeovers,
+        }
--- a/dunlinlug/fleet/succession/machine.py
+++ b/dunlinlug/fleet/succession/machine.py
@@ -41,29 +41,51 @@
     """One member. `lease` and `beat` are seconds on its clock; `drift` bounds how far a clock's rate is from true;
     after `forgets` seconds without news a member that started with nothing counts as if it remembered."""
 
-    def __init__(self, me: str, kept: Keep, now: float, lease: float, beat: float, drift: float, forgets: float,
-                 uniform: Callable[[float, float], float]) -> None:
+    def __init__(
+        self,
+        me: str,
+        kept: Keep,
+        now: float,
+        lease: float,
+        beat: float,
+        drift: float,
+        forgets: float,
+        uniform: Callable[[float, float], float],
+    ) -> None:
         self.me, self.lease, self.beat, self.uniform = me, lease, beat, uniform
         self.own_lease = lease * (1.0 - drift) / (1.0 + drift)
         self.term, self.voted, self.roll = kept.term, kept.voted, kept.roll
         self.position, self.committed = NOWHERE, NOWHERE
         self.blank_until = now + forgets
-        self.promised = now + lease  # Danger: a promise made before a restart is forgotten, and may still hold
+        self.promised = (
+            now + lease
+        )  # Danger: a promise made before a restart is forgotten, and may still hold
         self.stand_at = self.promised + uniform(0.0, lease / 2)
         self.master, self.leading, self.master_since = "", False, now
-        self.behind: int | None = 0  # as a standby: entries that we lack by the last beat; None if we need the whole
+        self.behind: int | None = (
+            0  # as a standby: entries that we lack by the last beat; None if we need the whole
+        )
         self.asking: tuple[int, bool] | None = None  # term and probe of the question that is out
         self.answers: dict[str, Answer] = {}
-        self.acks: dict[str, float] = {}  # as master: by member the latest of our beats that it has answered
+        self.acks: dict[
+            str, float
+        ] = {}  # as master: by member the latest of our beats that it has answered
         self.places: dict[str, Position] = {}  # and where it stands, if it follows
         self.wholes: dict[str, float] = {}  # and when it was last sent the whole
         self.recent: deque[tuple[Position, bytes]] = deque(maxlen=KEPT)
-        self.beat_at, self.rolled = now, NOWHERE  # the last: position of the last change of the roll
+        self.beat_at, self.rolled = (
+            now,
+            NOWHERE,
+        )  # the last: position of the last change of the roll
 
     def clone(self) -> "Machine":
         """An independent copy, for the search."""
         made = copy(self)
-        made.answers, made.acks, made.places = dict(self.answers), dict(self.acks), dict(self.places)
+        made.answers, made.acks, made.places = (
+            dict(self.answers),
+            dict(self.acks),
+            dict(self.places),
+        )
         made.wholes, made.recent = dict(self.wholes), self.recent.copy()
         return made
 
@@ -74,7 +96,10 @@
 
     def lease_end(self, now: float) -> float:
         """Until when, on our clock, no other can have been voted for: the lease of the majority's latest answers."""
-        times = sorted((now if m == self.me else self.acks.get(m, -1e18) for m in self.roll.members), reverse=True)
+        times = sorted(
+            (now if m == self.me else self.acks.get(m, -1e18) for m in self.roll.members),
+            reverse=True,
+        )
         return times[self.roll.most() - 1] + self.own_lease
 
     def may_order(self, now: float) -> bool:
@@ -83,8 +108,11 @@
 
     def lags(self) -> dict[str, int | None]:
         """As master: entries that each other member lacks; None if it has to be given the whole."""
-        return {m: self.position[1] - self.places[m][1] if m in self.places else None
-                for m in self.roll.members if m != self.me}
+        return {
+            m: self.position[1] - self.places[m][1] if m in self.places else None
+            for m in self.roll.members
+            if m != self.me
+        }
 
     def next_at(self) -> float:
         return self.beat_at if self.leading else self.stand_at
@@ -119,7 +147,9 @@
         term = self.term + probe
         self.asking = (term, probe)
         self.answers = {self.me: Answer(self.term, self.me, term, probe, True, self.blank(now))}
-        orders += [Send(m, Ask(term, self.me, self.position, probe, handed)) for m in self._others()]
+        orders += [
+            Send(m, Ask(term, self.me, self.position, probe, handed)) for m in self._others()
+        ]
         return orders + self._count(now)
 
     def _others(self) -> list[str]:
@@ -133,8 +163,14 @@
             return
         order = self.roll.members
         first = self.term % len(order)
-        others = [m for m in (*order[first:], *order[:first]) if m == self.me or m in living and m != member]
-        self.stand_at = min(self.stand_at, max(now, self.promised) + others.index(self.me) * self.beat / 2)
+        others = [
+            m
+            for m in (*order[first:], *order[:first])
+            if m == self.me or m in living and m != member
+        ]
+        self.stand_at = min(
+            self.stand_at, max(now, self.promised) + others.index(self.me) * self.beat / 2
+        )
 
     def _beats(self, now: float) -> list[Order]:
         self.beat_at = now + self.beat
@@ -145,7 +181,9 @@
         place = self.places.get(member)
         after = [(at, entry) for at, entry in self.recent if place is not None and at > place]
         whole = place is not None and len(after) == self.position[1] - place[1]
-        base, entries = (place, tuple(entry for _, entry in after)) if whole and place else (self.position, ())
+        base, entries = (
+            (place, tuple(entry for _, entry in after)) if whole and place else (self.position, ())
+        )
         return Beat(self.term, self.me, now, self.roll, base, entries)
 
     # Entries and the roll.
@@ -155,8 +193,11 @@
         assert self.leading
         before, self.position = self.position, (self.term, self.position[1] + 1)
         self.recent.append((self.position, entry))
-        orders: list[Order] = [Send(m, Beat(self.term, self.me, now, self.roll, before, (entry,)))
-                               for m in self._others() if m in self.places]
+        orders: list[Order] = [
+            Send(m, Beat(self.term, self.me, now, self.roll, before, (entry,)))
+            for m in self._others()
+            if m in self.places
+        ]
         return orders + self._commit()
 
     def enrol(self, now: float, members: tuple[str, ...], entry: bytes) -> list[Order]:
@@ -164,9 +205,13 @@
         if not self.may_order(now):
             raise ValueError("only the master changes the set")
         if len(set(members) ^ set(self.roll.members)) != 1 or len(set(members)) != len(members):
-            raise ValueError("one member at a time: two majorities without a common member would be possible")
+            raise ValueError(
+                "one member at a time: two majorities without a common member would be possible"
+            )
         if self.committed[0] != self.term or self.committed < self.rolled:
-            raise ValueError("an earlier change, or the beginning of this term, is not yet with a majority")
+            raise ValueError(
+                "an earlier change, or the beginning of this term, is not yet with a majority"
+            )
         if self.me not in members:
             raise ValueError("the master cannot leave; hand over first")
         self.roll = Roll(self.roll.version + 1, tuple(sorted(members)))
@@ -182,8 +227,13 @@
         return [Send(to, Whole(self.term, self.me, now, self.roll, self.position, body))]
 
     def _commit(self) -> list[Order]:
-        at = sorted((self.position if m == self.me else self.places.get(m, NOWHERE) for m in self.roll.members),
-                    reverse=True)[self.roll.most() - 1]
+        at = sorted(
+            (
+                self.position if m == self.me else self.places.get(m, NOWHERE)
+                for m in self.roll.members
+            ),
+            reverse=True,
+        )[self.roll.most() - 1]
         if not self._sealed(at) or at <= self.committed:
             return []
         self.committed = at
@@ -203,7 +253,10 @@
 
     def hear(self, now: float, message: Message) -> list[Order]:
         """Danger: one that is no member, or no longer, has no say."""
-        if isinstance(message, Ask | Answer | Heard | Pass) and message.sender not in self.roll.members:
+        if (
+            isinstance(message, Ask | Answer | Heard | Pass)
+            and message.sender not in self.roll.members
+        ):
             return []
         match message:
             case Ask():
@@ -213,7 +266,9 @@
             case Heard():
                 return self._heard(now, message)
             case Pass():
-                good = message.term == self.term and message.sender == self.master and not self.leading
+                good = (
+                    message.term == self.term and message.sender == self.master and not self.leading
+                )
                 return self._ask(now, probe=False, handed=True) if good else []
         return self._led(now, message)
 
@@ -237,7 +292,9 @@
     def _bound(self, now: float, ask: Ask) -> bool:
         """By a promise to a master, unless it has passed on itself. Danger: a late copy of that; its term and the one
         after it are then used up with a majority."""
-        return (now < self.promised or self.may_order(now)) and not (ask.handed and ask.term == self.term + 1)
+        return (now < self.promised or self.may_order(now)) and not (
+            ask.handed and ask.term == self.term + 1
+        )
 
     def _far_enough(self, ask: Ask) -> bool:
         """Who wins has all that took effect, as a majority has it."""
@@ -297,7 +354,9 @@
 
     def _led(self, now: float, message: Beat | Whole) -> list[Order]:
         if message.term < self.term or message.term == self.term and self.leading:
-            return [Send(message.sender, Heard(self.term, self.me, message.sent, self.position, False))]
+            return [
+                Send(message.sender, Heard(self.term, self.me, message.sent, self.position, False))
+            ]
         orders = self._newer(now, message.term) if message.term > self.term else []
         if self.master != message.sender:
             self.master, self.master_since = message.sender, now
@@ -315,7 +374,10 @@
             follows = self._follow(message, orders)
             last = message.base[1] + len(message.entries)
             self.behind = max(last - self.position[1], 0) if follows else None
-        return [*orders, Send(message.sender, Heard(self.term, self.me, message.sent, self.position, follows))]
+        return [
+            *orders,
+            Send(message.sender, Heard(self.term, self.me, message.sent, self.position, follows)),
+        ]
 
     def _follow(self, beat: Beat, orders: list[Order]) -> bool:
         """Take the entries that we lack; false if ours is another line, or has a gap."""
@@ -339,7 +401,9 @@
         if heard.follows:
             first = heard.sender not in self.places
             self.places[heard.sender] = max(self.places.get(heard.sender, NOWHERE), heard.position)
-            more: list[Order] = [Send(heard.sender, self._beat_for(heard.sender, now))] if first else []
+            more: list[Order] = (
+                [Send(heard.sender, self._beat_for(heard.sender, now))] if first else []
+            )
             return more + self._commit()
         self.places.pop(heard.sender, None)
         if now < self.wholes.get(heard.sender, -1e18) + self.beat:
--- a/dunlinlug/fleet/succession/peers.py
+++ b/dunlinlug/fleet/succession/peers.py
@@ -15,7 +15,10 @@
 AHEAD = 1024  # messages that may wait for a peer; beyond that the newest are lost, as on a network
 AGAIN, WITHIN = 0.1, 1.0  # seconds between dials, and for one: far below a lease of seconds
 SAID = 60.0  # seconds between two log lines on forged frames
-CALL, OWNERS = b"S", b"O"  # first bytes of connections at the membership's door; a frame's length never has them
+CALL, OWNERS = (
+    b"S",
+    b"O",
+)  # first bytes of connections at the membership's door; a frame's length never has them
 Place = tuple[str, int]
 
 
@@ -23,15 +26,25 @@
     """`hear` gets what comes, of these `kinds`; send with `send`. `places` are the addresses of all members by id, and
     `letter` tells our calls from others' at the membership's door."""
 
-    def __init__(self, me: str, places: dict[str, tuple[str, int]], keys: list[bytes], hear: Callable[[Any], None],
-                 note: Callable[..., None], kinds: codec.Kinds = codec.KINDS, letter: bytes = CALL) -> None:
+    def __init__(
+        self,
+        me: str,
+        places: dict[str, tuple[str, int]],
+        keys: list[bytes],
+        hear: Callable[[Any], None],
+        note: Callable[..., None],
+        kinds: codec.Kinds = codec.KINDS,
+        letter: bytes = CALL,
+    ) -> None:
         self.me, self.places, self.keys, self.hear, self.note = me, places, keys, hear, note
         self.kinds, self.letter = kinds, letter
         self.queues = {m: trio.open_memory_channel[Any](AHEAD) for m in places if m != me}
         self.said_at, self.forged = -SAID, 0
         self.sent_bytes = 0
         self.shared: Callable[[str], Place] | None = None  # where the membership has a member now
-        self.cut: set[str] = set()  # members that nothing reaches and nothing is heard of: for tests and days
+        self.cut: set[str] = (
+            set()
+        )  # members that nothing reaches and nothing is heard of: for tests and days
 
     def send(self, to: str, message: Any) -> None:
         if to in self.queues:
@@ -51,7 +64,11 @@
     def _ways(self, member: str) -> list[tuple[Place, bytes]]:
         """Where to dial it and what to say first. While a set moves to one door, members are at either."""
         own = self.me.encode()
-        ways = [(self.shared(member), self.letter + bytes([len(own)]) + own)] if self.shared is not None else []
+        ways = (
+            [(self.shared(member), self.letter + bytes([len(own)]) + own)]
+            if self.shared is not None
+            else []
+        )
         return ways + [(self.places[member], b"")] * bool(self.places[member][1])
 
     async def _talk(self, member: str) -> None:
@@ -77,7 +94,13 @@
                             self.sent_bytes += len(frame)
                             with trio.fail_after(2 * WITHIN):
                                 await stream.send_all(frame)
-            except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError, EOFError):
+            except (
+                OSError,
+                trio.BrokenResourceError,
+                trio.ClosedResourceError,
+                trio.TooSlowError,
+                EOFError,
+            ):
                 pass
             self._drop(outlet)
             await trio.sleep(AGAIN)
--- a/dunlinlug/fleet/succession/plain.py
+++ b/dunlinlug/fleet/succession/plain.py
@@ -43,7 +43,9 @@
             case deque():
                 return ["q", value.maxlen, *(self._plain(part, met) for part in value)]
             case list() | tuple() | set() | frozenset():
-                letter = "l" if isinstance(value, list) else "t" if isinstance(value, tuple) else "s"
+                letter = (
+                    "l" if isinstance(value, list) else "t" if isinstance(value, tuple) else "s"
+                )
                 parts = sorted(value) if letter == "s" else value
                 return [letter, *(self._plain(part, met) for part in parts)]
         name = type(value).__name__
@@ -53,8 +55,17 @@
             return ["r", met[id(value)]]
         met[id(value)] = len(met)
         derived = getattr(value, "DERIVED", ())
-        fields = {key: part for key, part in vars(value).items() if not callable(part) and key not in derived}
-        return ["o", met[id(value)], name, *(self._plain(part, met) for pair in fields.items() for part in pair)]
+        fields = {
+            key: part
+            for key, part in vars(value).items()
+            if not callable(part) and key not in derived
+        }
+        return [
+            "o",
+            met[id(value)],
+            name,
+            *(self._plain(part, met) for pair in fields.items() for part in pair),
+        ]
 
     def _value(self, plain: Any, met: dict[int, Any]) -> Any:
         if not isinstance(plain, list):
--- a/dunlinlug/fleet/succession/search.py
+++ b/dunlinlug/fleet/succession/search.py
@@ -32,7 +32,11 @@
 from dunlinlug.fleet.succession.machine import Machine
 from dunlinlug.xds.fence import Fence
 
-LEASE, BEAT, DRIFT = 3, 1, 0.2  # ticks; the drift lets a clock miss one tick in a lease: own leases are two ticks
+LEASE, BEAT, DRIFT = (
+    3,
+    1,
+    0.2,
+)  # ticks; the drift lets a clock miss one tick in a lease: own leases are two ticks
 MEMBERS = ("a", "b", "c")
 PAST = -5  # ticks from which on a time is past for every purpose: more than a lease
 DRAIN, TRY, BEGIN = b"drain", b"try", b"begin"
@@ -71,7 +75,9 @@
     machines: tuple[Machine, ...]
     disks: tuple[words.Keep, ...]
     logs: tuple[tuple[bytes, ...], ...]
-    due: tuple[frozenset[tuple[bytes, int]], ...]  # by member: what it may tell once its entry is committed
+    due: tuple[
+        frozenset[tuple[bytes, int]], ...
+    ]  # by member: what it may tell once its entry is committed
     flying: tuple[Any, ...]  # (receiver, message) and Toward, in order of their canonical form
     fences: tuple[tuple[int, str], ...]
     drained: tuple[bool, ...]
@@ -89,10 +95,25 @@
 def start(make: Callable[..., Machine], bounds: Bounds) -> World:
     kept = words.Keep(0, "", words.Roll(1, MEMBERS))
     machines = tuple(make(m, kept, 0, LEASE, BEAT, DRIFT, 10**6, no_chance) for m in MEMBERS)
-    world = World(0, (0, 0, 0), machines, (kept,) * 3, ((),) * 3, (frozenset(),) * 3, (), ((0, ""),) * 2,
-                  (False,) * 2, 0, (), bounds)
+    world = World(
+        0,
+        (0, 0, 0),
+        machines,
+        (kept,) * 3,
+        ((),) * 3,
+        (frozenset(),) * 3,
+        (),
+        ((0, ""),) * 2,
+        (False,) * 2,
+        0,
+        (),
+        bounds,
+    )
     world = _settled(replace(world, now=LEASE), (0,))
-    while len({m.position for m in world.machines}) > 1 or world.machines[0].committed == words.NOWHERE:
+    while (
+        len({m.position for m in world.machines}) > 1
+        or world.machines[0].committed == words.NOWHERE
+    ):
         world = _settled(replace(world, now=world.now + 1), (0,))
     return world
 
@@ -125,11 +146,25 @@
     if kept is not None and kept[0] == now:
         return kept[1]
     rel = partial(relative, now=now, past=past)
-    made = (m.term, m.voted, m.roll.version, m.position, m.committed, rel(m.promised), rel(m.stand_at), m.master,
-            m.leading, m.asking, sorted((k, a.granted, a.blank) for k, a in m.answers.items()),
-            sorted((k, rel(v)) for k, v in m.acks.items()), sorted(m.places.items()),
-            sorted((k, rel(v)) for k, v in m.wholes.items()), rel(m.beat_at) if m.leading else 0, list(m.recent),
-            rel(m.master_since) if m.leading else 0)
+    made = (
+        m.term,
+        m.voted,
+        m.roll.version,
+        m.position,
+        m.committed,
+        rel(m.promised),
+        rel(m.stand_at),
+        m.master,
+        m.leading,
+        m.asking,
+        sorted((k, a.granted, a.blank) for k, a in m.answers.items()),
+        sorted((k, rel(v)) for k, v in m.acks.items()),
+        sorted(m.places.items()),
+        sorted((k, rel(v)) for k, v in m.wholes.items()),
+        rel(m.beat_at) if m.leading else 0,
+        list(m.recent),
+        rel(m.master_since) if m.leading else 0,
+    )
     m.__dict__["form"] = (now, made)
     return made
 
@@ -140,7 +175,9 @@
     to, message = flight
     values = vars(message).copy()
     if "sent" in values:
-        values["sent"] = relative(message.sent, _clock(world, MEMBERS.index(_clock_of(to, message))))
+        values["sent"] = relative(
+            message.sent, _clock(world, MEMBERS.index(_clock_of(to, message)))
+        )
     values.pop("roll", None)
     return (to, type(message).__name__, *values.values())
 
@@ -156,9 +193,18 @@
 def form(world: World) -> int:
     """A state's number: equal for states between which nothing that comes can tell."""
     flying = sorted(map(repr, (_flight_form(world, f) for f in world.flying)))
-    plain = ([machine_form(m, _clock(world, n)) for n, m in enumerate(world.machines)], world.logs,
-             [sorted(d) for d in world.due], flying, world.fences, world.drained, world.tried, world.masters,
-             [tuple(vars(d).values())[:2] for d in world.disks], tuple(vars(world.left).values()))
+    plain = (
+        [machine_form(m, _clock(world, n)) for n, m in enumerate(world.machines)],
+        world.logs,
+        [sorted(d) for d in world.due],
+        flying,
+        world.fences,
+        world.drained,
+        world.tried,
+        world.masters,
+        [tuple(vars(d).values())[:2] for d in world.disks],
+        tuple(vars(world.left).values()),
+    )
     number: int = xxhash.xxh3_128_intdigest(msgpack.packb(plain))
     return number
 
@@ -167,7 +213,7 @@
 
 
 def changed(parts: tuple[Any, ...], n: int, value: Any) -> tuple[Any, ...]:
-    return (*parts[:n], value, *parts[n + 1:])
+    return (*parts[:n], value, *parts[n + 1 :])
 
 
 def obey(world: World, n: int, machine: Machine, orders: list[words.Order]) -> World:
@@ -197,9 +243,15 @@
                 log = tuple(msgpack.unpackb(body))
             case words.WholeFor(to):
                 todo.extend(machine.whole(now, to, msgpack.packb(log)))
-    return replace(world, machines=changed(world.machines, n, machine), logs=changed(world.logs, n, log),
-                   due=changed(world.due, n, due), disks=changed(world.disks, n, disk), flying=tuple(flying),
-                   masters=masters)
+    return replace(
+        world,
+        machines=changed(world.machines, n, machine),
+        logs=changed(world.logs, n, log),
+        due=changed(world.due, n, due),
+        disks=changed(world.disks, n, disk),
+        flying=tuple(flying),
+        masters=masters,
+    )
 
 
 def steps(world: World, commits: bool, fenced: bool) -> Iterator[Step]:
@@ -221,8 +273,12 @@
 
 
 def _missed(world: World, n: int) -> World:
-    return replace(world, now=world.now + 1, clocks=changed(world.clocks, n, world.clocks[n] + 1),
-                   left=replace(world.left, missed=world.left.missed - 1))
+    return replace(
+        world,
+        now=world.now + 1,
+        clocks=changed(world.clocks, n, world.clocks[n] + 1),
+        left=replace(world.left, missed=world.left.missed - 1),
+    )
 
 
 def _acted(world: World, n: int) -> World:
@@ -232,9 +288,15 @@
 
 def _restarted(world: World, n: int) -> World:
     again = type(world.machines[n])(
-        MEMBERS[n], world.disks[n], _clock(world, n), LEASE, BEAT, DRIFT, 10**6, no_chance)
-    return replace(world, machines=changed(world.machines, n, again), logs=changed(world.logs, n, ()),
-                   due=changed(world.due, n, frozenset()), left=replace(world.left, restarts=world.left.restarts - 1))
+        MEMBERS[n], world.disks[n], _clock(world, n), LEASE, BEAT, DRIFT, 10**6, no_chance
+    )
+    return replace(
+        world,
+        machines=changed(world.machines, n, again),
+        logs=changed(world.logs, n, ()),
+        due=changed(world.due, n, frozenset()),
+        left=replace(world.left, restarts=world.left.restarts - 1),
+    )
 
 
 def _as_master(world: World, n: int, commits: bool) -> Iterator[Step]:
@@ -245,7 +307,10 @@
     for due in sorted(world.due[n]):
         if not commits or machine.committed[1] >= due[1]:
             for proxy in (0, 1) if due[0] == DRAIN else (0,):
-                yield f"{me} orders proxy {proxy}: {due[0].decode()}", partial(_ordered, world, n, proxy, due)
+                yield (
+                    f"{me} orders proxy {proxy}: {due[0].decode()}",
+                    partial(_ordered, world, n, proxy, due),
+                )
     if world.left.passes and machine.term < world.left.terms:
         for to in MEMBERS:
             if machine.places.get(to) == machine.position:
@@ -255,13 +320,18 @@
 def _told(world: World, n: int, entry: bytes) -> World:
     machine = fork(world.machines[n])
     made = obey(world, n, machine, machine.append(_clock(world, n), entry))
-    return replace(made, logs=changed(made.logs, n, (*made.logs[n], entry)), due=changed(
-        made.due, n, made.due[n] | {(entry, machine.position[1])}))
+    return replace(
+        made,
+        logs=changed(made.logs, n, (*made.logs[n], entry)),
+        due=changed(made.due, n, made.due[n] | {(entry, machine.position[1])}),
+    )
 
 
 def _ordered(world: World, n: int, proxy: int, due: tuple[bytes, int]) -> World:
     order = Toward(proxy, world.machines[n].term, MEMBERS[n], due[0])
-    return replace(world, flying=(*world.flying, order), due=changed(world.due, n, world.due[n] - {due}))
+    return replace(
+        world, flying=(*world.flying, order), due=changed(world.due, n, world.due[n] - {due})
+    )
 
 
 def _passed(world: World, n: int, to: str) -> World:
@@ -273,12 +343,21 @@
 def _arrivals(world: World, fenced: bool) -> Iterator[Step]:
     left = world.left
     for n, flight in enumerate(world.flying):
-        rest = replace(world, flying=(*world.flying[:n], *world.flying[n + 1:]))
+        rest = replace(world, flying=(*world.flying[:n], *world.flying[n + 1 :]))
         name = _name(flight)
         yield f"{name} arrives", partial(_arrived, rest, flight, fenced)
-        if left.doubled and not (isinstance(flight, Toward) and flight.what == TRY):  # a stream does not double
-            yield f"{name} arrives, and will again", partial(
-                _arrived, replace(world, left=replace(left, doubled=left.doubled - 1)), flight, fenced)
+        if left.doubled and not (
+            isinstance(flight, Toward) and flight.what == TRY
+        ):  # a stream does not double
+            yield (
+                f"{name} arrives, and will again",
+                partial(
+                    _arrived,
+                    replace(world, left=replace(left, doubled=left.doubled - 1)),
+                    flight,
+                    fenced,
+                ),
+            )
         if left.lost:
             yield f"{name} is lost", partial(replace, rest, left=replace(left, lost=left.lost - 1))
 
@@ -297,7 +376,9 @@
     to, message = flight
     sent = f", sent at {message.sent:g}," if hasattr(message, "sent") else ""
     probe = " (probe)" if getattr(message, "probe", False) else ""
-    return f"{message.sender}'s {type(message).__name__}{probe} of term {message.term}{sent} for {to}"
+    return (
+        f"{message.sender}'s {type(message).__name__}{probe} of term {message.term}{sent} for {to}"
+    )
 
 
 def _at_proxy(world: World, order: Toward, fenced: bool) -> World:
@@ -309,9 +390,14 @@
     if order.term < before[0] or order.term == before[0] and before[1] != order.sender:
         broken = f"proxy {order.proxy} obeys {order.sender} of term {order.term} after {before[1]} of term {before[0]}"
     return replace(
-        world, fences=changed(world.fences, order.proxy, (order.term, order.sender)),
-        drained=changed(world.drained, order.proxy, world.drained[order.proxy] or order.what == DRAIN),
-        tried=world.tried + (order.what == TRY), broken=broken)
+        world,
+        fences=changed(world.fences, order.proxy, (order.term, order.sender)),
+        drained=changed(
+            world.drained, order.proxy, world.drained[order.proxy] or order.what == DRAIN
+        ),
+        tried=world.tried + (order.what == TRY),
+        broken=broken,
+    )
 
 
 # What must hold.
@@ -328,7 +414,9 @@
     if len(ordering) > 1:
         return f"{' and '.join(MEMBERS[n] for n in ordering)} may order at one time"
     if any(world.drained) and any(DRAIN not in world.logs[n] for n in ordering):
-        return f"{MEMBERS[ordering[0]]} may order and does not know of the drain that a proxy was told"
+        return (
+            f"{MEMBERS[ordering[0]]} may order and does not know of the drain that a proxy was told"
+        )
     if world.tried > 1:
         return "the try was allowed twice"
     return ""
@@ -336,7 +424,9 @@
 
 def revives(world: World) -> bool:
     """Whether, with no more trouble, somebody becomes master: all messages arrive and everybody acts on its time."""
-    world = replace(world, left=replace(world.left, terms=99, missed=0, restarts=0, doubled=0, lost=0, passes=0))
+    world = replace(
+        world, left=replace(world.left, terms=99, missed=0, restarts=0, doubled=0, lost=0, passes=0)
+    )
     for _ in range(12 * LEASE):
         world = _settled(world, (0, 1, 2))
         if any(m.may_order(_clock(world, n)) for n, m in enumerate(world.machines)):
@@ -368,15 +458,31 @@
         return revives(world)
 
 
-def search(states: int, seconds: float = 1e9, make: Callable[..., Machine] = Machine, bounds: Bounds | None = None,
-           commits: bool = True, fenced: bool = True, revive_each: int = 0, prefix: Iterable[str] = ()) -> Found:
+def search(
+    states: int,
+    seconds: float = 1e9,
+    make: Callable[..., Machine] = Machine,
+    bounds: Bounds | None = None,
+    commits: bool = True,
+    fenced: bool = True,
+    revive_each: int = 0,
+    prefix: Iterable[str] = (),
+) -> Found:
     """Breadth first, so that the trace is a shortest one (from where `prefix` leads, if it does)."""
     model = Model(commits, fenced)
-    return breadth(model, led(model, start(make, bounds or Bounds()), prefix), states, seconds, revive_each)
-
-
-def swarm(seconds: float, seed: int, make: Callable[..., Machine] = Machine, bounds: Bounds | None = None,
-          length: int = 60, walks: int = 10**9) -> Found:
+    return breadth(
+        model, led(model, start(make, bounds or Bounds()), prefix), states, seconds, revive_each
+    )
+
+
+def swarm(
+    seconds: float,
+    seed: int,
+    make: Callable[..., Machine] = Machine,
+    bounds: Bounds | None = None,
+    length: int = 60,
+    walks: int = 10**9,
+) -> Found:
     """Walks until one breaks a property; its trace is shortened."""
     return swarmed(Model(), start(make, bounds or Bounds(flying=6)), seconds, seed, length, walks)
 
@@ -384,13 +490,19 @@
 def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("--states", type=int, default=1_000_000)
-    parser.add_argument("--seconds", type=float, default=600, help="for the breadth, and for each of the walks")
-    parser.add_argument("--walkers", type=int, default=4, help="processes that walk, with seeds of their own")
+    parser.add_argument(
+        "--seconds", type=float, default=600, help="for the breadth, and for each of the walks"
+    )
+    parser.add_argument(
+        "--walkers", type=int, default=4, help="processes that walk, with seeds of their own"
+    )
     given = parser.parse_args()
     with ProcessPoolExecutor(given.walkers + 1) as pool:
         wide = pool.submit(search, given.states, given.seconds, revive_each=997)
-        walks = {seed: pool.submit(swarm, given.seconds, seed, bounds=Bounds(flying=8, lost=3, terms=4))
-                 for seed in range(given.walkers)}
+        walks = {
+            seed: pool.submit(swarm, given.seconds, seed, bounds=Bounds(flying=8, lost=3, terms=4))
+            for seed in range(given.walkers)
+        }
         for seed, found in walks.items():
             print(found.result().said(f"walks of seed {seed}", ""), flush=True)
         print(wide.result().said("breadth first", "a master again"), flush=True)
--- a/dunlinlug/fleet/succession/words.py
+++ b/dunlinlug/fleet/succession/words.py
@@ -2,7 +2,9 @@
 
 from dataclasses import dataclass
 
-Position = tuple[int, int]  # the term in which the last entry was made, and its number; compared in this order
+Position = tuple[
+    int, int
+]  # the term in which the last entry was made, and its number; compared in this order
 
 NOWHERE: Position = (0, 0)
 
--- a/dunlinlug/guard/holdings.py
+++ b/dunlinlug/guard/holdings.py
@@ -12,7 +12,9 @@
 @dataclass
 class Table:
     lines: dict[str, float] = field(default_factory=dict)
-    levels: dict[int, tuple[int, float]] = field(default_factory=dict)  # by product: way of trying again, share
+    levels: dict[int, tuple[int, float]] = field(
+        default_factory=dict
+    )  # by product: way of trying again, share
 
 
 class Holdings:
@@ -23,10 +25,16 @@
         # By joined proxy and product: the tables it may be on, newest last, and the place of their order.
         self.held: dict[int, dict[int, list[tuple[int, int]]]] = {}
         self._users: dict[int, dict[int, None]] | None = {}
-        self.moved: dict[int, None] = {}  # proxies that may hold other tables since the sums were last made
+        self.moved: dict[
+            int, None
+        ] = {}  # proxies that may hold other tables since the sums were last made
         self.out: set[str] = set()  # as ordered last
-        self.unsure: dict[str, tuple[int, set[int]]] = {}  # by worker: place of the mark, proxies yet to answer
-        self.places: dict[int, int] = {}  # marks not yet settled, by number, and their place in order
+        self.unsure: dict[
+            str, tuple[int, set[int]]
+        ] = {}  # by worker: place of the mark, proxies yet to answer
+        self.places: dict[
+            int, int
+        ] = {}  # marks not yet settled, by number, and their place in order
         self.last = 0
 
     def hear(self, event: face.Event) -> None:
--- a/dunlinlug/guard/pins.py
+++ b/dunlinlug/guard/pins.py
@@ -64,7 +64,9 @@
         if not 0 <= pin.product < len(names):
             raise PinFault(f"unknown product; known are {', '.join(names)}")
         if not now < pin.until <= now + self.longest:
-            raise PinFault(f"lasts {pin.until - now:g} s; more than 0 and at most {self.longest:g} s")
+            raise PinFault(
+                f"lasts {pin.until - now:g} s; more than 0 and at most {self.longest:g} s"
+            )
         if not pin.weights:
             raise PinFault("names no worker; a pin gives weights, a subset or an exclusion")
         for worker, weight in pin.weights.items():
@@ -76,15 +78,31 @@
     def weigh(self, now: float, pin: Pin) -> tuple[list[Refusal], list[str]]:
         """What the judge would refuse of the pinned table if all proxies held it beside what they hold now, and
         cautions: no rule keeps an operator from overloading a warm worker."""
-        lines = [face.Share(TRIAL, worker, weight) for worker, weight in self._lines(now, pin).items()]
+        lines = [
+            face.Share(TRIAL, worker, weight) for worker, weight in self._lines(now, pin).items()
+        ]
         binds = [face.Bind(proxy, (pin.product,), TRIAL) for proxy in self.judge.holdings.held]
         if not any(self._may_be_used(worker) for worker in self._workers(pin)):
-            return [Refusal(face.Bind(0, (pin.product,), TRIAL), "bare", "none of its workers may be used",
-                            "a ready worker that is not withdrawn", tuple(self.judge.holdings.held))], []
+            return [
+                Refusal(
+                    face.Bind(0, (pin.product,), TRIAL),
+                    "bare",
+                    "none of its workers may be used",
+                    "a ready worker that is not withdrawn",
+                    tuple(self.judge.holdings.held),
+                )
+            ], []
         # Danger: one kept out for now would meet its pinned weight on the day it is let in.
-        letting = [face.Withdraw(worker, False) for worker, weight in pin.weights.items()
-                   if weight and worker in self.judge.holdings.out and self.judge.ready(worker)]
-        refusals = [refusal for refusal in self.judge.would(now, [*lines, *binds, *letting]) if not refusal.passed]
+        letting = [
+            face.Withdraw(worker, False)
+            for worker, weight in pin.weights.items()
+            if weight and worker in self.judge.holdings.out and self.judge.ready(worker)
+        ]
+        refusals = [
+            refusal
+            for refusal in self.judge.would(now, [*lines, *binds, *letting])
+            if not refusal.passed
+        ]
         return refusals, [] if refusals else self._cautions(now, [line.worker for line in lines])
 
     def _cautions(self, now: float, workers: list[str]) -> list[str]:
@@ -93,8 +111,10 @@
         for worker in workers:
             brought, settled = self.judge.trial.load(worker), reading.settles(worker, now)
             if settled and brought > reading.duties.fall_multiple * settled:
-                said.append(f"{worker} would be sent {brought:.1f} txns a second by all proxies; of late it settled "
-                            f"{settled:.1f}")
+                said.append(
+                    f"{worker} would be sent {brought:.1f} txns a second by all proxies; of late it settled "
+                    f"{settled:.1f}"
+                )
         return said
 
     def put(self, pin: Pin) -> face.Pinned:
@@ -113,7 +133,10 @@
         refused = {_brings_to(r.order): r for r in refusals if not r.passed}
         ended = []
         for pin in list(self.standing.values()):
-            bad = next((refused[worker] for worker, n in pin.weights.items() if n and worker in refused), None)
+            bad = next(
+                (refused[worker] for worker, n in pin.weights.items() if n and worker in refused),
+                None,
+            )
             if now >= pin.until:
                 ended.append(Ended(pin, "its time is up", False))
             elif not any(self._may_be_used(worker) for worker in self._workers(pin)):
--- a/dunlinlug/guard/reading.py
+++ b/dunlinlug/guard/reading.py
@@ -11,7 +11,9 @@
 HALF = 4.0  # seconds in which the best settled rate loses half: a few report cycles, shorter than a ramp
 SMOOTH = 0.5  # of each report goes into a proxy's demand: two or three cycles to follow a rise
 SILENT = 5.0  # seconds without a report from which a proxy counts as silent
-UNHEARD = 1.25  # times its last demand that a silent proxy is taken to bring: it may have grown unseen
+UNHEARD = (
+    1.25  # times its last demand that a silent proxy is taken to bring: it may have grown unseen
+)
 SPARE = 1.1  # times its limit that a cold worker may be promised: the reading of its capacity is a lower bound
 
 
@@ -35,7 +37,9 @@
                 self.usual[proxy] = rate
             case face.Left(proxy):
                 self._forget(proxy)
-            case face.Asked(proxy, product, txns, _, span) if proxy is not None and product in self.names and span > 0:
+            case face.Asked(proxy, product, txns, _, span) if (
+                proxy is not None and product in self.names and span > 0
+            ):
                 key = (proxy, self.names[product])
                 before = self.demand.get(key, txns / span)
                 self.demand[key] = before + SMOOTH * (txns / span - before)
@@ -74,7 +78,9 @@
         age = max(now - since, 0.0)
         if age >= self.duties.warm_after:
             return 1.0
-        return self.duties.cold_share + (1.0 - self.duties.cold_share) * age / self.duties.warm_after
+        return (
+            self.duties.cold_share + (1.0 - self.duties.cold_share) * age / self.duties.warm_after
+        )
 
     def size(self, now: float, warm: Iterable[tuple[str, float]]) -> float:
         """What a warm worker carries at least for each unit of weight: what warm ones settled of late over theirs.
--- a/dunlinlug/guard/sums.py
+++ b/dunlinlug/guard/sums.py
@@ -14,7 +14,9 @@
     def __init__(self, holdings: Holdings, reading: Reading, products: int) -> None:
         self.holdings, self.reading, self.products = holdings, reading, products
         self.groups: dict[Group, float] = {}
-        self.parts: dict[tuple[int, int], tuple[Group, float]] = {}  # by proxy and product: where it is summed
+        self.parts: dict[
+            tuple[int, int], tuple[Group, float]
+        ] = {}  # by proxy and product: where it is summed
         self.made_at = -inf
 
     def at(self, now: float) -> dict[Group, float]:
--- a/dunlinlug/interface.py
+++ b/dunlinlug/interface.py
@@ -64,7 +64,9 @@
     usual_retry: int = 1
     admits: str = "none"
     slices: int = 0
-    standing: int = 1  # workers that a proxy's table holds at its start, for which the channel has room
+    standing: int = (
+        1  # workers that a proxy's table holds at its start, for which the channel has room
+    )
 
 
 @dataclass(frozen=True)
@@ -288,6 +290,34 @@
     others: bool = True
 
 
-Event = (Listed | Rung | Probed | PeerSaid | Joined | Left | Met | Asked | Given | Stored | Answered | Refused
-         | Pinned | Trusted | Laden)
-Order = Share | Clear | Bind | Withdraw | Admit | Mark | Follow | Fetch | Probe | Wake | TellPeers | Note
+Event = (
+    Listed
+    | Rung
+    | Probed
+    | PeerSaid
+    | Joined
+    | Left
+    | Met
+    | Asked
+    | Given
+    | Stored
+    | Answered
+    | Refused
+    | Pinned
+    | Trusted
+    | Laden
+)
+Order = (
+    Share
+    | Clear
+    | Bind
+    | Withdraw
+    | Admit
+    | Mark
+    | Follow
+    | Fetch
+    | Probe
+    | Wake
+    | TellPeers
+    | Note
+)
--- a/dunlinlug/kept.py
+++ b/dunlinlug/kept.py
@@ -51,7 +51,10 @@
         with self.env.begin(write=True) as change:
             count = int(change.get(b"refusals") or b"0")
             for refusal in refusals:
-                change.put(b"refusal %08d" % (count % max(most, 1)), json.dumps({"n": count, **refusal}).encode())
+                change.put(
+                    b"refusal %08d" % (count % max(most, 1)),
+                    json.dumps({"n": count, **refusal}).encode(),
+                )
                 count += 1
             change.put(b"refusals", str(count).encode())
 
@@ -61,7 +64,9 @@
             found = json.loads(view.get(of.encode()) or b"null")
         return tuple(found) if found else None
 
-    def put_vote(self, term: int, voted: str, version: int, members: list[str], of: str = "vote") -> None:
+    def put_vote(
+        self, term: int, voted: str, version: int, members: list[str], of: str = "vote"
+    ) -> None:
         """On disk before it is said."""
         with self.env.begin(write=True) as change:
             change.put(of.encode(), json.dumps([term, voted, version, members]).encode())
@@ -87,7 +92,9 @@
         raise KeptFault(f"{folder}: no store here")
     try:
         with lmdb.open(str(folder), map_size=SIZE, readonly=True) as env, env.begin() as view:
-            found = [json.loads(value) for key, value in view.cursor() if key.startswith(b"refusal ")]
+            found = [
+                json.loads(value) for key, value in view.cursor() if key.startswith(b"refusal ")
+            ]
     except lmdb.Error as error:
         raise KeptFault(f"{folder}: {error}") from None
     return sorted(found, key=lambda refusal: int(refusal["n"]))
--- a/dunlinlug/manager/anchors.py
+++ b/dunlinlug/manager/anchors.py
@@ -11,7 +11,9 @@
     whole fleet cold."""
 
     def __init__(self) -> None:
-        self.starts: dict[str, tuple[float, float]] = {}  # by worker: its start as told, and on our clock
+        self.starts: dict[
+            str, tuple[float, float]
+        ] = {}  # by worker: its start as told, and on our clock
 
     def anchored(self, worker: face.Worker, offset: float) -> face.Worker:
         """`offset`: the module's clock less the wall clock, in seconds, now."""
--- a/dunlinlug/manager/channel.py
+++ b/dunlinlug/manager/channel.py
@@ -10,7 +10,9 @@
 class Channel:
     """A paced queue in its own order; times are the caller's clock in seconds."""
 
-    def __init__(self, pace: float, waiting_most: float, messages_most: int, messages_span: float) -> None:
+    def __init__(
+        self, pace: float, waiting_most: float, messages_most: int, messages_span: float
+    ) -> None:
         self.pace, self.waiting_most = pace, waiting_most
         self.messages_most, self.messages_span = messages_most, messages_span
         self.queue: deque[tuple[int, Parcel]] = deque()
@@ -35,7 +37,9 @@
     def due(self, now: float) -> list[tuple[int, Parcel]]:
         """The messages that have left by now, in order."""
         left = []
-        if self.queue:  # Danger: after a stop of the process all that waited would leave in one burst
+        if (
+            self.queue
+        ):  # Danger: after a stop of the process all that waited would leave in one burst
             self.free_at = max(self.free_at, now - BEHIND)
         while self.queue and self.free_at <= now:
             proxy, parcel = self.queue.popleft()
--- a/dunlinlug/manager/laid.py
+++ b/dunlinlug/manager/laid.py
@@ -38,11 +38,15 @@
         self.tables: dict[int, Laid] = {}
         self.out: set[str] = set()
         self.seats: dict[int, Seated] = {}
-        self.users: dict[int, dict[int, None]] = {}  # by table the proxies bound to it, in the order they were
+        self.users: dict[
+            int, dict[int, None]
+        ] = {}  # by table the proxies bound to it, in the order they were
         self.touched: dict[int, float] = {}  # lines by proxy in the reply at hand
         # Told to proxies once the reply goes on to something else. Danger: told one by one, a change or a mass of
         # withdrawals would cost proxies x lines.
-        self.owed: dict[int, tuple[float, bool]] = {}  # by table, its lines changed, and whether a level is among them
+        self.owed: dict[
+            int, tuple[float, bool]
+        ] = {}  # by table, its lines changed, and whether a level is among them
         self.moved: list[str] = []  # workers shut out or let back
 
     def leave(self, proxy: int) -> None:
@@ -110,13 +114,20 @@
     def _tell_moved(self) -> None:
         """A line to each proxy for each of these workers that a table of its own names, or that one not known may."""
         moved, self.moved = self.moved, []
-        named = {tbl: {worker for worker in moved if worker in laid.lines} for tbl, laid in self.tables.items()}
+        named = {
+            tbl: {worker for worker in moved if worker in laid.lines}
+            for tbl, laid in self.tables.items()
+        }
         seen: dict[tuple[int, ...], tuple[float, set[int]]] = {}
         for proxy, seat in self.seats.items():
             bound = tuple(seat.bound.values())
             if bound not in seen:
                 uses = {tbl for tbl in bound if named[tbl]}
-                count = len(moved) if len(bound) < self.kinds else len(set().union(*(named[tbl] for tbl in uses)))
+                count = (
+                    len(moved)
+                    if len(bound) < self.kinds
+                    else len(set().union(*(named[tbl] for tbl in uses)))
+                )
                 seen[bound] = (float(count), uses)
             lines, uses = seen[bound]
             if lines:
--- a/dunlinlug/manager/ledger.py
+++ b/dunlinlug/manager/ledger.py
@@ -61,7 +61,10 @@
         came = [(c.since, 1, str(key[0]), key[1]) for key, c in self.came.items()]
         chosen = sorted(met + came)[: int(self.allowed)]
         self.allowed -= len(chosen)
-        return [self._met(now, a, b) if not kind else self._came(now, int(a), b) for _, kind, a, b in chosen]
+        return [
+            self._met(now, a, b) if not kind else self._came(now, int(a), b)
+            for _, kind, a, b in chosen
+        ]
 
     def _met(self, now: float, zone: str, worker: str) -> face.Event:
         met = self.met.pop((zone, worker))
--- a/dunlinlug/manager/log.py
+++ b/dunlinlug/manager/log.py
@@ -11,8 +11,14 @@
     console = form == "console" or form == "auto" and sys.stderr.isatty()
     shown: Any = structlog.dev.ConsoleRenderer() if console else structlog.processors.JSONRenderer()
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True), shown],
-        logger_factory=structlog.PrintLoggerFactory(sys.stderr), cache_logger_on_first_use=False)
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            shown,
+        ],
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+        cache_logger_on_first_use=False,
+    )
 
 
 def logger(part: str) -> Any:
--- a/dunlinlug/manager/loop.py
+++ b/dunlinlug/manager/loop.py
@@ -24,7 +24,9 @@
     def hear(self, events: Iterable[face.Event]) -> None:
         """Events that the module is about to hear, in order."""
 
-    def obey(self, orders: Iterable[face.Order], now: float, concerned: Iterable[int] = ()) -> Mapping[int, Parcel]:
+    def obey(
+        self, orders: Iterable[face.Order], now: float, concerned: Iterable[int] = ()
+    ) -> Mapping[int, Parcel]:
         """Carry out one reply; gives a parcel for each proxy concerned."""
 
 
@@ -52,8 +54,13 @@
 class Watch(Protocol):
     """Judges replies before they are carried out."""
 
-    def look(self, now: float, events: Sequence[face.Event], orders: list[face.Order],
-             tell: Callable[[face.Event], None]) -> tuple[list[face.Order], list[int]]:
+    def look(
+        self,
+        now: float,
+        events: Sequence[face.Event],
+        orders: list[face.Order],
+        tell: Callable[[face.Event], None],
+    ) -> tuple[list[face.Order], list[int]]:
         """The orders to carry out, and the proxies that a refused one concerned."""
 
 
@@ -76,14 +83,33 @@
     """One module, one queue of events. Other parts `tell` it and are handed orders by their kind. Module, timers and
     events live on `clock`: trio's, plus `shift` after a succession."""
 
-    def __init__(self, module: Decider, desk: Desk, channel: Channel, deliver: Callable[[int, Parcel], None],
-                 note: Callable[..., None], watch: Watch | None = None, least: float = 0.0) -> None:
-        self.watch, self.least = watch, least  # the last: seconds from one turn to the next at least
-        self.module, self.desk, self.channel, self.deliver, self.note = module, desk, channel, deliver, note
+    def __init__(
+        self,
+        module: Decider,
+        desk: Desk,
+        channel: Channel,
+        deliver: Callable[[int, Parcel], None],
+        note: Callable[..., None],
+        watch: Watch | None = None,
+        least: float = 0.0,
+    ) -> None:
+        self.watch, self.least = (
+            watch,
+            least,
+        )  # the last: seconds from one turn to the next at least
+        self.module, self.desk, self.channel, self.deliver, self.note = (
+            module,
+            desk,
+            channel,
+            deliver,
+            note,
+        )
         self.inbox: list[face.Event] = []
         self.come, self.put = trio.Event(), trio.Event()
         self.timers: list[tuple[float, int]] = []
-        self.others: dict[type, Callable[[Any], None]] = {}  # by kind, who carries out orders not for proxies
+        self.others: dict[
+            type, Callable[[Any], None]
+        ] = {}  # by kind, who carries out orders not for proxies
         self.batches = 0
         self.shift = 0.0
         self.leading: Leading | None = None
@@ -108,7 +134,9 @@
                 await trio.sleep(self.least)  # whatever else is ready runs before the next turn
 
     def _next_at(self) -> float:
-        leads = not self.stopped and (self.leading is None or self.leading.leads(trio.current_time()))
+        leads = not self.stopped and (
+            self.leading is None or self.leading.leads(trio.current_time())
+        )
         return self.timers[0][0] - self.shift if self.timers and leads else float("inf")
 
     def turn(self, now: float) -> None:
@@ -145,7 +173,9 @@
         """Into the channel, in order."""
         for proxy, parcel in parcels.items():
             for bound in self.channel.put(now, proxy, parcel):
-                self.note("channel.over", bound=bound, proxy=proxy, waiting=round(self.channel.waiting))
+                self.note(
+                    "channel.over", bound=bound, proxy=proxy, waiting=round(self.channel.waiting)
+                )
         self.put.set()
 
     def follow(self, now: float, events: Sequence[face.Event], left_out: Sequence[int]) -> None:
@@ -157,7 +187,9 @@
         orders = self.module.decide(now, events)
         passed = [order for n, order in enumerate(orders) if n not in left_out]
         self.desk.obey(passed, trio.current_time())
-        self.timers += [(now + order.after, order.token) for order in passed if isinstance(order, face.Wake)]
+        self.timers += [
+            (now + order.after, order.token) for order in passed if isinstance(order, face.Wake)
+        ]
         heapq.heapify(self.timers)
 
     def _carry_out(self, now: float, orders: Sequence[face.Order]) -> None:
@@ -169,17 +201,31 @@
             elif type(order) in self.others:
                 self.others[type(order)](order)
 
-    def _explain(self, events: Sequence[face.Event], orders: Sequence[face.Order],
-                 parcels: Mapping[int, Parcel]) -> None:
+    def _explain(
+        self,
+        events: Sequence[face.Event],
+        orders: Sequence[face.Order],
+        parcels: Mapping[int, Parcel],
+    ) -> None:
         """One log line for each reply that orders anything: what, for how many, and the events that caused it."""
-        kinds = Counter(type(order).__name__ for order in orders if not isinstance(order, face.Wake | face.Note))
+        kinds = Counter(
+            type(order).__name__ for order in orders if not isinstance(order, face.Wake | face.Note)
+        )
         if not kinds:
             return
-        causes = Counter(type(e).__name__ + (f".{e.form}" if isinstance(e, face.Listed) else "") for e in events)
+        causes = Counter(
+            type(e).__name__ + (f".{e.form}" if isinstance(e, face.Listed) else "") for e in events
+        )
         withdrawn = {o.worker: o.out for o in orders if isinstance(o, face.Withdraw)}
-        self.note("decided", orders=dict(kinds), causes=dict(causes), proxies=len(parcels),
-                  lines=round(sum(p.lines for p in parcels.values())), waiting=round(self.channel.waiting),
-                  **({"withdrawn": withdrawn} if withdrawn else {}))
+        self.note(
+            "decided",
+            orders=dict(kinds),
+            causes=dict(causes),
+            proxies=len(parcels),
+            lines=round(sum(p.lines for p in parcels.values())),
+            waiting=round(self.channel.waiting),
+            **({"withdrawn": withdrawn} if withdrawn else {}),
+        )
 
     async def _pace(self) -> None:
         while True:
--- a/dunlinlug/manager/probes.py
+++ b/dunlinlug/manager/probes.py
@@ -9,7 +9,9 @@
 from dunlinlug import interface as face
 from dunlinlug.net import http
 
-REPORT_MOST = 2**16  # bytes of an answer: a report has some hundred. Danger: one without end, times those at once
+REPORT_MOST = (
+    2**16
+)  # bytes of an answer: a report has some hundred. Danger: one without end, times those at once
 
 
 def by_id(worker: str) -> tuple[str, int]:
@@ -26,9 +28,15 @@
 class Prober:
     """`where` gives a worker's address, or raises KeyError; `read` its report from an answer's body."""
 
-    def __init__(self, path: str, within: float, at_once: int, tell: Callable[[face.Event], None],
-                 where: Callable[[str], tuple[str, int]] = by_id,
-                 read: Callable[[bytes], dict[str, float]] = from_json) -> None:
+    def __init__(
+        self,
+        path: str,
+        within: float,
+        at_once: int,
+        tell: Callable[[face.Event], None],
+        where: Callable[[str], tuple[str, int]] = by_id,
+        read: Callable[[bytes], dict[str, float]] = from_json,
+    ) -> None:
         self.path, self.within, self.tell, self.where, self.read = path, within, tell, where, read
         self.limit = trio.CapacityLimiter(max(at_once, 1))
 
@@ -39,7 +47,9 @@
             result, load = "timeout", dict[str, float]()
             with trio.move_on_after(self.within):
                 result, load = await self._ask(worker)
-            self.tell(face.Probed(worker, result == "ok", result, trio.current_time() - started, load))
+            self.tell(
+                face.Probed(worker, result == "ok", result, trio.current_time() - started, load)
+            )
 
     async def _ask(self, worker: str) -> tuple[str, dict[str, float]]:
         try:
--- a/dunlinlug/manager/roster.py
+++ b/dunlinlug/manager/roster.py
@@ -19,8 +19,16 @@
 class Follower:
     """`tell` hears each change as `Listed`; `keep` gets the list's body with wall-clock starts."""
 
-    def __init__(self, client: http.Client, state: Following, within: float, wall_offset: Callable[[], float],
-                 tell: Callable[[face.Event], None], keep: Callable[[bytes], None], note: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        client: http.Client,
+        state: Following,
+        within: float,
+        wall_offset: Callable[[], float],
+        tell: Callable[[face.Event], None],
+        keep: Callable[[bytes], None],
+        note: Callable[..., None],
+    ) -> None:
         self.client, self.state, self.within, self.offset = client, state, within, wall_offset
         self.tell, self.keep, self.note = tell, keep, note
         self.known: dict[str, face.Worker] | None = None
@@ -59,7 +67,9 @@
             except http.HttpFault as fault:
                 raise RosterFault(str(fault)) from None
         if reply is None or reply.status != 200:
-            raise RosterFault("no answer in time" if reply is None else f"answered with status {reply.status}")
+            raise RosterFault(
+                "no answer in time" if reply is None else f"answered with status {reply.status}"
+            )
         try:
             workers, double = entries.read(reply.body, 0.0)
             fresh = self.state.came(reply.headers.get(INDEX))
--- a/dunlinlug/net/grpc.py
+++ b/dunlinlug/net/grpc.py
@@ -14,7 +14,9 @@
 READ = 2**16  # bytes asked of a socket at a time
 AHEAD = 256  # messages a peer may send ahead of their handling before its call is ended
 GOODBYE = 0.5  # seconds for what is being written at the end, and a goodbye: none is owed to a peer that is stuck
-UNREAD = 2**22  # bytes left to write from which on nothing more is read: a peer must take its answers
+UNREAD = (
+    2**22
+)  # bytes left to write from which on nothing more is read: a peer must take its answers
 
 
 class CallEnded(Exception):
@@ -32,7 +34,9 @@
         self.link, self.stream, self.path = link, stream, path
         self.inlet, self.outlet = trio.open_memory_channel[bytes](AHEAD)
         self.ended: CallEnded | None = None
-        self.opened = trio.Event()  # client side: the server's first headers have come, or it has ended
+        self.opened = (
+            trio.Event()
+        )  # client side: the server's first headers have come, or it has ended
         self.scope = trio.CancelScope()
 
     async def receive(self) -> bytes:
@@ -79,12 +83,20 @@
 class Link:
     """A socket with its connection and calls."""
 
-    def __init__(self, socket: trio.abc.Stream, connection: rpc.Connection, identity: str = "") -> None:
+    def __init__(
+        self, socket: trio.abc.Stream, connection: rpc.Connection, identity: str = ""
+    ) -> None:
         """`identity` is the peer's name by its certificate, if it showed one."""
         self.socket, self.connection, self.identity = socket, connection, identity
         self.calls: dict[int, Call] = {}
-        self.wanted, self.moved = trio.Event(), trio.Event()  # something to write; something was written
-        self.outgoing, self.unwritten = list[bytes](), 0  # bytes taken from the connection and not yet written
+        self.wanted, self.moved = (
+            trio.Event(),
+            trio.Event(),
+        )  # something to write; something was written
+        self.outgoing, self.unwritten = (
+            list[bytes](),
+            0,
+        )  # bytes taken from the connection and not yet written
         self.heard_at = trio.current_time()
         self.gate: trio.Event | None = None  # set to stop reading until the event is set
         self.writing, self.cut, self.ends_at = trio.CancelScope(), False, inf
@@ -93,7 +105,7 @@
         """Take what the connection has to send; the writer is woken only if there is something."""
         data = self.connection.data_to_send()
         if data and not self.unwritten:
-            data = data[self._write_now(data):]
+            data = data[self._write_now(data) :]
         if data:
             self.outgoing.append(data)
             self.unwritten += len(data)
@@ -115,14 +127,20 @@
         self.flush()
         return self.calls[stream]
 
-    async def run(self, answer: Callable[[Call], Awaitable[None]] | None = None, hello: float = 10.0,
-                  quiet_most: float = 60.0) -> None:
+    async def run(
+        self,
+        answer: Callable[[Call], Awaitable[None]] | None = None,
+        hello: float = 10.0,
+        quiet_most: float = 60.0,
+    ) -> None:
         """Move bytes until either side closes. A peer must open a call within `hello` seconds, if we answer
         calls, and let no more than `quiet_most` seconds pass without a byte (we ping it at a third of that)."""
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._write)
-                nursery.start_soon(self._watch, nursery.cancel_scope, hello if answer else None, quiet_most)
+                nursery.start_soon(
+                    self._watch, nursery.cancel_scope, hello if answer else None, quiet_most
+                )
                 await self._read(nursery, answer)
                 nursery.cancel_scope.cancel()
         finally:
@@ -131,13 +149,19 @@
             with trio.move_on_at(self.ends_at) as scope:
                 scope.shield = True
                 self.connection.close()
-                if not self.cut:  # Danger: behind half a frame, the goodbye would be read as the rest of it
+                if (
+                    not self.cut
+                ):  # Danger: behind half a frame, the goodbye would be read as the rest of it
                     self.flush()
-                    with suppress(trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError):
+                    with suppress(
+                        trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError
+                    ):
                         await self.socket.send_all(b"".join(self.outgoing))
             await trio.aclose_forcefully(self.socket)
 
-    async def _read(self, nursery: trio.Nursery, answer: Callable[[Call], Awaitable[None]] | None) -> None:
+    async def _read(
+        self, nursery: trio.Nursery, answer: Callable[[Call], Awaitable[None]] | None
+    ) -> None:
         while not self.connection.closed:
             while self.unwritten > UNREAD:
                 await self.moved.wait()
@@ -154,8 +178,12 @@
                 self._meet(event, nursery, answer)
             self.flush()
 
-    def _meet(self, event: rpc.Event, nursery: trio.Nursery,
-              answer: Callable[[Call], Awaitable[None]] | None) -> None:
+    def _meet(
+        self,
+        event: rpc.Event,
+        nursery: trio.Nursery,
+        answer: Callable[[Call], Awaitable[None]] | None,
+    ) -> None:
         match event:
             case rpc.Called(stream, path) if answer is not None:
                 call = self.calls[stream] = Call(self, stream, path)
@@ -164,7 +192,9 @@
                 try:
                     self.calls[stream].inlet.send_nowait(data)
                 except trio.WouldBlock:  # Danger: a peer that floods would fill our memory
-                    self.calls[stream].finish(rpc.Status.RESOURCE_EXHAUSTED, "messages come too fast")
+                    self.calls[stream].finish(
+                        rpc.Status.RESOURCE_EXHAUSTED, "messages come too fast"
+                    )
                     self._over(stream, None, "flooded")
                 except (trio.BrokenResourceError, trio.ClosedResourceError):
                     return
@@ -216,7 +246,9 @@
         finally:
             self.ends_at = self.writing.deadline = trio.current_time() + GOODBYE
 
-    async def _listen(self, scope: trio.CancelScope, hello: float | None, quiet_most: float) -> None:
+    async def _listen(
+        self, scope: trio.CancelScope, hello: float | None, quiet_most: float
+    ) -> None:
         started = trio.current_time()
         while True:
             await trio.sleep(min(hello or quiet_most, quiet_most / 3))
@@ -230,14 +262,19 @@
                 self.flush()
 
 
-async def serve(listeners: list[trio.SocketListener], answer: Callable[[Call], Awaitable[None]],
-                hello: float = 10.0, quiet_most: float = 60.0,
-                fault: Callable[[Exception], None] | None = None,
-                secure: Callable[[], ssl.SSLContext | None] = lambda: None,
-                unproven: Callable[[str], None] = lambda why: None) -> None:
+async def serve(
+    listeners: list[trio.SocketListener],
+    answer: Callable[[Call], Awaitable[None]],
+    hello: float = 10.0,
+    quiet_most: float = 60.0,
+    fault: Callable[[Exception], None] | None = None,
+    secure: Callable[[], ssl.SSLContext | None] = lambda: None,
+    unproven: Callable[[str], None] = lambda why: None,
+) -> None:
     """Serve calls on these listeners until cancelled. What goes wrong in a link ends that link and is told to
     `fault`; without it, it ends the serving. `secure` gives the TLS context for each new connection, so that keys may
     change while streams stand; who shows no good certificate is told to `unproven`."""
+
     async def one(socket: trio.SocketStream) -> None:
         try:
             context = secure()
@@ -261,7 +298,9 @@
             return
         # Danger: a certificate that has run out meanwhile would go on being believed for as long as its stream stands.
         with trio.move_on_after(max(tls.lasts(stream), 0.0)) as scope:
-            await Link(stream, rpc.Connection(client=False), tls.identity(stream)).run(answer, hello, quiet_most)
+            await Link(stream, rpc.Connection(client=False), tls.identity(stream)).run(
+                answer, hello, quiet_most
+            )
         if scope.cancelled_caught:
             unproven(f"the certificate of {tls.identity(stream)} has run out")
 
@@ -269,15 +308,23 @@
 
 
 @asynccontextmanager
-async def dial(host: str, port: int, within: float = 2.0, quiet_most: float = 60.0,
-               context: ssl.SSLContext | None = None, name: str = "") -> AsyncIterator[Link]:
+async def dial(
+    host: str,
+    port: int,
+    within: float = 2.0,
+    quiet_most: float = 60.0,
+    context: ssl.SSLContext | None = None,
+    name: str = "",
+) -> AsyncIterator[Link]:
     """A client's link, for the time of the block; raises OSError if nobody answers within that many seconds. With a
     `context` it is TLS, and the server's certificate must be for `name` (or the host)."""
     socket: trio.abc.Stream
     with trio.move_on_after(within) as scope:
         socket = await trio.open_tcp_stream(host, port)
         if context is not None:
-            socket = trio.SSLStream(socket, context, server_hostname=name or host, https_compatible=True)
+            socket = trio.SSLStream(
+                socket, context, server_hostname=name or host, https_compatible=True
+            )
             try:
                 await socket.do_handshake()
             except trio.BrokenResourceError as error:
--- a/dunlinlug/net/http.py
+++ b/dunlinlug/net/http.py
@@ -11,8 +11,12 @@
 import trio
 
 READ = 2**16
-LARGEST = 8 * 2**20  # bytes of a body that is still taken: a list of ten thousand workers is a third of it
-IDEMPOTENT = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})  # RFC 9110, 9.2.2: twice has the effect of once
+LARGEST = (
+    8 * 2**20
+)  # bytes of a body that is still taken: a list of ten thousand workers is a third of it
+IDEMPOTENT = frozenset(
+    {"GET", "HEAD", "PUT", "DELETE", "OPTIONS"}
+)  # RFC 9110, 9.2.2: twice has the effect of once
 
 
 class HttpFault(Exception):
@@ -42,7 +46,9 @@
     @classmethod
     def json(cls, value: Any, status: int = 200, **headers: str) -> "Reply":
         named = {name.replace("_", "-"): text for name, text in headers.items()}
-        return cls(status, {"content-type": "application/json", **named}, json.dumps(value).encode())
+        return cls(
+            status, {"content-type": "application/json", **named}, json.dumps(value).encode()
+        )
 
 
 class NoAnswer(Exception):
@@ -67,7 +73,9 @@
         connection.receive_data(bytes(await stream.receive_some(READ)))
 
 
-async def _body(connection: h11.Connection, stream: trio.abc.Stream, largest: int = LARGEST) -> bytes:
+async def _body(
+    connection: h11.Connection, stream: trio.abc.Stream, largest: int = LARGEST
+) -> bytes:
     body = bytearray()
     while True:
         event = await _event(connection, stream)
@@ -116,7 +124,9 @@
                 self.under_way.discard(scope)
 
 
-async def _converse(handler: Handler, stream: trio.SocketStream, quiet_most: float, stopping: _Stopping) -> None:
+async def _converse(
+    handler: Handler, stream: trio.SocketStream, quiet_most: float, stopping: _Stopping
+) -> None:
     connection = h11.Connection(h11.SERVER, max_incomplete_event_size=2**16)
     request: Request | None = None
 
@@ -155,8 +165,12 @@
     return data + (connection.send(h11.EndOfMessage()) or b"")
 
 
-async def serve(handler: Handler, listeners: list[trio.SocketListener], quiet_most: float = inf,
-                finish: float = 0.0) -> None:
+async def serve(
+    handler: Handler,
+    listeners: list[trio.SocketListener],
+    quiet_most: float = inf,
+    finish: float = 0.0,
+) -> None:
     """Answer requests on these listeners until cancelled; a peer that takes longer than `quiet_most` seconds to make a
     request is disconnected. Once cancelled nothing is accepted any more, and what is under way has `finish` seconds to
     be answered."""
@@ -183,7 +197,9 @@
         self.host, self.port, self.largest = host, port, largest
         self.idle_most, self.idle = idle_most, deque[tuple[trio.SocketStream, h11.Connection]]()
 
-    async def ask(self, method: str, path: str, headers: Mapping[str, str] | None = None, body: bytes = b"") -> Reply:
+    async def ask(
+        self, method: str, path: str, headers: Mapping[str, str] | None = None, body: bytes = b""
+    ) -> Reply:
         """One exchange; put a cancel scope round it for its bound. Raises HttpFault."""
         kept = await self._kept()
         stream, connection = kept or await self._dial()
@@ -224,12 +240,25 @@
         try:
             stream = await trio.open_tcp_stream(self.host, self.port)
         except (OSError, ValueError) as error:  # the second: no text that can name a host
-            raise HttpFault(f"no connection to {self.host}:{self.port}: {error}", sent=False) from None
+            raise HttpFault(
+                f"no connection to {self.host}:{self.port}: {error}", sent=False
+            ) from None
         return stream, h11.Connection(h11.CLIENT)
 
-    async def _exchange(self, stream: trio.SocketStream, connection: h11.Connection, method: str, path: str,
-                        headers: Mapping[str, str], body: bytes) -> Reply:
-        pairs = [("host", f"{self.host}:{self.port}"), *headers.items(), ("content-length", str(len(body)))]
+    async def _exchange(
+        self,
+        stream: trio.SocketStream,
+        connection: h11.Connection,
+        method: str,
+        path: str,
+        headers: Mapping[str, str],
+        body: bytes,
+    ) -> Reply:
+        pairs = [
+            ("host", f"{self.host}:{self.port}"),
+            *headers.items(),
+            ("content-length", str(len(body))),
+        ]
         try:
             data = connection.send(h11.Request(method=method, target=path, headers=pairs)) or b""
             if body:
@@ -245,10 +274,20 @@
             event = await _event(connection, stream)
             if not isinstance(event, h11.Response):
                 raise HttpFault("the connection closed before an answer", sent=True)
-            return Reply(event.status_code, _plain(event.headers), await _body(connection, stream, self.largest))
-        except (trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError) as error:
+            return Reply(
+                event.status_code,
+                _plain(event.headers),
+                await _body(connection, stream, self.largest),
+            )
+        except (
+            trio.BrokenResourceError,
+            trio.ClosedResourceError,
+            h11.RemoteProtocolError,
+        ) as error:
             answered = event is not None or bool(connection.trailing_data[0])
-            raise HttpFault(f"the answer broke off: {error}", sent=True, answered=answered) from None
+            raise HttpFault(
+                f"the answer broke off: {error}", sent=True, answered=answered
+            ) from None
 
     async def close(self) -> None:
         while self.idle:
--- a/dunlinlug/net/tls.py
+++ b/dunlinlug/net/tls.py
@@ -55,8 +55,11 @@
         if kind in ("DNS", "URI"):
             return str(value)
     subject = certificate.get("subject", ())
-    return next((str(value) for part in subject for key, value in part  # type: ignore[attr-defined]
-                 if key == "commonName"), "")
+    for part in subject:
+        for key, value in part:  # type: ignore[attr-defined]
+            if key == "commonName":
+                return str(value)
+    return ""
 
 
 def lasts(stream: trio.SSLStream[trio.SocketStream]) -> float:
--- a/dunlinlug/operators/board.py
+++ b/dunlinlug/operators/board.py
@@ -21,9 +21,15 @@
 class Board:
     """`obeyed` is false where the guard only watches; `keep` gets all pins, plain, whenever one comes or goes."""
 
-    def __init__(self, pins: Pins, obeyed: bool, tell: Callable[[face.Event], None], note: Callable[..., None],
-                 keep: Callable[[list[dict[str, Any]]], None],
-                 record: Callable[[list[Refusal], str], None]) -> None:
+    def __init__(
+        self,
+        pins: Pins,
+        obeyed: bool,
+        tell: Callable[[face.Event], None],
+        note: Callable[..., None],
+        keep: Callable[[list[dict[str, Any]]], None],
+        record: Callable[[list[Refusal], str], None],
+    ) -> None:
         self.pins, self.obeyed, self.tell, self.note = pins, obeyed, tell, note
         self.keep, self.record = keep, record
         self.names = [product.name for product in pins.judge.trade.products]
@@ -44,8 +50,14 @@
         event = self.pins.put(pin)
         self._keep(now)
         self.tell(event)
-        self.note("pin.stands", product=self.names[pin.product], lasts=round(pin.until - now, 1), others=pin.others,
-                  weights=dict(pin.weights), cautions=cautions)
+        self.note(
+            "pin.stands",
+            product=self.names[pin.product],
+            lasts=round(pin.until - now, 1),
+            others=pin.others,
+            weights=dict(pin.weights),
+            cautions=cautions,
+        )
         return cautions
 
     def take(self, now: float, product: int) -> bool:
@@ -63,20 +75,37 @@
         ended = self.pins.review(now, refusals)
         for end in ended:
             self.tell(face.Pinned(end.pin.product))
-            self.note("pin.lifted" if end.lifted else "pin.ended", product=self.names[end.pin.product], why=end.why)
+            self.note(
+                "pin.lifted" if end.lifted else "pin.ended",
+                product=self.names[end.pin.product],
+                why=end.why,
+            )
         if ended:
             self._keep(now)
-            self.record([self._as_refusal(end) for end in ended if end.lifted], "guard, lifting a pin")
+            self.record(
+                [self._as_refusal(end) for end in ended if end.lifted], "guard, lifting a pin"
+            )
 
     def _as_refusal(self, end: Ended) -> Refusal:
-        return Refusal(face.Bind(0, (end.pin.product,), 0), "bare", f"the pin of {self.names[end.pin.product]} was "
-                       f"lifted: {end.why}", "a pin that names workers which may be used")
+        return Refusal(
+            face.Bind(0, (end.pin.product,), 0),
+            "bare",
+            f"the pin of {self.names[end.pin.product]} was lifted: {end.why}",
+            "a pin that names workers which may be used",
+        )
 
     def plain(self) -> list[dict[str, Any]]:
         """All that stand, with wall times, which outlive a process."""
         wall = time.time() - trio.current_time()
-        return [{"product": self.names[pin.product], "weights": dict(pin.weights), "others": pin.others,
-                 "until": round(pin.until + wall, 1)} for pin in self.pins.standing.values()]
+        return [
+            {
+                "product": self.names[pin.product],
+                "weights": dict(pin.weights),
+                "others": pin.others,
+                "until": round(pin.until + wall, 1),
+            }
+            for pin in self.pins.standing.values()
+        ]
 
     def _keep(self, now: float) -> None:
         self.keep(self.plain())
@@ -88,21 +117,31 @@
         wall = time.time() - trio.current_time()
         for said in kept:
             if said["product"] in self.names:
-                self.pins.put(Pin(self.names.index(said["product"]), said["weights"], said["others"],
-                                  said["until"] - wall))
+                self.pins.put(
+                    Pin(
+                        self.names.index(said["product"]),
+                        said["weights"],
+                        said["others"],
+                        said["until"] - wall,
+                    )
+                )
         self.keep(kept)
         self.changed.set()
 
     def put_plain(self, now: float, said: dict[str, Any]) -> None:
         """As another manager of the fleet has it. Raises PinFault or Refused, as our own guard says."""
         until = min(said["until"] - (time.time() - now), now + self.pins.longest)
-        self.put(now, Pin(self.names.index(said["product"]), said["weights"], said["others"], until))
+        self.put(
+            now, Pin(self.names.index(said["product"]), said["weights"], said["others"], until)
+        )
 
     def restore(self, now: float, kept: list[dict[str, Any]]) -> None:
         """Pins of an earlier life that still have time; the judge sees all that comes of them."""
         wall = time.time() - now
         for said in kept:
-            until = min(said["until"] - wall, now + self.pins.longest)  # a clock set back prolongs nothing
+            until = min(
+                said["until"] - wall, now + self.pins.longest
+            )  # a clock set back prolongs nothing
             if said["product"] in self.names and until > now:
                 pin = Pin(self.names.index(said["product"]), said["weights"], said["others"], until)
                 self.tell(self.pins.put(pin))
--- a/dunlinlug/operators/client.py
+++ b/dunlinlug/operators/client.py
@@ -28,7 +28,14 @@
         raise AskFault(f"{file}: [operators] names no token_file, so the manager opens no endpoint")
     try:
         token = read_token(Path(place.token_file))
-        reply = trio.run(_ask, place.listen, token, method, path, b"" if word is None else json.dumps(word).encode())
+        reply = trio.run(
+            _ask,
+            place.listen,
+            token,
+            method,
+            path,
+            b"" if word is None else json.dumps(word).encode(),
+        )
     except (TokenFault, http.HttpFault) as fault:
         raise AskFault(str(fault)) from None
     except trio.TooSlowError:
@@ -39,7 +46,9 @@
     return said
 
 
-async def _ask(place: tuple[str, int], token: str, method: str, path: str, body: bytes) -> http.Reply:
+async def _ask(
+    place: tuple[str, int], token: str, method: str, path: str, body: bytes
+) -> http.Reply:
     client = http.Client(*place, idle_most=0)
     with trio.fail_after(WITHIN):
         return await client.ask(method, path, {"authorization": f"Bearer {token}"}, body)
--- a/dunlinlug/operators/commands.py
+++ b/dunlinlug/operators/commands.py
@@ -35,8 +35,10 @@
         click.echo("nothing was refused")
     for refusal in found[-last:]:
         at = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(refusal["wall"]))
-        click.echo(f"{at}  {refusal.get('source', 'module')}, {refusal['done']}: {refusal['order']}\n"
-                   f"    {_refusal_line(refusal)}; proxies: {refusal['proxies'] or 'all that use it'}")
+        click.echo(
+            f"{at}  {refusal.get('source', 'module')}, {refusal['done']}: {refusal['order']}\n"
+            f"    {_refusal_line(refusal)}; proxies: {refusal['proxies'] or 'all that use it'}"
+        )
 
 
 def _asked(file: Path, method: str, path: str, word: object = None) -> Any:
@@ -61,17 +63,28 @@
 def _pin_options(command: Callable[..., None]) -> Callable[..., None]:
     """PRODUCT and what is pinned of it."""
     for option in (
-            click.option("--for", "lasts", required=True, help="How long, with its unit: 10min."),
-            click.option("--without", multiple=True, help="A worker not to be used; may be repeated."),
-            click.option("--only", multiple=True, help="The workers to be used; may be repeated."),
-            click.option("--weight", multiple=True, help="WORKER=WEIGHT in place of the listed one; may be repeated."),
-            click.argument("product"), click.argument("file", type=FILE)):
+        click.option("--for", "lasts", required=True, help="How long, with its unit: 10min."),
+        click.option("--without", multiple=True, help="A worker not to be used; may be repeated."),
+        click.option("--only", multiple=True, help="The workers to be used; may be repeated."),
+        click.option(
+            "--weight",
+            multiple=True,
+            help="WORKER=WEIGHT in place of the listed one; may be repeated.",
+        ),
+        click.argument("product"),
+        click.argument("file", type=FILE),
+    ):
         command = option(command)
     return command
 
 
-def _word(product: str, weight: tuple[str, ...], only: tuple[str, ...], without: tuple[str, ...],
-          lasts: str) -> dict[str, object]:
+def _word(
+    product: str,
+    weight: tuple[str, ...],
+    only: tuple[str, ...],
+    without: tuple[str, ...],
+    lasts: str,
+) -> dict[str, object]:
     from dunlinlug.config import units
 
     weights = dict[str, float]()
@@ -87,7 +100,13 @@
         span = units.seconds(lasts)
     except units.ValueFault as fault:
         raise click.UsageError(f"--for: {fault}") from None
-    return {"product": product, "weights": weights, "only": list(only), "without": list(without), "lasts": span}
+    return {
+        "product": product,
+        "weights": weights,
+        "only": list(only),
+        "without": list(without),
+        "lasts": span,
+    }
 
 
 @table.command("propose")
@@ -136,14 +155,21 @@
         return
     for said in found:
         pin = said["pin"]
-        click.echo(f"{said['product']}: {said['proxies']} proxies, {said['without_table']} without a table, "
-                   f"{said['in_change']} in a change" + (f"; pinned for {pin['ends_in']:.0f} s" if pin else ""))
+        click.echo(
+            f"{said['product']}: {said['proxies']} proxies, {said['without_table']} without a table, "
+            f"{said['in_change']} in a change"
+            + (f"; pinned for {pin['ends_in']:.0f} s" if pin else "")
+        )
         for held in said["tables"]:
-            click.echo(f"  {held['table']} at {held['proxies']} proxies, lets in {held['share_let_in']:g}, "
-                       f"way of trying again {held['retry']}")
+            click.echo(
+                f"  {held['table']} at {held['proxies']} proxies, lets in {held['share_let_in']:g}, "
+                f"way of trying again {held['retry']}"
+            )
             for line in held["lines"]:
                 state = "withdrawn" if line["withdrawn"] else line["state"]
-                click.echo(f"    {line['worker']:<22} {line['weight']:<9g} {line['zone']:<10} {state}")
+                click.echo(
+                    f"    {line['worker']:<22} {line['weight']:<9g} {line['zone']:<10} {state}"
+                )
 
 
 @click.group()
@@ -152,38 +178,69 @@
 
 
 def _shown(state: dict[str, Any]) -> None:
-    click.echo(f"{state['member']}: term {state['term']}, master {state['master'] or 'none'} "
-               f"for {state['since']:.1f} s; last change {state['changed_ago']:.1f} s ago: {state['changed']}"
-               + ("" if state["leads"] else f"; behind by {state['behind'] if state['behind'] is not None else 'all'}"))
+    click.echo(
+        f"{state['member']}: term {state['term']}, master {state['master'] or 'none'} "
+        f"for {state['since']:.1f} s; last change {state['changed_ago']:.1f} s ago: {state['changed']}"
+        + (
+            ""
+            if state["leads"]
+            else f"; behind by {state['behind'] if state['behind'] is not None else 'all'}"
+        )
+    )
     for member in state["members"]:
-        lag = "" if state["lags"] is None or member == state["member"] else (
-            ", lags by all" if state["lags"][member] is None else f", lags by {state['lags'][member]} batches")
+        lag = (
+            ""
+            if state["lags"] is None or member == state["member"]
+            else (
+                ", lags by all"
+                if state["lags"][member] is None
+                else f", lags by {state['lags'][member]} batches"
+            )
+        )
         click.echo(f"  {member}{lag}")
 
 
 def _members_shown(state: dict[str, Any]) -> None:
     """Who is there, who sees whom, and the last verdicts."""
-    click.echo(f"{state['member']}: {state['state']}, standing {state['standing']} for {state['since']:.1f} s "
-               f"of {', '.join(state['set'])}; view {state['digest']}"
-               + (f"; distrusts itself by {state['distrust']}" if state["distrust"] else ""))
+    click.echo(
+        f"{state['member']}: {state['state']}, standing {state['standing']} for {state['since']:.1f} s "
+        f"of {', '.join(state['set'])}; view {state['digest']}"
+        + (f"; distrusts itself by {state['distrust']}" if state["distrust"] else "")
+    )
     names = [row["member"] for row in state["members"]]
     wide = max(map(len, names), default=1)
     for row in state["members"]:
         between = f"; {row['between']}" if row["between"] not in ("", "in touch") else ""
         load = state["burdens"].get(row["member"])
-        carries = "" if load is None else (f"  {load['proxies']} proxies, {load['txns_per_s']:g} txns/s, channel "
-                                           f"{load['channel']:.0%}, processor {load['processor']:.0%}")
-        click.echo(f"  {row['member']:<{wide}}  {row['state']:<9} start {row['start']}, word {row['word']}  "
-                   f"{row['place']}{carries}{between}")
+        carries = (
+            ""
+            if load is None
+            else (
+                f"  {load['proxies']} proxies, {load['txns_per_s']:g} txns/s, channel "
+                f"{load['channel']:.0%}, processor {load['processor']:.0%}"
+            )
+        )
+        click.echo(
+            f"  {row['member']:<{wide}}  {row['state']:<9} start {row['start']}, word {row['word']}  "
+            f"{row['place']}{carries}{between}"
+        )
     if any(seen not in ("yes", "-") for row in state["members"] for seen in row["sees"].values()):
         click.echo("  who has whom:")
         for row in state["members"]:
-            missing = [f"{other}: {seen}" for other, seen in row["sees"].items() if seen not in ("yes", "-")]
+            missing = [
+                f"{other}: {seen}"
+                for other, seen in row["sees"].items()
+                if seen not in ("yes", "-")
+            ]
             click.echo(f"    {row['member']:<{wide}}  " + ("; ".join(missing) or "all"))
     for name, apart in state["lists"].items():
-        click.echo(f"  {name} has another list of workers ({apart['workers']}) for {apart['for']:.0f} s")
+        click.echo(
+            f"  {name} has another list of workers ({apart['workers']}) for {apart['for']:.0f} s"
+        )
     for said in state["verdicts"][-5:]:
-        click.echo(f"  {said['ago']:.1f} s ago: {said['member']} {said['before']} -> {said['now']}: {said['why']}")
+        click.echo(
+            f"  {said['ago']:.1f} s ago: {said['member']} {said['before']} -> {said['now']}: {said['why']}"
+        )
 
 
 @fleet.command("show")
@@ -260,19 +317,29 @@
 
 
 def _work_shown(state: dict[str, Any]) -> None:
-    click.echo(f"{state['member']}: steward {state['steward'] or 'none'} of term {state['term']}; "
-               f"holds {state['holds']} of {state['slots']} slots")
-    click.echo("  owners: " + ", ".join(f"{owner} {count}" for owner, count in state["owners"].items()))
+    click.echo(
+        f"{state['member']}: steward {state['steward'] or 'none'} of term {state['term']}; "
+        f"holds {state['holds']} of {state['slots']} slots"
+    )
+    click.echo(
+        "  owners: " + ", ".join(f"{owner} {count}" for owner, count in state["owners"].items())
+    )
     for slot, to in state["moving"].items():
         click.echo(f"  slot {slot} is on its way to {to}")
     for said in state["records"]:
-        click.echo(f"  {said['piece']}: {said['owner'] or 'nobody'}, number {said['number']:#x}, slot {said['slot']}; "
-                   f"as far as {said['body']} under {said['under']:#x}")
+        click.echo(
+            f"  {said['piece']}: {said['owner'] or 'nobody'}, number {said['number']:#x}, slot {said['slot']}; "
+            f"as far as {said['body']} under {said['under']:#x}"
+        )
     for said in state["changes"][-5:]:
-        click.echo(f"  {said['ago']:.1f} s ago: slot {said['slot']} {said['owner'] or 'nobody'} {said['number']:#x}: "
-                   f"{said['why']}")
+        click.echo(
+            f"  {said['ago']:.1f} s ago: slot {said['slot']} {said['owner'] or 'nobody'} {said['number']:#x}: "
+            f"{said['why']}"
+        )
     if state["counts"]:
-        click.echo("  " + ", ".join(f"{name} {count}" for name, count in sorted(state["counts"].items())))
+        click.echo(
+            "  " + ", ".join(f"{name} {count}" for name, count in sorted(state["counts"].items()))
+        )
 
 
 @fleet.command("work")
--- a/dunlinlug/operators/office.py
+++ b/dunlinlug/operators/office.py
@@ -1,15 +1,15 @@
 """The endpoint's requests and answers: who may ask, what may be asked. No socket here; the manager serves it.
 
-    GET /health                     no token needed
-    GET /tables[?product=NAME]      what stands, by product
-    POST /pins/propose              what the guard would say of a pin; changes nothing
-    PUT /pins, DELETE /pins/NAME    set a pin, end one
-    GET /fleet                      who leads, since when and why, terms, who lags
-    POST /fleet/hand-over           {"to": MEMBER}: another is to lead, without a gap in orders
-    PUT, DELETE /fleet/members/NAME one more member, one fewer
-    GET /members                    who is there; PUT, DELETE /members/bars/NAME
-    GET /work                       who owns work of the fleet
-    POST /work/PIECE                {"to": MEMBER}: another is to own it; at the steward
+GET /health                     no token needed
+GET /tables[?product=NAME]      what stands, by product
+POST /pins/propose              what the guard would say of a pin; changes nothing
+PUT /pins, DELETE /pins/NAME    set a pin, end one
+GET /fleet                      who leads, since when and why, terms, who lags
+POST /fleet/hand-over           {"to": MEMBER}: another is to lead, without a gap in orders
+PUT, DELETE /fleet/members/NAME one more member, one fewer
+GET /members                    who is there; PUT, DELETE /members/bars/NAME
+GET /work                       who owns work of the fleet
+POST /work/PIECE                {"to": MEMBER}: another is to own it; at the steward
 """
 
 import hmac
@@ -45,7 +45,9 @@
     if stat.S_IMODE(mode) & 0o077:
         raise TokenFault(f"{path}: others may read it; only its owner should (chmod 600)")
     if len(token) < SHORTEST or not token.isascii() or len(token.split()) != 1:
-        raise TokenFault(f"{path}: a token is one word of at least {SHORTEST} letters, figures and signs")
+        raise TokenFault(
+            f"{path}: a token is one word of at least {SHORTEST} letters, figures and signs"
+        )
     return token
 
 
@@ -95,9 +97,21 @@
     owners: "Owners | None" = None
     shared: "Shared | None" = None
 
-    def __init__(self, token: str, products: tuple[face.Product, ...], board: Board,
-                 show: Callable[[], list[dict[str, Any]]], health: Callable[[], dict[str, Any]]) -> None:
-        self.token, self.products, self.board, self.show, self.health = token, products, board, show, health
+    def __init__(
+        self,
+        token: str,
+        products: tuple[face.Product, ...],
+        board: Board,
+        show: Callable[[], list[dict[str, Any]]],
+        health: Callable[[], dict[str, Any]],
+    ) -> None:
+        self.token, self.products, self.board, self.show, self.health = (
+            token,
+            products,
+            board,
+            show,
+            health,
+        )
         self.names = [product.name for product in products]
 
     def _known(self, request: Request) -> bool:
@@ -115,7 +129,11 @@
         except (words.WordFault, PinFault) as fault:
             return _fault(400, str(fault))
         except Refused as refused:
-            return _fault(409, "the guard refuses it", refusals=[words.refusal_said(r) for r in refused.refusals[:20]])
+            return _fault(
+                409,
+                "the guard refuses it",
+                refusals=[words.refusal_said(r) for r in refused.refusals[:20]],
+            )
 
     async def _serve(self, request: Request, now: float) -> Reply:
         match request.method, request.path.strip("/").split("/"):
@@ -125,14 +143,26 @@
                 return self._work(method, rest, request.body)
             case method, ["fleet", *rest]:
                 return await self._fleet(method, rest, request.body)
-            case method, _ if method != "GET" and self.fleet is not None and not self.fleet.state()["leads"]:
-                return _fault(503, f"another member leads: {self.fleet.state()['master'] or 'nobody at the moment'}")
+            case method, _ if (
+                method != "GET" and self.fleet is not None and not self.fleet.state()["leads"]
+            ):
+                return _fault(
+                    503,
+                    f"another member leads: {self.fleet.state()['master'] or 'nobody at the moment'}",
+                )
             case "GET", ["tables"]:
                 return self._tables(unquote(request.query.get("product", "")))
             case "POST", ["pins", "propose"]:
-                refusals, cautions = self.board.propose(now, words.read_pin(request.body, self.products, now))
-                return Reply.json({"passes": not refusals, "cautions": cautions,
-                                   "refusals": [words.refusal_said(r) for r in refusals[:20]]})
+                refusals, cautions = self.board.propose(
+                    now, words.read_pin(request.body, self.products, now)
+                )
+                return Reply.json(
+                    {
+                        "passes": not refusals,
+                        "cautions": cautions,
+                        "refusals": [words.refusal_said(r) for r in refusals[:20]],
+                    }
+                )
             case "PUT", ["pins"]:
                 return self._pin(words.read_pin(request.body, self.products, now), now)
             case "DELETE", ["pins", name]:
@@ -176,7 +206,9 @@
 
     def _work(self, method: str, rest: list[str], body: bytes) -> Reply:
         if self.owners is None:
-            return _fault(404, "this manager owns no work among others: its file has no [owner] on = yes")
+            return _fault(
+                404, "this manager owns no work among others: its file has no [owner] on = yes"
+            )
         match method, rest:
             case "GET", []:
                 return Reply.json(self.owners.state())
@@ -219,7 +251,9 @@
                 self.shared.changed(name)
             except ValueError as fault:
                 return _fault(409, str(fault))
-            return Reply.json({"ended": name}) if ended else _fault(404, f"no pin stands for {name}")
+            return (
+                Reply.json({"ended": name}) if ended else _fault(404, f"no pin stands for {name}")
+            )
         if not self.board.take(now, self.names.index(name)):
             return _fault(404, f"no pin stands for {name}")
         return Reply.json({"ended": name})
--- a/dunlinlug/operators/words.py
+++ b/dunlinlug/operators/words.py
@@ -42,7 +42,9 @@
     made = cattrs.Converter(forbid_extra_keys=True)
     made.register_structure_hook(float, _number)
     made.register_structure_hook(str, _text)
-    made.register_structure_hook(PinWord, make_dict_structure_fn(PinWord, made, _cattrs_forbid_extra_keys=True))
+    made.register_structure_hook(
+        PinWord, make_dict_structure_fn(PinWord, made, _cattrs_forbid_extra_keys=True)
+    )
     return made
 
 
@@ -53,7 +55,9 @@
     """Danger: JSON readers keep the last of two equal keys; the operator meant something with the first."""
     found = dict(pairs)
     if len(found) < len(pairs):
-        twice = next(key for n, (key, _) in enumerate(pairs) if key in [other for other, _ in pairs[:n]])
+        twice = next(
+            key for n, (key, _) in enumerate(pairs) if key in [other for other, _ in pairs[:n]]
+        )
         raise WordFault(f"{twice!r} is named twice")
     return found
 
@@ -105,11 +109,20 @@
 
 
 def pin_said(pin: Pin, products: tuple[face.Product, ...], now: float) -> dict[str, Any]:
-    return {"product": products[pin.product].name, "ends_in": round(pin.until - now, 3), "others": pin.others,
-            "weights": dict(pin.weights)}
+    return {
+        "product": products[pin.product].name,
+        "ends_in": round(pin.until - now, 3),
+        "others": pin.others,
+        "weights": dict(pin.weights),
+    }
 
 
 def refusal_said(refusal: Refusal) -> dict[str, Any]:
     worker = getattr(refusal.order, "worker", None)
-    return {"rule": refusal.rule, "why": refusal.said, "would_pass": refusal.would_pass,
-            "proxies": list(refusal.proxies[:20]), **({"worker": worker} if worker else {})}
+    return {
+        "rule": refusal.rule,
+        "why": refusal.said,
+        "would_pass": refusal.would_pass,
+        "proxies": list(refusal.proxies[:20]),
+        **({"worker": worker} if worker else {}),
+    }
--- a/dunlinlug/platform/discovery.py
+++ b/dunlinlug/platform/discovery.py
@@ -14,8 +14,13 @@
 class Discovery:
     """Follows discovery at `place`, which a reload may move."""
 
-    def __init__(self, place: servers.Address, state: servers.Following, tell: Callable[[face.Event], None],
-                 note: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        place: servers.Address,
+        state: servers.Following,
+        tell: Callable[[face.Event], None],
+        note: Callable[..., None],
+    ) -> None:
         self.state, self.tell, self.note = state, tell, note
         self.anchors, self.addresses = Anchors(), dict[str, servers.Address]()
         self.failing = False
@@ -71,7 +76,9 @@
         if client is not self.client:
             return  # Danger: come in the turn of a move, it would stand for the new place's
         if reply is None or reply.status != 200:
-            raise servers.ServersFault("no answer in time" if reply is None else f"status {reply.status}")
+            raise servers.ServersFault(
+                "no answer in time" if reply is None else f"status {reply.status}"
+            )
         answer = servers.read(reply.body)
         news = self.state.came(answer)
         if self.failing:
--- a/dunlinlug/platform/front.py
+++ b/dunlinlug/platform/front.py
@@ -18,14 +18,18 @@
 from dunlinlug.platform.peers import Peer, Peers, Turned
 
 READ = 2**16  # bytes read at once
-UNSENT_MOST = 2**20  # bytes that may wait for a peer: minutes of orders; beyond it the peer does not read at all
+UNSENT_MOST = (
+    2**20
+)  # bytes that may wait for a peer: minutes of orders; beyond it the peer does not read at all
 JOIN_WITHIN = 1.0  # seconds: the protocol allows to close what has not joined by then
 HASTE = 0.25  # seconds that one not joined has at least where there are too many and it has begun to speak
 SILENT = 0.05  # seconds where it has said nothing: a joining follows its connect at once, and has come while it queued
 FINISH = 0.2  # seconds from a stop for what was begun to go out whole; a planned restart is killed after 0.7
 FULL_PAUSE = 0.02  # seconds to pause where descriptors have run out: who does not join leaves within a second
 BACKLOG = 4096  # connections that may wait to be accepted: every proxy of a large fleet at once, and many others
-GOODBYE = 0.2  # seconds for a peer that was told an error to read it, before its connection is closed
+GOODBYE = (
+    0.2  # seconds for a peer that was told an error to read it, before its connection is closed
+)
 
 
 class Connection:
@@ -43,7 +47,7 @@
         """Write at once what the socket takes; the rest follows as it takes more."""
         if not self.unsent:
             try:
-                data = data[self.sock.send(data):]
+                data = data[self.sock.send(data) :]
             except BlockingIOError:
                 pass
             except OSError:
@@ -61,7 +65,7 @@
             while self.unsent:
                 await trio.lowlevel.wait_writable(self.sock)
                 try:
-                    del self.unsent[:self.sock.send(self.unsent[:READ])]
+                    del self.unsent[: self.sock.send(self.unsent[:READ])]
                 except BlockingIOError:
                     continue
                 except OSError:
@@ -145,7 +149,9 @@
                 await self.left.wait()
 
     async def _accept(self, listener: socket.socket, nursery: trio.Nursery) -> None:
-        if self.accepting.cancel_called:  # Danger: readable in the turn of the stop, it would still be taken
+        if (
+            self.accepting.cancel_called
+        ):  # Danger: readable in the turn of the stop, it would still be taken
             return
         try:
             sock, _ = listener.accept()
@@ -175,7 +181,9 @@
             self.room = trio.Event()
             with trio.move_on_at(oldest.since + (HASTE if oldest.peer.lines.rest else SILENT)):
                 await self.room.wait()
-            if oldest.waiting():  # Danger: without a core for a while, its joining may have come long ago
+            if (
+                oldest.waiting()
+            ):  # Danger: without a core for a while, its joining may have come long ago
                 await trio.lowlevel.checkpoint()
                 await trio.lowlevel.checkpoint()
             if len(self.unjoined) >= self.unjoined_most and oldest in self.unjoined:
@@ -193,7 +201,9 @@
         try:
             with connection.scope:
                 if await self._meet(connection):
-                    async with trio.open_nursery() as nursery:  # those that never join are spared this
+                    async with (
+                        trio.open_nursery() as nursery
+                    ):  # those that never join are spared this
                         nursery.start_soon(connection.flush)
                         while await self._once(connection):
                             pass
@@ -245,7 +255,9 @@
         except Turned as fault:
             connection.why = "can't be read" if connection.peer.joined else "turned away"
             self.peers.sample(f"{connection.why}: {fault}", data)
-            if not connection.peer.joined:  # to collectors nothing is ever written, and what is left is left at once
+            if (
+                not connection.peer.joined
+            ):  # to collectors nothing is ever written, and what is left is left at once
                 await self._goodbye(connection, messages.error(str(fault)))
             return False
         if answer:
--- a/dunlinlug/platform/main.py
+++ b/dunlinlug/platform/main.py
@@ -28,14 +28,19 @@
 HEALTH, LOAD = "/healthz", "/load"
 PROBE_WITHIN = 0.4  # seconds: a worker that is well answers in a few milliseconds, one that is full in some hundred
 PROBES_AT_ONCE = 16  # each is a descriptor; more workers than that are rarely in doubt at once
-AGAIN, AGAIN_MOST = 0.1, 6  # seconds to a file's next reading after a bad one, doubled; so many times, 6 s in all
+AGAIN, AGAIN_MOST = (
+    0.1,
+    6,
+)  # seconds to a file's next reading after a bad one, doubled; so many times, 6 s in all
 SUMMARY = 5.0  # seconds between summaries in the log
 OWN_FILES = 32  # descriptors for all but connections at our address: the interpreter's, discovery's, probes'
 
 
 def say(event: str, **said: Any) -> None:
     """One line of the log, on standard error."""
-    sys.stderr.write(json.dumps({"at": round(time.time(), 3), "event": event, **said}, default=str) + "\n")
+    sys.stderr.write(
+        json.dumps({"at": round(time.time(), 3), "event": event, **said}, default=str) + "\n"
+    )
 
 
 class Unpaced:
@@ -68,25 +73,52 @@
 class Manager:
     """One manager; `make` builds its decision module."""
 
-    def __init__(self, told: terms.Terms, environment: Mapping[str, str],
-                 make: Callable[[face.Trade], Decider] = Balancer) -> None:
+    def __init__(
+        self,
+        told: terms.Terms,
+        environment: Mapping[str, str],
+        make: Callable[[face.Trade], Decider] = Balancer,
+    ) -> None:
         self.told, self.environment = told, environment
         products = tuple(product.name for product in told.trade.products)
-        self.orders = Orders(products, told.trade.usual_retry, told.trade.channel.message_lines,
-                             tuple(product.home_only for product in told.trade.products))
-        self.peers = peers.Peers(told.zones, told.proxies, products, lambda worker: worker in self.orders.known,
-                                 self._tell)
+        self.orders = Orders(
+            products,
+            told.trade.usual_retry,
+            told.trade.channel.message_lines,
+            tuple(product.home_only for product in told.trade.products),
+        )
+        self.peers = peers.Peers(
+            told.zones,
+            told.proxies,
+            products,
+            lambda worker: worker in self.orders.known,
+            self._tell,
+        )
         # Danger: unjoined connections must leave a descriptor for every proxy and every collector.
         joined = told.proxies + peers.COLLECTORS_MOST * len(told.zones) + OWN_FILES
         self.front = front.Front(self.peers, max(told.limits.sockets - joined, 8), say)
         self.channel = Unpaced(self.front.deliver)
         self.counts: Counter[str] = Counter()
-        self.loop = Loop(make(told.trade), self.orders, self.channel, self.front.deliver, self._note,
-                         least=told.turn)
-        self.discovery = Discovery(told.discovery, servers.Following(Random(told.trade.seed).uniform), self._tell, say)
+        self.loop = Loop(
+            make(told.trade),
+            self.orders,
+            self.channel,
+            self.front.deliver,
+            self._note,
+            least=told.turn,
+        )
+        self.discovery = Discovery(
+            told.discovery, servers.Following(Random(told.trade.seed).uniform), self._tell, say
+        )
         path = LOAD if told.trade.reports_in != "none" else HEALTH
-        self.prober = Prober(path, PROBE_WITHIN, PROBES_AT_ONCE, self._tell,
-                             self.discovery.addresses.__getitem__, peers.read_report)
+        self.prober = Prober(
+            path,
+            PROBE_WITHIN,
+            PROBES_AT_ONCE,
+            self._tell,
+            self.discovery.addresses.__getitem__,
+            peers.read_report,
+        )
 
     def _tell(self, event: face.Event) -> None:
         self.counts[type(event).__name__] += 1
@@ -105,9 +137,15 @@
         listener = front.listen(*self.told.listen)
         async with trio.open_nursery() as nursery:
             self.discovery.places(self.told.known.instances, True)
-            self.discovery.news(face.Listed("kept", tuple(
-                i.worker() for i in self.told.known.instances if i.lifecycle != "gone")))
-            self.loop.others = {face.Probe: lambda order: nursery.start_soon(self.prober.probe, order.worker)}
+            self.discovery.news(
+                face.Listed(
+                    "kept",
+                    tuple(i.worker() for i in self.told.known.instances if i.lifecycle != "gone"),
+                )
+            )
+            self.loop.others = {
+                face.Probe: lambda order: nursery.start_soon(self.prober.probe, order.worker)
+            }
             self.loop.turn(trio.current_time())
             nursery.start_soon(self.loop.run)
             nursery.start_soon(self.discovery.follow)
@@ -115,9 +153,15 @@
             nursery.start_soon(self._summaries)
             gc.collect()
             gc.freeze()  # what stands from the start need not be gone through again
-            say("ready", name=self.told.name, listen=self.told.listen, workers=len(self.told.known.instances),
-                limits=msgspec.to_builtins(self.told.limits), channel=asdict(self.told.trade.channel),
-                duties=asdict(self.told.trade.duties))
+            say(
+                "ready",
+                name=self.told.name,
+                listen=self.told.listen,
+                workers=len(self.told.known.instances),
+                limits=msgspec.to_builtins(self.told.limits),
+                channel=asdict(self.told.trade.channel),
+                duties=asdict(self.told.trade.duties),
+            )
             for unmet in self.told.unmet:
                 say("settings.unmet", what=unmet)
             await self._until_stopped(signals)
@@ -151,8 +195,11 @@
             return False
         if fresh.discovery != self.told.discovery:
             self.discovery.move(fresh.discovery)
-        fixed = [name for name in ("name", "listen", "limits", "trade", "zones", "proxies", "turn")
-                 if getattr(fresh, name) != getattr(self.told, name)]
+        fixed = [
+            name
+            for name in ("name", "listen", "limits", "trade", "zones", "proxies", "turn")
+            if getattr(fresh, name) != getattr(self.told, name)
+        ]
         self.told = terms.moved(self.told, fresh.discovery)
         say("reload.done", discovery=fresh.discovery, needs_restart=fixed)
         return True
@@ -162,12 +209,22 @@
         batches = 0
         while True:
             await trio.sleep(SUMMARY)
-            say("summary", batches=self.loop.batches - batches, joined=len(self.peers.streams),
+            say(
+                "summary",
+                batches=self.loop.batches - batches,
+                joined=len(self.peers.streams),
                 collectors={zone: len(kept) for zone, kept in self.peers.collectors.items()},
-                unjoined=len(self.front.unjoined), accepted=self.front.accepted, workers=len(self.orders.listed),
-                out=len(self.orders.out), messages=round(self.channel.messages), lines=round(self.channel.lines),
-                cpu=round(time.process_time(), 2), counts=dict(self.counts), peers=dict(self.peers.counts),
-                samples=self.peers.samples)
+                unjoined=len(self.front.unjoined),
+                accepted=self.front.accepted,
+                workers=len(self.orders.listed),
+                out=len(self.orders.out),
+                messages=round(self.channel.messages),
+                lines=round(self.channel.lines),
+                cpu=round(time.process_time(), 2),
+                counts=dict(self.counts),
+                peers=dict(self.peers.counts),
+                samples=self.peers.samples,
+            )
             batches = self.loop.batches
             self.counts.clear()
             self.peers.counts.clear()
--- a/dunlinlug/platform/messages.py
+++ b/dunlinlug/platform/messages.py
@@ -15,7 +15,9 @@
 Name = Annotated[str, Meta(min_length=1, max_length=128)]
 Count = Annotated[int, Meta(ge=0, le=10**7)]
 Amount = Annotated[float, Meta(ge=0.0, le=1e9)]
-Span = Annotated[float, Meta(ge=0.0, le=600_000.0)]  # milliseconds; ten minutes is beyond all that is gathered
+Span = Annotated[
+    float, Meta(ge=0.0, le=600_000.0)
+]  # milliseconds; ten minutes is beyond all that is gathered
 Number = Annotated[int, Meta(ge=0, lt=2**16)]
 
 
@@ -73,7 +75,9 @@
 
 def read(line: bytes) -> Message:
     """One line's message. Raises Unreadable for what is no JSON object, Unfit for an object that is no message."""
-    if line.count(b"{") + line.count(b"[") > DEEPEST:  # Danger: depth beyond what a parser's stack bears
+    if (
+        line.count(b"{") + line.count(b"[") > DEEPEST
+    ):  # Danger: depth beyond what a parser's stack bears
         raise Unfit("nested too deeply")
     try:
         return _decoder.decode(line)
@@ -132,8 +136,6 @@
     continued: bool = False
 
 
-
-
 _encoder = msgspec.json.Encoder()
 _HEAD = b'{"@type":"push"'
 
