--- a/dunlinlug/admin/__init__.py
+++ b/dunlinlug/admin/__init__.py
@@ -1,3 +1,1 @@
-"""Operators' words: a manager's local HTTP endpoint, the pins and fleet changes made by it, and the
-commands.
-"""
+"""Administration: a manager's local HTTP endpoint for operators, and the client side of it."""
--- a/dunlinlug/admin/api.py
+++ b/dunlinlug/admin/api.py
@@ -1,129 +1,106 @@
-"""The endpoint's requests and answers: who may ask, what may be asked. No socket here; the manager
-serves it.
-
-GET /health                     no token needed GET /tables[?product=NAME]      what stands, by
-product POST /pins/propose              what the guard would say of a pin; changes nothing PUT
-/pins, DELETE /pins/NAME    set a pin, end one GET /fleet                      who leads, since when
-and why, terms, who lags POST /fleet/hand-over           {"to": MEMBER}: another is to lead, without
-a gap in orders PUT, DELETE /fleet/members/NAME one more member, one fewer GET /members
-who is there; PUT, DELETE /members/bars/NAME GET /work                       who owns work of the
-fleet POST /work/PIECE                {"to": MEMBER}: another is to own it; at the steward
+"""The administration endpoint: who may ask, what may be asked, and the answer.
+
+There is no socket here; the manager serves `AdminApi.handle` on loopback.
+
+    GET /health                        counts; the only request that needs no token
+    GET /tables[?product=NAME]         the tables in use, by traffic class
+    POST /pins/propose                 whether an override could be activated; changes nothing
+    PUT /pins, DELETE /pins/NAME       activate an override, end one
+    GET /fleet                         who leads, since when and why, terms, who lags
+    POST /fleet/hand-over              {"to": MEMBER}: let another lead, without a gap in orders
+    PUT, DELETE /fleet/members/NAME    add a voter, remove one
+    GET /members                       the members of the fleet
+    PUT, DELETE /members/bars/NAME     ban a member, admit it again
+    GET /work                          who owns which task of the fleet
+    POST /work/TASK                    {"to": MEMBER}: let another own it; at the coordinator
 """
 
 import hmac
-import os
-import stat
-from collections.abc import Callable
-from pathlib import Path
-from typing import Any, Protocol
+from collections.abc import Callable, Mapping, Sequence
 from urllib.parse import unquote
 
+import msgspec
 import trio
 
-from dunlinlug.admin import schemas
+from dunlinlug.admin import requests, schemas
+from dunlinlug.admin.interfaces import (
+    LeadershipAdmin,
+    MembershipAdmin,
+    OverrideCoordinator,
+    OwnershipAdmin,
+)
 from dunlinlug.admin.override_registry import OverrideRegistry, OverrideRejectedError
+from dunlinlug.admin.token import TokenFileError, read_token
 from dunlinlug.decision.settings import TrafficClass
-from dunlinlug.errors import DunlinlugError
 from dunlinlug.guard import Override, OverrideError
 from dunlinlug.net.http import Request, Response
 
-MIN_TOKEN_LENGTH = 16  # characters of a token: fewer can be tried out
-
-
-class TokenFileError(DunlinlugError, ValueError):
-    """A token file that cannot be used; the text says why."""
-
-
-def read_token(path: Path) -> str:
-    """The token: one line of a file that only its owner may read. Raises TokenFault."""
-    try:
-        with path.open(encoding="utf-8") as file:
-            mode = os.fstat(file.fileno()).st_mode
-            token = file.read().strip()
-    except (OSError, UnicodeDecodeError) as error:
-        raise TokenFileError(f"{path}: cannot be read: {error}") from None
-    if stat.S_IMODE(mode) & 0o077:
-        raise TokenFileError(f"{path}: others may read it; only its owner should (chmod 600)")
-    if len(token) < MIN_TOKEN_LENGTH or not token.isascii() or len(token.split()) != 1:
-        raise TokenFileError(
-            f"{path}: a token is one word of at least {MIN_TOKEN_LENGTH} letters, figures and signs"
-        )
-    return token
-
-
-def _error_response(status: int, message: str, **details: Any) -> Response:
-    return Response.json({"error": message, **details}, status)
-
-
-class LeadershipAdmin(Protocol):
-    """What a member lets operators see and do; what can't be done raises ValueError, saying why."""
-
-    def describe(self) -> dict[str, Any]: ...
-
-    async def transfer_leadership(self, target: str) -> None: ...
-
-    def change_voter(self, member: str, add: bool) -> None: ...
-
-
-class MembershipAdmin(Protocol):
-    """What a manager that knows others lets operators see and do; what can't be done raises
-    ValueError.
-    """
-
-    def describe(self) -> dict[str, Any]: ...
-
-    def set_banned(self, name: str, banned: bool) -> None: ...
-
-
-class OwnershipAdmin(Protocol):
-    """What a manager that owns work among others lets operators see and do; what can't be done
-    raises ValueError.
-    """
-
-    def describe(self) -> dict[str, Any]: ...
-
-    def move_task(self, task: str, target: str) -> None: ...
-
-
-class OverrideCoordinator(Protocol):
-    """Pins of the whole fleet: `decides` raises ValueError where another manager does."""
-
-    def require_ownership(self, traffic_class: str) -> None: ...
-
-    def publish(self, traffic_class: str) -> None: ...
+__all__ = ["AdminApi", "TokenFileError", "read_token"]
 
 
 class AdminApi:
-    """`show` gives the tables of a product (or of all) as plain values; `fleet` is None for a
-    manager alone.
-    """
+    """Answers operators' requests.
 
-    leadership: "LeadershipAdmin | None" = None
-    membership: "MembershipAdmin | None" = None
-    ownership: "OwnershipAdmin | None" = None
-    coordinator: "OverrideCoordinator | None" = None
+    Attributes:
+        token: The secret that requests must bear.
+        overrides: The operator overrides of this manager.
+        leadership, membership, ownership, coordinator: What a manager among others offers; None for
+            a part that it does not have.
+    """
 
     def __init__(
         self,
         token: str,
         traffic_classes: tuple[TrafficClass, ...],
         overrides: OverrideRegistry,
-        list_tables: Callable[[], list[dict[str, Any]]],
-        get_health: Callable[[], dict[str, Any]],
+        list_tables: Callable[[], Sequence[Mapping[str, object]]],
+        get_health: Callable[[], Mapping[str, object]],
     ) -> None:
+        """Serve a manager.
+
+        Args:
+            token: The secret that requests must bear.
+            traffic_classes: In the order of their indexes.
+            overrides: The operator overrides of this manager.
+            list_tables: Gives the answer to `GET /tables`, an item for each traffic class; the
+                fields are those of `schemas.TrafficClassStatus`.
+            get_health: Gives the answer to `GET /health`.
+        """
         self.token = token
         self.traffic_classes = traffic_classes
         self.overrides = overrides
         self.list_tables = list_tables
         self.get_health = get_health
         self.traffic_class_names = [traffic_class.name for traffic_class in traffic_classes]
+        self.leadership: LeadershipAdmin | None = None
+        self.membership: MembershipAdmin | None = None
+        self.ownership: OwnershipAdmin | None = None
+        self.coordinator: OverrideCoordinator | None = None
+
+    def register_fleet(
+        self,
+        leadership: LeadershipAdmin | None,
+        membership: MembershipAdmin | None,
+        ownership: OwnershipAdmin | None,
+        coordinator: OverrideCoordinator | None,
+    ) -> None:
+        """Serve what these parts of a manager among others offer; None for a part it has not."""
+        self.leadership = leadership
+        self.membership = membership
+        self.ownership = ownership
+        self.coordinator = coordinator
+
+    def replace_token(self, token: str) -> None:
+        """Accept this token from now on, and no longer the one before."""
+        self.token = token
 
     def _is_authorized(self, request: Request) -> bool:
+        """Compares in constant time, so that a token cannot be found byte by byte."""
         authorization = request.headers.get("authorization", "")
         return hmac.compare_digest(authorization.encode(), f"Bearer {self.token}".encode())
 
     async def handle(self, request: Request) -> Response:
-        """One request; a mistake of the caller's is an answer, never an end of the connection."""
+        """Answer one request; a caller's mistake is an answer too and never ends the connection."""
         if (request.method, request.path) == ("GET", "/health"):
             return Response.json(self.get_health())
         if not self._is_authorized(request):
@@ -132,54 +109,40 @@
             )
         try:
             return await self._route(request, trio.current_time())
-        except (schemas.InvalidRequestError, OverrideError) as error:
+        except (requests.InvalidRequestError, OverrideError) as error:
             return _error_response(400, str(error))
-        except OverrideRejectedError as rejected:
+        except OverrideRejectedError as error:
+            reports = schemas.rejection_reports(error.rejections)
             return _error_response(
-                409,
-                "the guard refuses it",
-                refusals=[
-                    schemas.rejection_to_json(rejection) for rejection in rejected.rejections[:20]
-                ],
+                409, "the guard refuses it", refusals=msgspec.to_builtins(reports)
             )
 
     async def _route(self, request: Request, now: float) -> Response:
-        match request.method, request.path.strip("/").split("/"):
-            case method, ["members", *subpath]:
-                return self._handle_members(method, subpath)
-            case method, ["work", *subpath]:
-                return self._handle_work(method, subpath, request.body)
-            case method, ["fleet", *subpath]:
-                return await self._handle_fleet(method, subpath, request.body)
-            case method, _ if (
-                method != "GET"
-                and self.leadership is not None
-                and not self.leadership.describe()["leads"]
-            ):
-                return _error_response(
-                    503,
-                    f"another member leads: {self.leadership.describe()['master'] or 'nobody at the moment'}",
-                )
+        segments = request.path.strip("/").split("/")
+        subpath = segments[1:]
+        if segments[0] == "members":
+            return self._handle_members(request.method, subpath)
+        if segments[0] == "work":
+            return self._handle_work(request.method, subpath, request.body)
+        if segments[0] == "fleet":
+            return await self._handle_fleet(request.method, subpath, request.body)
+        if request.method != "GET" and self.leadership is not None:
+            status = self.leadership.describe()
+            if not status["leads"]:
+                leader = status["master"] or "nobody at the moment"
+                return _error_response(503, f"another member leads: {leader}")
+        return self._handle_tables_and_overrides(request, segments, now)
+
+    def _handle_tables_and_overrides(
+        self, request: Request, segments: list[str], now: float
+    ) -> Response:
+        match request.method, segments:
             case "GET", ["tables"]:
-                return self._handle_tables(unquote(request.query.get("product", "")))
+                return self._list_tables(unquote(request.query.get("product", "")))
             case "POST", ["pins", "propose"]:
-                evaluation = self.overrides.propose(
-                    now, schemas.parse_override(request.body, self.traffic_classes, now)
-                )
-                return Response.json(
-                    {
-                        "passes": not evaluation.rejections,
-                        "cautions": evaluation.warnings,
-                        "refusals": [
-                            schemas.rejection_to_json(rejection)
-                            for rejection in evaluation.rejections[:20]
-                        ],
-                    }
-                )
+                return self._propose_override(self._parse_override(request, now), now)
             case "PUT", ["pins"]:
-                return self._activate_override(
-                    schemas.parse_override(request.body, self.traffic_classes, now), now
-                )
+                return self._activate_override(self._parse_override(request, now), now)
             case "DELETE", ["pins", name]:
                 return self._end_override(unquote(name), now)
             case _, ["tables"] | ["pins"] | ["pins", _]:
@@ -192,62 +155,73 @@
         try:
             match method, subpath:
                 case "GET", []:
-                    return Response.json(self.leadership.describe())
+                    pass
                 case "POST", ["hand-over"]:
-                    await self.leadership.transfer_leadership(schemas.parse_member(body))
-                    return Response.json(self.leadership.describe())
+                    await self.leadership.transfer_leadership(requests.parse_member(body))
                 case "PUT" | "DELETE", ["members", name]:
                     self.leadership.change_voter(unquote(name), method == "PUT")
-                    return Response.json(self.leadership.describe())
-        except schemas.InvalidRequestError:
+                case _:
+                    return _error_response(405, f"{method} is not served there")
+        except requests.InvalidRequestError:
             raise
         except ValueError as error:
             return _error_response(409, str(error), master=self.leadership.describe()["master"])
-        return _error_response(405, f"{method} is not served there")
+        return Response.json(self.leadership.describe())
 
     def _handle_members(self, method: str, subpath: list[str]) -> Response:
         if self.membership is None:
             return _error_response(
                 404, "this manager knows of no others: its file has no [members]"
             )
-        match method, subpath:
-            case "GET", []:
-                return Response.json(self.membership.describe())
-            case "PUT" | "DELETE", ["bars", name]:
-                try:
+        try:
+            match method, subpath:
+                case "GET", []:
+                    pass
+                case "PUT" | "DELETE", ["bars", name]:
                     self.membership.set_banned(unquote(name), method == "PUT")
-                except ValueError as error:
-                    return _error_response(409, str(error))
-                return Response.json(self.membership.describe())
-        return _error_response(405, f"{method} is not served there")
+                case _:
+                    return _error_response(405, f"{method} is not served there")
+        except ValueError as error:
+            return _error_response(409, str(error))
+        return Response.json(self.membership.describe())
 
     def _handle_work(self, method: str, subpath: list[str], body: bytes) -> Response:
         if self.ownership is None:
             return _error_response(
                 404, "this manager owns no work among others: its file has no [owner] on = yes"
             )
-        match method, subpath:
-            case "GET", []:
-                return Response.json(self.ownership.describe())
-            case "POST", [task]:
-                try:
-                    self.ownership.move_task(unquote(task), schemas.parse_member(body))
-                except schemas.InvalidRequestError:
-                    raise
-                except ValueError as error:
-                    return _error_response(409, str(error))
-                return Response.json(self.ownership.describe())
-        return _error_response(405, f"{method} is not served there")
+        try:
+            match method, subpath:
+                case "GET", []:
+                    pass
+                case "POST", [task]:
+                    self.ownership.move_task(unquote(task), requests.parse_member(body))
+                case _:
+                    return _error_response(405, f"{method} is not served there")
+        except requests.InvalidRequestError:
+            raise
+        except ValueError as error:
+            return _error_response(409, str(error))
+        return Response.json(self.ownership.describe())
 
-    def _handle_tables(self, traffic_class: str) -> Response:
+    def _list_tables(self, traffic_class: str) -> Response:
         if traffic_class and traffic_class not in self.traffic_class_names:
-            return _error_response(
-                404,
-                f"unknown product {traffic_class!r}; known are {', '.join(self.traffic_class_names)}",
-            )
+            return self._unknown_traffic_class(traffic_class)
         return Response.json(
-            [table for table in self.list_tables() if traffic_class in ("", table["product"])]
+            [tables for tables in self.list_tables() if traffic_class in ("", tables["product"])]
+        )
+
+    def _parse_override(self, request: Request, now: float) -> Override:
+        return requests.parse_override(request.body, self.traffic_classes, now)
+
+    def _propose_override(self, override: Override, now: float) -> Response:
+        evaluation = self.overrides.propose(now, override)
+        answer = schemas.ProposalAnswer(
+            is_valid=not evaluation.rejections,
+            warnings=evaluation.warnings,
+            rejections=schemas.rejection_reports(evaluation.rejections),
         )
+        return Response.json(msgspec.to_builtins(answer))
 
     def _activate_override(self, override: Override, now: float) -> Response:
         name = self.traffic_class_names[override.traffic_class]
@@ -261,30 +235,30 @@
             raise
         except ValueError as error:
             return _error_response(409, str(error))
-        return Response.json(
-            {
-                "pin": schemas.override_to_json(override, self.traffic_classes, now),
-                "cautions": warnings,
-            }
-        )
+        status = schemas.override_status(override, self.traffic_classes, now)
+        answer = schemas.ActivationAnswer(override=status, warnings=warnings)
+        return Response.json(msgspec.to_builtins(answer))
 
     def _end_override(self, name: str, now: float) -> Response:
         if name not in self.traffic_class_names:
-            return _error_response(
-                404, f"unknown product {name!r}; known are {', '.join(self.traffic_class_names)}"
-            )
-        if self.coordinator is not None:
-            try:
+            return self._unknown_traffic_class(name)
+        try:
+            if self.coordinator is not None:
                 self.coordinator.require_ownership(name)
-                ended = self.overrides.end(now, self.traffic_class_names.index(name))
+            was_active = self.overrides.end(now, self.traffic_class_names.index(name))
+            if self.coordinator is not None:
                 self.coordinator.publish(name)
-            except ValueError as error:
-                return _error_response(409, str(error))
-            return (
-                Response.json({"ended": name})
-                if ended
-                else _error_response(404, f"no pin stands for {name}")
-            )
-        if not self.overrides.end(now, self.traffic_class_names.index(name)):
+        except ValueError as error:
+            return _error_response(409, str(error))
+        if not was_active:
             return _error_response(404, f"no pin stands for {name}")
-        return Response.json({"ended": name})
+        return Response.json(msgspec.to_builtins(schemas.EndAnswer(traffic_class=name)))
+
+    def _unknown_traffic_class(self, name: str) -> Response:
+        return _error_response(
+            404, f"unknown product {name!r}; known are {', '.join(self.traffic_class_names)}"
+        )
+
+
+def _error_response(status: int, message: str, **details: object) -> Response:
+    return Response.json({"error": message, **details}, status)
--- /dev/null
+++ b/dunlinlug/admin/requests.py
@@ -0,0 +1,146 @@
+"""Reads the bodies of requests: an override as an operator writes it, and the name of a member."""
+
+import json
+
+import attrs
+import cattrs
+from cattrs.gen import make_dict_structure_fn
+
+from dunlinlug.decision.settings import TrafficClass
+from dunlinlug.errors import DunlinlugError
+from dunlinlug.guard import Override
+
+
+class InvalidRequestError(DunlinlugError, ValueError):
+    """A request that cannot be read; the text names the mistake."""
+
+
+@attrs.frozen
+class OverrideRequest:
+    """An override as written in JSON; the field names are its keys.
+
+    Attributes:
+        product: Name of the traffic class.
+        lasts: Seconds.
+        weights: Weight by endpoint id; goes with either of `only` and `without`.
+        only: The endpoints to use; not together with `without`.
+        without: Endpoints that are not to be used.
+    """
+
+    product: str
+    lasts: float
+    weights: dict[str, float] = attrs.field(factory=dict)
+    only: list[str] = attrs.field(factory=list)
+    without: list[str] = attrs.field(factory=list)
+
+
+def _structure_number(value: object, _type: object) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        raise ValueError(f"{value!r} is not a number")
+    return float(value)
+
+
+def _structure_text(value: object, _type: object) -> str:
+    if not isinstance(value, str):
+        raise ValueError(f"{value!r} is not a text")
+    return value
+
+
+def _make_converter() -> cattrs.Converter:
+    """A converter that takes no value of another type and no unknown key."""
+    converter = cattrs.Converter(forbid_extra_keys=True)
+    converter.register_structure_hook(float, _structure_number)
+    converter.register_structure_hook(str, _structure_text)
+    converter.register_structure_hook(
+        OverrideRequest,
+        make_dict_structure_fn(OverrideRequest, converter, _cattrs_forbid_extra_keys=True),
+    )
+    return converter
+
+
+CONVERTER = _make_converter()
+
+
+def _reject_duplicate_keys(pairs: list[tuple[str, object]]) -> dict[str, object]:
+    """Make an object of its pairs of key and value.
+
+    Without this, the last of two equal keys would hold, although the operator meant something with
+    the first as well.
+    """
+    values = dict[str, object]()
+    for key, value in pairs:
+        if key in values:
+            raise InvalidRequestError(f"{key!r} is named twice")
+        values[key] = value
+    return values
+
+
+def _parse_json(body: bytes) -> object:
+    try:
+        payload: object = json.loads(body, object_pairs_hook=_reject_duplicate_keys)
+    except InvalidRequestError:
+        raise
+    except ValueError as error:
+        raise InvalidRequestError(f"not JSON: {error}") from None
+    return payload
+
+
+def parse_override(body: bytes, traffic_classes: tuple[TrafficClass, ...], now: float) -> Override:
+    """Read an override; whether it may be activated is for the guard to say.
+
+    Raises:
+        InvalidRequestError: Not JSON, a missing or unknown key, a value of the wrong type, an
+            unknown traffic class, or endpoints that contradict each other.
+    """
+    payload = _parse_json(body)
+    try:
+        request = CONVERTER.structure(payload, OverrideRequest)
+    except ValueError as error:
+        raise InvalidRequestError(f"not JSON: {error}") from None
+    except (cattrs.BaseValidationError, TypeError, AttributeError) as error:
+        raise InvalidRequestError("; ".join(cattrs.transform_error(error))) from None
+    names = [traffic_class.name for traffic_class in traffic_classes]
+    if request.product not in names:
+        raise InvalidRequestError(
+            f"unknown product {request.product!r}; known are {', '.join(names)}"
+        )
+    return Override(
+        names.index(request.product),
+        _merged_weights(request),
+        not request.only,
+        now + request.lasts,
+    )
+
+
+def _merged_weights(request: OverrideRequest) -> dict[str, float | None]:
+    """Weight by endpoint: 0 for those left out, None for the listed weight."""
+    if request.only and request.without:
+        raise InvalidRequestError("only and without shut each other out")
+    weights: dict[str, float | None] = dict(request.weights)
+    selected = request.only or request.without
+    for worker in selected:
+        if selected.count(worker) > 1:
+            raise InvalidRequestError(f"{worker!r} is named twice")
+        if worker in request.weights and worker in request.without:
+            raise InvalidRequestError(f"{worker!r} is given a weight and left out")
+        weights.setdefault(worker, None if request.only else 0.0)
+    unexpected = sorted(set(request.weights) - set(request.only)) if request.only else []
+    if unexpected:
+        raise InvalidRequestError(
+            f"{', '.join(unexpected)} is given a weight and is not of the only"
+        )
+    return weights
+
+
+def parse_member(body: bytes) -> str:
+    """Read the name of a member, `{"to": NAME}`.
+
+    Raises:
+        InvalidRequestError: The body is anything else.
+    """
+    payload = _parse_json(body)
+    if isinstance(payload, dict) and set(payload) == {"to"}:
+        member = payload["to"]
+        if isinstance(member, str):
+            return member
+    raise InvalidRequestError('it is {"to": MEMBER}')
--- a/dunlinlug/admin/schemas.py
+++ b/dunlinlug/admin/schemas.py
@@ -1,153 +1,331 @@
-"""What is said in JSON: a pin as an operator writes it, and refusals and tables as they are shown.
-Free of I/O.
-"""
+"""The records that the administration endpoint answers with; JSON keys stand beside the fields.
 
-import json
-from typing import Any
+The manager makes an answer of them, the commands read it back into them. An answer may have more
+keys than its record has fields: programs may use those, the commands do not.
+"""
 
-import attrs
-import cattrs
-from cattrs.gen import make_dict_structure_fn
+import msgspec
 
 from dunlinlug.decision.settings import TrafficClass
-from dunlinlug.errors import DunlinlugError
 from dunlinlug.guard import Override, Rejection
 
+MAX_PROXIES_SHOWN = 20
+MAX_REJECTIONS_SHOWN = 20
 
-class InvalidRequestError(DunlinlugError, ValueError):
-    """A request that cannot be read; the text names the mistake."""
 
+class OverrideStatus(msgspec.Struct, frozen=True, rename={"expires_in": "ends_in"}):
+    """An active override: `expires_in` in seconds, weights by endpoint (None: as listed).
 
-@attrs.frozen
-class OverrideRequest:
-    """`lasts` in seconds; workers by address. `only` and `without` shut each other out; `weights`
-    go with either.
+    `others` says whether endpoints that it does not name keep their listed weights.
     """
 
     product: str
-    lasts: float
-    weights: dict[str, float] = attrs.field(factory=dict)
-    only: list[str] = attrs.field(factory=list)
-    without: list[str] = attrs.field(factory=list)
+    expires_in: float
+    others: bool
+    weights: dict[str, float | None]
 
 
-def _parse_number(value: Any, _: Any) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float):
-        raise ValueError(f"{value!r} is not a number")
-    return float(value)
+class RejectionReport(
+    msgspec.Struct, frozen=True, rename={"reason": "why", "remedy": "would_pass"}
+):
+    """A rejected order: the rule, the reason, what would be accepted, and the proxies concerned.
 
+    `worker` is the endpoint that the order names; the key is missing if it names none.
+    """
 
-def _parse_text(value: Any, _: Any) -> str:
-    if not isinstance(value, str):
-        raise ValueError(f"{value!r} is not a text")
-    return value
+    rule: str
+    reason: str
+    remedy: str
+    proxies: list[int]
+    worker: str | msgspec.UnsetType = msgspec.UNSET
 
 
-def _make_converter() -> cattrs.Converter:
-    converter = cattrs.Converter(forbid_extra_keys=True)
-    converter.register_structure_hook(float, _parse_number)
-    converter.register_structure_hook(str, _parse_text)
-    converter.register_structure_hook(
-        OverrideRequest,
-        make_dict_structure_fn(OverrideRequest, converter, _cattrs_forbid_extra_keys=True),
-    )
-    return converter
+class ProposalAnswer(
+    msgspec.Struct,
+    frozen=True,
+    rename={"is_valid": "passes", "warnings": "cautions", "rejections": "refusals"},
+):
+    """Whether an override could be activated, and what speaks against it."""
+
+    is_valid: bool
+    warnings: list[str]
+    rejections: list[RejectionReport]
+
+
+class ActivationAnswer(
+    msgspec.Struct, frozen=True, rename={"override": "pin", "warnings": "cautions"}
+):
+    """The override that was activated, and the warnings about it."""
+
+    override: OverrideStatus
+    warnings: list[str]
+
+
+class EndAnswer(msgspec.Struct, frozen=True, rename={"traffic_class": "ended"}):
+    """The traffic class whose override was ended."""
+
+    traffic_class: str
+
+
+class ErrorAnswer(
+    msgspec.Struct, frozen=True, rename={"message": "error", "rejections": "refusals"}
+):
+    """Why a request was not carried out, with the rejections if the guard is the reason."""
+
+    message: str
+    rejections: list[RejectionReport] = []
 
 
-CONVERTER = _make_converter()
+class EntryStatus(msgspec.Struct, frozen=True, rename={"is_ejected": "withdrawn"}):
+    """One entry of a table in use, and the listed state of its endpoint."""
 
+    worker: str
+    weight: float
+    zone: str
+    state: str
+    is_ejected: bool
 
-def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Danger: JSON readers keep the last of two equal keys; the operator meant something with the
-    first.
+
+class TableStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "name": "table",
+        "admitted_fraction": "share_let_in",
+        "retry_policy": "retry",
+        "entries": "lines",
+    },
+):
+    """A table in use for a traffic class, by `proxies` many proxies."""
+
+    name: str
+    proxies: int
+    admitted_fraction: float
+    retry_policy: int
+    entries: list[EntryStatus]
+
+
+class TrafficClassStatus(msgspec.Struct, frozen=True, rename={"override": "pin"}):
+    """The tables of a traffic class, most used first, its override, and counts of proxies."""
+
+    product: str
+    proxies: int
+    without_table: int
+    in_change: int
+    override: OverrideStatus | None
+    tables: list[TableStatus]
+
+
+class LeadershipStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "leader": "master",
+        "leader_for": "since",
+        "is_leader": "leads",
+        "change_reason": "changed",
+        "missing_entries": "behind",
+        "lag_by_member": "lags",
+    },
+):
+    """Who leads, as one member sees it; times in seconds.
+
+    `missing_entries` is None if the member needs a whole snapshot (and on the leader);
+    `lag_by_member` has the entries that others lack, on the leader only.
     """
-    values = dict(pairs)
-    if len(values) < len(pairs):
-        duplicate = next(
-            key
-            for index, (key, _) in enumerate(pairs)
-            if key in [other for other, _ in pairs[:index]]
-        )
-        raise InvalidRequestError(f"{duplicate!r} is named twice")
-    return values
-
-
-def parse_override(body: bytes, traffic_classes: tuple[TrafficClass, ...], now: float) -> Override:
-    """Raises WordFault. Whether the pin may stand is for the guard to say."""
-    try:
-        payload = json.loads(body, object_pairs_hook=_reject_duplicate_keys)
-        request = CONVERTER.structure(payload, OverrideRequest)
-    except InvalidRequestError:
-        raise
-    except ValueError as error:
-        raise InvalidRequestError(f"not JSON: {error}") from None
-    except (cattrs.BaseValidationError, TypeError, AttributeError) as error:
-        raise InvalidRequestError("; ".join(cattrs.transform_error(error))) from None
-    names = [traffic_class.name for traffic_class in traffic_classes]
-    if request.product not in names:
-        raise InvalidRequestError(
-            f"unknown product {request.product!r}; known are {', '.join(names)}"
-        )
-    return Override(
-        names.index(request.product),
-        _merged_weights(request),
-        not request.only,
-        now + request.lasts,
-    )
+
+    member: str
+    members: list[str]
+    term: int
+    leader: str | None
+    is_leader: bool
+    leader_for: float
+    change_reason: str
+    changed_ago: float
+    missing_entries: int | None
+    lag_by_member: dict[str, int | None] | None
+
+
+class MemberStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "name": "member",
+        "start_epoch": "start",
+        "incarnation": "word",
+        "address": "place",
+        "reachable_members": "sees",
+        "connection": "between",
+    },
+):
+    """A member as another one knows it.
+
+    `reachable_members` says for every member whether this one reaches it ("yes", "-" or why not);
+    `connection` is how the member and the one that answers reach each other.
+    """
+
+    name: str
+    start_epoch: int
+    incarnation: int
+    state: str
+    address: str
+    reachable_members: dict[str, str]
+    connection: str
+
+
+class LoadStatus(msgspec.Struct, frozen=True, rename={"requests_per_second": "txns_per_s"}):
+    """A member's load; channel and processor as fractions of what they can do."""
+
+    proxies: int
+    requests_per_second: float
+    channel: float
+    processor: float
+
+
+class ListDivergence(
+    msgspec.Struct, frozen=True, rename={"endpoint_count": "workers", "seconds": "for"}
+):
+    """A member whose endpoint list differs: how many it has, and since how many seconds."""
+
+    endpoint_count: int
+    seconds: float
+
+
+class MemberStateChange(
+    msgspec.Struct,
+    frozen=True,
+    rename={"seconds_ago": "ago", "after": "now", "reason": "why"},
+):
+    """When and why a member's state changed."""
+
+    seconds_ago: float
+    member: str
+    before: str
+    after: str
+    reason: str
+
+
+class MembershipStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "partition_status": "standing",
+        "partition_status_for": "since",
+        "voters": "set",
+        "local_health": "distrust",
+        "loads": "burdens",
+        "divergent_lists": "lists",
+        "changes": "verdicts",
+    },
+):
+    """The members as one of them sees them; times in seconds, `local_health` as in Lifeguard."""
+
+    member: str
+    state: str
+    partition_status: str
+    partition_status_for: float
+    voters: list[str]
+    digest: str
+    local_health: int
+    members: list[MemberStatus]
+    loads: dict[str, LoadStatus]
+    divergent_lists: dict[str, ListDivergence]
+    changes: list[MemberStateChange]
 
 
-def _merged_weights(request: OverrideRequest) -> dict[str, float | None]:
-    if request.only and request.without:
-        raise InvalidRequestError("only and without shut each other out")
-    weights: dict[str, float | None] = dict(request.weights)
-    for worker in [*request.only, *request.without]:
-        if [*request.only, *request.without].count(worker) > 1:
-            raise InvalidRequestError(f"{worker!r} is named twice")
-        if worker in request.weights and worker in request.without:
-            raise InvalidRequestError(f"{worker!r} is given a weight and left out")
-        weights.setdefault(worker, None if request.only else 0.0)
-    unexpected = sorted(set(request.weights) - set(request.only)) if request.only else []
-    if unexpected:
-        raise InvalidRequestError(
-            f"{', '.join(unexpected)} is given a weight and is not of the only"
-        )
-    return weights
-
-
-def parse_member(body: bytes) -> str:
-    """Raises WordFault."""
-    try:
-        payload = json.loads(body, object_pairs_hook=_reject_duplicate_keys)
-    except InvalidRequestError:
-        raise
-    except ValueError as error:
-        raise InvalidRequestError(f"not JSON: {error}") from None
-    if (
-        not isinstance(payload, dict)
-        or set(payload) != {"to"}
-        or not isinstance(payload["to"], str)
-    ):
-        raise InvalidRequestError('it is {"to": MEMBER}')
-    return str(payload["to"])
+class TaskStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "task": "piece",
+        "shard": "slot",
+        "token": "number",
+        "checkpoint_token": "under",
+        "checkpoint": "body",
+    },
+):
+    """A task of the fleet: its owner and fencing token, and its last checkpoint and that token."""
+
+    task: str
+    shard: int
+    owner: str
+    token: int
+    checkpoint_token: int
+    checkpoint: str
+
+
+class OwnerChange(
+    msgspec.Struct,
+    frozen=True,
+    rename={"seconds_ago": "ago", "shard": "slot", "token": "number", "reason": "why"},
+):
+    """When and why a shard went to another owner."""
+
+    seconds_ago: float
+    shard: int
+    owner: str
+    token: int
+    reason: str
+
+
+class OwnershipStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "coordinator": "steward",
+        "held_shards": "holds",
+        "shard_count": "slots",
+        "shards_by_owner": "owners",
+        "moving_shards": "moving",
+        "tasks": "records",
+        "counters": "counts",
+    },
+):
+    """Who owns which shards and tasks, as one member knows it."""
+
+    member: str
+    coordinator: str | None
+    term: int
+    held_shards: int
+    shard_count: int
+    shards_by_owner: dict[str, int]
+    moving_shards: dict[str, str]
+    tasks: list[TaskStatus]
+    changes: list[OwnerChange]
+    counters: dict[str, int]
+
+
+def override_status(
+    override: Override, traffic_classes: tuple[TrafficClass, ...], now: float
+) -> OverrideStatus:
+    """The record of an active override; `now` in seconds on its clock."""
+    return OverrideStatus(
+        product=traffic_classes[override.traffic_class].name,
+        expires_in=round(override.expires_at - now, 3),
+        others=override.keep_unlisted,
+        weights=dict(override.weights),
+    )
 
 
 def override_to_json(
     override: Override, traffic_classes: tuple[TrafficClass, ...], now: float
-) -> dict[str, Any]:
-    return {
-        "product": traffic_classes[override.traffic_class].name,
-        "ends_in": round(override.expires_at - now, 3),
-        "others": override.keep_unlisted,
-        "weights": dict(override.weights),
-    }
+) -> dict[str, object]:
+    """An active override as plain values for JSON."""
+    plain: dict[str, object] = msgspec.to_builtins(override_status(override, traffic_classes, now))
+    return plain
 
 
-def rejection_to_json(rejection: Rejection) -> dict[str, Any]:
+def rejection_reports(rejections: list[Rejection]) -> list[RejectionReport]:
+    """The records of the first rejections; a change of a whole table can cause very many."""
+    return [_rejection_report(rejection) for rejection in rejections[:MAX_REJECTIONS_SHOWN]]
+
+
+def _rejection_report(rejection: Rejection) -> RejectionReport:
     worker = getattr(rejection.order, "worker", None)
-    return {
-        "rule": str(rejection.rule),
-        "why": rejection.reason,
-        "would_pass": rejection.remedy,
-        "proxies": list(rejection.proxies[:20]),
-        **({"worker": worker} if worker else {}),
-    }
+    return RejectionReport(
+        rule=str(rejection.rule),
+        reason=rejection.reason,
+        remedy=rejection.remedy,
+        proxies=list(rejection.proxies[:MAX_PROXIES_SHOWN]),
+        worker=worker or msgspec.UNSET,
+    )
--- a/dunlinlug/command_line/common.py
+++ b/dunlinlug/command_line/common.py
@@ -1,4 +1,4 @@
-"""What all commands share."""
+"""What all commands share: files as arguments, and the error for one that cannot be used."""
 
 from pathlib import Path
 
@@ -8,6 +8,6 @@
 
 
 class InvalidFileError(click.ClickException):
-    """A file that cannot be used: one line, exit status 2."""
+    """A file that cannot be used: one line on standard error, exit status 2."""
 
     exit_code = 2
--- a/dunlinlug/storage/__init__.py
+++ b/dunlinlug/storage/__init__.py
@@ -0,0 +1,1 @@
+"""What a manager keeps on disk, so that it outlives its process."""
--- a/dunlinlug/storage/store.py
+++ b/dunlinlug/storage/store.py
@@ -1,25 +1,48 @@
-"""What outlives a kill: the list as last heard, and how many lives this manager has had (lmdb)."""
+"""A manager's store in lmdb: its start epoch, endpoint list, votes, overrides and rejections.
+
+Keys and values are read by other versions too, so they stay as they are: `epoch` and `refusals` are
+decimal numbers, `list` is a body of service discovery, `vote` and the votes of other logs are JSON
+arrays, `pins` and each `refusal NNNNNNNN` are JSON.
+"""
 
 import fcntl
 import json
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 from typing import Any
 
 import lmdb
+import msgspec
 
 from dunlinlug.errors import DunlinlugError
+from dunlinlug.storage.records import StoredOverride, StoredRejection, StoredVote
 
-MAP_SIZE_BYTES = 2**26  # bytes of map: a list of ten thousand workers takes some three million
+MAP_SIZE_BYTES = 2**26  # a list of ten thousand endpoints takes some three million bytes
+EPOCH_KEY = b"epoch"
+LIST_KEY = b"list"
+OVERRIDES_KEY = b"pins"
+REJECTION_COUNT_KEY = b"refusals"
+REJECTION_KEY_PREFIX = b"refusal "
+ELECTION_VOTE_KEY = "vote"
 
 
 class StoreError(DunlinlugError):
-    """The store cannot be used; the text says why."""
+    """The store cannot be used; the text names the folder and says why."""
 
 
 class Store:
-    """One writer at a time; a second process that opens the same store is refused."""
+    """The store in a folder, open for one process alone.
+
+    Every write is on disk when its method returns.
+    """
 
     def __init__(self, folder: Path) -> None:
+        """Open the store, or make it.
+
+        Raises:
+            StoreError: Another process has it open, or lmdb cannot open it.
+        """
+        self.folder = folder
         folder.mkdir(parents=True, exist_ok=True)
         self.lock_file = (folder / "lock").open("w")
         try:
@@ -31,67 +54,86 @@
         except lmdb.Error as error:
             raise StoreError(f"{folder}: {error}") from None
 
+    def _get(self, key: bytes) -> bytes | None:
+        with self.environment.begin() as transaction:
+            value: bytes | None = transaction.get(key)
+        return value
+
+    def _put(self, key: bytes, value: bytes) -> None:
+        with self.environment.begin(write=True) as transaction:
+            transaction.put(key, value)
+
     def next_epoch(self) -> int:
-        """Count one more life; on disk before it is told."""
+        """Count one more start of the process, and give its number; the first is 1."""
         with self.environment.begin(write=True) as transaction:
-            epoch = int(transaction.get(b"epoch") or b"0") + 1
-            transaction.put(b"epoch", str(epoch).encode())
+            epoch = int(transaction.get(EPOCH_KEY) or b"0") + 1
+            transaction.put(EPOCH_KEY, str(epoch).encode())
         return epoch
 
     def endpoint_list(self) -> bytes | None:
-        """The roster's body as last put."""
-        with self.environment.begin() as transaction:
-            body: bytes | None = transaction.get(b"list")
-        return body
+        """The body of service discovery that was put last; None if there was none."""
+        return self._get(LIST_KEY)
 
     def put_endpoint_list(self, body: bytes) -> None:
-        with self.environment.begin(write=True) as transaction:
-            transaction.put(b"list", body)
+        """Store a body of service discovery in place of the one before."""
+        self._put(LIST_KEY, body)
 
-    def put_rejections(self, rejections: list[dict[str, Any]], max_rejections: int) -> None:
-        """Add to a ring of so many; the oldest make room."""
+    def put_rejections(self, rejections: Sequence[Mapping[str, Any]], max_rejections: int) -> None:
+        """Add rejections, with the keys of `StoredRejection`; the oldest beyond the limit go."""
         with self.environment.begin(write=True) as transaction:
-            count = int(transaction.get(b"refusals") or b"0")
+            count = int(transaction.get(REJECTION_COUNT_KEY) or b"0")
             for rejection in rejections:
-                transaction.put(
-                    b"refusal %08d" % (count % max(max_rejections, 1)),
-                    json.dumps({"n": count, **rejection}).encode(),
-                )
+                key = REJECTION_KEY_PREFIX + b"%08d" % (count % max(max_rejections, 1))
+                transaction.put(key, json.dumps({"n": count, **rejection}).encode())
                 count += 1
-            transaction.put(b"refusals", str(count).encode())
+            transaction.put(REJECTION_COUNT_KEY, str(count).encode())
 
-    def vote(self, key: str = "vote") -> tuple[int, str, int, list[str]] | None:
-        """Term, vote, and the roll's version and members, as last put; `of` succession, or of the
-        owners' log.
-        """
-        with self.environment.begin() as transaction:
-            found = json.loads(transaction.get(key.encode()) or b"null")
-        return tuple(found) if found else None
+    def vote(self, key: str = ELECTION_VOTE_KEY) -> StoredVote | None:
+        """The vote that was put last under a key, the election's or another log's; None if none."""
+        found = json.loads(self._get(key.encode()) or b"null")
+        return StoredVote(*found) if found else None
 
     def put_vote(
-        self, term: int, voted_for: str, version: int, members: list[str], key: str = "vote"
+        self,
+        term: int,
+        voted_for: str,
+        version: int,
+        members: list[str],
+        key: str = ELECTION_VOTE_KEY,
     ) -> None:
-        """On disk before it is said."""
-        with self.environment.begin(write=True) as transaction:
-            transaction.put(key.encode(), json.dumps([term, voted_for, version, members]).encode())
+        """Store a vote in place of the one before, as a `StoredVote`."""
+        vote = StoredVote(term, voted_for, version, members)
+        self._put(key.encode(), json.dumps(vote).encode())
 
-    def overrides(self) -> list[dict[str, Any]]:
-        with self.environment.begin() as transaction:
-            found: list[dict[str, Any]] = json.loads(transaction.get(b"pins") or b"[]")
-        return found
+    def overrides(self) -> list[StoredOverride]:
+        """The overrides that were put last.
 
-    def put_overrides(self, overrides: list[dict[str, Any]]) -> None:
-        """On disk before an operator is told that they stand."""
-        with self.environment.begin(write=True) as transaction:
-            transaction.put(b"pins", json.dumps(overrides).encode())
+        Raises:
+            StoreError: The value is not a list of overrides.
+        """
+        try:
+            plain_overrides = json.loads(self._get(OVERRIDES_KEY) or b"[]")
+            return msgspec.convert(plain_overrides, list[StoredOverride])
+        except (ValueError, msgspec.ValidationError) as error:
+            raise StoreError(f"{self.folder}: pins: not a list of overrides: {error}") from None
+
+    def put_overrides(self, overrides: Sequence[StoredOverride]) -> None:
+        """Store all active overrides in place of those before."""
+        plain_overrides = [override.to_plain() for override in overrides]
+        self._put(OVERRIDES_KEY, json.dumps(plain_overrides).encode())
 
     def close(self) -> None:
+        """Let another process open the store."""
         self.environment.close()
         self.lock_file.close()
 
 
-def read_rejections(folder: Path) -> list[dict[str, Any]]:
-    """The refusals kept in a store, oldest first, also while a manager has it open."""
+def read_rejections(folder: Path) -> list[StoredRejection]:
+    """The rejections in a store, oldest first; a manager may have it open meanwhile.
+
+    Raises:
+        StoreError: There is no store, or it cannot be read.
+    """
     if not (folder / "data.mdb").exists():
         raise StoreError(f"{folder}: no store here")
     try:
@@ -100,10 +142,10 @@
             environment.begin() as transaction,
         ):
             rejections = [
-                json.loads(value)
+                msgspec.convert(json.loads(value), StoredRejection)
                 for key, value in transaction.cursor()
-                if key.startswith(b"refusal ")
+                if key.startswith(REJECTION_KEY_PREFIX)
             ]
-    except lmdb.Error as error:
+    except (lmdb.Error, msgspec.ValidationError) as error:
         raise StoreError(f"{folder}: {error}") from None
-    return sorted(rejections, key=lambda rejection: int(rejection["n"]))
+    return sorted(rejections, key=lambda rejection: rejection.number)
