--- a/bench/crowd.py
+++ b/bench/decision_cost.py
@@ -1,8 +1,8 @@
 """Very many proxies at one manager: CPU and memory by their number, and the dearest stretch.
 
-    python -m bench.crowd [--profile 1600]
-    python -m bench.crowd --workers 5000 --products 2 --proxies 20 [--module former|present|both] [--runs 3]
-    python -m bench.crowd --table [--module both]
+    python -m bench.decision_cost [--profile 1600]
+    python -m bench.decision_cost --workers 5000 --products 2 --proxies 20 [--module former|present|both] [--runs 3]
+    python -m bench.decision_cost --table [--module both]
 
 All proxies join within half a second, as when seven in ten managers die at once; then reports and
 answers come at the agreed rate, an eighth of 200 workers is bad, and from the tenth second on
@@ -27,7 +27,7 @@
 from statistics import mean
 from typing import Any
 
-from bench.loop import CYCLE, TRANSIT, Fleet
+from bench.decision_loop_cost import CYCLE, TRANSIT, Fleet
 from dunlinlug import balance
 from dunlinlug.decision.events import (
     Acknowledged,
--- a/bench/hung.py
+++ b/bench/hung_worker_detection.py
@@ -1,7 +1,7 @@
 """How soon five managers withdraw a hung worker, with and without what the others' proxies met;
 paired seeds.
 
-python -m bench.hung [--pairs 20]
+python -m bench.hung_worker_detection [--pairs 20]
 
 Each manager's proxies send txns evenly to 200 workers; reports come by zone and worker, rationed to
 80 lines a second as on the platform, so that each covers some seconds. One worker hangs: its txns
--- a/bench/members.py
+++ b/bench/membership_detection.py
@@ -1,8 +1,8 @@
 """Membership in simulated time: time to detect, false verdicts, messages; beside two baselines of
 ours.
 
-    python -m bench.members [--hours 1] [--runs 40] [--largest 100]
-    python -m bench.members --drawn 1000 [--processes 8]
+    python -m bench.membership_detection [--hours 1] [--runs 40] [--largest 100]
+    python -m bench.membership_detection --drawn 1000 [--processes 8]
 
 Ours, plain SWIM (a suspicion of fixed length, no witnesses, no distrust of itself, each verdict
 believed) and heartbeats of each to all (five missed). A beat is 0.2 s, a message takes 0.5 to 2 ms.
--- a/bench/owner.py
+++ b/bench/ownership_takeover.py
@@ -1,7 +1,7 @@
 """Owners of fleet-wide work in simulated time: from a death to the next owner's first effect,
 messages, moves; CPU.
 
-python -m bench.owner [--runs 200]
+python -m bench.ownership_takeover [--runs 200]
 
 A lease of 1 s, a beat of 0.2 s, messages of 0.5 to 2 ms, clocks 2% apart; owners act for what they
 hold each 20 ms. The membership's detector is not simulated: without it a steward's death is seen by
--- a/bench/tapped.py
+++ b/bench/recorded_days.py
@@ -1,8 +1,8 @@
 """Tapped days of the operators' bench, played to modules again, which order the same as on the day.
 
     lbsim replay SITE big-1 --tap FILE ...
-    python -m bench.tapped FILE              what the guard would refuse of the module's own orders on that day
-    python -m bench.tapped --replies FILE    every reply on a line, so that two texts of the module can be compared
+    python -m bench.recorded_days FILE              what the guard would refuse of the module's own orders on that day
+    python -m bench.recorded_days --replies FILE    every reply on a line, so that two texts of the module can be compared
 
 The judge's word is counted and nothing is held back. Told are orders, refusals by rule and kind of
 order, and one example of each.
--- a/bench/restart.py
+++ b/bench/restart_time.py
@@ -1,7 +1,7 @@
 """How soon a manager on the platform is ready that starts while everybody dials: proxies, and
 others that never join.
 
-python -m bench.restart [PROXIES] [OTHERS] [STARTS]
+python -m bench.restart_time [PROXIES] [OTHERS] [STARTS]
 
 All dial from before there is a door, discovery is silent, the list is old. Prints, in seconds from
 the start of the process: the log's line `ready`, the answer `alive` to a probe that dials among the
--- a/bench/scale/slopes.py
+++ b/bench/scale/slopes.py
@@ -32,9 +32,9 @@
 
 import msgspec
 
-from bench import guard as bench_guard
-from bench import loop as bench_loop
-from bench import replicate as bench_replicate
+from bench import decision_loop_cost as bench_loop
+from bench import guard_cost as bench_guard
+from bench import replication_cost as bench_replicate
 from dunlinlug.decision.events import (
     Acknowledged,
     Endpoint,
@@ -88,14 +88,14 @@
     4.0,
     30,
     80.0,
-)  # a manager's channel and what it hears, as in bench/crowd.py
+)  # a manager's channel and what it hears, as in bench/decision_cost.py
 JOINED, USUAL, REPLACED, END = (
     1.0,
     3.0,
     6.0,
     9.0,
 )  # seconds: joins, the ordinary ones from, replacements, the end
-BAD = 8  # one worker of so many is bad, as in bench/crowd.py
+BAD = 8  # one worker of so many is bad, as in bench/decision_cost.py
 # times that the fixed piece of work is done: a tenth of a second before and after each play
 PACED = 200
 REPEATED, GOES = (
@@ -108,9 +108,9 @@
 
 
 class Sized(bench_loop.Fleet):
-    """A manager's surroundings at any size, by the script of bench/crowd.py in fewer seconds: all
-    proxies join within half a second, reports come at the agreed rate, some workers are bad,
-    thirty are replaced.
+    """A manager's surroundings at any size, by the script of bench/decision_cost.py in fewer
+    seconds: all proxies join within half a second, reports come at the agreed rate, some workers
+    are bad, thirty are replaced.
     """
 
     def __init__(self, case: Case) -> None:
@@ -1056,7 +1056,7 @@
 
 SERIES = {
     "module": Series(
-        f"the decision module by bench/crowd.py's script in {END:g} s, an ordinary second from {USUAL:g} "
+        f"the decision module by bench/decision_cost.py's script in {END:g} s, an ordinary second from {USUAL:g} "
         f"to {REPLACED:g} s, thirty workers replaced after it",
         play_module,
         MODULE,
--- a/tests/race_conditions/test_process_signals.py
+++ b/tests/race_conditions/test_process_signals.py
@@ -15,7 +15,7 @@
 import pytest
 import trio
 
-from bench.restart import once
+from bench.restart_time import once
 from dunlinlug.net import http
 from dunlinlug.platform import environment, server
 from dunlinlug.standins.platform import DiscoveryServer
