--- a/dunlinlug/fleet/__init__.py
+++ b/dunlinlug/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Managers of one fleet among themselves."""
+"""Coordination among the managers of a fleet: election, membership and shard ownership."""
--- a/dunlinlug/fleet/connections.py
+++ b/dunlinlug/fleet/connections.py
@@ -1,4 +1,4 @@
-"""What the transports of the membership and of the replicated logs share: bounds and log pacing."""
+"""Connection limits, rate limits and log throttling for the transports between managers."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -6,32 +6,32 @@
 import trio
 
 Address = tuple[str, int]  # host and port
-# Takes a connection that another part's listener accepted, with the bytes read of it so far.
+# Handles a connection that another component's listener accepted; the bytes are those read so far.
 ConnectionHandler = Callable[[trio.SocketStream, bytes], Awaitable[None]]
-REJECTION_LOG_INTERVAL = 60.0  # seconds between two log lines on rejected messages
+REJECTION_LOG_INTERVAL = 60.0  # seconds between log lines about rejected messages
 
 
 class ConnectionLimit:
-    """Counts connections of one kind that are open at once, up to a maximum."""
+    """Limits how many connections of one kind are open at once."""
 
     def __init__(self, maximum: int) -> None:
         self.maximum = maximum
         self.open = 0
 
     def try_acquire(self) -> bool:
-        """Counts one more; false, and not counted, if the maximum is open already."""
+        """Counts one more connection; returns false, uncounted, if the maximum is reached."""
         if self.open >= self.maximum:
             return False
         self.open += 1
         return True
 
     def release(self) -> None:
-        """Counts one fewer, after a `try_acquire` that was true."""
+        """Counts one connection fewer; call it once for each successful `try_acquire`."""
         self.open -= 1
 
 
 class RateLimit:
-    """Allows so many events in each second, counted from the first one of the second."""
+    """Allows a maximum number of events per second; an event opens each one-second window."""
 
     def __init__(self, maximum_per_second: int) -> None:
         self.maximum_per_second = maximum_per_second
@@ -39,7 +39,7 @@
         self.window_count = 0
 
     def allows(self, now: float) -> bool:
-        """Counts one event; false if it is over the maximum. A clock set back starts a second."""
+        """Counts one event; returns false above the maximum. A clock set back opens a window."""
         if now - self.window_start >= 1.0 or now < self.window_start:
             self.window_start = now
             self.window_count = 0
@@ -48,7 +48,7 @@
 
 
 class RateLimitedLog:
-    """Writes one log event at most once in an interval; what comes between is not written."""
+    """Writes a log event at most once per interval; occurrences in between are dropped."""
 
     def __init__(
         self,
@@ -64,14 +64,14 @@
         self.last_written_at = -interval
 
     def write(self, **fields: Any) -> None:
-        """Writes the event with these fields unless the interval since the last has not passed."""
+        """Writes the event with these fields, unless one was written within the interval."""
         if self.clock() >= self.last_written_at + self.interval:
             self.last_written_at = self.clock()
             self.log_event(self.event, **fields)
 
 
 async def receive_exactly(stream: trio.SocketStream, count: int) -> bytes:
-    """Reads so many bytes. Raises EOFError if the connection ends before."""
+    """Reads exactly `count` bytes. Raises EOFError if the connection ends first."""
     data = b""
     while len(data) < count:
         chunk = await stream.receive_some(count - len(data))
--- a/dunlinlug/fleet/election/__init__.py
+++ b/dunlinlug/fleet/election/__init__.py
@@ -1,4 +1,4 @@
-"""Managers that take over from each other: one leader a term, by majority and lease.
+"""Leader election and log replication among managers: one leader per term, by majority and lease.
 
-`docs/election.md` has the guarantees, the options weighed and what was measured.
+`docs/election.md` describes the guarantees, the alternatives considered and the measurements.
 """
--- a/dunlinlug/fleet/election/codec.py
+++ b/dunlinlug/fleet/election/codec.py
@@ -1,9 +1,10 @@
-"""Messages of the replicated logs on the wire: msgpack in signed frames on a stream; free of I/O.
+"""Wire format of the replicated logs: msgpack messages in signed frames on a stream, without I/O.
 
-A member dials each other member and only sends on that connection; the member dialled only
-listens, and begins by sending a nonce of 16 bytes. Each frame is its body's length (4 bytes), a
-sequence number (8), the key's id (4), a keyed BLAKE2b over nonce, sequence number and body (32),
-and the body. So a frame cannot be used on another connection, nor twice on its own.
+Each member connects to every other member and sends on that connection only; the accepting member
+sends a nonce of 16 bytes and then only receives. A frame consists of the length of its body (4
+bytes), a sequence number (8), the key id (4), a keyed BLAKE2b over nonce, sequence number and body
+(32), and the body. Nonce and sequence number prevent replays, both on the same connection and on
+another one.
 """
 
 import struct
@@ -24,7 +25,7 @@
 from dunlinlug.fleet.wire_names import by_wire_name, wire_fields, wire_name
 
 NONCE_BYTES = 16
-# bytes of a frame: ten times the snapshot of 500 proxies and 2,000 workers
+# ten times the size of a snapshot of 500 proxies and 2,000 workers
 MAX_FRAME_BYTES = 2**26
 HEADER = struct.Struct(f">IQ{KEY_ID_BYTES}s{FRAME_SEAL.mac_bytes}s")
 MESSAGE_TYPES = by_wire_name(
@@ -37,16 +38,16 @@
         election_messages.TransferLeadership,
     )
 )
-# Fields of any message by their wire names, which msgpack gives back as lists:
-POSITION_FIELDS = ("position", "base", "upto", "committed")  # positions in the log
-ROW_FIELDS = ("behind", "away", "items")  # rows of plain values
+# Wire names of the fields that msgpack decodes as lists, by the type that they have in messages.
+POSITION_FIELDS = ("position", "base", "upto", "committed")  # log positions
+ROW_FIELDS = ("behind", "away", "items")  # tuples of tuples of plain values
 VOTER_SET_FIELD = "roll"
 ENTRIES_FIELD = "entries"
-MessageTypes = Mapping[str, type]  # classes of messages by wire name
+MessageTypes = Mapping[str, type]  # message classes by wire name
 
 
 def encode(message: Any) -> bytes:
-    """The body of a frame: the message's wire name and its fields by wire name.
+    """Encodes a frame body: the message's wire name and its fields by wire name.
 
     Raises:
         TypeError: The class or one of its fields declares no wire name.
@@ -63,10 +64,11 @@
 
 
 def decode(body: bytes, message_types: MessageTypes = MESSAGE_TYPES) -> Any:
-    """The message of a frame's body.
+    """Decodes the message in a frame body.
 
     Raises:
-        AuthenticationError: It is not a message of these types with just their fields.
+        AuthenticationError: The body is not a message of one of these types with exactly its
+            fields.
     """
     try:
         name, fields = msgpack.unpackb(body)
@@ -79,7 +81,7 @@
 
 
 def _restore_field_types(fields: dict[str, Any]) -> None:
-    """Makes of msgpack's lists and numbers what the messages' classes hold, in place."""
+    """Converts msgpack's lists and numbers to the types of the message classes, in place."""
     for key in fields.keys() & POSITION_FIELDS:
         term, index = fields[key]
         fields[key] = (int(term), int(index))
@@ -96,19 +98,19 @@
 
 
 def _signed_prefix(nonce: bytes, sequence: int) -> bytes:
-    """What a frame's signature covers besides its body."""
+    """Returns the data that a frame's signature covers besides the body."""
     return nonce + sequence.to_bytes(8, "big")
 
 
 class FrameSealer(MessageSealer):
-    """Writes the frames of one connection, for the nonce that its listener sent."""
+    """Writes the frames of one connection, signed with the nonce of the accepting member."""
 
     def __init__(self, key: bytes, nonce: bytes) -> None:
         super().__init__(key, FRAME_SEAL)
         self.nonce = nonce
 
     def frame(self, message: object) -> bytes:
-        """The message as the connection's next frame. Raises TypeError as `encode` does."""
+        """Returns the message as the connection's next frame. Raises TypeError like `encode`."""
         body = encode(message)
         sequence = self.next_sequence()
         mac = self.sign(_signed_prefix(self.nonce, sequence), body)
@@ -116,7 +118,7 @@
 
 
 class FrameOpener(MessageOpener):
-    """Reads the frames of one connection, from bytes in any pieces."""
+    """Reads the frames of one connection from chunks of any size."""
 
     def __init__(
         self, keys: list[bytes], nonce: bytes, message_types: MessageTypes = MESSAGE_TYPES
@@ -128,17 +130,17 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Any]:
-        """The messages whose frames these bytes complete.
+        """Returns the messages whose frames these bytes complete.
 
         Raises:
-            AuthenticationError: A frame is not the next one of this connection, or not signed by a
-                valid key. The connection is then to be closed.
+            AuthenticationError: A frame is out of sequence, over the size limit, not signed with a
+                valid key, or malformed. The caller must then close the connection.
         """
         self.buffer += data
         messages = []
         while len(self.buffer) >= HEADER.size:
-            length, sequence, key_name, mac = HEADER.unpack_from(self.buffer)
-            self.require_known_key(key_name)
+            length, sequence, signing_key_id, mac = HEADER.unpack_from(self.buffer)
+            self.require_known_key(signing_key_id)
             if length > MAX_FRAME_BYTES or sequence != self.sequence + 1:
                 raise AuthenticationError(RejectReason.FRAME_OUT_OF_BOUNDS)
             end = HEADER.size + length
@@ -146,7 +148,7 @@
                 break
             body = bytes(self.buffer[HEADER.size : end])
             del self.buffer[:end]
-            self.verify(key_name, _signed_prefix(self.nonce, sequence), body, mac)
+            self.verify(signing_key_id, _signed_prefix(self.nonce, sequence), body, mac)
             self.sequence = sequence
             messages.append(decode(body, self.message_types))
         return messages
--- a/dunlinlug/fleet/election/commit_queue.py
+++ b/dunlinlug/fleet/election/commit_queue.py
@@ -1,4 +1,4 @@
-"""Messages to proxies that wait until the batch they come from is committed."""
+"""Holds messages to proxies until the batch that produced them is committed."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -11,21 +11,21 @@
 
 
 class CommitQueue:
-    """Holds a leader's messages back, and gives them to the decision loop once they may leave."""
+    """Queues a leader's messages, and passes them to the decision loop once they are committed."""
 
     def __init__(self, protocol: ElectionProtocol, decision_loop: DecisionLoop) -> None:
         self.protocol = protocol
         self.decision_loop = decision_loop
-        # Index of the batch in the log of our term, and its messages by proxy; oldest first.
+        # Log index of a batch of our term, and its messages by proxy; oldest first.
         self._waiting: deque[tuple[int, Mapping[int, OutgoingMessage]]] = deque()
 
     def hold(self, index: int, messages: Mapping[int, OutgoingMessage]) -> None:
-        """Holds the messages of a batch, if it has any."""
+        """Queues the messages, by proxy, of the batch at this log index, if it has any."""
         if messages:
             self._waiting.append((index, messages))
 
     def release_committed(self) -> None:
-        """Releases the messages of all batches that a majority has; drops them without a lease."""
+        """Releases the messages of committed batches; drops them if we do not hold the lease."""
         now = trio.current_time()
         while self._waiting:
             index, messages = self._waiting[0]
@@ -36,5 +36,5 @@
                 self.decision_loop.release(now, messages)
 
     def clear(self) -> None:
-        """Drops all messages."""
+        """Drops all queued messages."""
         self._waiting.clear()
--- a/dunlinlug/fleet/election/event_forms.py
+++ b/dunlinlug/fleet/election/event_forms.py
@@ -1,8 +1,8 @@
-"""The decision module's events as they travel to a successor: each class's wire names.
+"""Wire forms of the decision module's events, as the leader replicates them to followers.
 
-On the left stand names on the wire, which managers of former versions read; on the right attributes
-of the code. A renamed attribute is renamed on the right alone. The forms of `Trusted` and `Pinned`,
-events which a module keeps, stand with the module's state.
+The left side has wire names, which managers of earlier versions read; the right side has attributes
+of the code. Renaming an attribute changes the right side only. The forms of `Trusted` and `Pinned`,
+events that the module keeps in its state, are in `module_forms.py`.
 """
 
 from dunlinlug.decision.events import (
--- a/dunlinlug/fleet/election/interfaces.py
+++ b/dunlinlug/fleet/election/interfaces.py
@@ -1,4 +1,4 @@
-"""What the election's service needs of the manager around it."""
+"""Interfaces that the leadership service requires of the rest of the manager."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -10,7 +10,7 @@
 
 
 class ReplicableState(Protocol):
-    """The installed tables and what goes with them, which followers are given a copy of."""
+    """The installed tables and related state, which are replicated to followers."""
 
     epoch: int
     tables: dict[int, InstalledTable]
@@ -24,19 +24,19 @@
         ejected: set[str],
         zones: dict[str, str],
     ) -> None:
-        """Replaces all of it by a leader's."""
+        """Replaces all of this state with the leader's."""
 
 
 class ProxyService(Protocol):
     """The service that proxies connect to.
 
     Attributes:
-        control_plane_id: Names us and our term to proxies.
+        control_plane_id: Identifies this member and its term to proxies.
         term: The term in which we lead.
-        leading: Set while we lead; calls of proxies wait for it.
+        leading: Set while we lead; calls from proxies wait for it.
         proxy_numbers: Numbers of all proxies ever seen, by name.
-        new_proxy_numbers: Those of them that no replicated batch has had yet.
-        sessions: Sessions of the proxies that are connected, by number.
+        new_proxy_numbers: Those of them that are not in a replicated batch yet.
+        sessions: Sessions of the connected proxies, by number.
     """
 
     control_plane_id: str
@@ -47,23 +47,23 @@
     sessions: dict[int, Any]
 
     def close_streams(self, reason: str) -> None:
-        """Ends all streams of proxies and lets later calls wait until we lead."""
+        """Ends all streams to proxies; later calls wait until we lead."""
 
     def register_term_observer(self, on_higher_term: Callable[[int], None]) -> None:
-        """Calls this with each term that a proxy has seen and that is higher than ours."""
+        """Calls `on_higher_term` with each term above ours that a proxy reports."""
 
 
 class LeadershipHost(Protocol):
-    """What the manager around its leadership does as leader, and the overrides it replicates."""
+    """Callbacks into the manager on role changes, and access to the overrides to replicate."""
 
     def on_become_leader(self, starts_empty: bool) -> None:
-        """We lead now; `starts_empty` is true if no state was inherited."""
+        """Called when we become leader; `starts_empty` is true if we had no replicated state."""
 
     def on_step_down(self) -> None:
-        """We lead no longer."""
+        """Called when we stop being leader."""
 
     def current_overrides(self) -> list[OverrideRecord]:
-        """Operator overrides in force, as plain records."""
+        """Returns the operator overrides in force, as plain records."""
 
     def replace_overrides(self, overrides: list[OverrideRecord]) -> None:
-        """Takes the overrides of the leader in place of all of ours."""
+        """Replaces all our overrides with the leader's."""
--- a/dunlinlug/fleet/election/leadership.py
+++ b/dunlinlug/fleet/election/leadership.py
@@ -1,8 +1,8 @@
-"""This manager's part in a set that takes over from each other: the service around the protocol.
+"""The leadership service: runs the election protocol and replicates the decision module's input.
 
-While another member leads, its batches run through our decision module, and calls of proxies wait.
-While we lead, each of our batches goes to the others, and messages to proxies leave once a majority
-has the batch and our lease holds.
+As follower, a member replays the leader's batches in its own decision module and lets calls from
+proxies wait. As leader, it sends each of its batches to the followers; the messages to proxies that
+result from a batch leave once a majority has it, provided that the lease is valid.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -30,14 +30,14 @@
 
 
 class Leadership:
-    """Carries out the protocol's orders and feeds it with messages and time.
+    """Executes the protocol's orders and feeds it with messages and time.
 
     It owns the protocol, the transport, the replica and the queue of messages that wait for their
-    batch to be committed. `timing` are the protocol's `lease`, `heartbeat_interval` and
+    batch to be committed. `timing` holds the protocol's `lease`, `heartbeat_interval` and
     `recovery_timeout` in seconds and its `drift`.
     """
 
-    # A successor takes over the state of all these parts.
+    # A new leader takes over the state of all these components.
     def __init__(  # noqa: PLR0913, PLR0917
         self,
         self_id: str,
@@ -90,16 +90,16 @@
         proxy_service.close_streams("not master yet")
 
     def register_host(self, host: LeadershipHost) -> None:
-        """Notifies the host of leadership, and replicates its overrides, from now on."""
+        """Notifies the host of role changes and replicates its overrides from now on."""
         self.on_become_leader = host.on_become_leader
         self.on_step_down = host.on_step_down
         self.current_overrides = host.current_overrides
         self.on_overrides = host.replace_overrides
 
-    # What the decision loop asks.
+    # Called by the decision loop.
 
     def holds_lease(self, now: float) -> bool:
-        """Whether orders may take effect at this moment."""
+        """Whether orders may take effect now."""
         return self.protocol.holds_lease(now)
 
     def is_leader(self) -> bool:
@@ -107,17 +107,17 @@
         return self.protocol.is_leader
 
     def replicate(self, now: float, events: Sequence[Event], rejected_indexes: list[int]) -> int:
-        """Sends a batch of the decision loop to the others; returns its index in the log."""
+        """Sends a batch of the decision loop to the followers; returns its log index."""
         entry = self.replica.batch_entry(now, events, rejected_indexes, self.current_overrides())
         self._execute(self.protocol.append(now, entry))
         return self.protocol.position[1]
 
     def hold_until_committed(self, index: int, messages: Mapping[int, OutgoingMessage]) -> None:
-        """Releases messages, by proxy, once a majority has the log up to this index."""
+        """Holds messages, by proxy, until a majority has the log up to this index."""
         self.commit_queue.hold(index, messages)
         self.commit_queue.release_committed()
 
-    # What the protocol is fed with.
+    # Input of the protocol.
 
     async def run(self, listeners: list[trio.SocketListener]) -> None:
         """Runs the transport and the protocol's timers; `listeners` are the transport's."""
@@ -133,27 +133,27 @@
         self._execute(self.protocol.receive(trio.current_time(), message))
         self.wake.set()
         if self.decision_loop.pending_events and self.holds_lease(trio.current_time()):
-            # What waited for our lease to begin can be decided now.
+            # Our lease may have just begun; the events that waited for it can be decided.
             self.decision_loop.event_arrived.set()
 
     def member_failure_detected(self, member: str, live_members: set[str]) -> None:
-        """The membership's failure detector has found that a member failed."""
+        """Reacts to a failure that the membership's failure detector found."""
         self.protocol.leader_suspected(trio.current_time(), member, live_members)
         self.wake.set()
 
     def observe_term(self, term: int) -> None:
-        """A proxy has seen this term, which is higher than ours."""
+        """Adopts a term above ours that a proxy reported."""
         self._execute(self.protocol.observe_term(trio.current_time(), term))
 
     async def transfer_leadership(self, target: str) -> None:
-        """Hands leadership over to another member.
+        """Transfers leadership to another member.
 
-        Waits up to a lease until it has our whole log: on a busy fleet a batch is nearly always on
-        its way to it.
+        Waits up to one lease until the target has our whole log, as on a busy fleet some batch is
+        nearly always in flight.
 
         Raises:
-            ElectionChangeError: It is no other member, or has not our whole log then, or we do not
-                lead.
+            ElectionChangeError: The target is not another voter or still lacks entries after the
+                wait, or we do not lead.
         """
         if target not in self.protocol.voter_set.members or target == self.self_id:
             members = ", ".join(self.protocol.voter_set.members)
@@ -161,16 +161,17 @@
         with trio.move_on_after(self.protocol.lease):
             while self.holds_lease(trio.current_time()) and not self.protocol.is_caught_up(target):
                 await self.wake.wait()
-                # Another task feeds the protocol and replaces the event that woke us.
+                # Let `run` replace the event that woke us; otherwise this loop would spin.
                 await trio.sleep(0)
         self._execute(self.protocol.transfer_leadership(trio.current_time(), target))
         self.wake.set()
 
     def change_voter(self, member: str, add: bool) -> None:
-        """Adds one member to those that vote, or takes it away.
+        """Adds one member to the voter set, or removes it.
 
         Raises:
-            ElectionChangeError: No address is known for it, or the set cannot be changed so now.
+            ElectionChangeError: The member has no configured address, or the protocol does not
+                allow this change now.
         """
         if member not in self.transport.addresses:
             raise ElectionChangeError(f"no [member {member}] section says where it is")
@@ -186,7 +187,7 @@
         self.log_event("election.voters_changed", members=sorted(members))
         self.wake.set()
 
-    # What the protocol orders.
+    # Orders of the protocol.
 
     def _execute(self, orders: list[election_messages.Order]) -> None:
         for order in orders:
@@ -197,8 +198,7 @@
                     self.store.put_vote(term, voted, voter_set.version, list(voter_set.members))
                 case election_messages.ApplyEntry() | election_messages.RestoreSnapshot():
                     if not self._replicate(order):
-                        # Without this return, the answer that comes next in these orders would
-                        # say that we have what we could not take in.
+                        # The next order would acknowledge data that we could not decode.
                         return
                 case election_messages.SnapshotNeeded(recipient):
                     snapshot = self.snapshot()
@@ -221,10 +221,10 @@
         self.commit_queue.clear()
         self.proxy_service.control_plane_id = fencing_term.format_identifier(term, self.self_id)
         self.proxy_service.term = term
-        departures = replicated_state.disconnect_all(self.decision_loop.module)
-        self.decision_loop.pending_events = list(departures)
+        disconnections = replicated_state.disconnection_events(self.decision_loop.module)
+        self.decision_loop.pending_events = list(disconnections)
         self.on_become_leader(starts_empty)
-        # The first entry of our term, which commits all before it.
+        # The first entry of our term; once committed, all entries before it are too.
         entry = self.replica.empty_entry()
         self._execute(self.protocol.append(trio.current_time(), entry))
         self.proxy_service.leading.set()
@@ -244,7 +244,7 @@
         for proxy in list(self.proxy_service.sessions):
             self.decision_loop.channel.remove_proxy(proxy)
         self.proxy_service.close_streams(f"term of {self.self_id} is over: {reason}")
-        self.decision_loop.pending_events = []  # again: closing streams submits departures
+        self.decision_loop.pending_events = []  # closing streams has submitted disconnections
         self.decision_loop.channel.clear()
         self.on_step_down()
 
@@ -254,7 +254,7 @@
     def _replicate(
         self, order: election_messages.ApplyEntry | election_messages.RestoreSnapshot
     ) -> bool:
-        """Takes in what the leader sent; false if that could not be read."""
+        """Applies what the leader sent; returns false if it could not be decoded."""
         try:
             if isinstance(order, election_messages.ApplyEntry):
                 self.replica.apply(order.entry)
@@ -272,23 +272,23 @@
         return True
 
     def _report_divergence(self, reason: str) -> None:
-        """Discards our log, and logs why once, not with each snapshot that comes again."""
+        """Discards our log; logs a reason once, as the leader sends its snapshot repeatedly."""
         self.protocol.discard_log(trio.current_time(), self.recovery_timeout)
         if reason != self.last_error:
             self.last_error = reason
             self.log_event("election.replication_failed", why=reason)
 
     def snapshot(self) -> bytes:
-        """All that a follower needs to go on from here."""
+        """Returns all the state that a follower needs to continue from our position."""
         return self.replica.snapshot(self.current_overrides())
 
     def describe(self) -> dict[str, Any]:
-        """The answer of the admin API: who leads, since when and why, term and lag."""
+        """Returns the status for the admin API: who leads, since when and why, term and lag."""
         return self.status.describe()
 
 
 def _stored_state(store: Store, initial_voters: Iterable[str]) -> election_messages.Persist:
-    """Term, vote and voters as persisted; those of a new set if nothing is."""
+    """Returns the persisted term, vote and voters, or the initial ones if there are none."""
     stored_vote = store.vote()
     if stored_vote is None:
         initial_set = election_messages.VoterSet(1, tuple(sorted(initial_voters)))
--- a/dunlinlug/fleet/election/leases.py
+++ b/dunlinlug/fleet/election/leases.py
@@ -1,9 +1,10 @@
 """Arithmetic of leases and quorums (Gray and Cheriton, "Leases", 1989).
 
-A follower that hears its leader promises to vote for nobody else for one lease on its own clock.
-The leader counts its lease from when it sent what the follower answered, which is before the
-promise began, and shortens it by the most that two clocks can differ in rate. So the leader's lease
-is over before the promise is, without clocks that agree.
+A follower that receives a message from its leader promises to vote for no other member for one
+lease on its own clock. The leader counts its lease from the time at which it sent the message that
+the follower acknowledged, which is before the promise began, and shortens it by the maximum drift
+between two clocks. So the leader's lease expires before the promise does, without synchronized
+clocks.
 """
 
 from collections.abc import Iterable
@@ -12,17 +13,17 @@
 from dunlinlug.fleet.election.messages import LogPosition
 
 Value = TypeVar("Value", float, LogPosition)
-NEVER = -1e18  # a time before all others, in seconds
+NEVER = -1e18  # in seconds; earlier than any time on a clock
 
 
 def leader_lease(lease: float, drift: float) -> float:
-    """Seconds on a leader's clock that surely pass within `lease` seconds on a follower's.
+    """Returns seconds on a leader's clock that end within `lease` seconds on a follower's clock.
 
-    `drift` bounds how far a clock's rate is from true: 0.02 is two per cent fast or slow.
+    `drift` bounds the rate error of each clock: 0.02 is two per cent fast or slow.
     """
     return lease * (1.0 - drift) / (1.0 + drift)
 
 
 def quorum_value(values: Iterable[Value], quorum: int) -> Value:
-    """The highest value that so many members have reached, of one value for each member."""
+    """Returns the highest value that `quorum` members have reached, given one value per member."""
     return sorted(values, reverse=True)[quorum - 1]
--- a/dunlinlug/fleet/election/messages.py
+++ b/dunlinlug/fleet/election/messages.py
@@ -1,8 +1,8 @@
 """Messages between the members of a replicated log, and the protocol's orders to its service.
 
-Plain values. The messages are those of Raft (Ongaro and Ousterhout, "In Search of an Understandable
-Consensus Algorithm", 2014) with a pre-vote and a planned transfer of leadership (Ongaro's thesis,
-2014, sections 9.6 and 3.10). Names on the wire are declared beside the fields: see `wire_names`.
+All are plain values. The messages are those of Raft (Ongaro and Ousterhout, "In Search of an
+Understandable Consensus Algorithm", 2014) with a pre-vote and leadership transfer (Ongaro's thesis,
+2014, sections 9.6 and 3.10). Wire names are declared beside the fields: see `wire_names`.
 """
 
 from dataclasses import dataclass, field
@@ -10,34 +10,34 @@
 
 from dunlinlug.fleet.wire_names import wire
 
-# The term in which an entry was made and its index in the log; compared in this order.
+# The term of a log entry and its index; compared in this order.
 LogPosition = tuple[int, int]
-NO_POSITION: LogPosition = (0, 0)  # of an empty log
+NO_POSITION: LogPosition = (0, 0)  # position of an empty log
 
 
 @dataclass(frozen=True)
 class VoterSet:
-    """Who votes: the members' names, under a version that each change raises by one."""
+    """The names of the voting members, and a version that each change increments."""
 
     version: int
     members: tuple[str, ...]
 
     def quorum(self) -> int:
-        """How many members are a majority."""
+        """Returns how many members form a majority."""
         return len(self.members) // 2 + 1
 
 
 @dataclass(frozen=True)
 class VoteRequest:
-    """Asks for a vote in a term.
+    """Requests a vote in a term (Raft's RequestVote).
 
     Attributes:
         term: The term of the election.
         sender: The candidate.
-        position: Its last log entry.
-        pre_vote: It only asks whether it would be given the vote.
-        leadership_transfer: The leader has stepped down in its favour, so that promises made to
-            that leader bind nobody.
+        position: The candidate's last log entry.
+        pre_vote: Only asks whether the voter would grant its vote.
+        leadership_transfer: The leader has stepped down in favour of the candidate, which releases
+            the voters from their promises to that leader.
     """
 
     WIRE_NAME: ClassVar[str] = "Ask"
@@ -50,15 +50,15 @@
 
 @dataclass(frozen=True)
 class VoteResponse:
-    """Answers a vote request.
+    """Responds to a vote request.
 
     Attributes:
         term: The voter's own term.
         sender: The voter.
         request_term: The term of the request.
         pre_vote: Whether the request was a pre-vote.
-        granted: Whether the vote is given.
-        recovering: The voter has just started with an empty log, and may have known more.
+        granted: Whether the vote is granted.
+        recovering: The voter has an empty log and may have lost entries in a recent restart.
     """
 
     WIRE_NAME: ClassVar[str] = "Answer"
@@ -72,15 +72,15 @@
 
 @dataclass(frozen=True)
 class AppendEntries:
-    """The leader's log entries, or none: it is the heartbeat too.
+    """The leader's log entries; without entries it is a heartbeat.
 
     Attributes:
-        term: The leader's term; all entries were made in it.
+        term: The leader's term, which is also that of all entries.
         sender: The leader.
-        sent_at: When it was sent, in seconds on the leader's clock; the answer repeats it.
-        voter_set: Who votes.
+        sent_at: The send time in seconds on the leader's clock; the response repeats it.
+        voter_set: The leader's voter set.
         previous_position: The log entry before `entries`.
-        entries: What follows it, oldest first.
+        entries: The entries that follow it, oldest first.
     """
 
     WIRE_NAME: ClassVar[str] = "Beat"
@@ -94,15 +94,15 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """The leader's whole state at a log position, in place of all entries up to there.
+    """The leader's state at a log position, which replaces all entries up to there.
 
     Attributes:
         term: The leader's term.
         sender: The leader.
-        sent_at: When it was sent, in seconds on the leader's clock.
-        voter_set: Who votes.
+        sent_at: The send time in seconds on the leader's clock; the response repeats it.
+        voter_set: The leader's voter set.
         position: The last log entry that the state includes.
-        body: The state, as the service has written it.
+        body: The state as serialized by the service.
     """
 
     WIRE_NAME: ClassVar[str] = "Whole"
@@ -116,14 +116,14 @@
 
 @dataclass(frozen=True)
 class AppendResponse:
-    """Answers a leader's message.
+    """Responds to the leader's entries, heartbeat or snapshot.
 
     Attributes:
         term: The member's own term.
         sender: The member.
-        sent_at: The `sent_at` of the message that is answered.
+        sent_at: The `sent_at` of the message to which this responds.
         position: The member's last log entry.
-        accepted: Its log continues the leader's; if not, it needs a snapshot.
+        accepted: The member's log matches the leader's; if not, it needs a snapshot.
     """
 
     WIRE_NAME: ClassVar[str] = "Heard"
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True)
 class TransferLeadership:
-    """From a leader that has stepped down: the receiver is to start an election at once."""
+    """Sent by a leader that has stepped down: the receiver starts an election immediately."""
 
     WIRE_NAME: ClassVar[str] = "Pass"
     term: int = field(metadata=wire("term"))
@@ -150,7 +150,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Send a message to a member; it may be lost."""
+    """Send a message to a member; the message may be lost."""
 
     recipient: str
     message: Message
@@ -158,7 +158,7 @@
 
 @dataclass(frozen=True)
 class Persist:
-    """Write to disk, before any later order is carried out."""
+    """Write this state to disk before executing any later order."""
 
     term: int
     voted_for: str
@@ -167,14 +167,14 @@
 
 @dataclass(frozen=True)
 class BecomeLeader:
-    """We lead this term from now on; the service appends its first entry."""
+    """This member leads the term from now on; the service appends the term's first entry."""
 
     term: int
 
 
 @dataclass(frozen=True)
 class StepDown:
-    """We lead no more; `reason` is for people."""
+    """This member stops being leader; `reason` is a text for operators."""
 
     reason: str
 
@@ -189,7 +189,7 @@
 
 @dataclass(frozen=True)
 class RestoreSnapshot:
-    """Replace the replicated state by a leader's snapshot."""
+    """Replace the replicated state with a leader's snapshot."""
 
     body: bytes
     position: LogPosition
@@ -197,14 +197,14 @@
 
 @dataclass(frozen=True)
 class Committed:
-    """A majority has all entries up to this position: their effects may take place."""
+    """A majority has all entries up to this position; their effects may take place."""
 
     position: LogPosition
 
 
 @dataclass(frozen=True)
 class SnapshotNeeded:
-    """This member needs a snapshot: the service makes one for `ElectionProtocol.send_snapshot`."""
+    """Create a snapshot for this member and pass it to `ElectionProtocol.send_snapshot`."""
 
     recipient: str
 
--- a/dunlinlug/fleet/election/model.py
+++ b/dunlinlug/fleet/election/model.py
@@ -1,16 +1,17 @@
-"""Model checking of the election: three managers, two proxies, and a faulty network.
+"""Model checking of the election protocol: three managers, two proxies and a faulty network.
 
 python -m dunlinlug.fleet.election.model [--states 1000000] [--seconds 600] [--walkers 4]
 
-The protocol is the class that runs in service. The search begins with a leader that both others
-follow. Steps: time passes; a clock misses a tick; a member acts on its timer; a message arrives,
-arrives and stays to arrive again, or is lost; a member restarts with what it had on disk; the
-leader learns of a drain from discovery; the leader admits an attempt, or transfers leadership; an
-order to a proxy leaves once it may.
+The model runs the production class of the protocol. The search begins with a leader that both
+other members follow. Steps: time passes; a clock misses a tick; a member acts on its timer; a
+message is delivered, duplicated or lost; a member restarts with its persisted state; the leader
+receives a drain from service discovery, admits an attempt, or transfers leadership; an order to a
+proxy is sent once its entry is committed.
 
-Checked in each state: one leader a term; no two members that hold the lease at one time; no proxy
-that goes back to a lower term or obeys two leaders in one; a drain that a proxy has got is known
-to each later leader that holds the lease; one allowance of the attempt at most takes effect.
+Invariants, checked in each state: a term has at most one leader; at most one member holds the lease
+at a time; no proxy goes back to a lower term or accepts orders of two leaders in one term; every
+later leader that holds the lease has the entry of a drain that a proxy received; at most one order
+that allows the attempt takes effect.
 """
 
 from collections import deque
@@ -49,7 +50,7 @@
 from dunlinlug.fleet.model_checking.model import Step
 from dunlinlug.xds.fencing_term import FencingTerm
 
-# In ticks. The drift lets a clock miss one tick in a lease: own leases are two ticks.
+# In ticks. The drift covers one missed tick per lease, which shortens a leader's lease to two.
 LEASE_TICKS = 3
 HEARTBEAT_TICKS = 1
 DRIFT = 0.2
@@ -63,10 +64,11 @@
 
 @dataclass(frozen=True)
 class ElectionModel(ClusterModel[ElectionState, ElectionProtocol]):
-    """The election as a model.
+    """The election protocol as a model.
 
-    Without `wait_for_commit` the service of a leader sends orders before their entries are
-    committed; without `fenced` proxies do not check terms. Both show what these rules are for.
+    Two safety rules outside the protocol can be turned off, for tests that the checker detects the
+    fault: without `wait_for_commit`, a leader's service sends orders before their entries are
+    committed; without `fenced`, proxies do not check terms.
     """
 
     protocol_factory: Callable[..., ElectionProtocol] = ElectionProtocol
@@ -79,7 +81,7 @@
     recovery_goal: ClassVar[str] = "led"
 
     def initial_state(self) -> ElectionState:
-        """A leader that both others follow, with its first entry committed."""
+        """A leader that both other members follow, with its first entry committed."""
         persisted = messages.Persist(0, "", messages.VoterSet(1, MEMBERS))
         state = ElectionState(
             now=0,
@@ -117,11 +119,11 @@
         return local_time(state, index)
 
     def timer_allowed(self, protocol: ElectionProtocol, limits: ExplorationLimits) -> bool:
-        """Whether the member leads, or may still begin a term."""
+        """Whether the member leads, or the limits allow it another term."""
         return protocol.is_leader or protocol.term < limits.terms
 
     def member_steps(self, state: ElectionState, index: int) -> Iterator[ElectionStep]:
-        """A clock misses a tick, a timer, a restart, and what a leader may do."""
+        """A missed clock tick, an action on a timer, a restart, and the steps of a leader."""
         name = MEMBERS[index]
         if state.remaining.missed_ticks:
             yield Step(
@@ -150,7 +152,7 @@
         for entry in state.remaining.entries:
             if entry not in state.logs[index]:
                 yield Step(
-                    f"{name} is told of the {entry.decode()}",
+                    f"{name} appends the entry {entry.decode()}",
                     partial(self._append_entry, state, index, entry),
                 )
         for pending in sorted(state.pending_orders[index]):
@@ -165,7 +167,7 @@
             for recipient in MEMBERS:
                 if protocol.match_positions.get(recipient) == protocol.position:
                     yield Step(
-                        f"{name} hands over to {recipient}",
+                        f"{name} transfers leadership to {recipient}",
                         partial(self._transfer, state, index, recipient),
                     )
 
@@ -194,11 +196,11 @@
         protocol: ElectionProtocol,
         orders: Sequence[object],
     ) -> ElectionState:
-        """The state after a member carried out its orders, as its service would."""
+        """The state after a member executed its orders, as its service would."""
         return _OrderExecution(state, index, protocol).run(local_time(state, index), orders)
 
     def deliver(self, state: ElectionState, delivery: Delivery, fenced: bool) -> ElectionState:
-        """The state after a message came to a member, or an order to a proxy."""
+        """The state after a message was delivered to a member, or an order to a proxy."""
         if isinstance(delivery.message, ProxyOrder):
             return _deliver_to_proxy(state, delivery.message, fenced)
         index = MEMBERS.index(delivery.recipient)
@@ -214,20 +216,20 @@
             order = f"order of term {message.term} ({entry})"
             return f"{message.sender}'s {order} for proxy {message.proxy}"
         sent = f", sent at {message.sent_at:g}," if hasattr(message, "sent_at") else ""
-        pre_vote = " (probe)" if getattr(message, "pre_vote", False) else ""
+        pre_vote = " (pre-vote)" if getattr(message, "pre_vote", False) else ""
         return (
             f"{message.sender}'s {type(message).__name__}{pre_vote} of term {message.term}{sent} "
             f"for {delivery.recipient}"
         )
 
     def may_duplicate(self, delivery: Delivery) -> bool:
-        """Whether the network may double it: not the attempt, as a proxy's stream does not."""
+        """Whether the network may duplicate it: not the attempt, as streams to proxies do not."""
         message = delivery.message
         return not (isinstance(message, ProxyOrder) and message.entry == ATTEMPT_ENTRY)
 
     def without_faults(self, state: ElectionState) -> ElectionState:
-        """The same state with no faults to come, and terms without a limit."""
-        calm = replace(
+        """The same state without further faults, and without a limit on terms."""
+        fault_free_limits = replace(
             state.remaining,
             terms=UNLIMITED_TERMS,
             missed_ticks=0,
@@ -236,37 +238,37 @@
             losses=0,
             transfers=0,
         )
-        return replace(state, remaining=calm)
+        return replace(state, remaining=fault_free_limits)
 
     def is_recovered(self, state: ElectionState) -> bool:
         """Whether a leader holds its lease."""
         return bool(_lease_holders(state))
 
     def check_invariants(self, state: ElectionState) -> str:
-        """The invariant that this state violates, in words; empty if none."""
+        """A description of the invariant that this state violates; empty if none."""
         if state.violation:
             return state.violation
         terms = [leader.term for leader in state.leaders]
         if len(set(terms)) < len(terms):
             leaders = tuple(tuple(leader) for leader in state.leaders)
-            return f"two masters of one term: {leaders}"
+            return f"two leaders in one term: {leaders}"
         holders = _lease_holders(state)
         if len(holders) > 1:
-            return f"{' and '.join(MEMBERS[index] for index in holders)} may order at one time"
+            return f"{' and '.join(MEMBERS[index] for index in holders)} hold the lease at one time"
         if any(state.drained) and any(DRAIN_ENTRY not in state.logs[index] for index in holders):
             holder = MEMBERS[holders[0]]
-            return f"{holder} may order and does not know of the drain that a proxy was told"
+            return f"{holder} holds the lease without the entry of a drain that a proxy received"
         if state.attempts_allowed > 1:
-            return "the try was allowed twice"
+            return "the attempt was allowed twice"
         return ""
 
     def canonical_form(self, state: ElectionState) -> int:
-        """A state's number: equal for states between which no later event can tell."""
+        """A digest, which is equal for states that no later step can tell apart."""
         return model_state.canonical_form(state)
 
 
 def _is_replicated(state: ElectionState) -> bool:
-    """Whether all members have the same log, with an entry that the first knows committed."""
+    """Whether all members have the same log and the first one has committed an entry."""
     positions = {protocol.position for protocol in state.protocols}
     return len(positions) == 1 and state.protocols[0].committed != messages.NO_POSITION
 
@@ -280,7 +282,7 @@
 
 
 class _OrderExecution:
-    """Carries out the orders of one step of one member; owns the parts of the state it changes."""
+    """Executes a member's orders of one step; owns the parts of the state that they change."""
 
     def __init__(self, state: ElectionState, index: int, protocol: ElectionProtocol) -> None:
         self.state = state
@@ -293,7 +295,7 @@
         self.leaders = state.leaders
 
     def run(self, now: int, orders: Sequence[object]) -> ElectionState:
-        """The state once these orders, and those that they bring about, are carried out."""
+        """The state after these orders, and those that result from them, are executed."""
         queue = deque(orders)
         while queue:
             queue.extend(self._execute(now, queue.popleft()))
@@ -309,7 +311,7 @@
         )
 
     def _execute(self, now: int, order: object) -> Sequence[object]:
-        """Carry out one order, and return further ones."""
+        """Execute one order, and return the orders that result from it."""
         match order:
             case messages.Send(recipient, message):
                 delivery = Delivery(recipient, message)
@@ -330,7 +332,7 @@
         return ()
 
     def _begin_term(self, now: int, term: int) -> Sequence[object]:
-        """What the leader knows it orders again, once the first entry of its term is committed."""
+        """Repeat the drain if it is in the log, once the first entry of the term is committed."""
         self.leaders = (*self.leaders, TermLeader(term, self.protocol.self_id))
         orders = self.protocol.append(now, TERM_START_ENTRY)
         self.pending = frozenset()
@@ -354,16 +356,16 @@
     state: ElectionState, index: int, proxy: int, pending: PendingOrder
 ) -> ElectionState:
     order = ProxyOrder(proxy, state.protocols[index].term, MEMBERS[index], pending.entry)
-    left = state.pending_orders[index] - {pending}
+    remaining_orders = state.pending_orders[index] - {pending}
     return replace(
         state,
         in_flight=(*state.in_flight, Delivery(f"proxy {proxy}", order)),
-        pending_orders=replace_item(state.pending_orders, index, left),
+        pending_orders=replace_item(state.pending_orders, index, remaining_orders),
     )
 
 
 def _deliver_to_proxy(state: ElectionState, order: ProxyOrder, fenced: bool) -> ElectionState:
-    """The state after a proxy has got an order, which it does not obey if its fence rejects it."""
+    """The state after a proxy received an order, which its fencing term may make it reject."""
     before = state.followed_leaders[order.proxy]
     fence = FencingTerm()
     fence.term = before.term
@@ -374,8 +376,8 @@
     violation = ""
     if order.term < before.term or other_leader:
         violation = (
-            f"proxy {order.proxy} obeys {order.sender} of term {order.term} "
-            f"after {before.member} of term {before.term}"
+            f"proxy {order.proxy} accepts orders of {order.sender} in term {order.term} "
+            f"after {before.member} in term {before.term}"
         )
     followed = FollowedLeader(order.term, order.sender)
     drained = state.drained[order.proxy] or order.entry == DRAIN_ENTRY
@@ -389,9 +391,9 @@
 
 
 def main() -> None:
-    """Search from the command line."""
+    """Run the search from the command line."""
     run_swarm_command(
-        ElectionModel(), ElectionModel(limits=DEEP_LIMITS), WALK_LENGTH, "a master again"
+        ElectionModel(), ElectionModel(limits=DEEP_LIMITS), WALK_LENGTH, "a leader again"
     )
 
 
--- a/dunlinlug/fleet/election/model_state.py
+++ b/dunlinlug/fleet/election/model_state.py
@@ -1,4 +1,4 @@
-"""States of the election's model, and the canonical forms by which a search knows them."""
+"""States of the election model, and the canonical forms by which a search identifies them."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -16,7 +16,7 @@
     relative_time,
 )
 
-EARLIEST_TICK = -5  # ticks from which on a time is past for every purpose: more than a lease
+EARLIEST_TICK = -5  # ticks; all times before it are equivalent, as they are more than a lease ago
 DRAIN_ENTRY = b"drain"
 ATTEMPT_ENTRY = b"try"
 TERM_START_ENTRY = b"begin"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ElectionLimits(ExplorationLimits):
-    """How much may happen in one run, with the faults of clocks, transfers, and log entries."""
+    """Limits of one run, which also cover clock faults, leadership transfers and log entries."""
 
     missed_ticks: int = 1
     transfers: int = 1
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class ProxyOrder:
-    """An order on its way to a proxy."""
+    """An order in flight to a proxy."""
 
     proxy: int
     term: int
@@ -49,7 +49,7 @@
 
 
 class FollowedLeader(NamedTuple):
-    """The leader whose orders a proxy has obeyed last."""
+    """The leader whose order a proxy accepted last."""
 
     term: int
     member: str
@@ -64,16 +64,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ElectionState(SystemState[ElectionProtocol, ElectionLimits]):
-    """Members, what is on its way, clocks and proxies. Tuples are by member, or by proxy."""
+    """A state of members, network, clocks and proxies. Tuples are by member or by proxy."""
 
     clock_lags: tuple[int, ...]  # ticks that each member's clock has missed
     disks: tuple[messages.Persist, ...]
     logs: tuple[tuple[bytes, ...], ...]  # entries that each member's service has applied
     pending_orders: tuple[frozenset[PendingOrder], ...]
     followed_leaders: tuple[FollowedLeader, ...]  # by proxy
-    drained: tuple[bool, ...]  # by proxy, whether it has got the drain
+    drained: tuple[bool, ...]  # by proxy, whether it has received the drain
     attempts_allowed: int
-    leaders: tuple[TermLeader, ...]  # all that ever led
+    leaders: tuple[TermLeader, ...]  # of all terms so far
 
 
 def local_time(state: ElectionState, index: int) -> int:
@@ -82,7 +82,7 @@
 
 
 def canonical_form(state: ElectionState) -> int:
-    """A state's number: equal for states between which no later event can tell."""
+    """A digest, which is equal for states that no later step can tell apart."""
     in_flight = sorted(repr(_delivery_form(state, delivery)) for delivery in state.in_flight)
     forms = [
         protocol_form(protocol, local_time(state, index), EARLIEST_TICK)
@@ -114,9 +114,10 @@
 
 
 def message_form(delivery: Delivery, now: int, earliest: int) -> tuple[Any, ...]:
-    """A message between members, with the time it was sent relative to `now`.
+    """The canonical form of a message between members, with its send time relative to `now`.
 
-    `now` is on the clock that stamped it. The voter set is left out, as no model changes it.
+    `now` is on the clock that stamped the message. The voter set is omitted, as no model changes
+    it.
     """
     values = vars(delivery.message).copy()
     if "sent_at" in values:
@@ -132,14 +133,14 @@
     form: tuple[Any, ...]
 
 
-# A state shares the protocol states of members that did not act with the state before it.
+# Consecutive states share the protocol states of the members that did not act in between.
 _form_cache: WeakKeyDictionary[ElectionProtocol, _CachedForm] = WeakKeyDictionary()
 
 
 def protocol_form(protocol: ElectionProtocol, now: int, earliest: int) -> tuple[Any, ...]:
-    """The canonical form of one member, times relative to its clock.
+    """The canonical form of one member, with times relative to its clock.
 
-    It is cached, so the protocol state may not change after the first call.
+    It is cached, so the protocol state must not change after the first call.
     """
     cached = _form_cache.get(protocol)
     if cached is not None and cached.now == now:
--- a/dunlinlug/fleet/election/module_forms.py
+++ b/dunlinlug/fleet/election/module_forms.py
@@ -1,8 +1,8 @@
-"""The forms of the classes that the decision module's state is made of, as it goes to a successor.
+"""Wire forms of the classes in the decision module's state, as the leader replicates it.
 
-On the left stand names on the wire, which managers of former versions read; on the right attributes
-of the code. A renamed attribute is renamed on the right alone. `tests/recorded/` holds both to a
-module that has run. The form of the state itself stands in `module_state.py`.
+The left side has wire names, which managers of earlier versions read; the right side has attributes
+of the code. Renaming an attribute changes the right side only. `tests/recorded/` compares both with
+the recorded state of a module that has run. The form of the state itself is in `module_state.py`.
 """
 
 from dunlinlug.decision.admission_control import AdmissionController
--- a/dunlinlug/fleet/election/module_state.py
+++ b/dunlinlug/fleet/election/module_state.py
@@ -1,8 +1,8 @@
-"""The decision module's state as it travels to a successor, and the way there and back.
+"""The wire form of the decision module's state, and the conversion in both directions.
 
-The wire has one flat object, as the module was one class when the form was made; `MODULE` says
-where each of its names stands in `DecisionState`. The classes of the values have their forms in
-`module_forms.py`.
+On the wire the state is one flat object, because the module was a single class when the form was
+defined; `MODULE` maps each wire name to an attribute path in `DecisionState`. The forms of the
+values' classes are in `module_forms.py`.
 """
 
 from collections.abc import Sequence
@@ -15,11 +15,11 @@
 from dunlinlug.decision.state.table_versions import TableVersions
 from dunlinlug.fleet.election.serialization import FieldFormError, SerializationError, WireForm
 
-# Values by wire name or by attribute; they are of the classes with a form and of plain types.
+# Values by wire name or attribute path; their types are plain or classes with a wire form.
 StateFields = dict[str, Any]
 
 # Objects of the module's state that have no object of their own on the wire: their attributes are
-# written among the module's, as they were when the module was one class.
+# written among the module's, where they were when the module was a single class.
 INLINED_OBJECTS: dict[str, type] = {
     "parameters": DecisionParameters,
     "list_polling": ListPolling,
@@ -30,17 +30,17 @@
 
 
 class ModuleForm(WireForm):
-    """The form of the module's state: `part.attribute` names an attribute of an inlined part."""
+    """The form of the module's state; `part.attribute` is an attribute of an inlined part."""
 
-    def taken_from(self, instance: Any) -> StateFields:
-        """Return the values by wire name, as of one object that has the attributes of all parts.
+    def extract_fields(self, instance: Any) -> StateFields:
+        """Return the values by wire name, with those of inlined parts among them.
 
-        Raises FieldFormError for an attribute that is not declared, or is not there.
+        Raises FieldFormError if an attribute is not declared, or a declared one is missing.
         """
-        return super().taken_from(FlatAttributes(instance))
+        return super().extract_fields(FlatAttributes(instance))
 
     def set_attributes(self, state: DecisionState, values: StateFields) -> None:
-        """Set attributes, also those of inlined parts, to values by path."""
+        """Set attributes of the state and its inlined parts, given values by path."""
         for path, value in values.items():
             part_name, _, attribute = path.rpartition(".")
             part = getattr(state, part_name) if part_name else state
@@ -48,7 +48,7 @@
 
 
 class FlatAttributes:
-    """The attributes of a module's state, those of inlined parts by their path."""
+    """The attributes of a module's state, with those of inlined parts under their paths."""
 
     def __init__(self, state: Any) -> None:
         for name, value in vars(state).items():
@@ -106,39 +106,39 @@
     local=("rng", "slow_start"),
 )
 
-# Objects that a fresh module has already, as it holds what does not travel; by wire name. What is
-# read goes into them.
-OWN_OBJECTS = ("fleet", "account", "health", "gate", "seating", "lines")
-RANDOM_STATE = "chance"  # the wire name of the state of the module's random numbers
+# Wire names of the objects that are updated in place: a new module's own ones hold attributes that
+# are not sent.
+UPDATED_IN_PLACE = ("fleet", "account", "health", "gate", "seating", "lines")
+RANDOM_STATE = "chance"  # wire name of the state of the module's random generator
 
 
 def fields_of(module: Balancer) -> StateFields:
-    """Return all that a module goes on from, by wire name.
+    """Return the module's whole state by wire name.
 
-    Raises FieldFormError for an attribute that is not declared.
+    Raises FieldFormError if an attribute is not declared, or a declared one is missing.
     """
-    fields = MODULE.taken_from(module.state)
+    fields = MODULE.extract_fields(module.state)
     fields[RANDOM_STATE] = module.state.rng.getstate()
     return fields
 
 
-def restored(fields: StateFields, settings: ManagerSettings) -> Balancer:
-    """Return a module that goes on from such fields.
+def restore_module(fields: StateFields, settings: ManagerSettings) -> Balancer:
+    """Return a module with the state in these fields.
 
-    Nothing is taken of fields that are not whole. Raises SerializationError, also if they come of
-    a module with other settings.
+    Raises SerializationError if a field is missing, unknown or of the wrong class, or if the fields
+    come from a module with other settings.
     """
-    values = MODULE.attributes(_declared_pairs(fields))
+    values = MODULE.attribute_values(_declared_pairs(fields))
     if RANDOM_STATE not in fields:
         raise FieldFormError(MODULE, RANDOM_STATE, "missing")
     module = Balancer(settings)
     state = module.state
-    own_objects = {name: MODULE.fields[name] for name in OWN_OBJECTS}
-    for name, attribute in own_objects.items():
+    updated_in_place = {name: MODULE.fields[name] for name in UPDATED_IN_PLACE}
+    for name, attribute in updated_in_place.items():
         if type(values[attribute]) is not type(getattr(state, attribute)):
             raise FieldFormError(MODULE, name, "of another class")
     _check_settings(values, settings)
-    for attribute in own_objects.values():
+    for attribute in updated_in_place.values():
         vars(getattr(state, attribute)).update(vars(values.pop(attribute)))
     MODULE.set_attributes(state, values)
     state.outlier_detector.rebuild_derived()
@@ -148,13 +148,13 @@
 
 
 def _declared_pairs(fields: StateFields) -> Sequence[tuple[str, Any]]:
-    """Return what the form declares: all but the state of the random numbers."""
+    """Return the fields that the form declares: all but the state of the random generator."""
     return [(name, value) for name, value in fields.items() if name != RANDOM_STATE]
 
 
 def _check_settings(values: StateFields, settings: ManagerSettings) -> None:
-    """Raise SerializationError if a module with these values had other settings."""
+    """Raise SerializationError if these values come from a module with other settings."""
     channel = values[MODULE.fields["account"]].channel
     table_count = len(values[MODULE.fields["current"]])
     if channel != settings.channel or table_count not in (0, len(settings.traffic_classes)):
-        raise SerializationError("it was told another trade; all members need the same settings")
+        raise SerializationError("made with other settings; all members need the same settings")
--- a/dunlinlug/fleet/election/peer_connection.py
+++ b/dunlinlug/fleet/election/peer_connection.py
@@ -1,4 +1,4 @@
-"""One outgoing connection to another member: kept open, with a bounded queue of messages."""
+"""An outgoing connection to another member, reconnected on failure, with a bounded send queue."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,9 +9,9 @@
 from dunlinlug.fleet.connections import Address, receive_exactly
 from dunlinlug.fleet.election import codec
 
-# messages that may wait for a peer; beyond that the newest are lost, as on a network
+# messages queued for a peer; further ones are dropped, which the protocol tolerates
 MAX_QUEUED_MESSAGES = 1024
-# seconds between dials, and for one: far below a lease of seconds
+# seconds between attempts to connect, and the limit of one: short against a lease of seconds
 RECONNECT_DELAY = 0.1
 CONNECT_TIMEOUT = 1.0
 SEND_TIMEOUT = 2 * CONNECT_TIMEOUT
@@ -26,17 +26,18 @@
 
 @dataclass(frozen=True)
 class DialTarget:
-    """Where a member can be dialled, and what is sent first on the connection."""
+    """An address of a member, and the preface to send first on a connection to it."""
 
     address: Address
     preface: bytes
 
 
 class PeerConnection:
-    """Sends queued messages to one member and dials it again whenever the connection breaks.
+    """Sends queued messages to one member and reconnects when the connection breaks.
 
-    `dial_targets` is asked anew before each dial; its targets are tried in turn. While `is_blocked`
-    is true, messages are dropped: tests and scenarios play lost networks by it.
+    `dial_targets` is called before each attempt to connect; the targets are tried in turn. While
+    `is_blocked` returns true, messages are dropped: tests and scenarios simulate partitions this
+    way.
     """
 
     def __init__(
@@ -51,14 +52,14 @@
         self.queue_in, self.queue_out = trio.open_memory_channel[Any](MAX_QUEUED_MESSAGES)
 
     def send(self, message: Any) -> None:
-        """Queues a message; it is lost if the queue is full, and the next heartbeat repairs it."""
+        """Queues a message; if the queue is full it is lost, and the next heartbeat recovers."""
         try:
             self.queue_in.send_nowait(message)
         except trio.WouldBlock:
             return
 
     async def run(self) -> None:
-        """Dials, sends what is queued, and dials again when the connection breaks, for ever."""
+        """Connects, sends queued messages and reconnects on failure, until cancelled."""
         attempt = 0
         while True:
             targets = self.dial_targets()
@@ -69,7 +70,7 @@
                     stream = await trio.open_tcp_stream(*target.address)
                 async with stream:
                     sealer = await self._start(stream, target)
-                    attempt -= 1  # this target answers: dial it again next time
+                    attempt -= 1  # this target works: try it first next time
                     await self._send_queued(stream, sealer)
             except CONNECTION_ERRORS:
                 pass
@@ -77,7 +78,7 @@
             await trio.sleep(RECONNECT_DELAY)
 
     async def _start(self, stream: trio.SocketStream, target: DialTarget) -> codec.FrameSealer:
-        """Sends the preface and makes a sealer for the nonce that the listener answers with."""
+        """Sends the preface, reads the listener's nonce and returns a sealer for the connection."""
         with trio.fail_after(CONNECT_TIMEOUT):
             await stream.send_all(target.preface)
             nonce = await receive_exactly(stream, codec.NONCE_BYTES)
@@ -93,7 +94,7 @@
                 await stream.send_all(frame)
 
     def _discard_queued(self) -> None:
-        """Drops what waited for the broken connection: it is out of date by the next one."""
+        """Drops the queued messages, which are out of date once the connection is restored."""
         while True:
             try:
                 self.queue_out.receive_nowait()
--- a/dunlinlug/fleet/election/protocol.py
+++ b/dunlinlug/fleet/election/protocol.py
@@ -1,13 +1,13 @@
-"""The election of a leader and the replication of its log, as a state machine free of I/O.
+"""Leader election and log replication as a state machine without I/O.
 
-Events and time come in, orders go out in the sequence in which they are to be carried out.
+Its inputs are messages, events and the time; its outputs are orders, to be executed in sequence.
 
-The rules are Raft's (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm",
-2014) with leases (Gray and Cheriton, 1989) for the leader: `voting` elects by majority and term,
-`replication` brings the log to the other members, `leases` says how long a leader may act without
-hearing from them. Here is what ties them together: timers, messages, the transfer of leadership
-and changes of the voter set. `docs/election.md` has the guarantees; the model checker in
-`dunlinlug/fleet/election/model.py` visits the states of this very class.
+The protocol is Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm",
+2014) with leader leases (Gray and Cheriton, 1989): `voting` elects a leader per term by majority,
+`replication` copies the leader's log to the other members, `leases` limits how long a leader may
+act without their acknowledgements. This module combines them and adds timers, message dispatch,
+leadership transfer and changes of the voter set. `docs/election.md` describes the guarantees; the
+model checker in `dunlinlug/fleet/election/model.py` explores the states of this class itself.
 """
 
 from copy import copy
@@ -29,19 +29,19 @@
 
 
 class ElectionChangeError(DunlinlugError, ValueError):
-    """A change of the leader or of the voters that cannot be made now; the text says why."""
+    """A change of the leader or the voters that is not possible now; the text gives the reason."""
 
 
 class ElectionProtocol(Voting):
     """One member of the log.
 
-    It is made of the member's name, what it persisted, the time, the lease and the heartbeat
-    interval in seconds, the bound on the drift of clocks, the seconds after which a member that
-    started with an empty log votes like any other, and a source of uniform random numbers.
+    Its arguments are the member's name, its persisted state, the time, the lease and the heartbeat
+    interval in seconds, the maximum clock drift, the seconds during which a member that started
+    with an empty log counts as recovering, and a source of uniform random numbers.
     """
 
     def clone(self) -> "ElectionProtocol":
-        """An independent copy, for the model checker."""
+        """Returns an independent copy, for the model checker."""
         duplicate = copy(self)
         duplicate.votes = dict(self.votes)
         duplicate.acknowledged_at = dict(self.acknowledged_at)
@@ -50,13 +50,13 @@
         duplicate.recent_entries = self.recent_entries.copy()
         return duplicate
 
-    # Time and what others notice.
+    # Timers and reports from other components.
 
     def tick(self, now: float) -> list[Order]:
-        """Does what is due: heartbeats, the end of a lease, an election."""
+        """Acts on timers that are due: heartbeats, the end of the lease, an election."""
         if self.is_leader:
-            # No lease begins before the first answers, as a vote is no promise; until the time for
-            # them has passed, the lack of a lease is no reason to step down.
+            # A vote is not a lease promise, so the lease begins with the first acknowledgements.
+            # A new leader without a lease steps down only after it has had time to receive them.
             if now >= max(self.lease_end(now), self.leader_since + self.leader_lease):
                 return self._step_down(now, "its lease is over: no majority has answered")
             return self._send_heartbeats(now) if now >= self.next_heartbeat_at else []
@@ -65,11 +65,11 @@
         return []
 
     def leader_suspected(self, now: float, member: str, live_members: set[str]) -> None:
-        """Hurries the election when the membership's failure detector finds that the leader failed.
+        """Starts the election earlier when the membership's failure detector suspects the leader.
 
-        We start one as soon as our promise to it is over, the live members half a heartbeat apart.
-        Who comes first changes with the term, so that a member that keeps failing is not always
-        the first. Nothing is bound by this: promises are checked when votes are asked for.
+        It starts as soon as our promise to the leader has expired; the live members follow each
+        other half a heartbeat apart. The order rotates with the term, so that a member that keeps
+        failing is not always first. This affects liveness only: voters still check their promises.
         """
         if member != self.leader or self.is_leader or self.self_id not in self.voter_set.members:
             return
@@ -85,15 +85,16 @@
         self.election_at = min(self.election_at, promise_end + turn * self.heartbeat_interval / 2)
 
     def observe_term(self, now: float, term: int) -> list[Order]:
-        """Goes over to a term that a proxy has seen, if it is higher than ours."""
+        """Adopts a term that a proxy reported, if it is higher than ours."""
         return self._adopt_term(now, term) if term > self.term else []
 
     # Messages.
 
     def receive(self, now: float, message: Message) -> list[Order]:
-        """Handles a message; those of senders that do not vote, or no longer do, are ignored.
+        """Handles a message; those from members outside the voter set are ignored.
 
-        A leader's messages are taken from anyone, as a member may not know of its own change yet.
+        A leader's messages are accepted from any member, as this member's voter set may be out of
+        date.
         """
         match message:
             case AppendEntries() | Snapshot():
@@ -110,23 +111,23 @@
                 return self._handle_transfer(now, message)
 
     def _handle_transfer(self, now: float, message: TransferLeadership) -> list[Order]:
-        """Starts an election at once if the leader that we follow has stepped down for us."""
+        """Starts an election immediately if our leader has stepped down in our favour."""
         from_our_leader = message.term == self.term and message.sender == self.leader
         if not from_our_leader or self.is_leader:
             return []
         return self._request_votes(now, pre_vote=False, leadership_transfer=True)
 
-    # Changes that an operator asks for.
+    # Changes requested by an operator.
 
     def transfer_leadership(self, now: float, target: str) -> list[Order]:
         """Steps down in favour of a member that has our whole log (Ongaro's thesis, section 3.10).
 
         Raises:
-            ElectionChangeError: It has not, or we do not lead.
+            ElectionChangeError: The target lacks entries, or we do not hold the lease.
         """
         if not self.holds_lease(now) or not self.is_caught_up(target):
             raise ElectionChangeError(
-                f"{target or 'nobody'} is not as far as we are, or we are not master"
+                f"{target or 'the target'} lacks log entries, or we are not master"
             )
         return [
             *self._step_down(now, f"handed over to {target}"),
@@ -134,13 +135,13 @@
         ]
 
     def change_voters(self, now: float, members: tuple[str, ...], entry: bytes) -> list[Order]:
-        """Changes the voter set by one member, with `entry` as the log entry of the change.
+        """Changes the voter set by one member; `entry` is the log entry of the change.
 
-        One member at a time, so that majorities before and after the change have a member in
-        common (Ongaro's thesis, section 4.1).
+        A change concerns one member, so that any majority before it and any majority after it have
+        a member in common (Ongaro's thesis, section 4.1).
 
         Raises:
-            ElectionChangeError: It cannot be changed so, or not now.
+            ElectionChangeError: The change is not allowed, or not now.
         """
         self._check_voter_change(now, members)
         self.voter_set = VoterSet(self.voter_set.version + 1, tuple(sorted(members)))
@@ -162,12 +163,12 @@
         has_duplicates = len(set(members)) != len(members)
         if len(changed) != 1 or has_duplicates:
             raise ElectionChangeError(
-                "one member at a time: two majorities without a common member would be possible"
+                "one member at a time: two majorities might not have a member in common otherwise"
             )
         term_committed = self._in_current_term(self.committed)
         if not term_committed or self.committed < self.last_voter_change:
             raise ElectionChangeError(
-                "an earlier change, or the beginning of this term, is not yet with a majority"
+                "an earlier change, or the first entry of this term, is not yet committed"
             )
         if self.self_id not in members:
-            raise ElectionChangeError("the master cannot leave; hand over first")
+            raise ElectionChangeError("the master cannot be removed; hand over first")
--- a/dunlinlug/fleet/election/replica.py
+++ b/dunlinlug/fleet/election/replica.py
@@ -1,4 +1,4 @@
-"""Our copy of the decision module: kept in step with the leader's, or written for followers."""
+"""The replicated state: applies the leader's batches and snapshots, or creates them as leader."""
 
 from collections.abc import Callable, Sequence
 
@@ -15,13 +15,13 @@
 
 
 class Replica:
-    """Applies what the leader sends, and makes batches and snapshots while we lead.
+    """Applies what the leader sends, and creates log entries and snapshots while we lead.
 
     The state itself belongs to the decision loop, the proxy state and the proxy service; this
-    class owns only what it has last sent of the overrides.
+    class owns only the overrides that it sent last.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 - all of whose state a follower has a copy
+    def __init__(  # noqa: PLR0913, PLR0917 - owners of replicated state
         self,
         settings: ManagerSettings,
         store: Store,
@@ -47,7 +47,7 @@
         rejected_indexes: list[int],
         overrides: list[OverrideRecord],
     ) -> bytes:
-        """A batch of the decision loop as a log entry, with what is new since the last one."""
+        """Serializes a batch of the decision loop, with the proxies and overrides that are new."""
         new_numbers = self.proxy_service.new_proxy_numbers
         self.proxy_service.new_proxy_numbers = {}
         overrides_changed = overrides != self.sent_overrides
@@ -62,12 +62,12 @@
         return replicated_state.serialize_batch(batch)
 
     def empty_entry(self) -> bytes:
-        """A batch without events, for entries that the log itself needs."""
+        """Serializes a batch without events, for entries that the protocol itself needs."""
         batch = replicated_state.ReplicatedBatch(self._module_time(), [], [], {})
         return replicated_state.serialize_batch(batch)
 
     def snapshot(self, overrides: list[OverrideRecord]) -> bytes:
-        """All that a follower needs to go on from here."""
+        """Serializes all the state that a follower needs to continue from our position."""
         module = self.decision_loop.module
         assert isinstance(module, Balancer)
         snapshot = replicated_state.ReplicaSnapshot(
@@ -84,13 +84,13 @@
         return replicated_state.serialize_snapshot(module, snapshot)
 
     def _module_time(self) -> float:
-        """The present on the clock of the module, which goes on from the former leader's."""
+        """Returns the time on the module's clock, which continues the previous leader's."""
         return trio.current_time() + self.decision_loop.clock_offset
 
     # As follower.
 
     def apply(self, entry: bytes) -> None:
-        """Runs our module on a batch of the leader's. Raises SerializationError."""
+        """Replays a batch of the leader in our module. Raises SerializationError."""
         batch = replicated_state.deserialize_batch(entry)
         self.proxy_service.proxy_numbers.update(batch.new_proxy_numbers)
         if batch.overrides is not None:
@@ -98,10 +98,10 @@
         self.decision_loop.replay_batch(batch.now, batch.events, batch.rejected_indexes)
 
     def restore(self, body: bytes) -> None:
-        """Goes over to a snapshot of the leader's.
+        """Replaces our state with a snapshot of the leader.
 
         Raises:
-            SerializationError: It cannot be read; nothing is changed then.
+            SerializationError: The snapshot cannot be decoded; our state is unchanged.
         """
         module, snapshot = replicated_state.deserialize_snapshot(body, self.settings)
         self.decision_loop.module = module
--- a/dunlinlug/fleet/election/replicated_state.py
+++ b/dunlinlug/fleet/election/replicated_state.py
@@ -1,10 +1,10 @@
-"""What a leader sends its followers of the decision module: batches of events, and a snapshot.
+"""The replicated form of the decision module: batches of its input events, and snapshots.
 
-A follower runs the module on the same batches as the leader, with the leader's times, so that its
-module is in the very state of the leader's: tables with their numbers, acknowledgements that are
-awaited, ejections, slow start, admission, outlier detection and the channel's budget. The snapshot
-is that state with the installed tables, to start from. Both are written by declared forms of known
-classes alone: see `serialization`.
+A follower runs its module on the leader's batches with the leader's times, so that the module
+reaches the same state: tables with their numbers, awaited acknowledgements, ejections, slow start,
+admission, outlier detection and the channel budget. A follower starts from a snapshot, which holds
+that state and the installed tables. Both contain only known classes with declared wire forms: see
+`serialization`.
 """
 
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 from dunlinlug.fleet.election.serialization import ObjectSerializer, SerializationError, WireForm
 from dunlinlug.manager.installed_tables import InstalledTable
 
-OverrideRecord = dict[str, Any]  # an operator override as JSON
+OverrideRecord = dict[str, Any]  # an operator override as a JSON object
 
 
 @dataclass
@@ -27,10 +27,10 @@
 
     Attributes:
         now: The leader's time of the batch, in seconds.
-        events: What the module was given.
-        rejected_indexes: Which of the module's orders the guard rejected, by their index.
-        new_proxy_numbers: Numbers by name of the proxies that no batch has had before.
-        overrides: All operator overrides in force as plain records, if they have changed.
+        events: The module's input events.
+        rejected_indexes: Indexes of the module's orders that the guard rejected.
+        new_proxy_numbers: Numbers, by name, of proxies that no earlier batch contained.
+        overrides: All operator overrides in force as plain records, or None if unchanged.
     """
 
     now: float
@@ -42,19 +42,19 @@
 
 @dataclass
 class ReplicaSnapshot:
-    """The decision module and what goes with it, between two batches.
+    """The decision module and related state, as it is between two batches.
 
     Attributes:
         now: The leader's time, in seconds.
         epoch: The leader's epoch of table numbers.
         tables: Installed tables by number.
-        ejected: Workers that are ejected, by name.
-        zones: Zones of proxies by the proxies' names.
+        ejected: Names of the ejected workers.
+        zones: Zones of proxies by proxy name.
         proxy_numbers: Numbers of all proxies ever seen, by name.
-        timers: The module's timers: due time and timer, as a heap.
-        endpoint_list: The last list of service discovery, as stored; empty if there is none.
+        timers: The module's timers, a heap of due time and timer token.
+        endpoint_list: The last endpoint list from service discovery, as stored; empty if none.
         overrides: All operator overrides in force as plain records.
-        module_state: The module's fields by their names on the wire; filled in on writing.
+        module_state: The module's fields by wire name; filled in by `serialize_snapshot`.
     """
 
     now: float
@@ -110,7 +110,7 @@
 
 
 def listed_workers(fleet: endpoints.Fleet) -> list[Endpoint]:
-    """The endpoint list as the module knows it; addresses are not known."""
+    """Returns the module's endpoint list; it has no host classes and cells."""
     columns = zip(
         fleet.ids, fleet.zones, fleet.ready, fleet.listed_weights, fleet.started_at, strict=True
     )
@@ -122,11 +122,11 @@
     ]
 
 
-def disconnect_all(module: Any) -> list[ProxyDisconnected]:
-    """Departures of all proxies that were connected to the former leader.
+def disconnection_events(module: Any) -> list[ProxyDisconnected]:
+    """Returns disconnections of all proxies that were connected to the previous leader.
 
-    Without them, the module would send orders to a proxy that has not connected to us yet, and wait
-    for its acknowledgements as long as it stays away.
+    A new leader submits them. Otherwise the module would send orders to proxies that have not
+    connected to it yet, and would wait for their acknowledgements until they do.
     """
     return (
         [ProxyDisconnected(proxy) for proxy in module.state.assignments.proxies]
@@ -136,12 +136,12 @@
 
 
 def serialize_batch(batch: ReplicatedBatch) -> bytes:
-    """The batch as a log entry."""
+    """Encodes the batch as a log entry."""
     return SERIALIZER.serialize(batch)
 
 
 def deserialize_batch(data: bytes) -> ReplicatedBatch:
-    """The batch of a log entry. Raises SerializationError for any other bytes."""
+    """Decodes the batch in a log entry. Raises SerializationError for any other bytes."""
     batch = SERIALIZER.deserialize(data)
     if not isinstance(batch, ReplicatedBatch):
         raise SerializationError("not a batch")
@@ -149,7 +149,7 @@
 
 
 def serialize_snapshot(module: Balancer, snapshot: ReplicaSnapshot) -> bytes:
-    """The snapshot's bytes, with the module's state, which is put into `snapshot` too."""
+    """Encodes the snapshot with the module's state, which it also stores in `snapshot`."""
     snapshot.module_state = module_state.fields_of(module)
     return SERIALIZER.serialize(snapshot)
 
@@ -157,12 +157,12 @@
 def deserialize_snapshot(
     data: bytes, settings: ManagerSettings
 ) -> tuple[Balancer, ReplicaSnapshot]:
-    """A module in the state that was written, and the rest of the snapshot.
+    """Returns a module in the encoded state, and the decoded snapshot.
 
     Raises:
-        SerializationError: These bytes are no snapshot, or one of a module with other settings.
+        SerializationError: The bytes are not a snapshot, or its module had other settings.
     """
     snapshot = SERIALIZER.deserialize(data)
     if not isinstance(snapshot, ReplicaSnapshot) or not isinstance(snapshot.module_state, dict):
-        raise SerializationError("not the whole")
-    return module_state.restored(snapshot.module_state, settings), snapshot
+        raise SerializationError("not a snapshot")
+    return module_state.restore_module(snapshot.module_state, settings), snapshot
--- a/dunlinlug/fleet/election/replication.py
+++ b/dunlinlug/fleet/election/replication.py
@@ -1,8 +1,8 @@
 """Replication of the leader's log to the other members, after Raft (Ongaro and Ousterhout, 2014).
 
-The leader sends entries as they are made and an empty message as heartbeat; an entry is committed
-once a majority has it. Unlike in Raft the leader keeps only its latest entries: a member that lags
-by more, or whose log is another one, is given a snapshot.
+The leader sends each entry when it is appended, and empty messages as heartbeats; an entry is
+committed once a majority has it. Unlike in Raft, the leader keeps only its latest entries and sends
+a snapshot to a member that lags by more or whose log does not match.
 """
 
 from dunlinlug.fleet.election.leases import NEVER, quorum_value
@@ -23,12 +23,12 @@
 
 
 class Replication(MemberState):
-    """A member that sends its log to the others as leader, and follows another's otherwise."""
+    """A member that replicates its log as leader, and otherwise follows the leader's log."""
 
     # As leader.
 
     def append(self, now: float, entry: bytes) -> list[Order]:
-        """Adds an entry and sends it to members that keep up; effects wait for `Committed`."""
+        """Appends an entry and sends it to matching members; effects must wait for `Committed`."""
         assert self.is_leader
         previous_position = self.position
         self.position = (self.term, self.position[1] + 1)
@@ -44,18 +44,18 @@
         return orders + self._advance_commit()
 
     def send_snapshot(self, now: float, recipient: str, body: bytes) -> list[Order]:
-        """Sends a member the state that the service has written at our position."""
+        """Sends a member the state that the service serialized at our position."""
         if not self.is_leader:
             return []
         message = Snapshot(self.term, self.self_id, now, self.voter_set, self.position, body)
         return [Send(recipient, message)]
 
     def is_caught_up(self, member: str) -> bool:
-        """Whether a member has our whole log, as far as its answers tell."""
+        """Whether a member has acknowledged our whole log."""
         return self.match_positions.get(member) == self.position
 
     def replication_lag(self) -> dict[str, int | None]:
-        """As leader: entries that each other member lacks; None for one that needs a snapshot."""
+        """As leader: entries that each other member lacks; None if it needs a snapshot."""
         lag: dict[str, int | None] = {}
         for member in self._other_voters():
             match_position = self.match_positions.get(member)
@@ -69,7 +69,7 @@
         ]
 
     def _append_entries_for(self, member: str, now: float) -> AppendEntries:
-        """What the member lacks; no entries, at our position, if we cannot tell or lack some."""
+        """Returns the entries a member lacks; none if unknown or no longer all available."""
         previous_position = self.position
         entries: tuple[bytes, ...] = ()
         match_position = self.match_positions.get(member)
@@ -85,7 +85,7 @@
         )
 
     def _advance_commit(self) -> list[Order]:
-        """Commits what a majority has, if that is an entry of our term."""
+        """Commits the last entry that a majority has, if it is of our term."""
         positions = (
             self.position
             if member == self.self_id
@@ -115,22 +115,22 @@
         return [SnapshotNeeded(member)]
 
     def _advance_follower(self, now: float, member: str, position: LogPosition) -> list[Order]:
-        """Notes how far a follower is; one that begins to follow is sent what it lacks at once."""
-        begins_to_follow = member not in self.match_positions
+        """Records a follower's position; sends it missing entries if its log newly matches."""
+        newly_matching = member not in self.match_positions
         match_position = self.match_positions.get(member, NO_POSITION)
         self.match_positions[member] = max(match_position, position)
         orders: list[Order] = []
-        if begins_to_follow:
+        if newly_matching:
             orders.append(Send(member, self._append_entries_for(member, now)))
         return orders + self._advance_commit()
 
     # As follower.
 
     def discard_log(self, now: float, recovery_timeout: float) -> None:
-        """Forgets our log, as the service could not take in what came.
+        """Discards our log, because the service could not apply what the leader sent.
 
-        Without this we would vote, and be voted for, by a position that we do not have. We count
-        as a member that has just started, for so many seconds.
+        Otherwise our log position would count in votes although we lack the state that belongs to
+        it. For `recovery_timeout` seconds we are recovering, like a member that has just started.
         """
         self.position = NO_POSITION
         self.recovering_until = now + recovery_timeout
@@ -149,15 +149,15 @@
             orders.append(self._persist())
         accepted = True
         if isinstance(message, Snapshot):
-            orders += self._take_snapshot(message)
+            orders += self._install_snapshot(message)
         else:
-            accepted = self._take_entries(message, orders)
+            accepted = self._accept_entries(message, orders)
             last_index = message.previous_position[1] + len(message.entries)
             self.missing_entries = max(last_index - self.position[1], 0) if accepted else None
         return [*orders, self._response_to(message, accepted)]
 
     def _follow(self, now: float, leader: str) -> None:
-        """Renews our promise to the leader of the term."""
+        """Follows the leader of the term and renews our lease promise to it."""
         if self.leader != leader:
             self.leader = leader
             self.leader_since = now
@@ -165,24 +165,24 @@
         self.promised_until = now + self.lease
         self.election_at = self.promised_until + self.random_uniform(0.0, self.lease / 4)
 
-    def _take_snapshot(self, snapshot: Snapshot) -> list[Order]:
-        """Takes a snapshot unless we are as far in the leader's term already."""
+    def _install_snapshot(self, snapshot: Snapshot) -> list[Order]:
+        """Installs a snapshot unless our log has reached its position in the leader's term."""
         if self.position[0] == snapshot.term and self.position >= snapshot.position:
             return []
         self.position = snapshot.position
         return [RestoreSnapshot(snapshot.body, self.position)]
 
-    def _take_entries(self, message: AppendEntries, orders: list[Order]) -> bool:
-        """Takes the entries that we lack; false if our log is another one or has a gap."""
-        known = 0
+    def _accept_entries(self, message: AppendEntries, orders: list[Order]) -> bool:
+        """Applies the entries that we lack; returns false on a mismatch or gap in our log."""
+        known_count = 0
         if self.position != message.previous_position:
-            known = self.position[1] - message.previous_position[1]
+            known_count = self.position[1] - message.previous_position[1]
             same_term = self.position[0] == message.term
-            if not same_term or not 0 <= known <= len(message.entries):
-                # Beyond what a message of our term has, the message is a late one: without this
-                # it would make the leader send a snapshot to a member that has everything.
-                return same_term and known > 0
-        for entry in message.entries[known:]:
+            if not same_term or not 0 <= known_count <= len(message.entries):
+                # If our log of this term extends beyond the message, the message is late. Rejecting
+                # it would make the leader send us a snapshot although we lack nothing.
+                return same_term and known_count > 0
+        for entry in message.entries[known_count:]:
             self.position = (message.term, self.position[1] + 1)
             orders.append(ApplyEntry(entry, self.position))
         return True
--- a/dunlinlug/fleet/election/serialization.py
+++ b/dunlinlug/fleet/election/serialization.py
@@ -1,9 +1,9 @@
-"""Objects of declared classes to msgpack and back; no code travels, and shared objects stay shared.
+"""Serializes objects of declared classes to msgpack and back; shared references stay shared.
 
-A scalar is written as itself. Anything else is a list that begins with a letter: `l` list, `t`
-tuple, `s` set, `d` dict (keys and values by turns), `q` deque (its maximum length first), `o` an
-object that is new (number, class name, field names and values by turns), `r` the number of an
-object that was written before.
+The format contains no code. A scalar is written as itself. Anything else is a list that begins with
+a letter: `l` list, `t` tuple, `s` set, `d` dict (alternating keys and values), `q` deque (its
+maximum length first), `o` a new object (number, class name, alternating field names and values),
+`r` a reference to an object written before (its number).
 """
 
 from collections import deque
@@ -20,16 +20,16 @@
 
 
 class SerializationError(DunlinlugError, ValueError):
-    """Bytes, or an object, that are not in this format."""
+    """Bytes that are not in this format, or an object that has no representation in it."""
 
 
 class FieldFormError(SerializationError):
-    """A field that is not as its class's form declares.
+    """A field that does not match the wire form of its class.
 
     Attributes:
-        class_name: The class by its name on the wire.
-        field: The attribute, or the field's name on the wire.
-        problem: What is wrong with it.
+        class_name: The wire name of the class.
+        field: The attribute, or the wire name of the field.
+        problem: How the field differs from the form.
     """
 
     def __init__(self, form: "WireForm", field: str, problem: str) -> None:
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True)
 class WireForm:
-    """What of a class is sent, and by which names.
+    """The attributes of a class that are sent, and their wire names.
 
     Attributes:
         kind: The class.
-        name: Its name on the wire.
-        fields: Attributes by their names on the wire, in the order in which they are written.
-        local: Attributes that are not sent; the receiver has its own or makes them anew.
-        version: For people, in error messages; it is not sent.
+        name: The wire name of the class.
+        fields: Attributes by wire name, in the order in which they are written.
+        local: Attributes that are not sent; the receiver has its own values or recomputes them.
+        version: Shown in error messages; it is not sent.
     """
 
     kind: type
@@ -62,72 +62,72 @@
         """The attributes that are sent."""
         return frozenset(self.fields.values())
 
-    def taken_from(self, instance: Any) -> dict[str, Any]:
-        """An object's values by their names on the wire.
+    def extract_fields(self, instance: Any) -> dict[str, Any]:
+        """Returns an object's values by wire name.
 
         Raises:
-            FieldFormError: An attribute is declared and missing, or there and not declared.
+            FieldFormError: A declared attribute is missing, or one is not declared.
         """
         present = vars(instance)
         if present.keys() != self.declared:
             for attribute in sorted(self.declared - present.keys()):
-                raise FieldFormError(self, attribute, "declared and not an attribute")
+                raise FieldFormError(self, attribute, "declared but not an attribute")
             for attribute in sorted(present.keys() - self.declared - set(self.local)):
-                raise FieldFormError(self, attribute, "an attribute and not declared")
+                raise FieldFormError(self, attribute, "an attribute but not declared")
         return {name: present[attribute] for name, attribute in self.fields.items()}
 
-    def attributes(self, found: Sequence[tuple[str, Any]]) -> dict[str, Any]:
-        """Values by attribute, from pairs of wire name and value as they were read.
+    def attribute_values(self, pairs: Sequence[tuple[str, Any]]) -> dict[str, Any]:
+        """Returns values by attribute, from decoded pairs of wire name and value.
 
         Raises:
-            FieldFormError: A field is unknown, missing or there twice, so that an object is read
-                with all its fields or not at all.
+            FieldFormError: A field is unknown, missing or duplicated, as an object must be read
+                with exactly its fields.
         """
-        values = dict(found)
-        for name, _ in found:
+        values = dict(pairs)
+        for name, _ in pairs:
             if name not in self.fields:
                 raise FieldFormError(self, name, "unknown here")
         for name in self.fields:
             if name not in values:
                 raise FieldFormError(self, name, "missing")
-        if len(found) != len(self.fields):
-            raise FieldFormError(self, found[-1][0], "there twice")
-        return {self.fields[name]: value for name, value in found}
+        if len(pairs) != len(self.fields):
+            raise FieldFormError(self, pairs[-1][0], "there twice")
+        return {self.fields[name]: value for name, value in pairs}
 
 
 class ObjectSerializer:
-    """Writes and reads values of these forms, of scalars and of the standard containers.
+    """Serializes scalars, standard containers and objects of the classes of these forms.
 
     Raises:
-        TypeError: Two forms have one name, or one class.
+        TypeError: Two forms have the same name or the same class.
     """
 
     def __init__(self, *forms: WireForm) -> None:
         self.by_name = {form.name: form for form in forms}
         self.by_class = {form.kind: form for form in forms}
         if not len(self.by_name) == len(self.by_class) == len(forms):
-            raise TypeError("two forms of one name, or of one class")
+            raise TypeError("two forms have the same name or the same class")
 
     def serialize(self, value: Any) -> bytes:
-        """The value in msgpack. Raises SerializationError for a class without a form."""
+        """Encodes the value in msgpack. Raises SerializationError for a class without a form."""
         data: bytes = msgpack.packb(self._encode(value, {}))
         return data
 
     def deserialize(self, data: bytes) -> Any:
-        """The value that was written. Raises SerializationError for anything not written here."""
+        """Decodes a value. Raises SerializationError for bytes not written by `serialize`."""
         try:
             return self._decode(msgpack.unpackb(data, strict_map_key=False), {})
         except SerializationError:
             raise
         except (ValueError, TypeError, KeyError, IndexError, msgpack.UnpackException) as error:
             raise SerializationError(
-                f"not as written here: {type(error).__name__}: {error}"
+                f"cannot be decoded: {type(error).__name__}: {error}"
             ) from None
 
-    def _encode(  # noqa: PLR0911 - one for each kind of value
+    def _encode(  # noqa: PLR0911 - one return for each kind of value
         self, value: Any, object_ids: dict[int, int]
     ) -> Any:
-        """`object_ids` numbers the objects written so far by their `id`."""
+        """Encodes a value; `object_ids` has the numbers of the objects written so far by `id`."""
         match value:
             case None | bool() | int() | float() | str() | bytes():
                 return value
@@ -154,16 +154,16 @@
     def _encode_object(self, value: Any, object_ids: dict[int, int]) -> list[Any]:
         form = self.by_class.get(type(value))
         if form is None:
-            raise SerializationError(f"{type(value).__name__} is not a class that travels")
+            raise SerializationError(f"class {type(value).__name__} has no wire form")
         if id(value) in object_ids:
             return ["r", object_ids[id(value)]]
         number = len(object_ids)
         object_ids[id(value)] = number
-        fields = form.taken_from(value)
+        fields = form.extract_fields(value)
         return ["o", number, form.name, *self._encode_pairs(fields.items(), object_ids)]
 
     def _decode(self, encoded: Any, objects: dict[int, Any]) -> Any:
-        """`objects` are the objects read so far by their numbers."""
+        """Decodes a value; `objects` has the objects read so far by number."""
         if not isinstance(encoded, list):
             return encoded
         tag, *items = encoded
@@ -193,6 +193,6 @@
         instance: Any = object.__new__(form.kind)
         objects[number] = instance  # before its fields, which may refer to it
         fields = self._decode_pairs(encoded_fields, objects)
-        for attribute, value in form.attributes(fields).items():
+        for attribute, value in form.attribute_values(fields).items():
             object.__setattr__(instance, attribute, value)
         return instance
--- a/dunlinlug/fleet/election/status.py
+++ b/dunlinlug/fleet/election/status.py
@@ -1,4 +1,4 @@
-"""What people are shown of a member's part in the election."""
+"""The election status of a member, as operators see it."""
 
 from typing import Any
 
@@ -8,11 +8,11 @@
 
 
 class LeadershipStatus:
-    """Remembers the last change of our role, for the admin API.
+    """Records the last change of our role, for the admin API.
 
     Attributes:
-        change_reason: Why we became leader, or stepped down, the last time.
-        changed_at: When that was.
+        change_reason: Why we last became leader or stepped down.
+        changed_at: The time of that change.
         takeovers: How often we became leader since the start of the process.
     """
 
@@ -23,12 +23,12 @@
         self.takeovers = 0
 
     def record_change(self, reason: str) -> None:
-        """Notes a change of our role."""
+        """Records a change of our role."""
         self.change_reason = reason
         self.changed_at = trio.current_time()
 
     def describe(self) -> dict[str, Any]:
-        """The JSON of the admin API: who leads, since when and why, term and lag."""
+        """Returns the JSON for the admin API: who leads, since when and why, term and lag."""
         protocol = self.protocol
         now = trio.current_time()
         return {
--- a/dunlinlug/fleet/election/transport.py
+++ b/dunlinlug/fleet/election/transport.py
@@ -1,8 +1,9 @@
-"""Moves messages of a replicated log over trio: connections to all other members, one listener.
+"""Transport of a replicated log over trio: a connection to each other member, and a listener.
 
-Where the members share a membership, connections come in at its listener. A preface with the
-dialling member's name tells them from the membership's own frames, which begin with a byte of their
-length. Both logs, the election's and the ownership's, use this transport, each with its own tag.
+If the members run the membership protocol, its listener also accepts these connections. They begin
+with a preface that holds a tag and the connecting member's name; the tag distinguishes them from
+the membership's frames, which begin with a byte of their length. Both logs, the election's and the
+ownership's, use this transport, each with its own tag.
 """
 
 import secrets
@@ -23,7 +24,7 @@
 from dunlinlug.fleet.sealing import AuthenticationError
 
 RECEIVE_BYTES = 2**16
-# First bytes of connections at the membership's listener; no length of its frames begins with them.
+# First byte of a log's connections to the membership's listener; no frame length begins with it.
 ELECTION_PREFACE = b"S"
 OWNERSHIP_PREFACE = b"O"
 
@@ -31,11 +32,12 @@
 class PeerTransport:
     """One member's connections for one replicated log.
 
-    `addresses` are those of all members by name, and `on_message` gets what they send, of these
-    `message_types`. `preface_tag` marks this log's connections at the membership's listener.
+    `addresses` has the addresses of all members by name. `on_message` receives the messages that
+    arrive, which must be of `message_types`. `preface_tag` marks this log's connections to the
+    membership's listener.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 - what a transport is made of
+    def __init__(  # noqa: PLR0913, PLR0917 - identity, keys and callbacks
         self,
         self_id: str,
         addresses: dict[str, Address],
@@ -51,9 +53,9 @@
         self.on_message = on_message
         self.message_types = message_types
         self.preface_tag = preface_tag
-        # Where the membership has a member at present; None without a membership.
+        # Returns a member's current address in the membership; None without a membership.
         self.membership_address: Callable[[str], Address] | None = None
-        # Members to which and from which nothing passes: for tests and scenarios.
+        # Members whose messages are dropped in both directions: for tests and scenarios.
         self.blocked_members: set[str] = set()
         self.connections = {
             member: self._connection_to(member) for member in addresses if member != self_id
@@ -70,17 +72,17 @@
         )
 
     def register_membership_addresses(self, address_of: Callable[[str], Address]) -> None:
-        """Dials members at the listener of their membership, whose address this gives."""
+        """Connects to members at their membership listeners, with addresses from `address_of`."""
         self.membership_address = address_of
 
     def send(self, recipient: str, message: Any) -> None:
-        """Queues a message for a member; it may be lost, as on a network."""
+        """Queues a message for a member; it may be lost."""
         connection = self.connections.get(recipient)
         if connection is not None:
             connection.send(message)
 
     async def run(self, listeners: list[trio.SocketListener]) -> None:
-        """Keeps all connections; without listeners they come in at the membership's."""
+        """Runs all connections; without `listeners`, peers connect to the membership's listener."""
         async with trio.open_nursery() as nursery:
             if listeners:
                 nursery.start_soon(trio.serve_listeners, self.accept, listeners)
@@ -88,7 +90,7 @@
                 nursery.start_soon(connection.run)
 
     def _dial_targets(self, member: str) -> list[DialTarget]:
-        """Where to dial a member; at either address while a set moves to one shared listener."""
+        """Returns the addresses to try; both, while members migrate to one shared listener."""
         targets = []
         if self.membership_address is not None:
             encoded_id = self.self_id.encode()
@@ -101,9 +103,9 @@
         return targets
 
     async def accept_shared(self, stream: trio.SocketStream, data: bytes) -> None:
-        """Takes a connection from the membership's listener.
+        """Serves a connection that the membership's listener accepted.
 
-        `data` is what was read of it so far: the preface, or its beginning.
+        `data` holds the bytes read so far: the preface, or the beginning of it.
         """
         try:
             with trio.fail_after(CONNECT_TIMEOUT):
@@ -118,7 +120,7 @@
         await self.accept(stream)
 
     async def accept(self, stream: trio.SocketStream) -> None:
-        """Sends a nonce, then reads frames until the connection ends or one is rejected."""
+        """Sends a nonce, then reads frames until the connection ends or a frame is rejected."""
         nonce = secrets.token_bytes(codec.NONCE_BYTES)
         opener = codec.FrameOpener(self.keys, nonce, self.message_types)
         try:
--- a/dunlinlug/fleet/election/voting.py
+++ b/dunlinlug/fleet/election/voting.py
@@ -1,8 +1,9 @@
-"""Elections by majority and term, after Raft (Ongaro and Ousterhout, 2014), and under leases.
+"""Elections by majority and term, after Raft (Ongaro and Ousterhout, 2014), with lease promises.
 
-A vote is on disk before it is sent, so that a term has one leader. Before an election a member asks
-in a pre-vote whether it would be elected (Ongaro's thesis, 2014, section 9.6): so one that was cut
-off does not use up terms. A promise to a leader forbids other votes while it lasts.
+A vote is persisted before it is sent, so that a term has at most one leader. Before an election, a
+member checks in a pre-vote whether it would be elected (Ongaro's thesis, 2014, section 9.6), so
+that a partitioned member does not increment the term. While its lease promise to a leader lasts, a
+member votes for no other.
 """
 
 from dunlinlug.fleet.election.messages import (
@@ -18,15 +19,15 @@
 
 
 class Voting(Replication):
-    """A member that votes, and asks for votes."""
+    """A member that votes, and requests votes as candidate."""
 
     # As candidate.
 
     def _start_pre_vote(self, now: float) -> list[Order]:
-        """Asks whether we would be elected.
+        """Asks the other voters whether they would elect us.
 
-        It uses up no term, and who was asked may have heard the leader a heartbeat later than we:
-        so we ask again soon.
+        The next attempt follows soon: a pre-vote does not increment the term, and a voter may have
+        received the leader's last message up to a heartbeat later than we did.
         """
         random_part = self.random_uniform(0.0, self.heartbeat_interval)
         self.election_at = now + (self.heartbeat_interval + random_part) / 4
@@ -57,7 +58,8 @@
     def _start_term(self, now: float) -> Persist:
         """Begins a new term with a vote for ourselves.
 
-        Two that ask at one moment split the votes; the next time they ask about a heartbeat apart.
+        Candidates that start at the same time split the votes; the random part of the timer spreads
+        their next attempts over a heartbeat interval.
         """
         self.term += 1
         self.voted_for = self.self_id
@@ -76,7 +78,7 @@
         return self._count_votes(now)
 
     def _count_votes(self, now: float) -> list[Order]:
-        """Goes on to the election, or leads, once a majority has granted its vote."""
+        """Starts the election, or becomes leader, once a majority has granted its vote."""
         assert self.pending_election is not None
         granted = [
             response
@@ -92,7 +94,7 @@
         return self._become_leader(now, term)
 
     def _become_leader(self, now: float, term: int) -> list[Order]:
-        """Leads with nothing known of the followers; their first answers begin the lease."""
+        """Becomes leader; the first acknowledgements of followers begin the lease."""
         self.is_leader = True
         self.leader = self.self_id
         self.leader_since = now
@@ -131,10 +133,10 @@
         )
         return [*orders, Send(request.sender, response)]
 
-    # The safety rules, each by itself: the model checker shows what happens without it.
+    # Safety rules, one per method: the model checker's tests remove each of them.
 
     def _vote_available(self, request: VoteRequest) -> bool:
-        """One vote a term (Raft 5.2)."""
+        """A member votes for at most one candidate per term (Raft 5.2)."""
         if request.term > self.term:
             return True
         return request.term == self.term and self.voted_for in ("", request.sender)
@@ -142,23 +144,23 @@
     def _lease_promised(self, now: float, request: VoteRequest) -> bool:
         """Whether a promise to a leader, or our own lease, forbids the vote.
 
-        A leader that has stepped down in the candidate's favour has released its promises. That
-        holds for the term after the transfer alone: without this, a late copy of the transfer
-        would let a vote break the promise to a later leader.
+        A leader that steps down in the candidate's favour releases the promises made to it. This
+        applies only to the term after the transfer, because a late copy of the transfer must not
+        release a promise to a later leader.
         """
         promised = now < self.promised_until or self.holds_lease(now)
         released = request.leadership_transfer and request.term == self.term + 1
         return promised and not released
 
     def _log_up_to_date(self, request: VoteRequest) -> bool:
-        """Who is elected has all that is committed, as a majority has it (Raft 5.4.1)."""
+        """A leader must have all committed entries, as a majority has them (Raft 5.4.1)."""
         return request.position >= self.position
 
     def _votes_sufficient(self, granted: list[VoteResponse]) -> bool:
-        """Votes of recovering members count only if all members vote.
+        """Votes of recovering members count only if all members grant their votes.
 
-        Without this, members that have just started and forgotten their logs could elect a leader
-        that lacks what was committed.
+        Otherwise members that have lost their logs in a restart could elect a leader that lacks
+        committed entries.
         """
         any_recovering = any(response.recovering for response in granted)
         return not any_recovering or len(granted) == len(self.voter_set.members)
--- a/dunlinlug/fleet/sealing.py
+++ b/dunlinlug/fleet/sealing.py
@@ -1,9 +1,8 @@
-"""Signing and verifying of messages between managers: keyed BLAKE2b (RFC 7693), free of I/O.
+"""Signs and verifies messages between managers with keyed BLAKE2b (RFC 7693), without I/O.
 
-Two codecs build on this and lay out their headers themselves: datagrams of the membership
-(`membership/codec.py`) and frames of the two replicated logs (`election/codec.py`). Here is what
-both share: who signs, how a signature is checked, which message numbers are new, and the reasons
-for which a message is rejected.
+Two codecs use this module and define headers of their own: `membership/codec.py` for datagrams and
+`election/codec.py` for frames of the two replicated logs. They share the signatures and their
+verification, the replay window, and the reasons for rejecting a message.
 """
 
 import hmac
@@ -15,27 +14,27 @@
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.fleet.shared_keys import key_id
 
-# Sequence numbers below the highest that may still arrive out of order: what the fastest sender
-# sends in some seconds.
+# How far below the highest sequence number a message that arrives out of order is still accepted:
+# the messages that the fastest sender sends within a few seconds.
 REPLAY_WINDOW = 1024
 
 
 class RejectReason(StrEnum):
-    """Why a message was not accepted. The values are in logs and counters."""
+    """Why a message was rejected. The values appear in logs and counters."""
 
-    # Of a datagram.
+    # Datagrams.
     SIZE = "size"
     VERSION = "version"
     UNKNOWN_KEY = "key"
     INVALID_SIGNATURE = "seal"
     REPLAYED = "replay"
     MALFORMED = "words"
-    # Of a frame; the connection ends.
-    FRAME_UNKNOWN_KEY = "an unknown key"
-    FRAME_OUT_OF_BOUNDS = "a frame out of order or over the bound"
-    FRAME_INVALID_SIGNATURE = "a frame that its key has not signed"
-    FRAME_MALFORMED = "not a message"
-    # Of what arrived faster, or at more connections, than a listener takes.
+    # Frames; the connection is closed.
+    FRAME_UNKNOWN_KEY = "unknown key"
+    FRAME_OUT_OF_BOUNDS = "frame out of sequence or over the size limit"
+    FRAME_INVALID_SIGNATURE = "invalid frame signature"
+    FRAME_MALFORMED = "malformed message"
+    # Rate and connection limits of a listener.
     RATE_EXCEEDED = "rate"
     TOO_MANY_STREAMS = "streams"
     TOO_MANY_CONNECTIONS = "calls"
@@ -43,10 +42,10 @@
 
 
 class AuthenticationError(DunlinlugError):
-    """A message that no valid key has signed, that is not new, or that cannot be read.
+    """A message that is not signed with a valid key, was replayed, or cannot be decoded.
 
     Attributes:
-        reason: Which check it failed: a `RejectReason`, or that of a program that plays faults.
+        reason: The check that failed: a `RejectReason`, or a reason defined by a simulation.
     """
 
     def __init__(self, reason: StrEnum, detail: str = "") -> None:
@@ -56,12 +55,12 @@
 
 @dataclass(frozen=True)
 class SealFormat:
-    """What differs between the two wire formats apart from their headers.
+    """The signature length and the rejection reasons of one wire format.
 
     Attributes:
         mac_bytes: Length of a signature.
-        unknown_key: Reason for a message whose key is not one of ours.
-        invalid_signature: Reason for a message that its key has not signed.
+        unknown_key: Reason for rejecting a message with an unknown key id.
+        invalid_signature: Reason for rejecting a message whose signature does not match.
     """
 
     mac_bytes: int
@@ -69,7 +68,7 @@
     invalid_signature: RejectReason
 
     def sign(self, key: bytes, prefix: bytes, body: bytes) -> bytes:
-        """The signature over what comes before the body (`prefix`) and the body."""
+        """Returns the signature over the body and the `prefix`, which precedes it."""
         return blake2b(prefix + body, key=key, digest_size=self.mac_bytes).digest()
 
 
@@ -78,9 +77,9 @@
 
 
 class MessageSealer:
-    """Signs with one key and numbers what it signs, from 1 up.
+    """Signs messages with one key and numbers them from 1.
 
-    Codecs derive from it and put key id, number and signature into a header of their own.
+    Codecs subclass it and write key id, sequence number and signature into their own headers.
     """
 
     def __init__(self, key: bytes, seal_format: SealFormat) -> None:
@@ -90,38 +89,38 @@
         self.sequence = 0
 
     def next_sequence(self) -> int:
-        """The number of the message that is signed next."""
+        """Returns the sequence number of the next message."""
         self.sequence += 1
         return self.sequence
 
     def sign(self, prefix: bytes, body: bytes) -> bytes:
-        """The signature over prefix and body."""
+        """Returns the signature over prefix and body."""
         return self.seal_format.sign(self.key, prefix, body)
 
 
 class MessageOpener:
-    """Verifies what any of the valid keys has signed."""
+    """Verifies messages that are signed with any of the valid keys."""
 
     def __init__(self, keys: Iterable[bytes], seal_format: SealFormat) -> None:
         self.keys = {key_id(key): key for key in keys}
         self.seal_format = seal_format
 
-    def require_known_key(self, key_name: bytes) -> None:
-        """Raises AuthenticationError for a key id that is none of ours."""
-        if key_name not in self.keys:
+    def require_known_key(self, signing_key_id: bytes) -> None:
+        """Raises AuthenticationError unless a valid key has this id."""
+        if signing_key_id not in self.keys:
             raise AuthenticationError(self.seal_format.unknown_key)
 
-    def verify(self, key_name: bytes, prefix: bytes, body: bytes, mac: bytes) -> None:
-        """Raises AuthenticationError unless this known key has signed prefix and body."""
-        expected = self.seal_format.sign(self.keys[key_name], prefix, body)
+    def verify(self, signing_key_id: bytes, prefix: bytes, body: bytes, mac: bytes) -> None:
+        """Raises AuthenticationError unless `mac` is this known key's signature over both parts."""
+        expected = self.seal_format.sign(self.keys[signing_key_id], prefix, body)
         if not hmac.compare_digest(expected, mac):
             raise AuthenticationError(self.seal_format.invalid_signature)
 
 
 class ReplayWindow:
-    """Which of a sender's latest sequence numbers have arrived (sliding window as in RFC 4303).
+    """Tracks which recent sequence numbers of a sender have arrived, as in RFC 4303.
 
-    Bit n of `bitmap` stands for the number `highest - n`.
+    Bit n of `bitmap` represents the sequence number `highest - n`.
     """
 
     def __init__(self) -> None:
@@ -129,7 +128,7 @@
         self.bitmap = 0
 
     def accept(self, sequence: int) -> bool:
-        """Notes the number; false if it has arrived before or is too old to tell."""
+        """Records the number; returns false if it has arrived before or is below the window."""
         if sequence > self.highest:
             self._advance(sequence)
             return True
--- a/dunlinlug/fleet/shared_keys.py
+++ b/dunlinlug/fleet/shared_keys.py
@@ -1,7 +1,7 @@
-"""The pre-shared keys by which managers authenticate each other's messages.
+"""The pre-shared keys with which managers authenticate each other's messages.
 
-Two keys may be valid at a time, so that a key can be changed one member after the other: the first
-signs, both verify.
+Two keys can be valid at a time, so that the members can change keys one after the other: the first
+key signs, both verify.
 """
 
 import re
@@ -10,23 +10,24 @@
 
 from dunlinlug.errors import DunlinlugError
 
-KEY_ID_BYTES = 4  # bytes of a key's identifier on the wire
+KEY_ID_BYTES = 4  # length of a key id on the wire
 MAX_KEYS = 2
 KEY_PATTERN = re.compile("[0-9a-fA-F]{64}")
 GROUP_AND_OTHERS = 0o077  # permission bits of everyone but the owner
 
 
 class KeyFileError(DunlinlugError, ValueError):
-    """A key file that cannot be used; the text says which file and why."""
+    """A key file that cannot be used; the text names the file and the reason."""
 
 
 def read_keys(path: Path) -> list[bytes]:
     """Reads one or two keys of 32 bytes, the signing key first.
 
-    The file has a key of 64 hexadecimal digits on each line and is readable by its owner alone.
+    Each line of the file holds one key as 64 hexadecimal digits. Only the owner has access to it.
 
     Raises:
-        KeyFileError: The file cannot be read, others may read it, or its content is not keys.
+        KeyFileError: The file cannot be read, its permissions allow access by group or others, or
+            it does not hold one or two valid keys.
     """
     try:
         mode = path.stat().st_mode
@@ -37,10 +38,10 @@
         raise KeyFileError(f"{path}: others may read it; only its owner should (chmod 600)")
     well_formed = all(KEY_PATTERN.fullmatch(line) for line in lines)
     if not 1 <= len(lines) <= MAX_KEYS or not well_formed:
-        raise KeyFileError(f"{path}: one or two keys of 64 hexadecimal figures, a line each")
+        raise KeyFileError(f"{path}: needs one or two keys of 64 hexadecimal digits, one per line")
     return [bytes.fromhex(line) for line in lines]
 
 
 def key_id(key: bytes) -> bytes:
-    """Identifies a key on the wire without giving it away: 4 bytes of a keyed BLAKE2b."""
+    """Returns a key's id on the wire: 4 bytes of a keyed BLAKE2b, which do not reveal the key."""
     return blake2b(b"name", key=key, digest_size=KEY_ID_BYTES).digest()
--- a/dunlinlug/fleet/wire_names.py
+++ b/dunlinlug/fleet/wire_names.py
@@ -1,7 +1,7 @@
 """Wire names of message classes and their fields, declared beside the fields.
 
-The declared name is what is sent, so a class or an attribute can be renamed without changing a
-byte: `term: int = field(metadata=wire("term"))` for a field, `WIRE_NAME` for the class.
+Messages contain the declared names, so renaming a class or an attribute does not change the bytes
+sent: `term: int = field(metadata=wire("term"))` declares a field, `WIRE_NAME` the class.
 """
 
 from collections.abc import Iterable
@@ -9,20 +9,20 @@
 from functools import cache
 from typing import Any
 
-METADATA_KEY = "wire"  # in a dataclass field's metadata
+METADATA_KEY = "wire"  # key in a dataclass field's metadata
 
 
 def wire(name: str) -> dict[str, str]:
-    """The metadata for a dataclass field with this name on the wire."""
+    """Returns the metadata that gives a dataclass field this wire name."""
     return {METADATA_KEY: name}
 
 
 @cache
 def wire_name(kind: Any) -> str:
-    """A class's name on the wire; inherited names do not count.
+    """Returns the wire name that a class itself declares; inherited names do not count.
 
     Raises:
-        TypeError: The class declares no name.
+        TypeError: The class declares no wire name.
     """
     name = vars(kind).get("WIRE_NAME")
     if not isinstance(name, str):
@@ -32,10 +32,10 @@
 
 @cache
 def wire_fields(kind: Any) -> dict[str, str]:
-    """A class's attributes by their names on the wire, in the order of its fields.
+    """Returns a class's attributes by wire name, in the order of its fields.
 
     Raises:
-        TypeError: A field declares no name, or the name of another field.
+        TypeError: A field declares no wire name, or the same name as another field.
     """
     declared: dict[str, str] = {}
     for declared_field in fields(kind):
@@ -49,10 +49,10 @@
 
 
 def by_wire_name(kinds: Iterable[type]) -> dict[str, type]:
-    """Classes by their names on the wire.
+    """Returns the classes by wire name.
 
     Raises:
-        TypeError: A class or one of its fields declares no name.
+        TypeError: A class or one of its fields declares no wire name.
     """
     found: dict[str, type] = {}
     for kind in kinds:
--- a/tests/fleet/election/mutants.py
+++ b/tests/fleet/election/mutants.py
@@ -1,4 +1,4 @@
-"""The protocol with one safety rule taken out, which the model checker must catch."""
+"""Mutants of the protocol, each without one safety rule, which the model checker must detect."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -33,8 +33,8 @@
 class ForgetsVotes(CountsVotesOfRecoveringMembers):
     """Forgets its vote at a restart.
 
-    The rule on recovering members hides this, as their votes count for nothing; so that one is
-    taken out as well, here and in `ForgetsPromises`.
+    The rule on recovering members would mask this fault, as their votes do not count. This mutant
+    and `ForgetsPromises` therefore lack that rule as well.
     """
 
     def __init__(self, self_id: str, persisted: messages.Persist, *rest: Any) -> None:
@@ -47,7 +47,7 @@
 
 
 class AcceptsStaleTransfers(ElectionProtocol):
-    """Takes a leader's transfer for a release of promises, whatever its term."""
+    """Accepts a leadership transfer of any term as a release of promises."""
 
     def _lease_promised(self, now: float, request: messages.VoteRequest) -> bool:
         return not request.leadership_transfer and super()._lease_promised(now, request)
@@ -65,7 +65,7 @@
 
 
 class CountsLeaseFromResponse(ElectionProtocol):
-    """Counts its lease from when an answer came, not from when it sent what was answered."""
+    """Counts its lease from the arrival of a response, not from the send time it acknowledges."""
 
     def _handle_append_response(
         self, now: float, response: messages.AppendResponse
@@ -76,7 +76,7 @@
 
 
 class IgnoresClockDrift(ElectionProtocol):
-    """As leader, its lease is as long as the others' promise."""
+    """As leader, counts a lease as long as the followers' promise."""
 
     def __init__(self, *rest: Any) -> None:
         super().__init__(*rest)
@@ -90,10 +90,11 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """What is taken out, and how it shows.
+    """A protocol or service without one safety rule, and the violation that results.
 
-    `prefix` are patterns of the first steps, which lead to where it matters; from there the trace
-    is a shortest one. `host_options` are what the service around the protocol leaves out.
+    `prefix` are patterns of the first steps, which lead to a state in which the rule matters; from
+    there the search finds a shortest trace. `host_options` turn off rules of the service around
+    the protocol.
     """
 
     expected_violation: str
@@ -111,11 +112,11 @@
 
 
 def vote_steps(candidate: str, voter: str, term: int, pre_vote: bool = True) -> list[str]:
-    """A candidate asks for a pre-vote and a vote, and gets them."""
+    """A candidate requests a pre-vote and a vote from one voter, which grants both."""
     pre_vote_steps = [
         f"{candidate} acts on its time",
-        rf"{candidate}'s VoteRequest \(probe\).* for {voter} arrives$",
-        rf"{voter}'s VoteResponse \(probe\).* for {candidate} arrives$",
+        rf"{candidate}'s VoteRequest \(pre-vote\).* for {voter} arrives$",
+        rf"{voter}'s VoteResponse \(pre-vote\).* for {candidate} arrives$",
     ]
     return [
         *(pre_vote_steps if pre_vote else []),
@@ -125,7 +126,7 @@
 
 
 def replication_steps(leader: str, follower: str) -> list[str]:
-    """The follower answers where it is, and then gets the leader's first entry."""
+    """The follower reports its log position, and then receives the leader's first entry."""
     return [
         f"{leader}'s (AppendEntries|Snapshot).* for {follower} arrives$",
         f"{follower}'s AppendResponse.* for {leader} arrives$",
@@ -137,16 +138,16 @@
     "a acts on its time",
     "a's AppendEntries.* for c arrives$",
     "c's AppendResponse.* for a arrives$",
-]  # c holds a's lease
+]  # c has promised a a lease
 DRAIN_STEPS = [
-    "a is told of the drain",
+    "a appends the entry drain",
     "a's AppendEntries.* for b arrives$",
     "b's AppendResponse.* for a arrives$",
 ]
 
 MUTANTS = {
     "votes twice": Mutant(
-        "two masters of one term",
+        "two leaders in one term",
         limits(),
         [
             *[TIME_PASSES] * 3,
@@ -159,7 +160,7 @@
         VotesTwice,
     ),
     "forgets votes": Mutant(
-        "two masters of one term",
+        "two leaders in one term",
         limits(restarts=1),
         [
             *[TIME_PASSES] * 3,
@@ -173,16 +174,16 @@
         ForgetsVotes,
     ),
     "ignores promises": Mutant(
-        "may order at one time",
+        "hold the lease at one time",
         limits(),
         [*LEASE_STEPS, *LEASE_STEPS, TIME_PASSES, *vote_steps("b", "c", 2)],
         IgnoresLeasePromises,
     ),
     "takes late transfers": Mutant(
-        "may order at one time",
+        "hold the lease at one time",
         limits(terms=3, transfers=1, duplications=1),
         [
-            "a hands over to b",
+            "a transfers leadership to b",
             "a's TransferLeadership.* arrives, and will again",
             *vote_steps("b", "c", 2, False),
             *replication_steps("b", "c"),
@@ -196,25 +197,25 @@
         AcceptsStaleTransfers,
     ),
     "forgets promises": Mutant(
-        "may order at one time",
+        "hold the lease at one time",
         limits(restarts=1),
         [*LEASE_STEPS, *LEASE_STEPS, TIME_PASSES, "c restarts", *vote_steps("b", "c", 2)],
         ForgetsPromises,
     ),
     "counts leases from answers": Mutant(
-        "may order at one time",
+        "hold the lease at one time",
         limits(),
         [*LEASE_STEPS[:3], *[TIME_PASSES] * 3, *vote_steps("b", "c", 2)],
         CountsLeaseFromResponse,
     ),
     "ignores clock drift": Mutant(
-        "may order at one time",
+        "hold the lease at one time",
         limits(missed_ticks=1),
         [*LEASE_STEPS, "time passes, and a's clock", *[TIME_PASSES] * 2, *vote_steps("b", "c", 2)],
         IgnoresClockDrift,
     ),
     "ignores log positions": Mutant(
-        "does not know of the drain",
+        "holds the lease without the entry of a drain",
         limits(entries=(DRAIN_ENTRY,)),
         [
             *DRAIN_STEPS,
@@ -226,7 +227,7 @@
         IgnoresLogPosition,
     ),
     "counts recovering votes": Mutant(
-        "does not know of the drain",
+        "holds the lease without the entry of a drain",
         limits(entries=(DRAIN_ENTRY,), restarts=1),
         [
             *DRAIN_STEPS,
@@ -239,7 +240,7 @@
         CountsVotesOfRecoveringMembers,
     ),
     "no fencing": Mutant(
-        "obeys a of term 1 after b of term 2",
+        "accepts orders of a in term 1 after b in term 2",
         limits(entries=(DRAIN_ENTRY,)),
         [
             *DRAIN_STEPS,
@@ -252,10 +253,10 @@
         host_options={"fenced": False},
     ),
     "no waiting for commits, a drain": Mutant(
-        "does not know of the drain",
+        "holds the lease without the entry of a drain",
         limits(entries=(DRAIN_ENTRY,)),
         [
-            "a is told of the drain",
+            "a appends the entry drain",
             "a orders proxy 0: drain",
             "a's order.* arrives$",
             *[TIME_PASSES] * 3,
@@ -267,7 +268,7 @@
         "allowed twice",
         limits(entries=(ATTEMPT_ENTRY,)),
         [
-            "a is told of the try",
+            "a appends the entry try",
             "a orders proxy 0: try",
             "a's order.* arrives$",
             *[TIME_PASSES] * 3,
--- a/tests/fleet/election/test_codec.py
+++ b/tests/fleet/election/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames between members: any pieces of bytes in, and nothing that no valid key has signed."""
+"""Frames between members: decoded from chunks of any size, rejected without a valid signature."""
 
 from random import Random
 
@@ -15,7 +15,9 @@
     return [bytes.fromhex(key) for key in KEYS]
 
 
-def test_frames_are_read_in_any_pieces_and_no_forged_one_is(keys: list[bytes]) -> None:
+def test_frames_are_decoded_from_chunks_of_any_size_and_forged_ones_rejected(
+    keys: list[bytes],
+) -> None:
     rng = Random(5)
     for case in range(300):
         nonce = rng.randbytes(codec.NONCE_BYTES)
@@ -36,7 +38,9 @@
             opener, accepted = codec.FrameOpener(keys, nonce), list[messages.Message]()
             try:
                 accepted += opener.feed(stream)
-                assert accepted in (sent[:1], sent[:2], []), "cut short by a length that grew"
+                assert accepted in (sent[:1], sent[:2], []), (
+                    "a damaged length that is too large leaves the last frame incomplete"
+                )
             except AuthenticationError:
                 continue
         with pytest.raises(AuthenticationError):
--- a/tests/fleet/election/test_leadership.py
+++ b/tests/fleet/election/test_leadership.py
@@ -1,4 +1,4 @@
-"""Managers that take over from each other over sockets in this process."""
+"""Leadership among managers that run in this process and communicate over sockets."""
 
 import json
 from contextlib import AsyncExitStack
@@ -35,7 +35,9 @@
         run.roster.tell(w2="draining")
         for proxy in run.proxies:
             await proxy.until(lambda h: WORKERS[2].id in h.ejected)
-        run.roster.fault = "down"  # the successor has to know of the drain by itself
+        run.roster.fault = (
+            "down"  # the successor must have the drain from the log, not from discovery
+        )
         run.cut(first.leadership.self_id)
         second = await run.led(but=first.leadership.self_id)
         for proxy in run.proxies:
@@ -110,21 +112,21 @@
 ) -> None:
     async with fleet(tmp_path) as run:
         first = await run.led()
-        lonely = run.proxies[0]
+        isolated = run.proxies[0]
         for proxy in run.proxies:
             await proxy.until(bound)
-        lonely.reaches = {first.leadership.self_id}
+        isolated.reaches = {first.leadership.self_id}
         run.cut(first.leadership.self_id)
         await run.led(but=first.leadership.self_id)
         run.roster.tell(w3="draining")
         await run.proxies[1].until(lambda h: bound_without(h, 3))
         await until(lambda: not first.leadership.protocol.is_leader)
         assert (
-            bound(lonely.holdings)
-            and lonely.holdings.fencing_term.member == first.leadership.self_id
+            bound(isolated.holdings)
+            and isolated.holdings.fencing_term.member == first.leadership.self_id
         )
-        lonely.reaches = set(run.members)
-        await lonely.until(lambda h: bound_without(h, 3))
+        isolated.reaches = set(run.members)
+        await isolated.until(lambda h: bound_without(h, 3))
 
 
 async def test_leadership_is_transferred_and_the_voter_set_grows_and_shrinks(
@@ -140,14 +142,12 @@
         to = next(m for m in "abc" if m != first.leadership.self_id)
         first.components.loop.submit(DemandReported(0, "view-map", 1, 0, 0.1))
         first.components.loop.run_batch(trio.current_time())
-        assert not first.leadership.protocol.is_caught_up(to), (
-            "a batch is under way to it at the very moment"
-        )
+        assert not first.leadership.protocol.is_caught_up(to), "a batch must be in flight to it"
         began = trio.current_time()
         await first.leadership.transfer_leadership(to)
         second = await run.led(but=first.leadership.self_id)
         assert second.leadership.self_id == to and trio.current_time() - began < 0.3, (
-            "well within a lease"
+            "much less than a lease"
         )
         for step, (member, on) in enumerate([("d", True), ("e", True), ("d", False)]):
             await until(
@@ -171,7 +171,7 @@
             assert len(second.leadership.protocol.voter_set.members) == (4, 5, 4)[step]
         run.cut(to)
         third = await run.led(but=to)
-        assert third.leadership.self_id != "d", "it is no member any more"
+        assert third.leadership.self_id != "d", "d is no longer a voter"
         run.roster.tell(w0="draining")
         for proxy in run.proxies:
             await proxy.until(lambda h: bound_without(h, 0))
@@ -206,17 +206,19 @@
         leader = await run.led()
         standby = next(m for m in run.managers.values() if m is not leader)
 
-        def run_command(manager: object, *what: str) -> tuple[int, str]:
+        def run_command(manager: object, *arguments: str) -> tuple[int, str]:
             name = manager.leadership.self_id  # type: ignore[attr-defined]
             text = run.file(name).read_text()
-            place = "listen = {}:{}\n".format(*manager.admin_address)  # type: ignore[attr-defined]
-            (tmp_path / f"{name}.ini").write_text(text.replace("listen = 127.0.0.1:0\n", place))
-            done = CliRunner().invoke(
-                main, [what[0], what[1], str(tmp_path / f"{name}.ini"), *what[2:]]
+            listen_line = "listen = {}:{}\n".format(*manager.admin_address)  # type: ignore[attr-defined]
+            (tmp_path / f"{name}.ini").write_text(
+                text.replace("listen = 127.0.0.1:0\n", listen_line)
+            )
+            result = CliRunner().invoke(
+                main, [arguments[0], arguments[1], str(tmp_path / f"{name}.ini"), *arguments[2:]]
             )
-            return done.exit_code, done.output
+            return result.exit_code, result.output
 
-        for manager, what, status, text in [
+        for manager, arguments, status, text in [
             (leader, ("fleet", "show"), 0, f"master {leader.leadership.self_id}"),
             (standby, ("fleet", "show"), 0, f"master {leader.leadership.self_id}"),
             (standby, ("fleet", "hand-over", "a"), 1, ""),
@@ -230,8 +232,8 @@
             ),
             (leader, ("fleet", "hand-over", standby.leadership.self_id), 0, "handed over"),
         ]:
-            found = await trio.to_thread.run_sync(run_command, manager, *what)
-            assert found[0] == status and text in found[1], (what, found)
+            found = await trio.to_thread.run_sync(run_command, manager, *arguments)
+            assert found[0] == status and text in found[1], (arguments, found)
         await until(lambda: run.leader() is standby)
 
 
@@ -256,15 +258,15 @@
         )
         leader, files = await run.led(), dict[str, Path]()
         for name, manager in run.managers.items():
-            place = "listen = {}:{}\n".format(*manager.admin_address)
+            listen_line = "listen = {}:{}\n".format(*manager.admin_address)
             files[name] = tmp_path / f"{name}.ini"
             files[name].write_text(
-                run.file(name).read_text().replace("listen = 127.0.0.1:0\n", place)
+                run.file(name).read_text().replace("listen = 127.0.0.1:0\n", listen_line)
             )
 
-        def run_command(*what: str) -> tuple[int, str]:
-            done = CliRunner().invoke(main, ["fleet", *what])
-            return done.exit_code, done.output
+        def run_command(*arguments: str) -> tuple[int, str]:
+            result = CliRunner().invoke(main, ["fleet", *arguments])
+            return result.exit_code, result.output
 
         async def shows(*texts: str, of: str) -> None:
             with trio.fail_after(8.0):
@@ -311,7 +313,7 @@
             status, output = await trio.to_thread.run_sync(
                 run_command, "move", str(files[coordinator_name]), "exercise/1", to
             )
-            if status:  # it was there already
+            if status:  # the shard has this owner already
                 assert "owns it already" in output
             owners = run.managers[to].ownership
             await until(lambda owners=owners: owners.held_token("exercise/1") is not None)
@@ -339,9 +341,8 @@
                 for m in run.managers.values()
             )
         )
-        first.membership.transport.is_blocked = lambda place: (
-            True
-        )  # its datagrams are lost, its frames go on
+        # The membership's datagrams are dropped; the frames of the log still pass.
+        first.membership.transport.is_blocked = lambda address: True
         await until(
             lambda: all(
                 not m.components.loop.module.state.partition_limits.may_change_weights
@@ -359,7 +360,7 @@
 
 
 async def test_a_successor_uses_its_own_service_discovery(tmp_path: Path) -> None:
-    """The former leader's list had one draining; the successor's has another one."""
+    """The previous leader's list has one draining worker, the successor's a different one."""
     async with fleet(tmp_path) as run:
         first = await run.led()
         for proxy in run.proxies:
@@ -384,21 +385,21 @@
         leader = await run.led()
         for proxy in run.proxies:
             await proxy.until(bound)
-        late = next(m for m in run.members if m != leader.leadership.self_id)
-        await run.stop(late)
+        restarted = next(m for m in run.members if m != leader.leadership.self_id)
+        await run.stop(restarted)
         snapshot, truncations = leader.leadership.snapshot, list[int]()
         leader.leadership.snapshot = lambda: snapshot()[: truncations.append(1) or 2000]
-        await run.start(run.nursery, late)
+        await run.start(run.nursery, restarted)
         await until(lambda: len(truncations) > 2)
-        follower = run.managers[late].leadership
+        follower = run.managers[restarted].leadership
         assert (
             follower.protocol.position == election_messages.NO_POSITION
             and follower.describe()["behind"] is None
         )
         assert [said["why"][:18] for member, said in run.said("election.replication_failed")] == [
-            "not as written her"
-        ], "once"
-        assert leader.leadership.describe()["lags"][late] is None
+            "cannot be decoded:"
+        ], "logged once"
+        assert leader.leadership.describe()["lags"][restarted] is None
         leader.leadership.snapshot = snapshot
         await until(
             lambda: (
--- a/tests/fleet/election/test_model.py
+++ b/tests/fleet/election/test_model.py
@@ -1,4 +1,4 @@
-"""The model checker finds nothing wrong with the protocol, and something with each mutant."""
+"""The model checker finds no violation of the protocol, and one of each mutant."""
 
 import pytest
 
@@ -23,7 +23,7 @@
             ElectionModel(limits=mutant.limits), 300, 30.0, prefix=mutant.prefix
         )
     except LookupError:
-        return  # the unchanged protocol does not even go where the mutant was led
+        return  # the unchanged protocol does not have the steps of the prefix
     assert unchanged.violation == ""
 
 
--- a/tests/fleet/election/test_protocol.py
+++ b/tests/fleet/election/test_protocol.py
@@ -1,4 +1,4 @@
-"""The protocol by itself, without a model checker: random messages, and the failure detector."""
+"""The protocol without the model checker: random messages, and reports of the failure detector."""
 
 from random import Random
 
@@ -8,7 +8,7 @@
 
 
 def test_random_messages_never_lower_the_term_nor_give_two_votes_in_one() -> None:
-    """Messages of any kind, term and sender at any time, without an exception."""
+    """Messages of any kind, term and sender at any time also raise no exception."""
     for seed in range(200):
         rng, now = Random(seed), 0.0
         persisted = messages.Persist(0, "", messages.VoterSet(1, ("a", "b", "c")))
@@ -32,7 +32,7 @@
 
 
 def follower_of(leader: str, member: str, term: int) -> ElectionProtocol:
-    """A member of five that has heard its leader at 5.0, with a lease of one second."""
+    """A member of five that received its leader's heartbeat at 5.0, with a lease of one second."""
     voter_set = messages.VoterSet(1, ("a", "b", "c", "d", "e"))
     persisted = messages.Persist(term, "", voter_set)
     protocol = ElectionProtocol(
@@ -42,7 +42,7 @@
     return protocol
 
 
-def test_a_suspected_leader_hurries_elections_one_by_one_and_breaks_no_promise() -> None:
+def test_suspicion_of_the_leader_starts_staggered_elections_that_keep_lease_promises() -> None:
     first_candidates = list[str]()
     for term in range(1, 6):
         election_times = dict[str, float]()
@@ -56,10 +56,10 @@
             if member != "c":
                 assert protocol.election_at >= protocol.promised_until == 6.0
                 assert protocol.tick(5.9) == []
-                assert protocol.tick(protocol.election_at), "a candidate after its promise"
+                assert protocol.tick(protocol.election_at), "starts its election after its promise"
         candidates = sorted((at, member) for member, at in election_times.items() if member != "c")
         assert [round(at - 6.0, 3) for at, _ in candidates] == [0.0, 0.1, 0.2, 0.25], (
-            "the last at its own time"
+            "the last one at its regular election timeout"
         )
         first_candidates.append(candidates[0][1])
-    assert len(set(first_candidates)) == 4, "another comes first in each term"
+    assert len(set(first_candidates)) == 4, "the first candidate rotates with the term"
--- a/tests/fleet/election/test_replicated_state.py
+++ b/tests/fleet/election/test_replicated_state.py
@@ -1,4 +1,4 @@
-"""A successor's module goes on as the leader's would have, from a snapshot and from batches."""
+"""A follower's module decides like the leader's, from a snapshot and from batches."""
 
 from random import Random
 
@@ -30,16 +30,16 @@
         **({"channel": ChannelSettings(300.0, 4.0, 900.0, 0.2, 0.5, 30, 10.0)} if seed % 2 else {})
     )
     model = run(Model(settings), seed, 200, overrides=0.02)
-    twin, found = replicated_state.deserialize_snapshot(
+    follower, snapshot = replicated_state.deserialize_snapshot(
         replicated_state.serialize_snapshot(model.module, snapshot_of(model.module)), settings
     )
-    assert found.proxy_numbers == {"p0": 0} and found.timers == [(1.5, 2)]
-    first, rng, now = model.module, Random(seed), model.now
+    assert snapshot.proxy_numbers == {"p0": 0} and snapshot.timers == [(1.5, 2)]
+    leader, rng, now = model.module, Random(seed), model.now
     for _ in range(200):
         now += 0.1
         acknowledgements = [
             Acknowledged(number, request, 0.1)
-            for number, proxy in first.state.assignments.proxies.items()
+            for number, proxy in leader.state.assignments.proxies.items()
             for request in {
                 request
                 for versions in proxy.tables_in_use.values()
@@ -58,7 +58,7 @@
             number = rng.randrange(8)
             events.append(
                 ProxyDisconnected(number)
-                if number in first.state.assignments.proxies
+                if number in leader.state.assignments.proxies
                 else ProxyConnected(number, "north", 5.0, True)
             )
         if rng.random() < 0.2:
@@ -68,30 +68,30 @@
             replicated_state.serialize_batch(replicated_state.ReplicatedBatch(now, events, [1], {}))
         )
         assert batch.events == events and batch.rejected_indexes == [1]
-        assert twin.decide(batch.now, batch.events) == first.decide(now, events)
-        check_groups(twin.state.assignments)
+        assert follower.decide(batch.now, batch.events) == leader.decide(now, events)
+        check_groups(follower.state.assignments)
 
 
 def test_proxies_of_the_previous_leader_leave_the_module() -> None:
     settings = manager_settings()
     model = run(Model(settings), 5, 100)
-    twin, _ = replicated_state.deserialize_snapshot(
+    successor, _ = replicated_state.deserialize_snapshot(
         replicated_state.serialize_snapshot(model.module, snapshot_of(model.module)), settings
     )
-    assert twin.state.assignments.proxies
-    twin.decide(model.now + 0.1, replicated_state.disconnect_all(twin))
-    assert not twin.state.assignments.proxies and not twin.state.budget.awaited_acks
-    assert not replicated_state.disconnect_all(object())
+    assert successor.state.assignments.proxies
+    successor.decide(model.now + 0.1, replicated_state.disconnection_events(successor))
+    assert not successor.state.assignments.proxies and not successor.state.budget.awaited_acks
+    assert not replicated_state.disconnection_events(object())
 
 
 def test_bytes_that_are_no_snapshot_of_these_settings_are_rejected() -> None:
     module = Balancer(manager_settings())
     data = replicated_state.serialize_snapshot(module, snapshot_of(module))
-    with pytest.raises(SerializationError, match="another trade"):
+    with pytest.raises(SerializationError, match="made with other settings"):
         replicated_state.deserialize_snapshot(
             data, manager_settings(channel=ChannelSettings(1.0, 4.0, 900.0, 0.2, 0.5))
         )
-    with pytest.raises(SerializationError, match="not a class that travels"):
+    with pytest.raises(SerializationError, match="has no wire form"):
         ObjectSerializer(WireForm(ProxyDisconnected, "Left", {"proxy": "proxy"})).serialize(
             Random(1)
         )
@@ -107,4 +107,4 @@
         except SerializationError:
             continue
         except (KeyError, TypeError, AttributeError, ValueError) as error:
-            raise AssertionError(f"{type(error).__name__} came through") from error
+            raise AssertionError(f"{type(error).__name__} instead of SerializationError") from error
--- a/tests/fleet/test_shared_keys.py
+++ b/tests/fleet/test_shared_keys.py
@@ -1,4 +1,4 @@
-"""Key files: one or two keys that others cannot read."""
+"""Key files: one or two keys, without access by group or others."""
 
 from pathlib import Path
 
--- a/tests/recorded/test_wire_forms.py
+++ b/tests/recorded/test_wire_forms.py
@@ -137,12 +137,12 @@
     setattr(state, name, part)
     setattr(part, ANOTHER, 1)
     with pytest.raises(FieldFormError, match="not declared") as caught:
-        module_state.MODULE.taken_from(state)
+        module_state.MODULE.extract_fields(state)
     assert (caught.value.class_name, caught.value.field) == ("Balancer", f"{name}.{ANOTHER}")
     delattr(part, ANOTHER)
     attribute = next(iter(vars(part)))
     with pytest.raises(FieldFormError, match="not an attribute") as caught:
-        module_state.MODULE.taken_from(without(state, f"{name}.{attribute}"))
+        module_state.MODULE.extract_fields(without(state, f"{name}.{attribute}"))
     assert caught.value.field == f"{name}.{attribute}"
 
 
@@ -164,13 +164,13 @@
     found = module_state.fields_of(lived())
     for name in found:
         with pytest.raises(FieldFormError, match="missing") as caught:
-            module_state.restored({key: found[key] for key in found if key != name}, trade)
+            module_state.restore_module({key: found[key] for key in found if key != name}, trade)
         assert (caught.value.class_name, caught.value.field) == ("Balancer", name)
     with pytest.raises(FieldFormError, match="unknown here"):
-        module_state.restored({**found, "surplus": 1}, trade)
-    for name in module_state.OWN_OBJECTS:
+        module_state.restore_module({**found, "surplus": 1}, trade)
+    for name in module_state.UPDATED_IN_PLACE:
         with pytest.raises(FieldFormError, match="of another class"):
-            module_state.restored({**found, name: 1}, trade)
+            module_state.restore_module({**found, name: 1}, trade)
 
 
 def test_names_of_classes_and_attributes_do_not_reach_bytes() -> None:
