--- a/dunlinlug/fleet/connections.py
+++ b/dunlinlug/fleet/connections.py
@@ -31,7 +31,10 @@
 
 
 class RateLimit:
-    """Allows a maximum number of events per second; an event opens each one-second window."""
+    """Limits the number of events in each window of one second.
+
+    A window opens with the first event after the previous window.
+    """
 
     def __init__(self, maximum_per_second: int) -> None:
         self.maximum_per_second = maximum_per_second
--- a/dunlinlug/fleet/election/leadership.py
+++ b/dunlinlug/fleet/election/leadership.py
@@ -197,8 +197,8 @@
                 case election_messages.Persist(term, voted, voter_set):
                     self.store.put_vote(term, voted, voter_set.version, list(voter_set.members))
                 case election_messages.ApplyEntry() | election_messages.RestoreSnapshot():
-                    if not self._replicate(order):
-                        # The next order would acknowledge data that we could not decode.
+                    if not self._apply_to_replica(order):
+                        # Skip the next order, which acknowledges data that we could not decode.
                         return
                 case election_messages.SnapshotNeeded(recipient):
                     snapshot = self.snapshot()
@@ -244,14 +244,14 @@
         for proxy in list(self.proxy_service.sessions):
             self.decision_loop.channel.remove_proxy(proxy)
         self.proxy_service.close_streams(f"term of {self.self_id} is over: {reason}")
-        self.decision_loop.pending_events = []  # closing streams has submitted disconnections
+        self.decision_loop.pending_events = []  # closing streams submitted disconnections
         self.decision_loop.channel.clear()
         self.on_step_down()
 
     def _replace_overrides(self, overrides: list[OverrideRecord]) -> None:
         self.on_overrides(overrides)
 
-    def _replicate(
+    def _apply_to_replica(
         self, order: election_messages.ApplyEntry | election_messages.RestoreSnapshot
     ) -> bool:
         """Applies what the leader sent; returns false if it could not be decoded."""
@@ -283,7 +283,7 @@
         return self.replica.snapshot(self.current_overrides())
 
     def describe(self) -> dict[str, Any]:
-        """Returns the status for the admin API: who leads, since when and why, term and lag."""
+        """Returns the status for the admin API: leader, term, last change of role, and lag."""
         return self.status.describe()
 
 
--- a/dunlinlug/fleet/election/leases.py
+++ b/dunlinlug/fleet/election/leases.py
@@ -17,9 +17,10 @@
 
 
 def leader_lease(lease: float, drift: float) -> float:
-    """Returns seconds on a leader's clock that end within `lease` seconds on a follower's clock.
+    """Returns the lease in seconds as a leader counts it.
 
-    `drift` bounds the rate error of each clock: 0.02 is two per cent fast or slow.
+    It ends on the leader's clock before `lease` seconds end on a follower's. `drift` bounds the
+    rate error of each clock: 0.02 is two per cent fast or slow.
     """
     return lease * (1.0 - drift) / (1.0 + drift)
 
--- a/dunlinlug/fleet/election/model.py
+++ b/dunlinlug/fleet/election/model.py
@@ -66,8 +66,8 @@
 class ElectionModel(ClusterModel[ElectionState, ElectionProtocol]):
     """The election protocol as a model.
 
-    Two safety rules outside the protocol can be turned off, for tests that the checker detects the
-    fault: without `wait_for_commit`, a leader's service sends orders before their entries are
+    Two safety rules outside the protocol can be turned off, to show the violations that they
+    prevent: without `wait_for_commit`, a leader's service sends orders before their entries are
     committed; without `fenced`, proxies do not check terms.
     """
 
--- a/dunlinlug/fleet/election/peer_connection.py
+++ b/dunlinlug/fleet/election/peer_connection.py
@@ -11,7 +11,7 @@
 
 # messages queued for a peer; further ones are dropped, which the protocol tolerates
 MAX_QUEUED_MESSAGES = 1024
-# seconds between attempts to connect, and the limit of one: short against a lease of seconds
+# seconds between connection attempts, and the timeout of one attempt; far below a lease
 RECONNECT_DELAY = 0.1
 CONNECT_TIMEOUT = 1.0
 SEND_TIMEOUT = 2 * CONNECT_TIMEOUT
@@ -52,7 +52,7 @@
         self.queue_in, self.queue_out = trio.open_memory_channel[Any](MAX_QUEUED_MESSAGES)
 
     def send(self, message: Any) -> None:
-        """Queues a message; if the queue is full it is lost, and the next heartbeat recovers."""
+        """Queues a message, or drops it if the queue is full, which the next heartbeat repairs."""
         try:
             self.queue_in.send_nowait(message)
         except trio.WouldBlock:
--- a/dunlinlug/fleet/election/protocol.py
+++ b/dunlinlug/fleet/election/protocol.py
@@ -67,8 +67,8 @@
     def leader_suspected(self, now: float, member: str, live_members: set[str]) -> None:
         """Starts the election earlier when the membership's failure detector suspects the leader.
 
-        It starts as soon as our promise to the leader has expired; the live members follow each
-        other half a heartbeat apart. The order rotates with the term, so that a member that keeps
+        The live members start theirs half a heartbeat apart, the first one as soon as its promise
+        to the leader has expired. The order rotates with the term, so that a member that keeps
         failing is not always first. This affects liveness only: voters still check their promises.
         """
         if member != self.leader or self.is_leader or self.self_id not in self.voter_set.members:
--- a/dunlinlug/fleet/election/status.py
+++ b/dunlinlug/fleet/election/status.py
@@ -28,7 +28,7 @@
         self.changed_at = trio.current_time()
 
     def describe(self) -> dict[str, Any]:
-        """Returns the JSON for the admin API: who leads, since when and why, term and lag."""
+        """Returns the JSON for the admin API: leader, term, last change of role, and lag."""
         protocol = self.protocol
         now = trio.current_time()
         return {
--- a/dunlinlug/fleet/election/voting.py
+++ b/dunlinlug/fleet/election/voting.py
@@ -136,7 +136,7 @@
     # Safety rules, one per method: the model checker's tests remove each of them.
 
     def _vote_available(self, request: VoteRequest) -> bool:
-        """A member votes for at most one candidate per term (Raft 5.2)."""
+        """Whether we can vote for the candidate; a member has one vote per term (Raft 5.2)."""
         if request.term > self.term:
             return True
         return request.term == self.term and self.voted_for in ("", request.sender)
@@ -153,11 +153,15 @@
         return promised and not released
 
     def _log_up_to_date(self, request: VoteRequest) -> bool:
-        """A leader must have all committed entries, as a majority has them (Raft 5.4.1)."""
+        """Whether the candidate's log is at least as recent as ours.
+
+        Any majority has a member with all committed entries, so a candidate that lacks one of them
+        is not elected (Raft 5.4.1).
+        """
         return request.position >= self.position
 
     def _votes_sufficient(self, granted: list[VoteResponse]) -> bool:
-        """Votes of recovering members count only if all members grant their votes.
+        """Whether these votes elect a leader; recovering members' votes count only if all grant.
 
         Otherwise members that have lost their logs in a restart could elect a leader that lacks
         committed entries.
--- a/dunlinlug/fleet/sealing.py
+++ b/dunlinlug/fleet/sealing.py
@@ -14,8 +14,8 @@
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.fleet.shared_keys import key_id
 
-# How far below the highest sequence number a message that arrives out of order is still accepted:
-# the messages that the fastest sender sends within a few seconds.
+# Sequence numbers by which a message may lag behind the highest one received; the fastest sender
+# uses as many within a few seconds.
 REPLAY_WINDOW = 1024
 
 
--- a/dunlinlug/fleet/shared_keys.py
+++ b/dunlinlug/fleet/shared_keys.py
@@ -23,7 +23,8 @@
 def read_keys(path: Path) -> list[bytes]:
     """Reads one or two keys of 32 bytes, the signing key first.
 
-    Each line of the file holds one key as 64 hexadecimal digits. Only the owner has access to it.
+    Each line of the file holds one key as 64 hexadecimal digits. The file must be accessible to its
+    owner alone.
 
     Raises:
         KeyFileError: The file cannot be read, its permissions allow access by group or others, or
