--- a/tests/fleet/election/mutants.py
+++ b/tests/fleet/election/mutants.py
@@ -138,7 +138,7 @@
     "a acts on its time",
     "a's AppendEntries.* for c arrives$",
     "c's AppendResponse.* for a arrives$",
-]  # c has promised a a lease
+]  # c has renewed its lease promise to a
 DRAIN_STEPS = [
     "a appends the entry drain",
     "a's AppendEntries.* for b arrives$",
