--- a/dunlinlug/fleet/membership/model.py
+++ b/dunlinlug/fleet/membership/model.py
@@ -23,7 +23,7 @@
 
 from dunlinlug.fleet.membership.messages import ALIVE, FAILED, MemberState, Message, Send, StateSync
 from dunlinlug.fleet.membership.protocol import MembershipProtocol
-from dunlinlug.fleet.model_checking.command_line import run_course_command
+from dunlinlug.fleet.model_checking.command_line import run_path_command
 from dunlinlug.fleet.model_checking.model import Step
 
 NAMES = ("a", "b", "c")
@@ -327,7 +327,7 @@
 
 def main() -> None:
     """Search from the command line."""
-    run_course_command(MembershipModel())
+    run_path_command(MembershipModel())
 
 
 if __name__ == "__main__":
--- a/dunlinlug/fleet/model_checking/__init__.py
+++ b/dunlinlug/fleet/model_checking/__init__.py
@@ -1,1 +1,1 @@
-"""Explicit-state model checking of the fleet's protocols; nothing here runs in service."""
+"""Explicit-state model checking of the fleet's protocols, for tests and offline runs only."""
--- a/dunlinlug/fleet/model_checking/command_line.py
+++ b/dunlinlug/fleet/model_checking/command_line.py
@@ -1,4 +1,4 @@
-"""The command line that the models have in common."""
+"""The command lines of the models."""
 
 import argparse
 import sys
@@ -14,7 +14,7 @@
 )
 from dunlinlug.fleet.model_checking.model import ExplorationResult, Model, StateT
 
-RECOVERY_CHECK_INTERVAL = 997  # states from one check of recovery to the next
+RECOVERY_CHECK_INTERVAL = 997  # states between checks of recovery
 
 
 def run_swarm_command(
@@ -23,14 +23,14 @@
     walk_length: int,
     recovery_label: str,
 ) -> None:
-    """Search breadth first beside several processes of random walks, and print what was found."""
+    """Runs a breadth-first search beside several processes of random walks; prints the results."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--states", type=int, default=1_000_000)
     parser.add_argument(
-        "--seconds", type=float, default=600, help="for the breadth, and for each of the walks"
+        "--seconds", type=float, default=600, help="time limit of each search process"
     )
     parser.add_argument(
-        "--walkers", type=int, default=4, help="processes that walk, with seeds of their own"
+        "--walkers", type=int, default=4, help="processes of random walks, each with its own seed"
     )
     arguments = parser.parse_args()
     with ProcessPoolExecutor(arguments.walkers + 1) as pool:
@@ -50,31 +50,31 @@
             for seed in range(arguments.walkers)
         }
         for seed, result in walks.items():
-            print(result.result().describe(f"walks of seed {seed}", ""), flush=True)
+            print(result.result().describe(f"random walks, seed {seed}", ""), flush=True)
         print(breadth_first.result().describe("breadth first", recovery_label), flush=True)
 
 
-def run_course_command(model: Model[StateT]) -> None:
-    """Take all courses of a depth, then random walks; print each result, exit with 1 on a fault."""
+def run_path_command(model: Model[StateT]) -> None:
+    """Explores all paths of a depth, then random walks; prints results, exits 1 on a violation."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--depth", type=int, default=5)
     parser.add_argument("--walks", type=int, default=2000)
     parser.add_argument("--seed", type=int, default=1)
     arguments = parser.parse_args()
-    _report_courses(explore_depth_first(model, arguments.depth))
-    _report_courses(explore_recovery_randomly(model, arguments.walks, arguments.seed))
+    _report_result(explore_depth_first(model, arguments.depth))
+    _report_result(explore_recovery_randomly(model, arguments.walks, arguments.seed))
 
 
-def _report_courses(result: ExplorationResult) -> None:
+def _report_result(result: ExplorationResult) -> None:
     counts = {
         **result.step_counts,
-        "courses": result.courses,
-        "met before": result.revisits,
+        "courses": result.paths,
+        "revisits": result.revisits,
         "states": result.states,
         "walks": result.walks,
     }
     present: Sequence[tuple[str, int]] = [item for item in counts.items() if item[1]]
-    verdict = f"{result.violation}, after {result.trace}" if result.violation else "no fault"
+    verdict = f"{result.violation}, after {result.trace}" if result.violation else "no violation"
     print(dict(present), verdict, flush=True)
     if result.violation:
         sys.exit(1)
--- a/dunlinlug/fleet/model_checking/engine.py
+++ b/dunlinlug/fleet/model_checking/engine.py
@@ -1,6 +1,6 @@
 """Searches over the states of a model: breadth first, depth first, random walks, minimal traces.
 
-States are known by their canonical forms, 128-bit numbers, so that millions fit in memory.
+Visited states are stored as their canonical forms, 128-bit numbers, so that millions fit in memory.
 """
 
 import re
@@ -21,21 +21,23 @@
 )
 
 UNLIMITED = 10**9
-COURSE_WALK_LENGTH = 40  # steps of a walk after which recovery is checked
-STEP_KIND_WEIGHTS = (0.02, 0.2, 1.0, 5.0)  # how likely one walk may make a kind of step
+RECOVERY_WALK_LENGTH = 40  # steps of a walk before recovery is checked
+STEP_KIND_WEIGHTS = (0.02, 0.2, 1.0, 5.0)  # relative weights that a walk draws for kinds of steps
 
 
 def follow_patterns(model: Model[StateT], state: StateT, patterns: Iterable[str]) -> StateT:
-    """Take, for each regular expression, the first step whose name it matches at its beginning.
+    """Takes one step per regular expression: the first step whose name matches from its start.
 
     Raises:
-        LookupError: No step of the state reached so far matches a pattern.
+        LookupError: No step of the current state matches the next pattern.
     """
     for pattern in patterns:
         steps = list(model.steps(state))
         matching = next((step for step in steps if re.match(pattern, step.name)), None)
         if matching is None:
-            raise LookupError(f"no step {pattern!r}; there are {[step.name for step in steps]}")
+            raise LookupError(
+                f"no step matches {pattern!r}; available: {[step.name for step in steps]}"
+            )
         state = matching.take()
     return state
 
@@ -44,7 +46,7 @@
 
 
 class _Origin(NamedTuple):
-    """How a state was reached first: from which canonical form, and by which step."""
+    """How a state was first reached: the canonical form of its parent, and the step."""
 
     parent_form: int
     step_name: str  # empty for the initial state
@@ -57,11 +59,15 @@
     recovery_check_interval: int = 0,
     prefix: Iterable[str] = (),
 ) -> ExplorationResult:
-    """Visit all states by their distance from the initial one, so that a trace is a shortest one.
-
-    The search ends once `max_states` were visited or `max_seconds` are over, which is checked
-    between states. It checks recovery from each state whose number is a multiple of
-    `recovery_check_interval`, unless that is 0, and begins where the patterns of `prefix` lead.
+    """Visits states in the order of their distance from the start, so that traces are shortest.
+
+    Args:
+        model: The model.
+        max_states: Ends the search once this many states were visited; checked between states.
+        max_seconds: Ends the search after this time; checked between states.
+        recovery_check_interval: Checks recovery from each state whose number is a multiple of this;
+            0 for no checks.
+        prefix: Patterns of the steps that lead from the initial state to the start of the search.
     """
     first_state = follow_patterns(model, model.initial_state(), prefix)
     first_form = model.canonical_form(first_state)
@@ -109,23 +115,23 @@
 
 
 def explore_depth_first(
-    model: Model[StateT], depth: int, max_courses: int = UNLIMITED
+    model: Model[StateT], depth: int, max_paths: int = UNLIMITED
 ) -> ExplorationResult:
-    """Take all courses of `depth` steps, and check after each that the system recovers.
+    """Explores all paths of `depth` steps, and checks after each that the system recovers.
 
-    A course ends early at a state that was visited before. The search ends with the first
-    violation, or after `max_courses` courses of the whole length.
+    A path ends early at a state that was visited before. The search ends with the first violation,
+    or after `max_paths` paths of the whole length.
     """
     visited = set[int]()
-    courses = 0
+    paths = 0
     revisits = 0
     trace = list[str]()
     violation = ""
     stack = [(model.initial_state(), trace)]
-    while stack and courses < max_courses and not violation:
+    while stack and paths < max_paths and not violation:
         state, trace = stack.pop()
         if len(trace) == depth:
-            courses += 1
+            paths += 1
             violation = model.check_recovery(state)
             continue
         for step in model.steps(state):
@@ -145,32 +151,32 @@
         trace if violation else [],
         violation,
         exhaustive=not stack and not violation,
-        courses=courses,
+        paths=paths,
         revisits=revisits,
     )
 
 
-# Random walks, which go deeper than a search of all states can.
+# Random walks, which reach deeper states than an exhaustive search.
 
 
 class StepChooser(Protocol[StateT]):
     """Draws the next step of one random walk."""
 
     def choose(self, rng: Random, steps: list[Step[StateT]]) -> Step[StateT]:
-        """One of these steps."""
+        """Returns one of these steps."""
 
 
 class SwarmChooser(Generic[StateT]):
-    """Prefers other kinds of steps in each walk (swarm verification, Holzmann et al., 2011).
+    """Prefers different kinds of steps in each walk (swarm verification, Holzmann et al., 2011).
 
-    Walks whose steps are drawn evenly come back to the same few states.
+    Walks with uniformly drawn steps keep returning to the same few states.
     """
 
     def __init__(self) -> None:
-        self.weights: dict[str, float] = {}  # by kind of step, drawn when it first may happen
+        self.weights: dict[str, float] = {}  # by kind of step, drawn when it is first possible
 
     def choose(self, rng: Random, steps: list[Step[StateT]]) -> Step[StateT]:
-        """One of these steps, by the weights of their kinds."""
+        """Returns one of these steps, drawn by the weights of their kinds."""
         kinds = [step_kind(step.name) for step in steps]
         for kind in kinds:
             if kind not in self.weights:
@@ -179,33 +185,42 @@
 
 
 class EvenKindChooser(Generic[StateT]):
-    """Gives each kind of step the same chance, however many steps there are of it."""
+    """Gives each kind of step the same probability, regardless of the number of its steps."""
 
     def choose(self, rng: Random, steps: list[Step[StateT]]) -> Step[StateT]:
-        """One of these steps: its kind is drawn first."""
+        """Returns one of these steps; the kind is drawn first."""
         kind = rng.choice(sorted({step_kind(step.name) for step in steps}))
         return rng.choice([step for step in steps if step_kind(step.name) == kind])
 
 
 def step_kind(name: str) -> str:
-    """The name of a step without its numbers."""
+    """Returns the name of a step without its numbers."""
     return re.sub(r"\d+", "", name).strip()
 
 
 @dataclass(frozen=True)
 class WalkOptions(Generic[StateT]):
-    """How many random walks to take, and which."""
+    """Options of random walks.
+
+    Attributes:
+        seed: The seed of all walks.
+        length: Steps drawn for one walk.
+        max_walks: The maximum number of walks.
+        max_seconds: The time limit, checked between walks.
+        make_chooser: Creates the step chooser of one walk.
+        check_recovery: Whether to check recovery after each walk.
+    """
 
     seed: int
-    length: int = 60  # steps drawn for one walk
+    length: int = 60
     max_walks: int = UNLIMITED
     max_seconds: float = inf
     make_chooser: Callable[[], StepChooser[StateT]] = SwarmChooser
-    check_recovery: bool = False  # after each walk
+    check_recovery: bool = False
 
 
 class _Walker(Generic[StateT]):
-    """Takes random walks over a model; owns what they have visited together."""
+    """Takes random walks over a model, and records the states that they visit."""
 
     def __init__(self, model: Model[StateT], options: WalkOptions[StateT]) -> None:
         self.model = model
@@ -215,7 +230,7 @@
         self.step_counts = Counter[str]()
 
     def walk(self, number: int) -> ExplorationResult:
-        """One walk to its length, or to a state that violates an invariant."""
+        """Takes one walk, up to its length or to a state that violates an invariant."""
         rng = Random(f"{self.options.seed} {number}")
         chooser = self.options.make_chooser()
         state = self.initial_state
@@ -242,10 +257,10 @@
 
 
 def swarm_search(model: Model[StateT], options: WalkOptions[StateT]) -> ExplorationResult:
-    """Take random walks until one ends with a violation, or the options end the search.
+    """Takes random walks until one finds a violation or a limit of the options is reached.
 
-    The trace to a violated invariant is minimised; one after which the system does not recover is
-    given as it was walked.
+    The trace to a violated invariant is minimized. A trace after which the system does not recover
+    is returned as it was walked.
     """
     walker = _Walker(model, options)
     deadline = time.monotonic() + options.max_seconds
@@ -263,9 +278,9 @@
 
 
 def explore_recovery_randomly(
-    model: Model[StateT], walks: int, seed: int, length: int = COURSE_WALK_LENGTH
+    model: Model[StateT], walks: int, seed: int, length: int = RECOVERY_WALK_LENGTH
 ) -> ExplorationResult:
-    """Take random walks, each kind of step as likely, and check after each that all recovers."""
+    """Takes random walks with equally likely kinds of steps, and checks recovery after each."""
     return swarm_search(
         model,
         WalkOptions(
@@ -275,7 +290,7 @@
 
 
 def replay(model: Model[StateT], trace: list[str], initial_state: StateT) -> str:
-    """The invariant that these steps violate; empty if none, or if a step cannot be taken."""
+    """Returns the invariant that a trace violates; empty if none, or if a step is not possible."""
     state = initial_state
     for name in trace:
         matching = next((step for step in model.steps(state) if step.name == name), None)
@@ -289,7 +304,7 @@
 
 
 def minimize_trace(model: Model[StateT], trace: list[str], initial_state: StateT) -> list[str]:
-    """The trace without the steps that it does not need; none of those left can be left out."""
+    """Removes steps from a violating trace until no further step can be removed."""
     index = 0
     while index < len(trace):
         shorter = trace[:index] + trace[index + 1 :]
--- a/dunlinlug/fleet/model_checking/model.py
+++ b/dunlinlug/fleet/model_checking/model.py
@@ -1,4 +1,4 @@
-"""What a model checker needs to know of a system, and what a search reports."""
+"""The interface of models for the model checker, and the results of searches."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -9,9 +9,9 @@
 
 
 class Step(NamedTuple, Generic[StateT]):
-    """Something that may happen next: its name in traces, and what gives the successor.
+    """A possible step: its name in traces, and a function that returns the successor state.
 
-    Names are unique among the steps of one state, as traces are replayed by them.
+    Names are unique among the steps of one state, as traces are replayed by names.
     """
 
     name: str
@@ -19,32 +19,32 @@
 
 
 class Model(Protocol[StateT]):
-    """What may happen in a system, and what must hold in each of its states.
+    """The possible steps of a system, and the invariants of its states.
 
     A state is never changed in place: each step makes its successor from a copy.
     """
 
     def initial_state(self) -> StateT:
-        """The state that each search begins with."""
+        """Returns the state in which each search starts."""
 
     def steps(self, state: StateT) -> Iterator[Step[StateT]]:
-        """All that may happen next, always in the same order."""
+        """Yields all possible next steps, always in the same order."""
 
     def check_invariants(self, state: StateT) -> str:
-        """The invariant that this state violates, in words; empty if none."""
+        """Describes the invariant that this state violates; empty if none."""
 
     def canonical_form(self, state: StateT) -> int:
-        """A 128-bit number, equal for states between which no later event can tell."""
+        """Returns a 128-bit number that is equal for states with the same possible futures."""
 
     def within_limits(self, state: StateT) -> bool:
-        """Whether the state is within the limits of the exploration."""
+        """Returns whether the state is within the limits of the exploration."""
 
     def check_recovery(self, state: StateT) -> str:
-        """What is still wrong some time after the last fault, in words; empty if all is well."""
+        """Describes what is still wrong some time after the last fault; empty if nothing is."""
 
 
 class RecoveryCounts(NamedTuple):
-    """How many of the states from which recovery was tried did recover."""
+    """The number of states whose recovery was checked, and how many of them recovered."""
 
     recovered: int = 0
     checked: int = 0
@@ -55,25 +55,40 @@
 
 @dataclass(frozen=True)
 class ExplorationResult:
-    """What one search visited, and the violation that it ended with."""
+    """The result of one search.
+
+    Attributes:
+        states: The number of different canonical forms visited.
+        trace: The names of the steps to the violation.
+        violation: The violation that ended the search; empty if none was found.
+        exhaustive: Whether all states within the limits were visited.
+        recoveries: The results of recovery checks in a breadth-first search.
+        paths: The paths of the whole length that a depth-first search took.
+        revisits: Steps of a depth-first search that led to a state visited before.
+        walks: Random walks of the whole length.
+        step_counts: The steps of random walks by kind.
+    """
 
-    states: int  # different canonical forms visited
-    trace: list[str] = field(default_factory=list)  # names of the steps to the violation
-    violation: str = ""  # empty if none was found
-    exhaustive: bool = False  # whether all states within the limits were visited
+    states: int
+    trace: list[str] = field(default_factory=list)
+    violation: str = ""
+    exhaustive: bool = False
     recoveries: RecoveryCounts = NO_RECOVERY_CHECKS
-    courses: int = 0  # sequences of steps of the whole length, of a depth-first search
-    revisits: int = 0  # steps of a depth-first search that led to a state visited before
-    walks: int = 0  # random walks of the whole length
-    step_counts: Counter[str] = field(default_factory=Counter)  # steps of random walks, by kind
+    paths: int = 0
+    revisits: int = 0
+    walks: int = 0
+    step_counts: Counter[str] = field(default_factory=Counter)
 
     def describe(self, method: str, recovery_label: str) -> str:
-        """The result for people, one line and the trace; `recovery_label` says what recovered."""
+        """Formats the result for printing: one line, and then the trace.
+
+        `recovery_label` names what holds in a recovered state.
+        """
         recovery_text = ""
         if self.recoveries.checked:
             recovered, checked = self.recoveries
-            recovery_text = f"; {recovery_label} in {recovered} of {checked} tried"
-        coverage = " (all within the bounds)" if self.exhaustive else ""
-        violation = self.violation or "nothing"
-        summary = f"{method}: {self.states} states{coverage}; broken: {violation}{recovery_text}"
+            recovery_text = f"; {recovery_label} in {recovered} of {checked} checks"
+        coverage = " (all within the limits)" if self.exhaustive else ""
+        violation = self.violation or "none"
+        summary = f"{method}: {self.states} states{coverage}; violation: {violation}{recovery_text}"
         return "\n".join([summary, *(f"{n:3d}  {step}" for n, step in enumerate(self.trace, 1))])
--- a/dunlinlug/fleet/ownership/__init__.py
+++ b/dunlinlug/fleet/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""One owner at a time for work on behalf of the fleet: leases on shards, with fencing tokens."""
+"""Gives each shard of the fleet's work one owner at a time, by leases with fencing tokens."""
--- a/dunlinlug/fleet/ownership/assignment.py
+++ b/dunlinlug/fleet/ownership/assignment.py
@@ -1,36 +1,39 @@
-"""Who is to own what: assigning lost shards, rebalancing, and who is stable enough for it.
+"""Assigns shards to members: orphaned shards, rebalancing, and the stability of members.
 
-Decisions, free of I/O. What is owned stays where it is as long as its owner lives: only what has
-lost its owner is assigned anew, to whoever owns least, and a member that joins gets its share by as
-few moves as there can be. So once all moves are done, no member that is present owns more than one
-shard more than another.
+Free of I/O. A shard stays with its owner as long as the owner is present. Only orphaned shards are
+reassigned, each to the member with the fewest shards, and a member that joins gets its share by the
+fewest moves possible. Once all moves are done, the shard counts of any two present members differ
+by at most one.
 """
 
 from collections import Counter
 from collections.abc import Collection, Iterable, Mapping, Sequence
 
-MAX_CONCURRENT_MOVES = 16  # shards on their way between owners; the others are worked on meanwhile
-# Leases that a member has to be present without a break before it is assigned what others own ...
+# Shards that move between owners at one time; work on all other shards continues meanwhile.
+MAX_CONCURRENT_MOVES = 16
+# A member must be present for this many lease durations without interruption before it is assigned
+# shards that other members own.
 MIN_STABLE_LEASES = 2.0
-# ... doubled by each break up to this, so that a flapping member is not assigned shards each
-# time ...
+# Each interruption doubles the required time up to this number of leases, so that a flapping member
+# is not assigned shards each time it returns.
 MAX_STABLE_LEASES = 64.0
-# ... and halved after so many times as long without a break.
+# The required time is halved after the member was present for this many times the required time.
 STABILITY_DECAY_PERIODS = 8.0
 
 
 def assign_orphans(
     owners: Sequence[str], departed: Collection[str], eligible: Collection[str]
 ) -> list[tuple[int, str]]:
-    """Assign the shards of departed owners, each to the eligible member that owns least by then.
+    """Assigns each shard of a departed owner to the eligible member with the fewest shards so far.
 
     Args:
-        owners: by shard; an empty name is an owner as well, which may be among the departed.
-        departed: owners whose shards are free.
-        eligible: members that may be assigned shards.
+        owners: The owner of each shard. The empty name of unowned shards counts as an owner and may
+            be among the departed.
+        departed: Owners whose shards are free.
+        eligible: Members that may be assigned shards.
 
     Returns:
-        Shards with their new owners, by shard.
+        Shards with their new owners, in the order of the shards.
     """
     shards_owned = _count_owned(owners, eligible)
     assignments = []
@@ -45,12 +48,12 @@
 def rebalance(
     owners: Sequence[str], revoking: Mapping[int, str], eligible: Collection[str]
 ) -> list[tuple[int, str]]:
-    """Shards to move, with their targets, until nobody owns over one more than another.
+    """Returns shards to move, with their targets, until shard counts differ by at most one.
 
     Args:
-        owners: by shard.
-        revoking: shards that are on their way to another owner, and to whom.
-        eligible: members that may give or get shards.
+        owners: The owner of each shard.
+        revoking: Shards that are already moving, with their targets.
+        eligible: Members that may give up or receive shards.
     """
     expected_owners = [revoking.get(shard, owner) for shard, owner in enumerate(owners)]
     shards_owned = _count_owned(expected_owners, eligible)
@@ -75,7 +78,7 @@
 
 
 def _count_owned(owners: Iterable[str], members: Collection[str]) -> Counter[str]:
-    """How many shards each of these members owns, in the order of their names."""
+    """Counts the shards of each of these members, in the order of their names."""
     shards_owned = Counter(dict.fromkeys(sorted(members), 0))
     shards_owned.update(owner for owner in owners if owner in shards_owned)
     return shards_owned
@@ -86,25 +89,30 @@
 
 
 class StabilityTracker:
-    """How long each member has been present without a break, by its renewals.
+    """Tracks by lease renewals how long each member has been present without interruption.
 
-    Times are seconds on the coordinator's clock; `lease` is seconds.
+    Times are seconds on the coordinator's clock.
+
+    Attributes:
+        lease: The lease duration in seconds.
+        present_since: When each present member's uninterrupted presence began.
+        required_leases: How many lease durations each member must be present to count as stable.
     """
 
     def __init__(self, lease: float) -> None:
         self.lease = lease
         self.present_since: dict[str, float] = {}
-        self.required_leases: dict[str, float] = {}  # that a member has to be present
+        self.required_leases: dict[str, float] = {}
 
     def clone(self) -> "StabilityTracker":
-        """An independent copy."""
+        """Returns an independent copy."""
         duplicate = StabilityTracker(self.lease)
         duplicate.present_since = dict(self.present_since)
         duplicate.required_leases = dict(self.required_leases)
         return duplicate
 
     def record_renewal(self, member: str, now: float) -> None:
-        """A member is present."""
+        """Records that a member is present."""
         if member not in self.present_since:
             self.present_since[member] = now
             self.required_leases.setdefault(member, MIN_STABLE_LEASES)
@@ -116,12 +124,12 @@
             self.required_leases[member] = required / 2
 
     def record_departure(self, member: str) -> None:
-        """A member's lease has ended."""
+        """Records that a member's lease has expired."""
         if self.present_since.pop(member, None) is not None:
             self.required_leases[member] = min(2 * self.required_leases[member], MAX_STABLE_LEASES)
 
     def is_stable(self, member: str, now: float) -> bool:
-        """Whether a member has been present long enough to be assigned what others own."""
+        """Returns whether a member has been present long enough to get shards of other members."""
         if member not in self.present_since:
             return False
         return now - self.present_since[member] >= self.required_leases[member] * self.lease
--- a/dunlinlug/fleet/ownership/checkpoints.py
+++ b/dunlinlug/fleet/ownership/checkpoints.py
@@ -1,4 +1,4 @@
-"""How far tasks of ours have come: reported until the record is committed in the log."""
+"""Checkpoints of this member's tasks, reported to the coordinator until they are committed."""
 
 from itertools import islice
 
@@ -8,11 +8,11 @@
 from dunlinlug.fleet.ownership.messages import CheckpointReport, TaskCheckpoint
 from dunlinlug.fleet.ownership.replica import ShardReplica
 
-MAX_CHECKPOINTS_PER_MESSAGE = 64  # a frame of some ten thousand bytes
+MAX_CHECKPOINTS_PER_MESSAGE = 64  # keeps a typical frame near 10 kB
 
 
 class PendingCheckpoints:
-    """Checkpoints on their way into the log, by task, the oldest first."""
+    """Checkpoints that are not known to be committed yet, by task, oldest first."""
 
     def __init__(self, replica: ShardReplica, lease: HeldLease) -> None:
         self.replica = replica
@@ -20,44 +20,48 @@
         self.pending: dict[str, StoredCheckpoint] = {}
 
     def clone(self, replica: ShardReplica, lease: HeldLease) -> "PendingCheckpoints":
-        """An independent copy, over copies of the replica and of the lease."""
+        """Returns an independent copy that uses copies of the replica and of the lease."""
         duplicate = PendingCheckpoints(replica, lease)
         duplicate.pending = dict(self.pending)
         return duplicate
 
     def add(self, task: str, token: int, body: bytes) -> None:
-        """Report this from now on; it replaces what was pending for the task."""
+        """Adds a checkpoint to the reports; it replaces the task's pending checkpoint."""
         self.pending.pop(task, None)
         self.pending[task] = StoredCheckpoint(token, body)
 
     def contains(self, task: str) -> bool:
-        """Whether the last checkpoint of a task may not be committed yet."""
+        """Returns whether the last checkpoint of a task may still be uncommitted."""
         return task in self.pending
 
     def next_report(self) -> tuple[TaskCheckpoint, ...]:
-        """What to report now, as much as one message holds; what is resolved is dropped.
+        """Drops resolved checkpoints and returns those to report now, at most one message of them.
 
-        A checkpoint that was made while the shard moved on would set its next owner back: the log
-        ignores it by its token, and here it is dropped.
+        A checkpoint that was made under an earlier token of its shard would set the shard's next
+        owner back. The log rejects it by its token, and it is dropped here.
         """
-        resolved = [task for task, made in self.pending.items() if self._is_resolved(task, made)]
+        resolved = [
+            task for task, checkpoint in self.pending.items() if self._is_resolved(task, checkpoint)
+        ]
         for task in resolved:
             del self.pending[task]
         first = islice(self.pending.items(), MAX_CHECKPOINTS_PER_MESSAGE)
-        return tuple(TaskCheckpoint(task, made.token, made.body) for task, made in first)
+        return tuple(
+            TaskCheckpoint(task, checkpoint.token, checkpoint.body) for task, checkpoint in first
+        )
 
-    def _is_resolved(self, task: str, made: StoredCheckpoint) -> bool:
-        """Whether the shard has another token, or the checkpoint is committed."""
+    def _is_resolved(self, task: str, checkpoint: StoredCheckpoint) -> bool:
+        """Returns whether the shard has another token, or the checkpoint is committed."""
         assignments = self.replica.assignments
-        if assignments.tokens[assignments.shard_of(task)] != made.token:
+        if assignments.tokens[assignments.shard_of(task)] != checkpoint.token:
             return True
-        # An empty body ends a record: once that is done, the log has none.
-        stored = assignments.checkpoints.get(task, StoredCheckpoint(made.token, b""))
-        return stored == made and self.replica.log.position <= self.lease.committed()
+        # An empty body deletes the task's checkpoint; the table holds none once that is applied.
+        stored = assignments.checkpoints.get(task, StoredCheckpoint(checkpoint.token, b""))
+        return stored == checkpoint and self.replica.log.position <= self.lease.committed()
 
 
 def acceptable_items(replica: ShardReplica, report: CheckpointReport) -> tuple[TaskCheckpoint, ...]:
-    """What of a member's report goes into the log: its own tasks, under their present tokens."""
+    """Returns the report's items to log: new checkpoints of the sender's tasks, current tokens."""
     return tuple(item for item in report.items if _is_acceptable(replica, report.sender, item))
 
 
--- a/dunlinlug/fleet/ownership/coordinator.py
+++ b/dunlinlug/fleet/ownership/coordinator.py
@@ -1,9 +1,10 @@
-"""The coordinator of ownership: the leader of the log, which assigns shards and grants leases.
+"""The lease coordinator: the leader of the ownership log, which assigns shards and grants leases.
 
-It grants each member what is left of its own lease as the leader, never more. So when a successor
-can be voted for, all that was granted has ended, and the successor may assign at once what the dead
-coordinator owned. It assigns a shard anew only after all that it granted to the shard's owner has
-ended on its own clock (leases: C. Gray and D. Cheriton, 1989).
+A lease that the coordinator grants never outlasts the coordinator's own lease as the log's leader.
+All granted leases have therefore expired before a successor can be elected, and the successor may
+assign the former coordinator's shards at once. The coordinator reassigns a shard only after every
+lease that it granted to the shard's owner has expired on the coordinator's own clock (C. Gray and
+D. Cheriton, "Leases", 1989).
 """
 
 from collections.abc import Iterable
@@ -28,17 +29,22 @@
 from dunlinlug.fleet.ownership.release import ShardReleases
 from dunlinlug.fleet.ownership.replica import Orders, ShardReplica
 
-# Leases from the beginning of a term in which renewals of others may still be on their way.
+# Fraction of a lease after the start of a term in which the first renewals may still arrive.
 RENEWAL_GRACE_LEASES = 0.5
-# Heartbeat intervals of grace for owners that are known to have failed.
+# Heartbeat intervals after the start of a term before shards of failed owners are reassigned.
 FAILED_GRACE_HEARTBEATS = 0.5
 OUTDATED_TOKEN_REASON = "a carrier had seen a number as high"
 
 
 class LeaseCoordinator(LogDriver):
-    """What a member knows and does as the coordinator; only the log's leader calls most of it.
+    """Assigns shards and grants leases; most methods act only while this member leads the log.
 
-    Times are seconds on our clock.
+    Times are seconds on this member's clock.
+
+    Attributes:
+        failed_members: Members that the membership's failure detector reports as failed.
+        term_started_at: When this member's latest term as the leader started.
+        next_review_at: When the next lease or grace period ends.
     """
 
     def __init__(
@@ -58,14 +64,14 @@
         self.heartbeat_interval = options.timing.heartbeat_interval
         self.grants = GrantedLeases()
         self.stability = assignment.StabilityTracker(self.lease)
-        self.failed_members = set[str]()  # by the membership's failure detector
+        self.failed_members = set[str]()
         self.term_started_at = now
-        self.next_review_at = inf  # when the next lease or grace period ends
+        self.next_review_at = inf
 
     def clone(
         self, replica: ShardReplica, releases: ShardReleases, renewals: RenewalSchedule
     ) -> "LeaseCoordinator":
-        """An independent copy, over copies of the parts that it uses."""
+        """Returns an independent copy that uses copies of the parts around it."""
         duplicate = copy(self)
         duplicate.replica = replica
         duplicate.releases = releases
@@ -76,19 +82,20 @@
         return duplicate
 
     def _begin_term(self, now: float) -> Orders:
-        """We lead the log from now on; what others granted has ended."""
+        """Starts this member's term as the leader; leases of earlier leaders have expired."""
         self.grants = GrantedLeases()
         self.stability = assignment.StabilityTracker(self.lease)
         self.term_started_at = now
-        self.renewals.request(now)
-        # Who led before us has been silent to a majority for a lease: no grace for what it owns.
+        self.renewals.schedule_now(now)
+        # A majority has received nothing from the previous leader for a whole lease, so it counts
+        # as failed and its shards are reassigned without the renewal grace period.
         predecessor = self.renewals.last_coordinator()
         if predecessor not in ("", self.self_id):
             self.failed_members.add(predecessor)
         return self.append(now, TermStarted())
 
     def _entries_committed(self, now: float) -> Orders:
-        """Extend all leases at once, so that a new owner need not wait for its next renewal."""
+        """Extends all leases at once, so that a new owner need not wait for its next renewal."""
         orders: Orders = []
         if not self.replica.log.holds_lease(now):
             return orders
@@ -102,9 +109,10 @@
     # Assignment.
 
     def review(self, now: float) -> Orders:
-        """Assign what has lost its owner, or rebalance; nothing while we may not decide."""
+        """Assigns orphaned shards or rebalances; does nothing unless this member may decide."""
         if now >= self.next_review_at:
-            # Without this we would be called without end while we hold no lease.
+            # An expired review time would stay due, and the timer loop would spin, while this
+            # member holds no lease.
             self.next_review_at = inf
         log = self.replica.log
         if not log.is_leader or not log.holds_lease(now) or log.committed[0] != log.term:
@@ -126,13 +134,13 @@
         moves = assignment.rebalance(assignments.owners, assignments.revoking, stable)
         if moves:
             orders += self.append(now, Revoke(tuple(moves)))
-        # In the order in which we released them.
+        # Shards are reassigned in the order in which this member released them.
         tokens = self.replica.assignments.tokens
         released = [(shard, tokens[shard]) for shard in self.releases.released]
         return orders + self._reassign_released(now, self.self_id, released)
 
     def _present_members(self, now: float) -> set[str]:
-        """Who may hold a lease of ours; we are present as long as we lead."""
+        """Returns the members that may hold a lease from this member, and this member itself."""
         return {
             member
             for member in self.replica.log.voter_set.members
@@ -140,15 +148,19 @@
         }
 
     def _departed_owners(self, now: float, present: set[str]) -> set[str]:
-        """Owners all of whose leases have ended; the empty name, of unowned shards, is one."""
+        """Returns owners whose leases have all expired.
+
+        The empty name, the owner of unowned shards, can be among them.
+        """
         owners = set(self.replica.assignments.owners) - present
         return {owner for owner in owners if self._leases_expired(now, owner)}
 
     def _leases_expired(self, now: float, owner: str) -> bool:
-        """Whether all that this owner was ever granted has ended, and it is not about to renew.
+        """Returns whether all leases of an owner have expired and no renewal is expected soon.
 
-        What a former coordinator granted ended before we were voted for. Assigned before the
-        others' renewals are here, which they send at our first heartbeat, shards would go to few.
+        Leases from former coordinators expired before this member was elected. Members send their
+        first renewal at the new leader's first heartbeat. If shards were assigned before those
+        renewals arrive, only the few members known by then would get them.
         """
         if owner in self.grants.granted_until:
             return not self.grants.may_hold(owner, now)
@@ -164,13 +176,16 @@
         return self.term_started_at + RENEWAL_GRACE_LEASES * self.lease
 
     def _next_review(self, now: float, present: set[str]) -> float:
-        """When the next lease or grace period ends; infinite if none is to end."""
+        """Returns when the next lease or grace period ends; infinite if there is none."""
         ends = [end for member, end in self.grants.granted_until.items() if member in present]
         ends += [self._failed_grace_end(), self._renewal_grace_end()]
         return min((end for end in ends if end > now), default=inf)
 
     def _reassign_released(self, now: float, member: str, released: Iterable[ShardToken]) -> Orders:
-        """What its owner has released goes to whom it was meant for, or back to the pool."""
+        """Assigns released shards to the targets of their moves, or to no owner.
+
+        A shard gets no owner if it was not being moved or its target is no longer a voter.
+        """
         assignments = self.replica.assignments
         owners = []
         for shard, token in released:
@@ -181,10 +196,11 @@
         return self.append(now, Assign(tuple(owners), "moved")) if owners else []
 
     def move_shard(self, now: float, shard: int, target: str) -> Orders:
-        """Ask the owner of a shard to release it for another member, as an operator wishes.
+        """Starts an operator's move: the owner of a shard must release it for another member.
 
         Raises:
-            ShardMoveError: We do not decide, the target is absent, or there is nothing to move.
+            ShardMoveError: This member is not the coordinator, the target is absent, or the shard
+                has no owner or already belongs to the target.
         """
         log = self.replica.log
         if not log.holds_lease(now):
@@ -192,33 +208,34 @@
             raise ShardMoveError(f"only the steward moves work: {coordinator}")
         present = target == self.self_id or self.grants.may_hold(target, now)
         if not self.replica.is_voter(target) or not present:
-            raise ShardMoveError(f"{target!r} is no member that is here")
+            raise ShardMoveError(f"target {target!r} is not a voting member with a valid lease")
         owner = self.replica.assignments.owners[shard]
         if not owner:
-            raise ShardMoveError("nobody owns it yet")
+            raise ShardMoveError("the shard has no owner yet")
         if owner == target:
-            raise ShardMoveError(f"{target} owns it already")
+            raise ShardMoveError(f"{target} already owns the shard")
         return self.append(now, Revoke(((shard, target),)))
 
     def replace_token(self, now: float, shard: int) -> Orders:
-        """Assign a shard of ours to us again, so that its token is above one that was rejected."""
+        """Reassigns a shard of this member to itself, with a token above the rejected one."""
         return self.append(now, Assign(((shard, self.self_id),), OUTDATED_TOKEN_REASON))
 
-    # Members' messages.
+    # Messages from members.
 
     def handle_renewal(self, now: float, renewal: RenewLease) -> Orders:
-        """Extend a member's lease, and settle what it has released or learned of its tokens."""
+        """Extends a member's lease, and processes its released shards and outdated tokens."""
         log = self.replica.log
         member = renewal.sender
         if not log.is_leader or not self.replica.is_voter(member) or renewal.term != log.term:
             return []
         if not log.holds_lease(now):
-            # The first come before a majority has answered; they are granted with that.
+            # The first renewals arrive before a majority has acknowledged the new leader; their
+            # leases are granted once entries are committed.
             self.grants.record_early_renewal(now, renewal)
             return []
         highest_token = max((token for _, token in renewal.outdated_tokens), default=0)
         if term_of(highest_token) > log.term:
-            # Tokens of ours would be rejected for as long as we led in this term.
+            # Executors would reject every token that this leader can issue in its current term.
             return self.handle_log_orders(now, log.observe_term(now, term_of(highest_token)))
         self.failed_members.discard(member)
         orders = self._record_incarnation(now, member, renewal.incarnation)
@@ -229,7 +246,10 @@
         return orders + self._grant_lease(now, member)
 
     def _replace_outdated_tokens(self, now: float, renewal: RenewLease) -> Orders:
-        """Assign to the sender again what executors have seen higher tokens of."""
+        """Reassigns the sender's outdated shards to the sender, with higher tokens.
+
+        A shard is outdated if an executor has seen a token that the shard's does not exceed.
+        """
         member = renewal.sender
         tokens = self.replica.assignments.tokens
         outdated = tuple(
@@ -242,9 +262,9 @@
         return self.append(now, Assign(outdated, OUTDATED_TOKEN_REASON)) if outdated else []
 
     def _record_incarnation(self, now: float, member: str, incarnation: int) -> Orders:
-        """Give a member that has restarted new tokens.
+        """Raises the tokens of a member's shards if the member has restarted.
 
-        Effects of its earlier incarnation may still be on their way, under the tokens it has.
+        Effects of its earlier incarnation may still be in flight under the current tokens.
         """
         self.grants.record_incarnation(member, incarnation)
         if self.replica.assignments.incarnations.get(member) == incarnation:
@@ -256,7 +276,7 @@
         return [SendMessage(member, lease)]
 
     def handle_checkpoint_report(self, now: float, report: CheckpointReport) -> Orders:
-        """Log how far tasks of a member have come."""
+        """Appends a member's checkpoints to the log."""
         log = self.replica.log
         if not log.holds_lease(now) or report.term != log.term:
             return []
--- a/dunlinlug/fleet/ownership/executor.py
+++ b/dunlinlug/fleet/ownership/executor.py
@@ -1,4 +1,4 @@
-"""Executing effects at a member: the fence, and who does what an effect asks for."""
+"""Executes effects on a member: checks fencing tokens and calls the handler of the task's kind."""
 
 from collections.abc import Callable
 
@@ -6,16 +6,16 @@
 from dunlinlug.fleet.ownership.messages import Effect, EffectResult
 from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
 
-LOGGED_TASK_PREFIX = "exercise/"  # tasks whose effects are logged one by one
+LOGGED_TASK_PREFIX = "exercise/"  # each effect of these tasks is logged
 
 
 def task_kind(task: str) -> str:
-    """The first word of a task's name, up to its "/", which says whose it is."""
+    """Returns the kind of a task: its name up to the first "/"."""
     return task.partition("/")[0]
 
 
 class EffectExecutor:
-    """Lets effects that pass the fence through to their handlers; owns the fence."""
+    """Passes effects with valid fencing tokens to their handlers."""
 
     def __init__(self, protocol: OwnershipProtocol, log_event: Callable[..., None]) -> None:
         self.protocol = protocol
@@ -24,9 +24,9 @@
         self.handlers: dict[str, Callable[[Effect], None]] = {}  # by kind of task
 
     def execute(self, effect: Effect) -> EffectResult | None:
-        """Execute an effect, or return the rejection for its sender.
+        """Executes an effect, or returns the rejection to send to its sender.
 
-        An effect that came before is ignored.
+        A duplicate effect is ignored.
         """
         reason = self._rejection_reason(effect)
         if reason or effect.task.startswith(LOGGED_TASK_PREFIX):
@@ -43,10 +43,10 @@
         return EffectResult.rejection(self.protocol.self_id, effect, highest, term)
 
     def _rejection_reason(self, effect: Effect) -> str:
-        """Why the fence rejects an effect; empty if it does not.
+        """Returns why an effect is rejected; empty if it is accepted.
 
-        An executor that has just started remembers no token, so it goes by the log, and by nothing
-        before it has one.
+        An executor that has just started has no recorded tokens, so it uses those of the log and
+        rejects everything until it has a log.
         """
         if not self.protocol.follows_log():
             return "this carrier follows no log yet"
@@ -55,7 +55,7 @@
         return self.fencing.check(shard, effect.token, effect.sender, effect.sequence, minimum)
 
     def _highest_token(self, shard: int) -> FencingToken:
-        """What an owner has to exceed: the token that was executed here or is in the log."""
+        """Returns the token that an owner must exceed: the last executed one or the log's."""
         assignments = self.protocol.assignments
         logged = FencingToken(assignments.tokens[shard], assignments.owners[shard], 0)
         executed = self.fencing.highest_token(shard)
--- a/dunlinlug/fleet/ownership/fencing.py
+++ b/dunlinlug/fleet/ownership/fencing.py
@@ -1,10 +1,11 @@
-"""Fencing at an executor: which token each shard's effects go by. Free of I/O.
+"""Checks the fencing tokens of effects at an executor. Free of I/O.
 
-A lease alone does not keep a paused owner from acting late: the receiver of an effect has to check
+A lease alone does not prevent a paused owner from acting late: the receiver of an effect must check
 a token that grows with each grant (M. Kleppmann, "How to do distributed locking", 2016). An effect
-with a lower token than was seen is rejected, as is one of the same token from another owner (a
-token given twice, after disks were lost), and one that came before. A minimum comes from the log:
-an executor that has just started and remembers nothing goes by what the members know.
+is rejected if its token is lower than the highest one executed for its shard, if the same token was
+used by another owner (a token can be issued twice after disks were lost), or if it is a duplicate
+or out of order. The log's token of the shard is a further minimum, which protects an executor that
+has just started and has executed nothing yet.
 """
 
 from dataclasses import dataclass
@@ -14,26 +15,26 @@
 
 @dataclass(frozen=True)
 class FencingToken:
-    """The last effect of a shard that an executor has executed."""
+    """The token of the last effect that an executor has executed for a shard."""
 
     number: int
     owner: str
-    sequence: int  # the effect's place among those of its shard under this number
+    sequence: int  # the effect's position among its shard's effects under this token
 
 
 NO_TOKEN = FencingToken(0, "", 0)
 
 
 class FencingGuard:
-    """What an executor has executed: the highest token by shard."""
+    """Records the highest executed token of each shard, and checks effects against it."""
 
     def __init__(self) -> None:
         self.highest_tokens: dict[int, FencingToken] = {}
 
     def check(self, shard: int, token: int, owner: str, sequence: int, minimum: int = 0) -> str:
-        """Why an effect is rejected; empty if it is to be executed, which is then remembered.
+        """Returns why an effect is rejected; accepts and records it if the reason is empty.
 
-        `minimum` is the token that the log has for the shard.
+        `minimum` is the shard's token in the log.
         """
         highest = self.highest_token(shard)
         lowest_accepted = max(highest.number, minimum)
@@ -47,5 +48,5 @@
         return ""
 
     def highest_token(self, shard: int) -> FencingToken:
-        """The highest token of a shard that was executed; `NO_TOKEN` if there is none."""
+        """Returns the highest executed token of a shard; `NO_TOKEN` if there is none."""
         return self.highest_tokens.get(shard, NO_TOKEN)
--- a/dunlinlug/fleet/ownership/granted_leases.py
+++ b/dunlinlug/fleet/ownership/granted_leases.py
@@ -1,4 +1,4 @@
-"""What this member, as the coordinator, has granted to others in its term."""
+"""Leases that this member, as the coordinator, has granted to others in its current term."""
 
 from math import inf
 from typing import NamedTuple
@@ -8,22 +8,22 @@
 
 
 class Renewal(NamedTuple):
-    """When a member asked for its lease last; compared by the time it was sent first."""
+    """The times of a member's lease renewal; renewals compare by `sent_at` first."""
 
     sent_at: float  # seconds on the member's clock
-    received_at: float  # seconds on ours
+    received_at: float  # seconds on this member's clock
 
 
 class GrantedLeases:
-    """By member: until when its lease may last, its latest renewal, and its incarnation."""
+    """Records the latest lease end, the latest renewal and the incarnation of each member."""
 
     def __init__(self) -> None:
-        self.granted_until: dict[str, float] = {}  # seconds on our clock
+        self.granted_until: dict[str, float] = {}  # seconds on this member's clock
         self.last_renewals: dict[str, Renewal] = {}
         self.incarnations: dict[str, int] = {}
 
     def clone(self) -> "GrantedLeases":
-        """An independent copy."""
+        """Returns an independent copy."""
         duplicate = GrantedLeases()
         duplicate.granted_until = dict(self.granted_until)
         duplicate.last_renewals = dict(self.last_renewals)
@@ -31,32 +31,39 @@
         return duplicate
 
     def may_hold(self, member: str, now: float) -> bool:
-        """Whether a lease that we granted may last."""
+        """Returns whether a lease granted to the member may still be valid."""
         return self.granted_until.get(member, -inf) > now
 
     def record_renewal(self, now: float, renewal: RenewLease) -> None:
-        """Remember the renewal, unless a later one came before it."""
+        """Records a renewal unless one that was sent later is already recorded."""
         renewed = Renewal(renewal.sent_at, now)
         previous = self.last_renewals.get(renewal.sender, Renewal(-inf, now))
         self.last_renewals[renewal.sender] = max(previous, renewed)
 
     def record_early_renewal(self, now: float, renewal: RenewLease) -> None:
-        """The same before we may grant anything; the first incarnation that asks is the one."""
+        """Records a renewal from before leases can be granted.
+
+        Until then the first incarnation of a member that renews is the only one accepted.
+        """
         incarnation = self.incarnations.setdefault(renewal.sender, renewal.incarnation)
         if incarnation == renewal.incarnation:
             self.record_renewal(now, renewal)
 
     def record_incarnation(self, member: str, incarnation: int) -> None:
-        """A member's incarnation; the clock of an earlier one may have been another."""
+        """Records a member's incarnation.
+
+        The last renewal of an earlier incarnation is discarded, as its clock may have differed.
+        """
         if self.incarnations.get(member, incarnation) != incarnation:
             self.last_renewals.pop(member, None)
         self.incarnations[member] = incarnation
 
     def grant(self, now: float, member: str, log: ElectionProtocol) -> LeaseGranted:
-        """A lease that never outlasts our own as the log's leader: our successor counts on that.
+        """Grants a lease that ends no later than this member's own lease as the log's leader.
 
-        It counts from when the member asked. Counted from now, a lease that is granted again, as
-        another entry is committed, would keep the shards of a dead member for it.
+        A successor relies on that limit. The duration counts from the member's last renewal: leases
+        are granted again with each committed entry, and counting from the current time would extend
+        the lease of a member that has died, which would keep its shards.
         """
         renewal = self.last_renewals[member]
         duration = log.lease_end(now) - now
--- a/dunlinlug/fleet/ownership/health_check_assignment.py
+++ b/dunlinlug/fleet/ownership/health_check_assignment.py
@@ -1,13 +1,14 @@
-"""Who checks a worker that several managers ask for: its group's owner, once for all.
+"""Decides which manager checks the health of a worker that several managers want checked.
 
-Decisions, free of I/O. Each manager's decision module orders health checks of its own. Here an
-order becomes a request to the owner of the worker's group, which checks once for all that ask
-meanwhile and tells everybody; a result that is fresh enough answers a request at once.
+Free of I/O. Each manager's decision module orders its own health checks. An order becomes a request
+to the owner of the worker's group. The owner makes one check for all concurrent requests and sends
+the result to every member. A result that is fresh enough answers a request at once.
 
-Where no answer comes, as there is no owner or it is cut off, we check ourselves, so seldom that all
-members together check as often as one owner would. Where an owner says that a worker does not
-answer, the fault may lie between those two: before our decision module learns of it we check
-ourselves, just as seldom.
+If no result arrives, because the group has no owner or the owner is unreachable, this member makes
+a fallback check. Fallback checks are so infrequent that all members together check a worker about
+as often as one owner would. An owner's report of a failed check may be caused by a fault between
+owner and worker, so before this member's decision module gets such a result, this member makes a
+check of its own, at the same low frequency.
 """
 
 from dataclasses import dataclass
@@ -16,65 +17,84 @@
 import xxhash
 
 WORKER_GROUPS = 64  # a few for each member of the largest set, and few enough to list
-# Seconds in which a result answers further requests: a decision waits for its next tick anyway.
+# A result answers further requests for this long, as a decision waits for its next tick anyway.
 FRESH_RESULT_SECONDS = 1.0
-OWNER_TIMEOUT_MULTIPLE = 2.0  # timeouts of a check that a request waits for the owner's result
-MAX_RESULT_AGE = 5.0  # seconds beyond which a result that comes is not used
-MAX_WORKERS = 4096  # of whom results and checks of ours are kept, the oldest out first
-# Seconds between our own checks of one worker for each member of the set, where nobody owns it.
+OWNER_TIMEOUT_MULTIPLE = 2.0  # check timeouts to wait for the owner's result before a fallback
+MAX_RESULT_AGE = 5.0  # seconds; an older result is discarded on arrival
+MAX_WORKERS = 4096  # workers whose results and own checks are kept; the oldest are dropped first
+# Seconds between this member's own checks of one worker, multiplied by the number of members.
 FALLBACK_INTERVAL_PER_MEMBER = 1.0
 
 
 def task_of(worker: str) -> str:
-    """The task of checking a worker, which is its group's."""
+    """Returns the name of the task of checking the worker's group."""
     return f"probe/{xxhash.xxh32_intdigest(worker.encode()) % WORKER_GROUPS} of {WORKER_GROUPS}"
 
 
 @dataclass(frozen=True)
 class HealthCheckResult:
-    """What a health check found."""
+    """The result of a health check."""
 
     worker: str
     healthy: bool
     result: str
     duration: float  # seconds
-    completed_at: float  # seconds on our clock
+    completed_at: float  # seconds on this member's clock
 
 
 class OwnerAction(Enum):
-    """What an owner does about a request that no result answers."""
+    """What an owner does with a request that no fresh result answers."""
 
     START_CHECK = auto()
-    AWAIT_CHECK = auto()  # one is in progress
+    AWAIT_CHECK = auto()  # a check of the worker is in progress
 
 
 class RemoteResultUse(Enum):
-    """What becomes of another member's result."""
+    """What this member does with another member's result."""
 
-    SUBMIT = auto()  # our decision module waits for it
+    SUBMIT = auto()  # this member's decision module waits for it
     STORE = auto()
-    CHECK_FIRST = auto()  # we check ourselves before we believe it
+    CHECK_FIRST = auto()  # an own check has to confirm it
 
 
 class SharedHealthChecks:
-    """Requests, checks and results of one member; times are seconds on our clock."""
+    """Tracks the requests, checks and results of one member.
+
+    Times are seconds on this member's clock.
+
+    Attributes:
+        timeout: Seconds that one check may take.
+        pending_requests: Workers with unanswered requests, and when their fallback checks are due.
+        in_progress: Workers that this member is checking.
+        results: The last result by worker, oldest first.
+        own_checks: When this member last checked each worker without being asked as the owner,
+            oldest first.
+    """
 
     def __init__(self, timeout: float) -> None:
-        self.timeout = timeout  # of one check
-        self.pending_requests: dict[str, float] = {}  # workers with the times to look after them
-        self.in_progress: set[str] = set()  # workers that we are checking
+        self.timeout = timeout
+        self.pending_requests: dict[str, float] = {}
+        self.in_progress: set[str] = set()
         self.results: dict[str, HealthCheckResult] = {}
-        self.own_checks: dict[str, float] = {}  # workers with the times of our last own checks
+        self.own_checks: dict[str, float] = {}
 
     def request(self, now: float, worker: str) -> HealthCheckResult | None:
-        """Our decision module orders a check: a fresh result, or None if it has to wait."""
+        """Handles a check order of this member's decision module.
+
+        Returns:
+            A fresh result, or None if the decision module has to wait for one.
+        """
         result = self._fresh_result(now, worker)
         if result is None:
             self.pending_requests[worker] = now + OWNER_TIMEOUT_MULTIPLE * self.timeout
         return result
 
     def request_as_owner(self, now: float, worker: str) -> HealthCheckResult | OwnerAction:
-        """A member asks us as the owner: a fresh result to tell at once, or what to do."""
+        """Handles a member's request to this member as the owner.
+
+        Returns:
+            A fresh result to broadcast at once, or what to do to get one.
+        """
         result = self._fresh_result(now, worker)
         if result is not None:
             return result
@@ -90,17 +110,20 @@
         return None
 
     def record_own_result(self, result: HealthCheckResult) -> bool:
-        """A check of ours has ended; whether our decision module waits for it."""
+        """Records the result of an own check; returns whether the decision module waits for it."""
         self.in_progress.discard(result.worker)
         return self._store_result(result)
 
     def record_remote_result(
         self, result: HealthCheckResult, now: float, members: int
     ) -> RemoteResultUse:
-        """Another member's result; `members` is the size of the set."""
+        """Records another member's result, or returns that an own check must come first.
+
+        `members` is the number of members.
+        """
         if result.worker in self.pending_requests and not result.healthy:
             if result.worker in self.in_progress:
-                return RemoteResultUse.STORE  # ours tells in a moment
+                return RemoteResultUse.STORE  # the own check in progress will answer the request
             if self._next_allowed_at(result.worker, members) <= now:
                 self._start_check(now, result.worker)
                 return RemoteResultUse.CHECK_FIRST
@@ -108,7 +131,7 @@
         return RemoteResultUse.SUBMIT if awaited else RemoteResultUse.STORE
 
     def _store_result(self, result: HealthCheckResult) -> bool:
-        """Whether our decision module waited for it, which it does no longer."""
+        """Stores a result and clears its worker's request; returns whether there was one."""
         self.results.pop(result.worker, None)
         self.results[result.worker] = result
         if len(self.results) > MAX_WORKERS:
@@ -116,7 +139,7 @@
         return self.pending_requests.pop(result.worker, None) is not None
 
     def _next_allowed_at(self, worker: str, members: int) -> float:
-        """When we may check a worker ourselves, without being asked to as the owner."""
+        """Returns when this member may next check a worker without being asked as the owner."""
         interval = FALLBACK_INTERVAL_PER_MEMBER * members
         return self.own_checks.get(worker, -interval) + interval
 
@@ -128,9 +151,12 @@
         self.in_progress.add(worker)
 
     def overdue(self, now: float, members: int) -> list[str]:
-        """Workers whose requests nobody answered and that are ours to check now.
+        """Starts fallback checks of workers whose requests were not answered in time.
+
+        A worker that this member checked too recently is postponed until a check is allowed again.
 
-        Those that we checked too recently are looked after later.
+        Returns:
+            The workers to check now.
         """
         due = []
         for worker, fallback_at in list(self.pending_requests.items()):
--- a/dunlinlug/fleet/ownership/history.py
+++ b/dunlinlug/fleet/ownership/history.py
@@ -1,8 +1,8 @@
-"""What executors saw of owners, and whether it is in order: judged from their records alone.
+"""Checks the effects that executors recorded for violations of single ownership.
 
-Each task at each executor is a fenced register. What was executed there may never go back to a
-lower token, a token is one owner's, and under one token sequence numbers only grow. Owners are not
-asked: a broken one would say that all is well.
+Each task at each executor is a fenced register. Executed tokens must never decrease, a token must
+belong to one owner, and sequence numbers must increase under one token. The check uses no records
+of owners, as a faulty owner would record no fault.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Observation:
-    """An effect at an executor, executed or rejected."""
+    """An effect that an executor executed or rejected."""
 
     observed_at: float  # seconds on the executor's clock
     executor: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """Two effects that were executed and must not both have been."""
+    """Two executed effects that violate the order of tokens or their ownership."""
 
     description: str
     before: Observation
@@ -42,11 +42,11 @@
 def find_violations(
     observations: Iterable[Observation], shard_of: dict[str, int] | None = None
 ) -> list[Violation]:
-    """What is out of order, in the order in which executors saw it.
+    """Returns the violations among the executed effects, in the order of the observations.
 
     Args:
-        observations: of each executor in its own order.
-        shard_of: shards by task; tasks of one shard then count as one register.
+        observations: All observations; those of one executor in the order in which it made them.
+        shard_of: Shards by task; if given, the tasks of one shard count as one register.
     """
     last_executed = dict[tuple[str, str], Observation]()
     first_of_token = dict[tuple[str, int], Observation]()
@@ -60,20 +60,20 @@
             violations += _order_violations(before, observation)
         other = first_of_token.setdefault((register, observation.token), observation)
         if other.owner != observation.owner:
-            violations.append(Violation("two owners under one number", other, observation))
+            violations.append(Violation("two owners under one token", other, observation))
         last_executed[observation.executor, register] = observation
     return violations
 
 
 def _order_violations(before: Observation, after: Observation) -> Iterator[Violation]:
     if after.token < before.token:
-        yield Violation("a lower number after a higher", before, after)
+        yield Violation("a lower token after a higher one", before, after)
     elif (after.token, after.sequence) <= (before.token, before.sequence):
-        yield Violation("done again, or out of order within a number", before, after)
+        yield Violation("effect repeated or out of order under one token", before, after)
 
 
 def takeover_delays(observations: Iterable[Observation], since: float) -> dict[str, float]:
-    """By task, seconds from `since` to the first effect that was executed anywhere after it."""
+    """Returns, by task, the seconds from `since` to the first effect executed at any executor."""
     delays = dict[str, float]()
     for observation in observations:
         if observation.done and observation.observed_at >= since:
@@ -82,10 +82,9 @@
 
 
 def read_logs(folder: Path) -> list[Observation]:
-    """What the managers of a scenario executed and rejected, from their logs, as written.
+    """Reads the effects that a scenario's managers executed and rejected from their log files.
 
-    A manager that was started again counts as another executor: it remembers no tokens but the
-    log's.
+    A restarted manager counts as another executor, as it only has the ownership log's tokens.
     """
     observations = list[Observation]()
     for path in sorted(folder.glob("manager-*.log")):
@@ -101,7 +100,7 @@
 
 
 def _read_records(path: Path) -> Iterator[dict[str, Any]]:
-    """The JSON lines of a log, but for the last line of a process that was killed."""
+    """Yields the JSON records of a log; skips the incomplete last line of a killed process."""
     for line in path.read_text(encoding="utf-8").splitlines():
         try:
             yield json.loads(line)
--- a/dunlinlug/fleet/ownership/lease.py
+++ b/dunlinlug/fleet/ownership/lease.py
@@ -1,8 +1,8 @@
-"""The lease that this member holds on all that it owns, and when it renews it.
+"""The lease that this member holds on all its shards, and the schedule of its renewals.
 
-A lease is a promise that ends by itself on the holder's own clock (C. Gray and D. Cheriton,
-"Leases: an efficient fault-tolerant mechanism for distributed file cache consistency", 1989), so
-that no message is needed to take a shard from an owner that does not answer.
+A lease expires by itself on the holder's own clock (C. Gray and D. Cheriton, "Leases: an efficient
+fault-tolerant mechanism for distributed file cache consistency", 1989), so that a shard can be
+reassigned without a message to an owner that does not answer.
 """
 
 from copy import copy
@@ -14,47 +14,48 @@
 
 
 class HeldLease:
-    """What the coordinator granted us last; as the coordinator, our lease as the log's leader.
+    """The lease that the coordinator granted last, or the coordinator's own as the log's leader.
 
-    Times are seconds on our clock.
+    Times are seconds on this member's clock.
     """
 
     def __init__(self, replica: ShardReplica, incarnation: int, drift: float) -> None:
         self.replica = replica
         self.incarnation = incarnation
-        # Seconds of ours that surely end within one second of the coordinator's clock.
+        # Seconds on this member's clock that are certain to pass within one second on the
+        # coordinator's clock.
         self.drift_factor = (1.0 - drift) / (1.0 + drift)
         self.until = -inf
         self.term = 0
         self.committed_position = NO_POSITION
-        self.pending: LeaseGranted | None = None  # granted by a log that we do not have yet
+        self.pending: LeaseGranted | None = None  # waits for log entries that are still missing
 
     def clone(self, replica: ShardReplica) -> "HeldLease":
-        """An independent copy, over a copy of the replica."""
+        """Returns an independent copy that uses a copy of the replica."""
         duplicate = copy(self)
         duplicate.replica = replica
         return duplicate
 
     def deadline(self, now: float) -> float:
-        """Until when we hold what is ours; in the past if we hold nothing."""
+        """Returns when this member's lease ends; a time in the past if it holds none."""
         log = self.replica.log
         if log.is_leader:
             return log.lease_end(now)
         return self.until if self.replica.follows_term(self.term) else -inf
 
     def committed(self) -> LogPosition:
-        """The log up to here is on a majority of the members, as far as we know."""
+        """Returns the last log position that this member knows to be on a majority."""
         log = self.replica.log
         return log.committed if log.is_leader else self.committed_position
 
     def highest_token(self, now: float) -> int:
-        """The highest token of ours under which we may act at this moment; -1 if there is none."""
+        """Returns the highest token under which this member may act now; -1 if there is none."""
         return token_at(self.committed()) if now < self.deadline(now) else -1
 
     def receive(self, lease: LeaseGranted) -> None:
-        """The coordinator's answer to a renewal; an answer to another incarnation gives nothing.
+        """Stores a lease that the coordinator granted, to be activated later.
 
-        The clock that an earlier incarnation counted by may have been another.
+        A lease granted to another incarnation is ignored, as that one's clock may have differed.
         """
         log = self.replica.log
         if lease.term != log.term or lease.sender != log.leader:
@@ -63,10 +64,10 @@
             self.pending = lease
 
     def activate(self) -> None:
-        """Count what was granted, once we have the log that it was granted by.
+        """Applies the pending lease once this member has all log entries that it is based on.
 
-        Without this wait, back from a partition, we would hold by an outdated table what was
-        assigned to another meanwhile.
+        After a partition this member's table may still list shards that have been assigned to
+        others. A lease that took effect before the table is up to date would cover those shards.
         """
         lease = self.pending
         if lease is None or not self.replica.follows_term(lease.term):
@@ -78,45 +79,48 @@
             self.term = lease.term
             self.until = -inf
             self.committed_position = NO_POSITION
-        # Counted from when we asked, not from when the answer came, and shortened as clocks may
-        # differ.
+        # The duration counts from when the renewal was sent, not from when the answer arrived, and
+        # is shortened to allow for clock drift.
         self.until = max(self.until, lease.sent_at + lease.duration * self.drift_factor)
         self.committed_position = max(self.committed_position, lease.committed)
 
     def log_covers(self, lease: LeaseGranted) -> bool:
-        """Whether we have all of the log that the lease was granted by."""
+        """Returns whether this member has all log entries that the lease is based on."""
         return self.replica.log.position >= lease.log_position
 
 
 class RenewalSchedule:
-    """When this member renews its lease next, and with whom; times are seconds on our clock."""
+    """When this member renews its lease next, and with which coordinator.
+
+    Times are seconds on this member's clock.
+    """
 
     def __init__(self, now: float, interval: float) -> None:
         self.interval = interval
         self.next_at = now
-        self.coordinator = ""  # empty while we know of none
+        self.coordinator = ""  # empty while none is known
         self.previous_coordinator = ""
 
     def clone(self) -> "RenewalSchedule":
-        """An independent copy."""
+        """Returns an independent copy."""
         return copy(self)
 
-    def request(self, now: float) -> None:
-        """Renew at once."""
+    def schedule_now(self, now: float) -> None:
+        """Makes the next renewal due at once."""
         self.next_at = now
 
-    def renewed(self, now: float) -> None:
-        """Renew again after the interval."""
+    def schedule_next(self, now: float) -> None:
+        """Makes the next renewal due after the renewal interval."""
         self.next_at = now + self.interval
 
     def follow(self, leader: str, now: float) -> None:
-        """The log's leader as we know it; another one learns at once that we are here."""
+        """Sets the coordinator to the log's leader; renews with a new coordinator at once."""
         if leader == self.coordinator:
             return
         self.previous_coordinator = self.last_coordinator()
         self.coordinator = leader
-        self.request(now)
+        self.schedule_now(now)
 
     def last_coordinator(self) -> str:
-        """The present coordinator, or the one before if there is none; empty if there never was."""
+        """Returns the current coordinator or, if there is none, the last one; empty if none yet."""
         return self.coordinator or self.previous_coordinator
--- a/dunlinlug/fleet/ownership/lease_exercise.py
+++ b/dunlinlug/fleet/ownership/lease_exercise.py
@@ -1,7 +1,7 @@
-"""Work of no consequence, for drills and scenarios: its owner sends effects to all members.
+"""A synthetic workload that exercises leases in drills and scenarios.
 
-Executors log what they did and rejected, and `history.py` judges those logs; whoever owns a task
-goes on from its checkpoint.
+The owner of each task sends effects to all members. Executors log the effects that they execute and
+reject, and `history.py` checks those logs. A new owner continues from the task's checkpoint.
 """
 
 from contextlib import suppress
@@ -13,16 +13,16 @@
 from dunlinlug.fleet.ownership.service import Ownership
 
 TASK_KIND = "exercise"
-CHECKPOINT_STEPS = 10  # effects from one checkpoint to the next: about two seconds of heartbeats
+CHECKPOINT_STEPS = 10  # steps between checkpoints: about two seconds, at one step per heartbeat
 
 
 def step_of(body: bytes) -> int:
-    """The step that an effect or a checkpoint speaks of; 0 if there is none."""
+    """Returns the step number in the body of an effect or a checkpoint; 0 if there is none."""
     return int(body) if body.isdigit() else 0
 
 
 async def run_exercise(ownership: Ownership, task_count: int) -> None:
-    """Act for so many tasks, each heartbeat, as long as they are ours."""
+    """Takes one step in each heartbeat interval for each of `task_count` tasks that is held."""
     tasks = [f"{TASK_KIND}/{number}" for number in range(task_count)]
     steps = dict.fromkeys(tasks, 0)
     ownership.handle_effects(TASK_KIND, lambda effect: _record_step(steps, effect))
@@ -34,13 +34,14 @@
 
 
 def _take_step(ownership: Ownership, task: str, executed: int) -> None:
-    """Send the step after the last one that was executed here or checkpointed."""
+    """Sends the step that follows the last one executed on this member or checkpointed."""
     step = max(executed, step_of(ownership.checkpoint(task))) + 1
     body = str(step).encode()
     for member in (ownership.self_id, *ownership.other_members()):
         ownership.send_effect(member, task, body)
     if step % CHECKPOINT_STEPS == 0:
-        # Our lease may have ended since we looked: the next owner counts from the one before.
+        # The lease may have expired since it was checked. The next owner then continues from the
+        # previous checkpoint.
         with suppress(CheckpointError):
             ownership.store_checkpoint(task, body)
 
--- a/dunlinlug/fleet/ownership/log.py
+++ b/dunlinlug/fleet/ownership/log.py
@@ -1,6 +1,7 @@
 """The entries of the ownership log, and the assignment table that they build.
 
-The table is the same wherever the same entries were applied. Free of I/O and time.
+The table depends only on the entries applied, so it is the same on all members. Free of I/O and
+time.
 """
 
 from collections.abc import Iterable, Iterator
@@ -19,37 +20,37 @@
     token_at,
 )
 
-MAX_CHECKPOINTS = 16384  # tasks whose progress is stored, the oldest is dropped first
+MAX_CHECKPOINTS = 16384  # tasks with a stored checkpoint; the oldest is dropped first
 
 MemberName = Annotated[str, Meta(max_length=64)]
 Shard = Annotated[int, Meta(ge=0)]
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """One entry of the log; on the wire an array that begins with the entry's tag."""
+    """A log entry; on the wire it is an array that begins with the entry's tag."""
 
 
 class TermStarted(LogEntry, frozen=True, tag="b"):
-    """A coordinator's term begins; by committing it, what came before is committed as well."""
+    """Starts a coordinator's term; committing it also commits all entries before it."""
 
 
 class Assign(LogEntry, frozen=True, tag="d"):
-    """From here on each of these shards has this owner, and this entry's position as its token."""
+    """Assigns shards to owners; this entry's position becomes the shards' token."""
 
     owners: tuple[tuple[Shard, MemberName], ...]
     reason: Annotated[str, Meta(max_length=200)]
 
 
 class Revoke(LogEntry, frozen=True, tag="c"):
-    """The owners are asked to release these shards, each for another member."""
+    """Asks the owners of shards to release them, each for another member."""
 
     targets: tuple[tuple[Shard, MemberName], ...]
 
 
 class MemberRestarted(LogEntry, frozen=True, tag="l"):
-    """A member restarted: what it owns has this entry's position as its token.
+    """Records a member's restart; this entry's position becomes the token of the member's shards.
 
-    So effects of the incarnation before are rejected.
+    Effects of the member's earlier incarnation are therefore rejected.
     """
 
     member: MemberName
@@ -57,7 +58,7 @@
 
 
 class Checkpoint(LogEntry, frozen=True, tag="n"):
-    """How far tasks have come, each under its shard's token; an empty body ends a record."""
+    """Stores tasks' progress under their shards' tokens; an empty body deletes a checkpoint."""
 
     items: tuple[TaskCheckpoint, ...]
 
@@ -67,17 +68,25 @@
 
 @dataclass(frozen=True)
 class AssignmentChange:
-    """A shard's owner or token is another, or its owner is asked to release it for `target`."""
+    """A change of a shard's owner or token, or a request to its owner to release the shard.
+
+    Attributes:
+        shard: The shard.
+        owner: Its owner after the change.
+        token: Its token after the change.
+        reason: Why it changed, for logs and status output.
+        target: The member to release the shard for; empty unless the shard is revoked.
+    """
 
     shard: int
     owner: str
     token: int
-    reason: str  # for people
-    target: str = ""  # empty unless the shard is revoked
+    reason: str
+    target: str = ""
 
 
 class StoredCheckpoint(NamedTuple):
-    """How far a task had come, and the token under which that was reported."""
+    """A task's progress and the token under which it was reported."""
 
     token: int
     body: bytes
@@ -87,7 +96,7 @@
 
 
 class TableSnapshot(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """An assignment table on the wire, as an array of its fields."""
+    """The wire form of an assignment table: an array of its fields."""
 
     owners: list[MemberName]
     tokens: list[int]
@@ -97,18 +106,18 @@
 
 
 class LogFormatError(DunlinlugError, ValueError):
-    """An entry or a snapshot that is not of this format."""
+    """An entry or a snapshot is not in this version's format."""
 
 
 class AssignmentTable:
-    """Who owns which shard, and what else the log says.
+    """The state that the log's entries build: owners and tokens of shards, and checkpoints.
 
     Attributes:
-        owners: by shard, the owner's name; empty where nobody owns it.
-        tokens: by shard, the fencing token of its last assignment.
-        revoking: by shard that its owner is asked to release, the member it is meant for.
-        incarnations: by member, the last one that the log knows.
-        checkpoints: by task, the oldest first.
+        owners: The owner's name by shard; empty for an unowned shard.
+        tokens: The current fencing token by shard.
+        revoking: The target member by shard, for each shard whose owner is asked to release it.
+        incarnations: The last logged incarnation by member.
+        checkpoints: Checkpoints by task, oldest first.
     """
 
     def __init__(self, shards: int = SHARDS) -> None:
@@ -119,7 +128,7 @@
         self.checkpoints: dict[str, StoredCheckpoint] = {}
 
     def clone(self) -> "AssignmentTable":
-        """An independent copy."""
+        """Returns an independent copy."""
         duplicate = AssignmentTable(0)
         duplicate.owners = self.owners.copy()
         duplicate.tokens = self.tokens.copy()
@@ -129,19 +138,19 @@
         return duplicate
 
     def shards_of(self, member: str) -> list[int]:
-        """The shards that a member owns, in order."""
+        """Returns the shards that a member owns, in ascending order."""
         return [shard for shard, owner in enumerate(self.owners) if owner == member]
 
     def shard_of(self, task: str) -> int:
-        """The shard that a task belongs to."""
+        """Returns the shard that a task belongs to."""
         return shard_of(task, len(self.owners))
 
     def checkpoint_of(self, task: str) -> StoredCheckpoint:
-        """The last checkpoint of a task; `NO_CHECKPOINT` if there is none."""
+        """Returns the last checkpoint of a task; `NO_CHECKPOINT` if there is none."""
         return self.checkpoints.get(task, NO_CHECKPOINT)
 
     def apply(self, entry: AnyLogEntry, position: LogPosition) -> list[AssignmentChange]:
-        """Apply the entry at this position of the log, and return what it changes."""
+        """Applies the entry at a log position and returns the changes of assignments."""
         token = token_at(position)
         match entry:
             case Assign(owners, reason):
@@ -176,10 +185,10 @@
     def _renumber(self, member: str, token: int) -> Iterator[AssignmentChange]:
         for shard in self.shards_of(member):
             self.tokens[shard] = token
-            yield AssignmentChange(shard, member, token, "began anew")
+            yield AssignmentChange(shard, member, token, "owner restarted")
 
     def _store_checkpoints(self, items: Iterable[TaskCheckpoint]) -> None:
-        """Store what was reported under the present token of the task's shard."""
+        """Stores the checkpoints that were made under the current token of their task's shard."""
         for task, token, body in items:
             if token != self.tokens[self.shard_of(task)]:
                 continue
@@ -190,7 +199,7 @@
                 self.checkpoints[task] = StoredCheckpoint(token, body)
 
     def differences(self, previous: "AssignmentTable", reason: str) -> list[AssignmentChange]:
-        """The shards of which another table of the same size has another token."""
+        """Returns the shards whose tokens differ from those of a table of the same size."""
         return [
             AssignmentChange(shard, self.owners[shard], token, reason)
             for shard, token in enumerate(self.tokens)
@@ -198,7 +207,7 @@
         ]
 
     def snapshot(self) -> bytes:
-        """The table on the wire."""
+        """Returns the wire form of the table."""
         return msgspec.msgpack.encode(
             TableSnapshot(
                 self.owners,
@@ -215,12 +224,12 @@
 
 
 def encode_entry(entry: AnyLogEntry) -> bytes:
-    """An entry on the wire."""
+    """Returns the wire form of an entry."""
     return msgspec.msgpack.encode(entry)
 
 
 def decode_entry(body: bytes) -> AnyLogEntry:
-    """An entry from the wire.
+    """Decodes an entry from its wire form.
 
     Raises:
         LogFormatError: The bytes are not an entry of this version.
@@ -228,23 +237,25 @@
     try:
         return ENTRY_DECODER.decode(body)
     except msgspec.DecodeError as error:
-        raise LogFormatError(f"not an entry: {error}") from None
+        raise LogFormatError(f"invalid log entry: {error}") from None
 
 
 def decode_snapshot(body: bytes, shards: int) -> AssignmentTable:
-    """A table from the wire.
+    """Decodes a table from its wire form.
 
     Raises:
-        LogFormatError: The bytes are not a snapshot, or one of another number of shards, which all
-            members need to have alike.
+        LogFormatError: The bytes are not a snapshot, or the snapshot has another number of shards.
+            All members must be configured with the same number.
     """
     try:
         snapshot = SNAPSHOT_DECODER.decode(body)
     except msgspec.DecodeError as error:
-        raise LogFormatError(f"not the whole: {error}") from None
+        raise LogFormatError(f"invalid snapshot: {error}") from None
     found = len(snapshot.owners)
     if found != shards or len(snapshot.tokens) != shards:
-        raise LogFormatError(f"it has {found} slots, we {shards}; all members need the same")
+        raise LogFormatError(
+            f"snapshot has {found} shards, expected {shards}; all members need the same number"
+        )
     table = AssignmentTable(shards)
     table.owners = snapshot.owners
     table.tokens = snapshot.tokens
--- a/dunlinlug/fleet/ownership/log_driver.py
+++ b/dunlinlug/fleet/ownership/log_driver.py
@@ -1,4 +1,4 @@
-"""Appends to the ownership log and carries out the orders of its protocol."""
+"""Appends entries to the ownership log and executes the orders of the log's protocol."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
@@ -10,38 +10,45 @@
 
 
 class LogDriver(ABC):
-    """Between the log's protocol and the table: entries to the replica, the rest to the service.
+    """Applies the protocol's entries to the replica and returns other orders for the service.
 
-    A subclass says what a leader does as its term begins, and as entries are committed.
+    A subclass defines what a leader does at the start of its term and when entries are committed.
+
+    Attributes:
+        replica: The replicated log and its table.
+        recovery_timeout: Seconds in which this member does not vote after it discarded its log.
     """
 
     def __init__(self, replica: ShardReplica, recovery_timeout: float) -> None:
         self.replica = replica
-        self.recovery_timeout = recovery_timeout  # seconds without a vote, for an unusable log
+        self.recovery_timeout = recovery_timeout
 
     @abstractmethod
     def _begin_term(self, now: float) -> Orders:
-        """We lead the log from now on."""
+        """Starts this member's term as the log's leader."""
 
     @abstractmethod
     def _entries_committed(self, now: float) -> Orders:
-        """More of our log is on a majority."""
+        """Reacts to further entries that are now on a majority."""
 
     def append(self, now: float, entry: AnyLogEntry) -> Orders:
-        """Append an entry, as the leader, and apply it to our own table at once."""
+        """Appends an entry as the leader, and applies it to this member's own table at once."""
         log_orders = self.replica.log.append(now, ownership_log.encode_entry(entry))
         changes = self.replica.apply_own_entry(entry)
         return [*changes, *self.handle_log_orders(now, log_orders)]
 
     def handle_log_orders(self, now: float, orders: Iterable[log_messages.Order]) -> Orders:
-        """Carry out what the log's protocol orders; what is left for the service is returned."""
+        """Executes orders of the log's protocol and returns the orders left for the service.
+
+        An entry or snapshot that cannot be decoded discards the log of this member.
+        """
         remaining: Orders = []
         for order in orders:
             try:
                 remaining += self._handle_log_order(now, order)
             except LogFormatError:
                 self.replica.log.discard_log(now, self.recovery_timeout)
-                # The orders after it would answer the leader that we have the entry.
+                # The remaining orders would acknowledge the entry to the leader.
                 return remaining
         return remaining
 
--- a/dunlinlug/fleet/ownership/messages.py
+++ b/dunlinlug/fleet/ownership/messages.py
@@ -1,8 +1,8 @@
-"""Messages between members about ownership, and orders of the protocol; plain values.
+"""Messages between members about ownership, and orders of the ownership protocol; plain values.
 
-Work is divided into named tasks. A task belongs to a shard by the hash of its name, and shards are
-owned. Each grant of a shard has a fencing token that only grows: the position of its entry in the
-members' log, term before index.
+Work is divided into named tasks. The hash of a task's name determines its shard, and members own
+shards. Each grant of a shard has a fencing token that only increases: the position of its entry in
+the members' log, with the term in the high bits.
 """
 
 from dataclasses import dataclass, field
@@ -15,25 +15,26 @@
 from dunlinlug.fleet.ownership.fencing import FencingToken
 from dunlinlug.fleet.wire_names import by_wire_name, wire
 
-# Enough that fifty members own shares within a fifth of each other; one entry assigns all of them.
+# With 256 shards the shares of fifty members differ by at most a fifth, and one log entry can still
+# assign all shards.
 SHARDS = 256
-MAX_CHECKPOINT_BYTES = 1024  # an operator override that names some twenty workers
-INDEX_BITS = 32  # of a token: the index of the entry within its term
+MAX_CHECKPOINT_BYTES = 1024  # fits an operator override that names about twenty workers
+INDEX_BITS = 32  # low bits of a token: the index of the entry
 
 
 def shard_of(task: str, shards: int = SHARDS) -> int:
-    """The shard that a task belongs to."""
+    """Returns the shard that a task belongs to."""
     return xxhash.xxh32_intdigest(task.encode()) % shards
 
 
 def token_at(position: LogPosition) -> int:
-    """The fencing token of a grant that was made at this position of the log."""
+    """Returns the fencing token of a grant at a position of the log."""
     term, index = position
     return term << INDEX_BITS | index
 
 
 def term_of(token: int) -> int:
-    """The term in which a token was granted."""
+    """Returns the term in which a token was granted."""
     return token >> INDEX_BITS
 
 
@@ -41,41 +42,43 @@
 
 
 class TaskCheckpoint(NamedTuple):
-    """How far a task has come, for its next owner."""
+    """A task's progress, from which its next owner continues."""
 
     task: Annotated[str, Meta(max_length=128)]
-    token: Annotated[int, Meta(ge=0)]  # under which it was done
+    token: Annotated[int, Meta(ge=0)]  # under which the progress was made
     body: Annotated[bytes, Meta(max_length=MAX_CHECKPOINT_BYTES)]
 
 
 @dataclass(frozen=True)
 class RenewLease:
-    """To the coordinator: extend the lease on all that I own."""
+    """Asks the coordinator to extend the lease on all shards of the sender."""
 
     WIRE_NAME: ClassVar[str] = "Renew"
     term: int = field(metadata=wire("term"))
     sender: str = field(metadata=wire("sender"))
     sent_at: float = field(metadata=wire("sent"))  # seconds on the sender's clock
-    incarnation: int = field(metadata=wire("born"))  # a number drawn when its process started
-    # Tokens that executors have seen of shards of the sender, and that its own do not exceed.
+    # A random number drawn when the sender's process started.
+    incarnation: int = field(metadata=wire("born"))
+    # Shards of the sender with tokens that executors have seen and the sender's do not exceed.
     outdated_tokens: tuple[ShardToken, ...] = field(default=(), metadata=wire("behind"))
-    # Shards that the sender has given up as it was asked to, with the tokens it had.
+    # Shards that the sender has released on request, with the tokens it held.
     released: tuple[ShardToken, ...] = field(default=(), metadata=wire("away"))
 
 
 @dataclass(frozen=True)
 class LeaseGranted:
-    """From the coordinator: what you own by our log up to `log_position` is yours for a while.
+    """Grants a lease on the shards that the recipient owns by the log up to `log_position`.
 
-    The lease lasts `duration` seconds of the coordinator's clock from `sent_at`, and holds for the
-    incarnation that asked for it.
+    The lease lasts for `duration` from `sent_at`, and is valid for the incarnation that asked for
+    it.
     """
 
     WIRE_NAME: ClassVar[str] = "Granted"
     term: int = field(metadata=wire("term"))
     sender: str = field(metadata=wire("sender"))
-    sent_at: float = field(metadata=wire("sent"))  # of the renewal, on its sender's clock
-    duration: float = field(metadata=wire("left"))  # seconds
+    # When the renewal was sent, in seconds on the clock of the member that sent it.
+    sent_at: float = field(metadata=wire("sent"))
+    duration: float = field(metadata=wire("left"))  # seconds on the coordinator's clock
     log_position: LogPosition = field(metadata=wire("upto"))
     committed: LogPosition = field(metadata=wire("committed"))
     incarnation: int = field(metadata=wire("born"))
@@ -83,7 +86,7 @@
 
 @dataclass(frozen=True)
 class CheckpointReport:
-    """To the coordinator: how far tasks of the sender have come."""
+    """Reports the progress of the sender's tasks to the coordinator."""
 
     WIRE_NAME: ClassVar[str] = "Note"
     term: int = field(metadata=wire("term"))
@@ -91,26 +94,27 @@
     items: tuple[TaskCheckpoint, ...] = field(metadata=wire("items"))
 
     def __post_init__(self) -> None:
-        """Rows that come from the wire are plain tuples."""
+        """Converts the items, which are plain tuples when they come from the wire."""
         object.__setattr__(self, "items", tuple(TaskCheckpoint(*item) for item in self.items))
 
 
 @dataclass(frozen=True)
 class Effect:
-    """To an executor: do this for a task."""
+    """Asks an executor to carry out an effect of a task."""
 
     WIRE_NAME: ClassVar[str] = "Effect"
     term: int = field(metadata=wire("term"))
     sender: str = field(metadata=wire("sender"))
     task: str = field(metadata=wire("piece"))
     token: int = field(metadata=wire("number"))
-    sequence: int = field(metadata=wire("count"))  # among effects of its shard under this token
+    # Position among the effects of the task's shard under this token.
+    sequence: int = field(metadata=wire("count"))
     body: bytes = field(metadata=wire("body"))
 
 
 @dataclass(frozen=True)
 class EffectResult:
-    """An executor's answer to an effect."""
+    """Answers an effect."""
 
     WIRE_NAME: ClassVar[str] = "Outcome"
     term: int = field(metadata=wire("term"))
@@ -119,7 +123,7 @@
     token: int = field(metadata=wire("number"))
     sequence: int = field(metadata=wire("count"))
     done: bool = field(metadata=wire("done"))
-    # The token that the executor goes by, and its owner: another's where it has rejected.
+    # The token that the executor compared with, and that token's owner.
     highest_token: int = field(metadata=wire("seen"))
     owner: str = field(metadata=wire("owner"))
 
@@ -127,7 +131,7 @@
     def rejection(
         cls, executor: str, effect: Effect, highest: FencingToken, term: int = 0
     ) -> "EffectResult":
-        """The answer to an effect that an executor has rejected, with the token that it goes by."""
+        """Returns the answer to a rejected effect, with the token that it was compared with."""
         return cls(
             term,
             executor,
@@ -142,7 +146,7 @@
 
 @dataclass(frozen=True)
 class WorkRequest:
-    """To the owner of a task: somebody here asks for it to be done."""
+    """Asks the owner of a task to do its work, on behalf of the sender."""
 
     WIRE_NAME: ClassVar[str] = "Want"
     term: int = field(metadata=wire("term"))
@@ -151,7 +155,7 @@
     body: bytes = field(metadata=wire("body"))
 
 
-LeaseMessage = RenewLease | LeaseGranted | CheckpointReport  # between the members' protocols
+LeaseMessage = RenewLease | LeaseGranted | CheckpointReport  # handled by the ownership protocol
 Message = LeaseMessage | Effect | EffectResult | WorkRequest
 MESSAGE_TYPES = by_wire_name(
     (RenewLease, LeaseGranted, CheckpointReport, Effect, EffectResult, WorkRequest)
@@ -160,17 +164,17 @@
 
 @dataclass(frozen=True)
 class SendMessage:
-    """An order: send this to another member."""
+    """An order to send a message to another member."""
 
     recipient: str
     message: LeaseMessage
 
 
 @dataclass(frozen=True)
-class LeaseHeld:
-    """An order: these shards, with their tokens, are ours to act for from now on.
+class HeldShardsChanged:
+    """An order that reports the new set of shards, with tokens, that this member may act for.
 
-    The lease is to be checked again right before each effect leaves.
+    The lease must be checked again right before each effect is sent.
     """
 
     shards: frozenset[ShardToken]
@@ -178,9 +182,9 @@
 
 @dataclass(frozen=True)
 class OwnershipChanged:
-    """An order: the log has another owner or token of a shard, or its owner is to release it."""
+    """An order that reports a shard's new owner or token, or that its owner must release it."""
 
     shard: int
     owner: str
     token: int
-    reason: str  # for people
+    reason: str  # for logs and status output
--- a/dunlinlug/fleet/ownership/model.py
+++ b/dunlinlug/fleet/ownership/model.py
@@ -2,15 +2,17 @@
 
 python -m dunlinlug.fleet.ownership.model [--states 1000000] [--seconds 600] [--walkers 4]
 
-The protocol is the class that runs in service. The search begins with a coordinator, both shards
-assigned, and clocks that go as far apart as the drift allows: the first fast, the second slow.
-Steps: time passes; a member acts on its timer; an owner decides an effect, and sends it, after a
-second check of its lease; a message or an effect arrives, arrives and stays to arrive again, or is
-lost; a member restarts with what its disk holds, or with none.
-
-Checked in each state: no two members hold one shard; no executor executes an effect under a lower
-token, another owner's token, or out of order. From some states: each shard is held again once a
-majority can communicate.
+The model runs the protocol class that runs in service. The search starts with an elected
+coordinator, both shards assigned, and clock rates as far apart as the drift allows: the first clock
+is fast, the second slow.
+
+Steps: time passes; a member acts on its timer; an owner decides an effect; it checks its lease
+again and sends the effect; a message or an effect is delivered, is delivered and stays in flight,
+or is lost; a member restarts with its disk or with an empty one.
+
+Invariants of each state: no two members hold one shard; no executor executes an effect under a
+lower token, under another owner's token, or out of order. Recovery is checked from some states:
+each shard is held again once a majority can communicate.
 """
 
 from collections import deque
@@ -45,14 +47,14 @@
 from dunlinlug.fleet.ownership.options import LeaseTiming, OwnershipOptions
 from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
 
-# In units of the true clock.
+# In clock units; see `CLOCK_UNITS_PER_TICK` for the members' clock rates.
 LEASE_UNITS = 15
 HEARTBEAT_UNITS = 5
 DRIFT = 0.2
 TIMING = LeaseTiming(LEASE_UNITS, HEARTBEAT_UNITS, DRIFT, RECOVERY_TIMEOUT)
-FIRST_TERM_LEASES = 4  # within which all shards are held at the beginning
-RECOVERY_LEASES = 8  # within which all shards have to be held again once faults end
-TASKS = ("p", "q")  # one of each shard
+FIRST_TERM_LEASES = 4  # leases within which all shards are held at the start
+RECOVERY_LEASES = 8  # leases within which all shards must be held again after the last fault
+TASKS = ("p", "q")  # one for each shard
 EXECUTORS = ("x", "y")
 WALK_LENGTH = 80  # steps
 DEFAULT_LIMITS = OwnershipLimits()
@@ -64,10 +66,14 @@
 
 @dataclass(frozen=True)
 class OwnershipModel(ClusterModel[OwnershipState, OwnershipProtocol]):
-    """Ownership as a model.
-
-    Without `fenced` executors do not check tokens; without `recheck` owners do not check their
-    lease again right before an effect leaves. Both show what these rules are for.
+    """The model of the ownership protocol.
+
+    Attributes:
+        protocol_factory: Creates a member's protocol.
+        limits: The bounds of the search.
+        fenced: Whether executors check tokens. False shows the violations that fencing prevents.
+        recheck: Whether owners check their lease again right before they send an effect. False
+            shows the violations that this prevents.
     """
 
     protocol_factory: Callable[..., OwnershipProtocol] = OwnershipProtocol
@@ -77,10 +83,10 @@
 
     settle_deliveries: ClassVar[int] = 80
     recovery_ticks: ClassVar[int] = RECOVERY_LEASES * LEASE_UNITS
-    recovery_goal: ClassVar[str] = "all owned"
+    recovery_goal: ClassVar[str] = "all shards held"
 
     def initial_state(self) -> OwnershipState:
-        """A coordinator that both others follow, and all shards assigned and held."""
+        """Returns a state with a coordinator that both others follow, and all shards held."""
         persisted = messages.Persist(0, "", messages.VoterSet(1, MEMBERS))
         state = OwnershipState(
             now=0,
@@ -100,7 +106,7 @@
             state = self.settle(replace(state, now=state.now + 1), (0, 1, 2))
             if self.is_recovered(state):
                 return state
-        raise AssertionError("no coordinator, or shards that nobody holds, before the search")
+        raise AssertionError("initial state: no coordinator was elected, or not all shards held")
 
     def _start_protocol(
         self, index: int, persisted: messages.Persist, now: int, incarnation: int
@@ -109,15 +115,15 @@
         return self.protocol_factory(MEMBERS[index], persisted, now, options, fixed_uniform)
 
     def local_time(self, state: OwnershipState, index: int) -> int:
-        """The time on a member's clock, in units."""
+        """Returns the time on a member's clock, in units."""
         return local_time(state, index)
 
     def timer_allowed(self, protocol: OwnershipProtocol, limits: ExplorationLimits) -> bool:
-        """Whether the member leads the log, or may still begin a term."""
+        """Returns whether the member leads the log, or the limits allow it another term."""
         return protocol.log.is_leader or protocol.log.term < limits.terms
 
     def member_steps(self, state: OwnershipState, index: int) -> Iterator[OwnershipStep]:
-        """A timer, restarts, and effects that the member decides and sends."""
+        """Yields the member's timer, its restarts, and the effects that it may decide and send."""
         name = MEMBERS[index]
         yield from self.timer_steps(state, index)
         if state.remaining.restarts:
@@ -157,14 +163,14 @@
 
     def _restart(self, state: OwnershipState, index: int) -> OwnershipState:
         limits = replace(state.remaining, restarts=state.remaining.restarts - 1)
-        return self._started_again(replace(state, remaining=limits), index, state.disks[index])
+        return self._restarted(replace(state, remaining=limits), index, state.disks[index])
 
     def _restart_without_disk(self, state: OwnershipState, index: int) -> OwnershipState:
         empty = messages.Persist(0, "", messages.VoterSet(1, MEMBERS))
         limits = replace(state.remaining, disk_losses=state.remaining.disk_losses - 1)
-        return self._started_again(replace(state, remaining=limits), index, empty)
+        return self._restarted(replace(state, remaining=limits), index, empty)
 
-    def _started_again(
+    def _restarted(
         self, state: OwnershipState, index: int, persisted: messages.Persist
     ) -> OwnershipState:
         incarnation = state.incarnations[index] + 1
@@ -186,9 +192,9 @@
         protocol: OwnershipProtocol,
         orders: Sequence[object],
     ) -> OwnershipState:
-        """The state after a member carried out its orders, as its service would.
+        """Returns the state after a member executed its orders, as its service would.
 
-        A shard that it is asked to give up it releases at once.
+        The member releases revoked shards at once.
         """
         disk = state.disks[index]
         in_flight = list(state.in_flight)
@@ -214,7 +220,7 @@
         return self.execute(successor, index, protocol, released)
 
     def deliver(self, state: OwnershipState, delivery: Delivery, fenced: bool) -> OwnershipState:
-        """The state after a message came to a member, or an effect to an executor."""
+        """Returns the state after a message reached a member, or an effect an executor."""
         message = delivery.message
         if isinstance(message, Effect):
             return _deliver_to_executor(state, delivery.recipient, message, fenced)
@@ -229,7 +235,7 @@
         return self.execute(state, index, protocol, orders)
 
     def describe_delivery(self, delivery: Delivery) -> str:
-        """A message's name in traces, which tells apart what differs, as traces are replayed."""
+        """Returns a message's name in traces; unique, as traces are replayed by names."""
         message = delivery.message
         if isinstance(message, Effect):
             return (
@@ -247,8 +253,8 @@
         )
 
     def without_faults(self, state: OwnershipState) -> OwnershipState:
-        """The same state with no faults to come, and terms without a limit."""
-        calm = replace(
+        """Returns the same state with no further faults allowed and unlimited terms."""
+        fault_free_limits = replace(
             state.remaining,
             terms=UNLIMITED_TERMS,
             restarts=0,
@@ -256,29 +262,29 @@
             losses=0,
             disk_losses=0,
         )
-        return replace(state, remaining=calm)
+        return replace(state, remaining=fault_free_limits)
 
     def is_recovered(self, state: OwnershipState) -> bool:
-        """Whether each shard is held by somebody."""
+        """Returns whether each shard is held by a member."""
         return all(_holders(state, shard) for shard in range(len(TASKS)))
 
     def check_invariants(self, state: OwnershipState) -> str:
-        """The invariant that this state violates, in words; empty if none."""
+        """Describes the invariant that this state violates; empty if none."""
         if state.violation:
             return state.violation
         for shard, task in enumerate(TASKS):
             holders = _holders(state, shard)
             if len(holders) > 1:
-                return f"{' and '.join(holders)} may act for {task} at one time"
+                return f"{' and '.join(holders)} hold the shard of {task} at the same time"
         return ""
 
     def canonical_form(self, state: OwnershipState) -> int:
-        """A state's number: equal for states between which no later event can tell."""
+        """Returns a number that is equal for states with the same possible futures."""
         return model_state.canonical_form(state)
 
 
 def _holders(state: OwnershipState, shard: int) -> list[str]:
-    """The members that may act for a shard."""
+    """Returns the members that may act for a shard."""
     return [
         protocol.self_id
         for index, protocol in enumerate(state.protocols)
@@ -310,7 +316,7 @@
 def _deliver_to_executor(
     state: OwnershipState, executor: str, effect: Effect, fenced: bool
 ) -> OwnershipState:
-    """The state after an executor got an effect, which its fence may reject."""
+    """Returns the state after an executor received an effect, which its fencing may reject."""
     index = EXECUTORS.index(executor)
     shard = TASKS.index(effect.task)
     fence = FencingGuard()
@@ -322,15 +328,15 @@
             return state
         rejection = EffectResult.rejection(executor, effect, highest)
         return replace(state, in_flight=(*state.in_flight, Delivery(effect.sender, rejection)))
-    violation = f"{executor} does {effect.sender}'s effect, though {reason}" if reason else ""
+    violation = f"{executor} executes {effect.sender}'s effect although {reason}" if reason else ""
     fences = tuple(Fence(*item) for item in sorted(fence.highest_tokens.items()))
     return replace(state, fences=replace_item(state.fences, index, fences), violation=violation)
 
 
 def main() -> None:
-    """Search from the command line."""
+    """Runs the search from the command line."""
     run_swarm_command(
-        OwnershipModel(), OwnershipModel(limits=DEEP_LIMITS), WALK_LENGTH, "all owned again"
+        OwnershipModel(), OwnershipModel(limits=DEEP_LIMITS), WALK_LENGTH, "all shards held again"
     )
 
 
--- a/dunlinlug/fleet/ownership/model_state.py
+++ b/dunlinlug/fleet/ownership/model_state.py
@@ -1,4 +1,4 @@
-"""States of the ownership model, and the canonical forms by which a search knows them."""
+"""States of the ownership model, and the canonical forms by which a search identifies them."""
 
 from dataclasses import dataclass
 from math import inf
@@ -19,17 +19,18 @@
 from dunlinlug.fleet.ownership.messages import LeaseGranted
 from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
 
-# Of each tick of the true clock a member's clock counts so many units, in the order of the members:
-# as far apart as the drift allows.
+# Units by which each member's clock advances per tick of the true clock, in the order of the
+# members. The rates are as far apart as the drift allows.
 CLOCK_UNITS_PER_TICK = (6, 4, 5)
-# Units from which on a time is past for every purpose: more than a lease on any clock.
+# Relative times before this, in units, are equivalent: it is further back than a lease on any
+# clock.
 EARLIEST_UNIT = -20
-LATEST_UNIT = 100  # units from which on a time is as good as never
+LATEST_UNIT = 100  # relative times from this on, in units, are equivalent to never
 
 
 @dataclass(frozen=True, kw_only=True)
 class OwnershipLimits(ExplorationLimits):
-    """How much may happen in one run, with effects and disks lost."""
+    """Limits of one run, including the numbers of effects and of lost disks."""
 
     terms: int = 2
     effects: int = 2
@@ -37,14 +38,14 @@
 
 
 class PendingEffect(NamedTuple):
-    """An effect that its owner has decided under a token, and not sent yet."""
+    """An effect that its owner has decided under a token but not sent yet."""
 
     shard: int
     token: int
 
 
 class Fence(NamedTuple):
-    """The highest fencing token that an executor has seen of a shard."""
+    """The highest fencing token that an executor has executed for a shard."""
 
     shard: int
     token: FencingToken
@@ -52,7 +53,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OwnershipState(SystemState[OwnershipProtocol, OwnershipLimits]):
-    """Members, executors, and what is on its way. Tuples are by member, `fences` by executor."""
+    """The members, the executors and the messages in flight.
+
+    Each tuple has one item per member; `fences` has one per executor.
+    """
 
     disks: tuple[messages.Persist, ...]
     incarnations: tuple[int, ...]
@@ -62,12 +66,12 @@
 
 
 def local_time(state: OwnershipState, index: int) -> int:
-    """The time on a member's clock, in units."""
+    """Returns the time on a member's clock, in units."""
     return state.now * CLOCK_UNITS_PER_TICK[index]
 
 
 def canonical_form(state: OwnershipState) -> int:
-    """A state's number: equal for states between which no later event can tell."""
+    """Returns a number that is equal for states with the same possible futures."""
     forms = [
         _protocol_form(protocol, local_time(state, index))
         for index, protocol in enumerate(state.protocols)
@@ -94,7 +98,7 @@
     message = delivery.message
     if not hasattr(message, "sent_at"):
         return message_form(delivery, 0, EARLIEST_UNIT)
-    # An answer returns the time at which its recipient asked.
+    # An answer repeats the time of the request, which is on its recipient's clock.
     answer = isinstance(message, messages.AppendResponse | LeaseGranted)
     clock = delivery.recipient if answer else message.sender
     return message_form(delivery, local_time(state, MEMBERS.index(clock)), EARLIEST_UNIT)
--- a/dunlinlug/fleet/ownership/options.py
+++ b/dunlinlug/fleet/ownership/options.py
@@ -1,4 +1,4 @@
-"""What a member's part in ownership is set up with."""
+"""Options of a member's ownership protocol."""
 
 from dataclasses import dataclass
 
@@ -7,18 +7,31 @@
 
 @dataclass(frozen=True)
 class LeaseTiming:
-    """Times of leases and of the log, the same for all members; seconds, `drift` excepted."""
+    """Timing of leases and of the log; all members must use the same values.
+
+    Attributes:
+        lease: Seconds that a lease lasts.
+        heartbeat_interval: Seconds between lease renewals, and between heartbeats of the log.
+        drift: The maximum error of a clock's rate, as a fraction.
+        recovery_timeout: Seconds after which a voter that started with an empty disk votes again.
+    """
 
     lease: float
-    heartbeat_interval: float  # from one renewal, or heartbeat of the log, to the next
-    drift: float  # the most that a clock may be off, as a fraction of its rate
-    recovery_timeout: float  # after which a voter that started with nothing votes again
+    heartbeat_interval: float
+    drift: float
+    recovery_timeout: float
 
 
 @dataclass(frozen=True)
 class OwnershipOptions:
-    """How a process takes part in ownership."""
+    """Options of one process.
+
+    Attributes:
+        timing: The timing of leases and of the log.
+        incarnation: A random number drawn when the process started.
+        shards: The number of shards; all members must use the same one.
+    """
 
     timing: LeaseTiming
-    incarnation: int = 1  # a number drawn when the process started
-    shards: int = SHARDS  # the same for all members
+    incarnation: int = 1
+    shards: int = SHARDS
--- a/dunlinlug/fleet/ownership/protocol.py
+++ b/dunlinlug/fleet/ownership/protocol.py
@@ -1,10 +1,12 @@
-"""One owner at a time for each shard of work: messages and time in, orders out; free of I/O.
+"""The ownership protocol: gives each shard of work at most one owner at a time.
 
-The members replicate a log with the election's protocol; its leader is the coordinator, which
-assigns shards by entries of the log and grants leases. Members renew with the coordinator once a
-heartbeat, whatever they own, and may act until what it granted ends on their own clocks.
-`docs/ownership.md` has the promises; the model in `dunlinlug/fleet/ownership/model.py` visits the
-states of this very class.
+A state machine free of I/O, with times and messages as input and orders as output. The members
+replicate a log with the election protocol. The log's leader is the coordinator, which assigns
+shards by log entries and grants leases. Each member renews one lease for all its shards once per
+heartbeat interval, and may act until the lease expires on the member's own clock.
+
+`docs/ownership.md` describes the guarantees. The model in `dunlinlug/fleet/ownership/model.py`
+checks this class itself.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,8 +24,8 @@
 from dunlinlug.fleet.ownership.log import AssignmentTable, Checkpoint
 from dunlinlug.fleet.ownership.messages import (
     CheckpointReport,
+    HeldShardsChanged,
     LeaseGranted,
-    LeaseHeld,
     LeaseMessage,
     RenewLease,
     SendMessage,
@@ -36,10 +38,10 @@
 
 
 class OwnershipProtocol:
-    """One member: the parts of the protocol, and what comes to them.
+    """One member's state machine, which passes events to the parts of the protocol.
 
-    Times are seconds on the member's clock. The classes of the parts can be replaced, so that tests
-    show what happens without one of their rules.
+    Times are seconds on the member's clock. Subclasses can replace the classes of some parts, so
+    that tests can show which faults a missing rule causes.
     """
 
     coordinator_class: ClassVar[type[LeaseCoordinator]] = LeaseCoordinator
@@ -75,10 +77,10 @@
         self.coordinator = self.coordinator_class(
             self.replica, self.releases, self.renewals, options, now
         )
-        self.held_shards: frozenset[ShardToken] = frozenset()  # as the service knows it
+        self.held_shards: frozenset[ShardToken] = frozenset()  # as last reported to the service
 
     def clone(self) -> "OwnershipProtocol":
-        """An independent copy, for the search of a model."""
+        """Returns an independent copy, for model checking."""
         duplicate = copy(self)
         duplicate.replica = self.replica.clone()
         duplicate.lease = self.lease.clone(duplicate.replica)
@@ -92,20 +94,20 @@
 
     @property
     def log(self) -> ElectionProtocol:
-        """The protocol of the replicated log, whose leader is the coordinator."""
+        """The protocol of the replicated log; the log's leader is the coordinator."""
         return self.replica.log
 
     @property
     def assignments(self) -> AssignmentTable:
-        """Who owns which shard, as far as we have the log."""
+        """The assignment table of the log entries that this member has."""
         return self.replica.assignments
 
-    # What is known.
+    # Queries.
 
     def held_token(self, now: float, shard: int) -> int | None:
-        """The token under which we may act for a shard at this moment; None if we may not.
+        """Returns the token under which this member may act for a shard now; None if it may not.
 
-        To be asked again right before each effect leaves, also after the last wait.
+        Callers must check again right before they send each effect, with no wait in between.
         """
         token = self.assignments.tokens[shard]
         if not self.replica.owns(self.self_id, shard) or not self.releases.allows(shard, token):
@@ -113,33 +115,33 @@
         return token if token <= self.lease.highest_token(now) else None
 
     def owner_of(self, task: str) -> tuple[str, int]:
-        """The owner of a task as far as we know, and the token of its shard."""
+        """Returns the last known owner of a task, and the token of its shard."""
         shard = self.assignments.shard_of(task)
         return self.assignments.owners[shard], self.assignments.tokens[shard]
 
     def revoked_shards(self) -> list[int]:
-        """Shards of ours that we are asked to release, and have not released yet."""
+        """Returns this member's shards that it was asked to release and has not released yet."""
         return self.releases.revoked_shards()
 
     def follows_log(self) -> bool:
-        """Whether we follow a log at all; an executor that does not yet rejects everything."""
+        """Returns whether this member has a log; an executor without one rejects all effects."""
         return self.log.position != NO_POSITION
 
     def is_checkpointed(self, task: str) -> bool:
-        """Whether a majority has our last checkpoint of a task, as far as we know."""
+        """Returns whether this member's last checkpoint of a task is known to be on a majority."""
         return not self.checkpoints.contains(task)
 
     def next_deadline(self) -> float:
-        """When `tick` is due."""
+        """Returns when `tick` is due."""
         deadline = min(self.log.next_deadline(), self.renewals.next_at)
         if self.log.is_leader:
             return min(deadline, self.coordinator.next_review_at)
         return min(deadline, self.lease.until) if self.held_shards else deadline
 
-    # Time.
+    # Timers.
 
     def tick(self, now: float) -> Orders:
-        """Act on all timers that are due."""
+        """Acts on all timers that are due."""
         orders = self.coordinator.handle_log_orders(now, self.log.tick(now))
         if now >= self.renewals.next_at:
             orders += self._send_renewal(now)
@@ -147,8 +149,8 @@
         return orders + self._update_held_shards(now)
 
     def _send_renewal(self, now: float) -> Orders:
-        """One message for all that we own, and the checkpoints that are not in the log yet."""
-        self.renewals.renewed(now)
+        """Renews the lease on all shards with one message, and reports pending checkpoints."""
+        self.renewals.schedule_next(now)
         if self.log.is_leader or not self.log.leader:
             return []
         renewal = RenewLease(
@@ -162,16 +164,16 @@
         return [SendMessage(self.log.leader, renewal), *self._send_checkpoints(now)]
 
     def _update_held_shards(self, now: float) -> Orders:
-        """Tell the service which shards are ours to act for, if that has changed."""
+        """Reports to the service which shards this member may act for, if that has changed."""
         self.releases.forget_reassigned()
         held_shards = self._find_held_shards(now)
         if held_shards == self.held_shards:
             return []
         self.held_shards = held_shards
-        return [LeaseHeld(held_shards)]
+        return [HeldShardsChanged(held_shards)]
 
     def _find_held_shards(self, now: float) -> frozenset[ShardToken]:
-        """All shards that `held_token` has a token for, with their tokens."""
+        """Returns all shards for which `held_token` returns a token, with their tokens."""
         highest_token = self.lease.highest_token(now)
         tokens = self.assignments.tokens
         return frozenset(
@@ -180,28 +182,29 @@
             if tokens[shard] <= highest_token and self.releases.allows(shard, tokens[shard])
         )
 
-    # Calls of the service.
+    # Calls from the service.
 
     def move_shard(self, now: float, shard: int, target: str) -> Orders:
-        """Move a shard to another member, as an operator wishes.
+        """Moves a shard to another member on an operator's request.
 
         Raises:
-            ShardMoveError: We do not decide, the target is absent, or there is nothing to move.
+            ShardMoveError: This member is not the coordinator, the target is absent, or the shard
+                has no owner or already belongs to the target.
         """
         orders = self.coordinator.move_shard(now, shard, target)
         return orders + self._update_held_shards(now)
 
     def store_checkpoint(self, now: float, task: str, body: bytes) -> Orders:
-        """Report how far a task has come, for its next owner, until that is in the log.
+        """Reports a task's progress for its next owner until it is committed in the log.
 
         Raises:
-            CheckpointError: The task is not ours, or the body is too large.
+            CheckpointError: This member does not hold the task's shard, or the body is too large.
         """
         token = self.held_token(now, self.assignments.shard_of(task))
         if token is None:
-            raise CheckpointError(f"{task} is not ours")
+            raise CheckpointError(f"this member does not hold the shard of task {task}")
         if len(body) > messages.MAX_CHECKPOINT_BYTES:
-            raise CheckpointError(f"over {messages.MAX_CHECKPOINT_BYTES} bytes")
+            raise CheckpointError(f"checkpoint exceeds {messages.MAX_CHECKPOINT_BYTES} bytes")
         self.checkpoints.add(task, token, body)
         return self._send_checkpoints(now)
 
@@ -217,20 +220,21 @@
         return [SendMessage(self.log.leader, CheckpointReport(self.log.term, self.self_id, items))]
 
     def release(self, now: float, shards: Iterable[int]) -> Orders:
-        """We have stopped acting for these, and never will again under the tokens they have."""
+        """Releases shards; this member never acts for them again under their current tokens."""
         self.releases.release(shards)
-        self.renewals.request(now)
+        self.renewals.schedule_now(now)
         return self.tick(now)
 
     def token_rejected(self, now: float, shard: int, token: int) -> Orders:
-        """Stop at once: an executor goes by this token, which ours does not exceed.
+        """Handles an executor's rejection: stops acting for the shard and asks for a higher token.
 
-        It may also be ours by number and another owner's. We ask for a higher one.
+        `token` is the token that the executor requires an owner to exceed. It can equal this
+        member's own token if another owner was granted the same number.
         """
         if token < self.assignments.tokens[shard] or not self.replica.owns(self.self_id, shard):
             return []
         self.releases.record_outdated(shard, token)
-        self.renewals.request(now)
+        self.renewals.schedule_now(now)
         term = term_of(token)
         if self.log.is_leader and term > self.log.term:
             orders = self.coordinator.handle_log_orders(now, self.log.observe_term(now, term))
@@ -244,7 +248,7 @@
     def member_status_changed(
         self, now: float, member: str, failed: bool, live_members: set[str]
     ) -> Orders:
-        """The membership's failure detector has another view; leases still end by themselves."""
+        """Handles a changed status from the failure detector; leases still expire on their own."""
         if failed:
             self.coordinator.failed_members.add(member)
             self.log.leader_suspected(now, member, live_members)
@@ -255,7 +259,7 @@
     # Messages.
 
     def receive(self, now: float, message: LeaseMessage | log_messages.Message) -> Orders:
-        """A message of ownership, or of the log's protocol."""
+        """Handles a message of the ownership protocol or of the log's protocol."""
         orders = self._handle_message(now, message)
         self.lease.activate()
         self.renewals.follow(self.log.leader, now)
--- a/dunlinlug/fleet/ownership/release.py
+++ b/dunlinlug/fleet/ownership/release.py
@@ -1,7 +1,7 @@
-"""What this member no longer acts for, though the log still has it as the owner.
+"""Shards that this member no longer acts for although the log still lists it as their owner.
 
-A planned move is a revocation: the coordinator asks the owner by a log entry, the owner stops and
-releases the shard, and the next entry assigns it to another.
+A planned move is a revocation: a log entry asks the owner to release the shard, the owner stops
+acting for it and reports the release, and a second entry assigns the shard to another member.
 """
 
 from collections.abc import Iterable
@@ -11,29 +11,37 @@
 
 
 class ShardReleases:
-    """Shards that we gave up, and shards of which an executor has seen a token above ours."""
+    """Tracks shards that this member released, and shards whose tokens executors rejected.
+
+    Attributes:
+        released: By shard, the token that this member held when it released the shard.
+        outdated_tokens: By shard, the highest token reported in an executor's rejection.
+    """
 
     def __init__(self, self_id: str, replica: ShardReplica) -> None:
         self.self_id = self_id
         self.replica = replica
-        self.released: dict[int, int] = {}  # shards with the tokens under which they were ours
-        self.outdated_tokens: dict[int, int] = {}  # shards with the highest token seen of them
+        self.released: dict[int, int] = {}
+        self.outdated_tokens: dict[int, int] = {}
 
     def clone(self, replica: ShardReplica) -> "ShardReleases":
-        """An independent copy, over a copy of the replica."""
+        """Returns an independent copy that uses a copy of the replica."""
         duplicate = ShardReleases(self.self_id, replica)
         duplicate.released = dict(self.released)
         duplicate.outdated_tokens = dict(self.outdated_tokens)
         return duplicate
 
     def allows(self, shard: int, token: int) -> bool:
-        """Whether we have neither released a shard under this token nor learned of a higher one."""
+        """Returns whether the shard was not released under this token and the token is valid.
+
+        A token is outdated if an executor has reported one that it does not exceed.
+        """
         if self.released.get(shard) == token:
             return False
         return self.outdated_tokens.get(shard, -1) < token
 
     def revoked_shards(self) -> list[int]:
-        """Shards of ours that we are asked to release, and have not released yet."""
+        """Returns this member's shards that it was asked to release and has not released yet."""
         assignments = self.replica.assignments
         return [
             shard
@@ -43,18 +51,18 @@
         ]
 
     def release(self, shards: Iterable[int]) -> None:
-        """We have stopped acting for these, and never will again under the tokens they have."""
+        """Releases shards; this member never acts for them again under their current tokens."""
         assignments = self.replica.assignments
         for shard in shards:
             if assignments.owners[shard] == self.self_id:
                 self.released[shard] = assignments.tokens[shard]
 
     def record_outdated(self, shard: int, token: int) -> None:
-        """An executor goes by this token, which ours does not exceed, or which is another's."""
+        """Records the token of an executor's rejection, which this member's must exceed."""
         self.outdated_tokens[shard] = max(self.outdated_tokens.get(shard, 0), token)
 
     def forget_reassigned(self) -> None:
-        """Drop what the log has reassigned: the shard has another owner, or a higher token."""
+        """Drops records of shards that now have another owner or a higher token."""
         for records in (self.released, self.outdated_tokens):
             reassigned = [
                 shard for shard, token in records.items() if self._reassigned(shard, token)
@@ -67,9 +75,9 @@
         return assignments.owners[shard] != self.self_id or assignments.tokens[shard] > token
 
     def released_tokens(self) -> tuple[ShardToken, ...]:
-        """What we have released, by shard."""
+        """Returns the released shards with their tokens, by shard."""
         return tuple(sorted(self.released.items()))
 
     def outdated(self) -> tuple[ShardToken, ...]:
-        """The tokens that executors have seen above ours, by shard."""
+        """Returns the tokens from executors' rejections, by shard."""
         return tuple(sorted(self.outdated_tokens.items()))
--- a/dunlinlug/fleet/ownership/replica.py
+++ b/dunlinlug/fleet/ownership/replica.py
@@ -1,4 +1,4 @@
-"""A member's replica of the ownership log, and the assignment table that it builds."""
+"""A member's replica of the ownership log, and the assignment table that its entries build."""
 
 from collections.abc import Iterable
 
@@ -8,12 +8,12 @@
 from dunlinlug.fleet.ownership.log import AnyLogEntry, AssignmentChange, AssignmentTable
 from dunlinlug.fleet.ownership.messages import OwnershipChanged
 
-SNAPSHOT_REASON = "as the steward has it"
-Orders = list[object]  # of the log's protocol and of ownership
+SNAPSHOT_REASON = "restored from the coordinator's snapshot"
+Orders = list[object]  # orders of the log's protocol and of the ownership protocol
 
 
 class ShardReplica:
-    """The replicated log, which elects the coordinator, and the table of its entries."""
+    """The replicated log, whose leader is the coordinator, and the table built from its entries."""
 
     def __init__(self, log: ElectionProtocol, shards: int) -> None:
         self.log = log
@@ -21,30 +21,30 @@
         self.assignments = AssignmentTable(shards)
 
     def clone(self) -> "ShardReplica":
-        """An independent copy."""
+        """Returns an independent copy."""
         duplicate = ShardReplica(self.log.clone(), 0)
         duplicate.shards = self.shards
         duplicate.assignments = self.assignments.clone()
         return duplicate
 
     def follows_term(self, term: int) -> bool:
-        """Whether our log is a prefix of the log of this term's leader.
+        """Returns whether this member's log is a prefix of the log of this term's leader.
 
-        Without this check we would count on entries of a former leader that may never have been
-        committed; once we have taken an entry of this leader, all before it is the leader's line.
+        Entries of a former leader may never have been committed. Once this member has an entry of
+        the current leader, all entries before it are also in that leader's log.
         """
         return self.log.term == term and self.log.position[0] == term
 
     def is_voter(self, member: str) -> bool:
-        """Whether a member belongs to the set that votes on the log."""
+        """Returns whether a member votes on the log."""
         return member in self.log.voter_set.members
 
     def owns(self, member: str, shard: int) -> bool:
-        """Whether the log has a member as the owner of a shard."""
+        """Returns whether a member owns a shard according to the log."""
         return self.assignments.owners[shard] == member
 
     def apply_entry(self, order: log_messages.ApplyEntry) -> Orders:
-        """Apply an entry that came by the log.
+        """Applies an entry received from the log's leader.
 
         Raises:
             LogFormatError: The entry is not of this version.
@@ -53,14 +53,14 @@
         return ownership_orders(self.assignments.apply(entry, order.position))
 
     def apply_own_entry(self, entry: AnyLogEntry) -> Orders:
-        """Apply an entry that we have just appended as the leader."""
+        """Applies an entry that this member has just appended as the leader."""
         return ownership_orders(self.assignments.apply(entry, self.log.position))
 
     def restore(self, order: log_messages.RestoreSnapshot) -> Orders:
-        """Replace the table by a snapshot.
+        """Replaces the table by a snapshot.
 
         Raises:
-            LogFormatError: The snapshot is not of this version, or of another number of shards.
+            LogFormatError: The snapshot is not of this version, or has another number of shards.
         """
         previous = self.assignments
         self.assignments = ownership_log.decode_snapshot(order.body, self.shards)
@@ -68,7 +68,7 @@
 
 
 def ownership_orders(changes: Iterable[AssignmentChange]) -> Orders:
-    """The orders that tell the service of changes of the table."""
+    """Returns the orders that report changes of the table to the service."""
     orders: Orders = []
     for change in changes:
         reason = f"{change.reason} to {change.target}" if change.target else change.reason
--- a/dunlinlug/fleet/ownership/service.py
+++ b/dunlinlug/fleet/ownership/service.py
@@ -1,8 +1,8 @@
-"""A manager's part in ownership: the protocol over sockets, timers and the store.
+"""The ownership service of a manager: runs the protocol over sockets, timers and the store.
 
-Users name their tasks, ask `held_token` right before each effect leaves, and send it by
-`send_effect`; at the other end a handler gets what passes the fence. What is to be done while
-nobody owns a task, its users decide for themselves.
+Users name their tasks, check `held_token` before they act, and send effects by `send_effect`. On
+the receiving member a handler gets each effect that passes the fencing check. Users decide for
+themselves how to handle a task that has no owner.
 """
 
 import secrets
@@ -23,7 +23,7 @@
     SHARDS,
     Effect,
     EffectResult,
-    LeaseHeld,
+    HeldShardsChanged,
     OwnershipChanged,
     SendMessage,
     WorkRequest,
@@ -33,27 +33,40 @@
 from dunlinlug.fleet.ownership.status import RecentChange, describe_changes, describe_protocol
 from dunlinlug.storage.store import Store
 
-MAX_RECENT_CHANGES = 50  # of assignments, for people
-VOTE_STORE_NAME = "owners"  # the name of the log's vote in the store
+MAX_RECENT_CHANGES = 50  # changes of assignments kept for status output
+VOTE_STORE_NAME = "owners"  # the key of this log's vote in the store
 INCARNATION_BITS = 62
 
 
 @dataclass(frozen=True)
 class OwnershipConfig:
-    """Who takes part in ownership; all but `self_id` is the same for all members."""
+    """The members and their common settings; only `self_id` differs between members.
+
+    Attributes:
+        self_id: The name of this member.
+        addresses: Host and port by member.
+        keys: Shared keys; the first one signs, all are accepted.
+        timing: The timing of leases and of the log.
+        shards: The number of shards.
+    """
 
     self_id: str
-    addresses: dict[str, tuple[str, int]]  # host and port of each member by its name
-    keys: list[bytes]  # shared keys, the first of which signs
+    addresses: dict[str, tuple[str, int]]
+    keys: list[bytes]
     timing: LeaseTiming
     shards: int = SHARDS
 
 
 class Ownership:
-    """One member of the set that owns work on behalf of the fleet.
+    """A member's service: the protocol's state, connections to other members, and the executor.
+
+    Handlers are registered by task kind: the task's name up to the first "/".
 
-    It owns the protocol's state, the connections to other members and the executor of effects.
-    Handlers are by the kind of a task: the first word of its name, up to the "/".
+    Attributes:
+        request_handlers: Handlers of work requests by task kind.
+        on_held_shards_changed: Callbacks for changes of the shards that this member holds.
+        recent_changes: The last changes of assignments, for status output.
+        counters: Counts of sent and rejected effects.
     """
 
     def __init__(
@@ -68,8 +81,8 @@
         self.store = store
         self.log_event = log_event
         self.clock = clock
-        # Drawn from the seed, the incarnation of a process whose store was lost would be taken for
-        # the one before it.
+        # Not drawn from the seeded generator: a process that restarts with an empty store would
+        # repeat the incarnation of its predecessor.
         incarnation = secrets.randbits(INCARNATION_BITS)
         self.protocol = OwnershipProtocol(
             config.self_id,
@@ -96,7 +109,7 @@
         self.counters = Counter[str]()
 
     async def run(self) -> None:
-        """Send what is queued and act on timers; other members' messages come by the transport."""
+        """Runs the transport, which receives messages of other members, and the timers."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.transport.run, [])
             while True:
@@ -106,44 +119,51 @@
                 self._execute(self.protocol.tick(self.clock()))
                 await trio.sleep(0)
 
-    # What users register.
+    # Registration of handlers.
 
     def handle_effects(self, kind: str, handler: Callable[[Effect], None]) -> None:
-        """Let this handler execute all effects for tasks of a kind that pass the fence."""
+        """Registers the handler of effects for a task kind that pass the fencing check."""
         self.executor.handlers[kind] = handler
 
     def handle_requests(self, kind: str, handler: Callable[[WorkRequest], None]) -> None:
-        """Tell this handler when a task of a kind, which we may own, is asked for."""
+        """Registers the handler of work requests for tasks of a kind.
+
+        This member need not own the task when a request arrives.
+        """
         self.request_handlers[kind] = handler
 
-    # What users ask.
+    # Calls by users.
 
     def held_token(self, task: str) -> int | None:
-        """The token under which we may act for a task at this moment; None if we may not.
+        """Returns the token under which this member may act for a task now; None if it may not.
 
-        To be asked again after each wait.
+        Callers must check again after each wait.
         """
         return self.protocol.held_token(self.clock(), self._shard_of(task))
 
     def owner_of(self, task: str) -> str:
-        """The owner of a task, as far as we know; empty if nobody owns it."""
+        """Returns the last known owner of a task; empty if it has none."""
         return self.protocol.owner_of(task)[0]
 
     def checkpoint(self, task: str) -> bytes:
-        """How far a task has come, as its owners reported; empty if nothing is known."""
+        """Returns a task's last checkpoint; empty if there is none."""
         return self.protocol.assignments.checkpoint_of(task).body
 
     def store_checkpoint(self, task: str, body: bytes) -> None:
-        """Report how far a task of ours has come, for its next owner.
+        """Reports the progress of a held task, from which its next owner continues.
 
         Raises:
-            CheckpointError: The task is not ours, or the body is too large.
+            CheckpointError: This member does not hold the task's shard, or the body is too large.
         """
         self._execute(self.protocol.store_checkpoint(self.clock(), task, body))
 
     def send_effect(self, recipient: str, task: str, body: bytes) -> bool:
-        """Send an effect to an executor, a member or ourselves; False if the task is not ours."""
-        token = self.held_token(task)  # right before it leaves: nothing is awaited from here on
+        """Sends an effect to an executor, which may be this member itself.
+
+        Returns False, and sends nothing, if this member does not hold the task.
+        """
+        # Nothing is awaited between this check and the sending.
+        token = self.held_token(task)
         if token is None:
             self.counters["not_ours"] += 1
             return False
@@ -159,7 +179,7 @@
         return True
 
     def request_work(self, task: str, body: bytes) -> bool:
-        """Tell a task's owner that it is asked for; False if nobody is known to own it."""
+        """Asks a task's owner to do its work; returns False if the task has no known owner."""
         owner = self.owner_of(task)
         request = WorkRequest(self.protocol.log.term, self.self_id, task, body)
         if owner == self.self_id:
@@ -169,24 +189,24 @@
         return bool(owner)
 
     def member_count(self) -> int:
-        """How many members vote, ourselves among them."""
+        """Returns the number of voting members, including this one."""
         return len(self.protocol.log.voter_set.members)
 
     def other_members(self) -> list[str]:
-        """All members that vote but ourselves."""
+        """Returns all voting members except this one."""
         return [member for member in self.protocol.log.voter_set.members if member != self.self_id]
 
     def move_task(self, task: str, target: str) -> None:
-        """Move a task with its shard to another member, as an operator wishes.
+        """Moves a task, together with its shard, to another member on an operator's request.
 
         Raises:
-            ShardMoveError: We are not the coordinator, or the move is not possible.
+            ShardMoveError: This member is not the coordinator, or the move is not possible.
         """
         self._execute(self.protocol.move_shard(self.clock(), self._shard_of(task), target))
         self.wake.set()
 
     def member_status_changed(self, member: str, failed: bool, live_members: set[str]) -> None:
-        """The membership has another view of a member."""
+        """Handles a change of a member's status in the membership."""
         self._execute(
             self.protocol.member_status_changed(self.clock(), member, failed, live_members)
         )
@@ -195,7 +215,7 @@
     def _shard_of(self, task: str) -> int:
         return self.protocol.assignments.shard_of(task)
 
-    # What comes.
+    # Incoming messages.
 
     def _receive(self, message: Any) -> None:
         match message:
@@ -228,9 +248,10 @@
             self.transport.send(effect.sender, rejection)
 
     def _execute(self, orders: Sequence[object]) -> None:
-        """Carry out the protocol's orders, and release at once what is revoked.
+        """Executes the protocol's orders and releases revoked shards at once.
 
-        Our users act within one call and keep nothing half done over a wait.
+        An immediate release is safe: users of this service complete each action within one call and
+        leave none unfinished across a wait.
         """
         for order in orders:
             self._execute_order(order)
@@ -251,7 +272,7 @@
                 self.log_event("ownership.stepped_down", why=reason)
             case OwnershipChanged():
                 self._record_change(order)
-            case LeaseHeld(shards):
+            case HeldShardsChanged(shards):
                 self.log_event("ownership.held_shards_changed", slots=len(shards))
                 for callback in self.on_held_shards_changed:
                     callback()
@@ -267,10 +288,10 @@
                 why=change.reason,
             )
 
-    # For people and programs.
+    # Status output.
 
     def describe(self) -> dict[str, Any]:
-        """The state as the JSON of `fleet work`."""
+        """Returns the state as the JSON object of `fleet work`."""
         return {
             **describe_protocol(self.protocol),
             "changes": describe_changes(self.recent_changes, self.clock()),
@@ -279,7 +300,7 @@
 
 
 def _stored_vote(store: Store, config: OwnershipConfig) -> log_messages.Persist:
-    """What the log's protocol had on disk; the configured members vote where it had nothing."""
+    """Returns the stored vote of the log; by default one in which the configured members vote."""
     stored = store.vote(VOTE_STORE_NAME)
     if not stored:
         voter_set = log_messages.VoterSet(1, tuple(sorted(config.addresses)))
--- a/dunlinlug/fleet/ownership/shared_health_checks.py
+++ b/dunlinlug/fleet/ownership/shared_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks shared by all managers: one check for all, by the owner, with results to all."""
+"""Health checks shared by all managers: a worker's owner checks it and broadcasts the result."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -19,27 +19,27 @@
 from dunlinlug.fleet.ownership.service import Ownership
 
 TASK_KIND = "probe"
-POLL_INTERVAL = 0.1  # seconds between looks at requests that nobody answered
+POLL_INTERVAL = 0.1  # seconds between checks for unanswered requests
 
 
 class HealthCheckBroadcast(msgspec.Struct, frozen=True, array_like=True):
-    """A result on its way to another member."""
+    """A result that is sent to another member."""
 
     worker: str
     healthy: bool
     result: str
     duration: float  # seconds
-    age: float  # seconds since the check ended, as it left
+    age: float  # seconds from the end of the check to the sending of this message
 
 
 class HealthCheckCoordinator:
-    """Stands between a decision module's orders and the health checker.
+    """Routes the decision module's check orders to owners, and results back to the module.
 
     Attributes:
-        check: makes one health check, whose result goes to `check_completed`.
-        submit: gives an event to the decision module.
-        start_task: starts a task in the manager's nursery.
-        checks_started: checks that this member made.
+        check: Makes one health check and passes its result to `check_completed`.
+        submit: Submits an event to the decision module.
+        start_task: Starts a task in the manager's nursery.
+        checks_started: The number of checks that this member started.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         ownership.handle_effects(TASK_KIND, self._handle_result)
 
     async def run(self) -> None:
-        """Check ourselves what no owner answers for."""
+        """Starts fallback checks for requests that no owner answers."""
         while True:
             await trio.sleep(POLL_INTERVAL)
             members = self.ownership.member_count()
@@ -68,7 +68,7 @@
                 self._start_check(worker)
 
     def request(self, worker: str) -> None:
-        """Our decision module orders a check."""
+        """Handles a check order of the decision module."""
         result = self.shared_checks.request(self.ownership.clock(), worker)
         if result is None:
             self.ownership.request_work(task_of(worker), worker.encode())
@@ -76,7 +76,10 @@
             self.submit(_completed(result))
 
     def _handle_request(self, request: WorkRequest) -> None:
-        """A member asks us as the owner; if we are not, it looks after its request itself."""
+        """Handles a member's request to the owner of a worker's group.
+
+        Ignored if this member does not hold the task: the sender then makes a fallback check.
+        """
         worker = request.body.decode(errors="replace")
         task = task_of(worker)
         if self.ownership.held_token(task) is None or request.task != task:
@@ -92,7 +95,7 @@
         self.start_task(self.check, worker)
 
     def check_completed(self, event: Event) -> None:
-        """A check of ours has ended."""
+        """Handles the result of a check that this member made."""
         assert isinstance(event, HealthCheckCompleted)
         now = self.ownership.clock()
         result = HealthCheckResult(event.worker, event.healthy, event.result, event.latency, now)
@@ -110,7 +113,7 @@
             self.ownership.send_effect(member, task_of(result.worker), body)
 
     def _handle_result(self, effect: Effect) -> None:
-        """Another's result: a fact with an age, which may come twice and do no harm."""
+        """Handles another member's result; handling the same result twice is harmless."""
         try:
             broadcast = msgspec.msgpack.decode(effect.body, type=HealthCheckBroadcast)
         except msgspec.DecodeError:
--- a/dunlinlug/fleet/ownership/shared_overrides.py
+++ b/dunlinlug/fleet/ownership/shared_overrides.py
@@ -1,9 +1,9 @@
-"""Operator overrides for the whole fleet: one change at a time, at whichever manager it is made.
+"""Operator overrides that apply to the whole fleet and are changed by one member at a time.
 
-The owner of the task `pin/PRODUCT` validates a change and writes it into the members' log; what the
-log says is desired, and each manager applies the difference to what is active with it. An end is
-written as well: no record at all would not tell an end from a log that was lost, after which an
-owner writes down again what is active.
+The owner of the task `pin/PRODUCT` validates a change and writes it to the members' log. The log
+holds the desired state, and each manager applies its differences from the active overrides. The end
+of an override is logged as a record too. Without a record, an ended override could not be told from
+one whose record was lost with the log, which the owner writes again from its active overrides.
 """
 
 import json
@@ -16,40 +16,40 @@
 from dunlinlug.fleet.ownership.service import Ownership
 
 OVERRIDE_ENDED = b"-"  # the record of an override that has ended
-POLL_INTERVAL = 0.2  # seconds between looks at what the log has
+POLL_INTERVAL = 0.2  # seconds between comparisons with the log
 
 
 class OverrideRegistry(Protocol):
-    """The overrides that are active with a manager, as JSON objects with wall-clock times."""
+    """A manager's active overrides, as JSON objects with wall-clock times."""
 
     traffic_class_names: list[str]
 
     def to_plain(self) -> list[dict[str, Any]]:
-        """All that are active, one for each traffic class at most."""
+        """Returns all active overrides, at most one for each traffic class."""
 
     def activate_plain(self, now: float, entry: dict[str, Any]) -> None:
-        """Activate one; raises an error of the order validation if it may not be here."""
+        """Activates an override; raises an order validation error if it is not allowed here."""
 
     def end(self, now: float, traffic_class: int) -> bool:
-        """End the override of a traffic class; whether there was one."""
+        """Ends the override of a traffic class; returns whether there was one."""
 
 
 def task_of(traffic_class: str) -> str:
-    """The task of deciding on a traffic class's override."""
+    """Returns the task of deciding on a traffic class's override."""
     return f"pin/{traffic_class}"
 
 
 class NotOwnerError(DunlinlugError, ValueError):
-    """Another decides on this traffic class's override, or nobody now; the text says who."""
+    """Another member, or currently none, may change this traffic class's override."""
 
 
 class SharedOverrides:
-    """Keeps a manager's overrides as the log has them.
+    """Keeps a manager's overrides consistent with the log.
 
     Attributes:
-        rejection_errors: what the registry raises for an override that may not be active here.
-        wall_clock: seconds since the epoch.
-        applied_records: by traffic class, the record of the log that was applied last.
+        rejection_errors: Errors that the registry raises for an override not allowed here.
+        wall_clock: Returns seconds since the epoch.
+        applied_records: The last applied record of the log by traffic class.
     """
 
     def __init__(
@@ -68,37 +68,39 @@
         self.applied_records: dict[str, bytes] = {}
 
     def require_ownership(self, traffic_class: str) -> None:
-        """Check that we decide, right before an operator's change is made here.
+        """Checks that this member may change an override, right before an operator's change.
 
         Raises:
-            NotOwnerError: Another decides, or nobody at the moment.
+            NotOwnerError: Another member owns the override, or no member does at the moment.
         """
         if self._is_owner(traffic_class):
             return
         owner = self.ownership.owner_of(task_of(traffic_class))
         if owner not in ("", self.ownership.self_id):
-            raise NotOwnerError(f"{owner} decides on pins of {traffic_class}; say it there")
+            raise NotOwnerError(
+                f"{owner} owns the override of {traffic_class}; make the change on that manager"
+            )
         raise NotOwnerError(
-            f"nobody decides on pins of {traffic_class} at the moment: "
-            "no majority of the members, or a change under way"
+            f"no manager owns the override of {traffic_class} at the moment: "
+            "there is no majority of members, or its shard is being reassigned"
         )
 
     def _is_owner(self, traffic_class: str) -> bool:
         return self.ownership.held_token(task_of(traffic_class)) is not None
 
     def publish(self, traffic_class: str) -> None:
-        """Write what is active with us, who decide on it, into the log for all.
+        """Writes the active override, which this member owns, to the log for all members.
 
         Raises:
-            CheckpointError: It is too large, or our lease has just ended; then it is no longer
-                active here either.
+            CheckpointError: The record is too large, or the lease has just expired. The override
+                has then been ended on this manager too.
         """
         body = self._current_record(traffic_class) or OVERRIDE_ENDED
         try:
             self.ownership.store_checkpoint(task_of(traffic_class), body)
         except ValueError:
             self.registry.end(trio.current_time(), self._index(traffic_class))
-            self.applied_records.pop(traffic_class, None)  # what the log has is applied anew
+            self.applied_records.pop(traffic_class, None)  # the log's record is applied again
             raise
         self.applied_records[traffic_class] = body
 
@@ -106,13 +108,13 @@
         return self.registry.traffic_class_names.index(traffic_class)
 
     def _current_record(self, traffic_class: str) -> bytes:
-        """The record of what is active with us; empty if nothing is."""
+        """Returns the record of the active override; empty if there is none."""
         active = (entry for entry in self.registry.to_plain() if entry["product"] == traffic_class)
         entry = next(active, None)
         return b"" if entry is None else json.dumps(entry).encode()
 
     async def run(self) -> None:
-        """Apply what the log has, and write what it has lost."""
+        """Applies the log's records, and writes records that are missing from the log."""
         while True:
             await trio.sleep(POLL_INTERVAL)
             for traffic_class in self.registry.traffic_class_names:
@@ -127,7 +129,7 @@
             self._apply(traffic_class, record)
 
     def _write_missing(self, traffic_class: str) -> None:
-        """As the owner, write what is active: the log was lost, or has just begun."""
+        """Writes the active override as its owner, after the log was lost or has just started."""
         if not self._is_owner(traffic_class) or not self._current_record(traffic_class):
             return
         try:
@@ -136,7 +138,7 @@
             self.log_event("override.not_replicated", product=traffic_class, why=str(error))
 
     def _apply(self, traffic_class: str, record: bytes) -> None:
-        """Make active what the record says; what is rejected here may be active elsewhere."""
+        """Applies a record; an override rejected here may still be active on other managers."""
         now = trio.current_time()
         override = None if record == OVERRIDE_ENDED else json.loads(record)
         if override is None or override["until"] <= self.wall_clock():
--- a/dunlinlug/fleet/ownership/simulated_network.py
+++ b/dunlinlug/fleet/ownership/simulated_network.py
@@ -1,9 +1,9 @@
-"""Owners and executors in simulated time, with a faulty network and clocks that are off.
+"""A simulation of owners and executors, with a faulty network and drifting clocks.
 
-Nothing of it runs in service; tests and measurements use it. One seed gives one course of events.
-Each member acts for all that it holds, every `effect_interval` seconds: an effect is decided, waits
-a while in its queue, the lease is checked again, and it leaves for an executor, where it may arrive
-late or twice. Executors record what they saw.
+Used by tests and benchmarks only. The sequence of events is determined by the seed. Each member
+acts for all tasks that it holds, once every `effect_interval` seconds: it decides an effect, which
+waits in the member's queue for a random time. Then the lease is checked again and the effect is
+sent to the executors, where it may arrive late or twice. Executors record all effects.
 """
 
 import heapq
@@ -23,21 +23,36 @@
 from dunlinlug.fleet.ownership.protocol import OwnershipProtocol
 
 INITIAL_VOTER_SET_VERSION = 1
-MAX_QUEUED_MESSAGES = 500  # for a frozen member; the oldest are lost
+MAX_QUEUED_MESSAGES = 500  # per frozen member; the oldest messages are dropped
 RECOVERY_TIMEOUT_LEASES = 10
 MAX_INCARNATION = 2**62
-# A timer fires a little later than now: rounded to another clock and back, a time may lie just
-# before what it was.
+# Minimum delay of a timer: a deadline converted to another clock and back may be rounded to just
+# before its original value.
 TIMER_SLACK = 1e-6
 ProtocolFactory = Callable[..., OwnershipProtocol]
 
 
 @dataclass(frozen=True)
 class SimulationOptions:
-    """What is simulated; times are seconds, faults are probabilities.
-
-    Without `fenced` executors do not check tokens; without `recheck` owners do not check their
-    lease again right before an effect leaves. Both show what these rules are for.
+    """Options of a simulation; times are seconds.
+
+    Attributes:
+        members: The number of members.
+        tasks: The names of the tasks.
+        executors: The number of executors.
+        shards: The number of shards.
+        lease: The duration of a lease.
+        heartbeat_interval: The time between renewals of a lease.
+        drift: The maximum error of a clock's rate, as a fraction.
+        loss: The probability that a message is lost.
+        duplication: The probability that a message is delivered twice.
+        delay: The minimum and maximum delay of a message.
+        max_effect_delay: The maximum delay of an effect beyond that of a message.
+        effect_interval: The time between a member's effects for a task.
+        protocol_factory: Creates a member's protocol.
+        fenced: Whether executors check tokens. False shows the violations that fencing prevents.
+        recheck: Whether owners check their lease again right before they send an effect. False
+            shows the violations that this prevents.
     """
 
     members: int = 3
@@ -49,8 +64,8 @@
     drift: float = 0.02
     loss: float = 0.0
     duplication: float = 0.0
-    delay: tuple[float, float] = (0.0005, 0.002)  # least and most of a message
-    max_effect_delay: float = 0.0  # of an effect, beyond a message's
+    delay: tuple[float, float] = (0.0005, 0.002)
+    max_effect_delay: float = 0.0
     effect_interval: float = 0.1
     protocol_factory: ProtocolFactory = OwnershipProtocol
     fenced: bool = True
@@ -58,7 +73,7 @@
 
 
 class Event(NamedTuple):
-    """Something that happens at a time; `number` orders the events of one moment."""
+    """A scheduled action; `number` orders the events of the same time."""
 
     at: float
     number: int
@@ -66,7 +81,7 @@
 
 
 class PendingEffect(NamedTuple):
-    """A task to act for, and the token under which that was decided."""
+    """A decided effect that was not sent yet: its task, and the token at the decision."""
 
     task: str
     token: int
@@ -74,37 +89,51 @@
 
 @dataclass
 class SimulatedMember:
-    """One process of a member, and what its host would keep."""
+    """One process of a member, and its persisted state.
+
+    Attributes:
+        name: The name of the member.
+        protocol: The member's protocol.
+        persisted: The last persisted vote.
+        clock_rate: Seconds of the member's clock per true second.
+        clock_origin: The true time at which the member's clock was exact.
+        frozen: Whether the process is stopped and can continue.
+        dead: Whether the process has ended.
+        queue: Messages that arrived while the process was frozen.
+        effect_sequences: The last sequence number of effects by shard.
+        pending_effects: Effects that are decided but not sent.
+        timer_deadline: The true time of the next timer.
+    """
 
     name: str
     protocol: OwnershipProtocol
     persisted: log_messages.Persist
-    clock_rate: float = 1.0  # seconds of its clock for one true second
-    clock_origin: float = 0.0  # when its clock was right
+    clock_rate: float = 1.0
+    clock_origin: float = 0.0
     frozen: bool = False
     dead: bool = False
-    queue: list[Any] = field(default_factory=list)  # messages that came while it was frozen
-    effect_sequences: Counter[int] = field(default_factory=Counter)  # by shard
+    queue: list[Any] = field(default_factory=list)
+    effect_sequences: Counter[int] = field(default_factory=Counter)
     pending_effects: list[PendingEffect] = field(default_factory=list)
-    timer_deadline: float = -1.0  # true time of its next timer
+    timer_deadline: float = -1.0
 
     def local_time(self, now: float) -> float:
-        """The time on its clock."""
+        """Returns the time on the member's clock."""
         return (now - self.clock_origin) * self.clock_rate + self.clock_origin
 
     def true_time(self, local: float) -> float:
-        """The true time at which its clock shows this."""
+        """Returns the true time at which the member's clock shows the given time."""
         return (local - self.clock_origin) / self.clock_rate + self.clock_origin
 
     def holds(self, now: float, shard: int) -> bool:
-        """Whether it may act for a shard, and is in a state to act at all."""
+        """Returns whether the process is running and may act for a shard."""
         if self.dead or self.frozen:
             return False
         return self.protocol.held_token(self.local_time(now), shard) is not None
 
 
 class SimulatedNetwork:
-    """Members, executors, and the events between them, in order of time."""
+    """Simulates members and executors, and the events between them in order of time."""
 
     def __init__(self, seed: int, options: SimulationOptions | None = None) -> None:
         options = options or SimulationOptions()
@@ -122,14 +151,14 @@
         self.blocked_links: set[tuple[str, str]] = set()
         self.messages_sent = Counter[str]()  # by member
         self.assignments = list[tuple[float, OwnershipChanged]]()
-        self.ownership_conflicts: list[str] = []  # moments at which two members held one shard
+        self.ownership_conflicts: list[str] = []  # times at which several members held one shard
         for index, name in enumerate(self.member_names):
             self.start(name, clock_rate=1.0 + options.drift * (0, 1, -1)[index % 3])
 
-    # Faults.
+    # Process starts and faults.
 
     def start(self, name: str, clock_rate: float = 1.0, disk: bool = True) -> SimulatedMember:
-        """A process begins, with what its disk holds or without; its clock keeps its rate."""
+        """Starts a process, with its disk or an empty one; a restart keeps the clock's rate."""
         previous = self.nodes.get(name)
         voter_set = log_messages.VoterSet(INITIAL_VOTER_SET_VERSION, self.member_names)
         persisted = log_messages.Persist(0, "", voter_set)
@@ -145,7 +174,7 @@
         self.nodes[name] = node
         self._arm_timer(node)
         first_effects = self.options.effect_interval * self.rng.random()
-        self._schedule_after(first_effects, partial(self._act, node))
+        self._schedule_after(first_effects, partial(self._run_effect_loop, node))
         return node
 
     def _start_protocol(self, name: str, persisted: log_messages.Persist) -> OwnershipProtocol:
@@ -166,38 +195,39 @@
         )
 
     def kill(self, name: str) -> None:
-        """A process ends without a word."""
+        """Ends a process without any notice to the other members."""
         self.nodes[name].dead = True
 
     def freeze(self, name: str, frozen: bool = True) -> None:
-        """A process is stopped, or goes on where it was stopped."""
+        """Freezes a process, or lets it continue where it was frozen."""
         node = self.nodes[name]
         node.frozen = frozen
         if frozen or node.dead:
             return
         queue = node.queue
         node.queue = []
-        # What it had decided before it stopped goes first, as its next line of code would.
+        # Effects decided before the freeze are sent first, as by the next statement of a real
+        # process.
         self._send_effects(node)
         for message in queue:
             self._receive(node, message)
         self._tick(node)
 
     def partition(self, *sides: tuple[str, ...]) -> None:
-        """Members of different sides no longer reach each other."""
+        """Blocks all messages between members of different sides."""
         for side in sides:
             for other in sides:
                 if side is not other:
                     self.blocked_links |= {(a, b) for a in side for b in other}
 
     def heal(self) -> None:
-        """All members reach each other."""
+        """Removes all partitions."""
         self.blocked_links.clear()
 
     # Time.
 
     def run(self, until: float) -> None:
-        """Let all happen that happens until this time."""
+        """Runs all events up to a time."""
         while self.event_queue and self.event_queue[0].at <= until:
             event = heapq.heappop(self.event_queue)
             self.now = event.at
@@ -205,7 +235,7 @@
         self.now = until
 
     def schedule(self, when: float, action: Callable[[], None]) -> None:
-        """Call this at a time."""
+        """Schedules an action at a time."""
         heapq.heappush(self.event_queue, Event(when, next(self.event_numbers), action))
 
     def _schedule_after(self, after: float, action: Callable[[], None]) -> None:
@@ -237,7 +267,7 @@
             self.execute(node, node.protocol.token_rejected(now, shard, message.highest_token))
 
     def execute(self, node: SimulatedMember, orders: list[Any]) -> None:
-        """Carry out a member's orders as its service would, and release at once what is revoked."""
+        """Executes a member's orders as its service would, and releases revoked shards at once."""
         for order in orders:
             match order:
                 case log_messages.Send(recipient, message) | SendMessage(recipient, message):
@@ -254,7 +284,7 @@
         self._arm_timer(node)
 
     def _copies(self) -> int:
-        """How often the network delivers a message, unless it loses one of them."""
+        """Draws how many copies of a message the network carries, each of which may be lost."""
         return 1 + (self.rng.random() < self.options.duplication)
 
     def _send(self, sender: str, recipient: str, message: Any) -> None:
@@ -277,15 +307,15 @@
 
     # Effects.
 
-    def _act(self, node: SimulatedMember) -> None:
-        """Decide effects, again and again, until the process ends."""
+    def _run_effect_loop(self, node: SimulatedMember) -> None:
+        """Decides effects once every effect interval until the process ends."""
         if node.dead or self.nodes[node.name] is not node:
             return
         self._decide_effects(node)
-        self._schedule_after(self.options.effect_interval, partial(self._act, node))
+        self._schedule_after(self.options.effect_interval, partial(self._run_effect_loop, node))
 
     def _decide_effects(self, node: SimulatedMember) -> None:
-        """For all that it holds, when it is not frozen; the effects leave a moment later."""
+        """Decides an effect for each held task and schedules the sending; not while frozen."""
         if node.frozen:
             return
         self._record_conflicts(node)
@@ -302,7 +332,7 @@
             holders = [other.name for other in self.nodes.values() if other.holds(self.now, shard)]
             if len(holders) > 1:
                 self.ownership_conflicts.append(
-                    f"{self.now:.3f}: {', '.join(holders)} may act for slot {shard}"
+                    f"{self.now:.3f}: {', '.join(holders)} hold shard {shard}"
                 )
 
     def _send_unless_stopped(self, node: SimulatedMember) -> None:
@@ -344,10 +374,10 @@
             delay = self.rng.uniform(*self.options.delay)
             self._schedule_after(delay, partial(self._deliver, executor, effect.sender, rejection))
 
-    # What was seen.
+    # Queries.
 
     def lease_holders(self) -> dict[str, list[str]]:
-        """By task, the members that may act for it now."""
+        """Returns, by task, the members that may act for it now."""
         return {
             task: [
                 node.name
--- a/dunlinlug/fleet/ownership/status.py
+++ b/dunlinlug/fleet/ownership/status.py
@@ -1,4 +1,4 @@
-"""The state of ownership as `dunlinlug fleet work` shows it; the keys are its outside names."""
+"""The state of ownership for `dunlinlug fleet work`; the keys are part of the JSON interface."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,14 +9,14 @@
 
 
 class RecentChange(NamedTuple):
-    """A change of an assignment, and when it was applied, in seconds on our clock."""
+    """A change of an assignment and the time at which it was applied."""
 
-    at: float
+    at: float  # seconds on this member's clock
     change: OwnershipChanged
 
 
 def describe_protocol(protocol: OwnershipProtocol) -> dict[str, Any]:
-    """Who coordinates, who owns how much, what is on its way, and the checkpoints."""
+    """Describes the coordinator, the shard counts of owners, moving shards, and checkpoints."""
     owners = Counter(protocol.assignments.owners)
     revoking = sorted(protocol.assignments.revoking.items())
     return {
@@ -50,7 +50,7 @@
 
 
 def describe_changes(changes: Iterable[RecentChange], now: float) -> list[dict[str, Any]]:
-    """The last changes of assignments, the oldest first."""
+    """Describes recent changes of assignments, oldest first."""
     return [
         {
             "ago": round(now - at, 3),
--- a/tests/fleet/election/test_leadership.py
+++ b/tests/fleet/election/test_leadership.py
@@ -306,13 +306,13 @@
         status, output = await trio.to_thread.run_sync(
             run_command, "move", str(files[coordinator_name]), "exercise/1", "nobody"
         )
-        assert status == 1 and "no member that is here" in output
+        assert status == 1 and "is not a voting member with a valid lease" in output
         for to in (other, coordinator_name):
             status, output = await trio.to_thread.run_sync(
                 run_command, "move", str(files[coordinator_name]), "exercise/1", to
             )
             if status:  # it was there already
-                assert "owns it already" in output
+                assert "already owns the shard" in output
             owners = run.managers[to].ownership
             await until(lambda owners=owners: owners.held_token("exercise/1") is not None)
         status, output = await trio.to_thread.run_sync(run_command, "work", str(files[other]))
--- a/tests/fleet/model_checking/test_engine.py
+++ b/tests/fleet/model_checking/test_engine.py
@@ -1,4 +1,4 @@
-"""The searches, over a model small enough to count by hand."""
+"""The searches, on a model small enough to count its states by hand."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class CounterModel:
-    """A number that steps raise by one or by three, up to `limit`."""
+    """A counter that steps increase by one or by three, up to `limit`."""
 
     limit: int = 10
     forbidden: int = -1
@@ -69,26 +69,26 @@
     assert explore_breadth_first(model, 100, recovery_check_interval=1).recoveries == (8, 9)
 
 
-def test_a_prefix_leads_the_search_and_is_no_part_of_the_trace() -> None:
+def test_a_prefix_sets_the_start_of_the_search_and_is_not_in_the_trace() -> None:
     found = explore_breadth_first(CounterModel(forbidden=7), 100, prefix=["add 3", "add .*"])
     assert found.trace == ["add 3"]
-    with pytest.raises(LookupError, match="no step 'add 2'"):
+    with pytest.raises(LookupError, match="no step matches 'add 2'"):
         follow_patterns(CounterModel(), 0, ["add 2"])
 
 
-def test_depth_first_takes_all_courses_and_goes_on_from_no_state_twice() -> None:
+def test_depth_first_takes_all_paths_and_continues_from_no_state_twice() -> None:
     found = explore_depth_first(CounterModel(), 2)
-    # 1 and 3 after one step; 2, 4 and 6 after two, of which 4 is reached twice.
-    assert (found.states, found.courses, found.revisits) == (5, 3, 1)
+    # One step leads to 1 and 3; two steps lead to 2, 4 and 6, of which 4 is reached twice.
+    assert (found.states, found.paths, found.revisits) == (5, 3, 1)
     assert found.exhaustive
 
 
-def test_depth_first_checks_recovery_after_each_course() -> None:
+def test_depth_first_checks_recovery_after_each_path() -> None:
     found = explore_depth_first(CounterModel(unrecoverable=6), 2)
     assert (found.violation, found.trace) == ("it stays 6", ["add 3", "add 3"])
 
 
-def test_a_trace_is_minimized_to_the_steps_that_it_needs() -> None:
+def test_minimizing_a_trace_keeps_only_the_steps_it_needs() -> None:
     class AtLeastFive(CounterModel):
         def check_invariants(self, state: int) -> str:
             return "too much" if state >= 5 else ""
@@ -97,14 +97,14 @@
     assert minimal == ["add 3", "add 3"]
 
 
-def test_random_walks_find_a_violation_and_the_same_seed_the_same_one() -> None:
+def test_random_walks_find_the_same_violation_with_the_same_seed() -> None:
     model = CounterModel(forbidden=8)
     found = swarm_search(model, WalkOptions(seed=1, max_walks=50))
     assert found.violation == "it is 8"
     assert swarm_search(model, WalkOptions(seed=1, max_walks=50)) == found
 
 
-def test_walks_that_end_in_a_state_without_recovery_are_reported_as_walked() -> None:
+def test_walks_that_end_in_an_unrecoverable_state_are_reported_as_walked() -> None:
     found = explore_recovery_randomly(CounterModel(limit=99, unrecoverable=6), 50, 1, length=2)
     assert (found.violation, found.trace) == ("it stays 6", ["add 3", "add 3"])
     assert found.walks >= 1
--- a/tests/fleet/ownership/members.py
+++ b/tests/fleet/ownership/members.py
@@ -1,4 +1,4 @@
-"""Members over loopback sockets in one process, whose modules all order the same health checks."""
+"""Members that run in one process over loopback sockets, with membership and health checks."""
 
 from collections import Counter
 from collections.abc import AsyncIterator
@@ -27,7 +27,7 @@
 
 
 class OwnershipMembers:
-    """The running members by name, and what happened."""
+    """The running members by name, and records of their checks, results and log events."""
 
     def __init__(self, nursery: trio.Nursery, folder: Path, names: str) -> None:
         self.nursery = nursery
@@ -39,8 +39,8 @@
         self.ownerships: dict[str, Ownership] = {}
         self.coordinators: dict[str, HealthCheckCoordinator] = {}
         self.scopes: dict[str, trio.CancelScope] = {}
-        self.checks = Counter[str]()  # by worker
-        self.submitted = list[tuple[str, Event]]()  # by member
+        self.checks = Counter[str]()  # health checks made, by worker
+        self.submitted = list[tuple[str, Event]]()  # member, and event for its decision module
         self.log: list[tuple[str, str, dict[str, Any]]] = []
 
     async def start(self, name: str) -> None:
@@ -50,7 +50,7 @@
         self.scopes.pop(name).cancel()
 
     def held_shards(self) -> int:
-        """How many shards the running members hold together."""
+        """Returns the number of shards that the running members hold together."""
         return sum(len(self.ownerships[name].protocol.held_shards) for name in self.scopes)
 
     async def _run(self, name: str, task_status: trio.TaskStatus[trio.CancelScope]) -> None:
@@ -114,7 +114,7 @@
 
 @asynccontextmanager
 async def running_members(folder: Path, names: str) -> AsyncIterator[OwnershipMembers]:
-    """Members that have assigned all shards, until the end of the context."""
+    """Runs members, which together hold all shards, until the end of the context."""
     async with trio.open_nursery() as nursery:
         members = OwnershipMembers(nursery, folder, names)
         for name in names:
--- a/tests/fleet/ownership/test_assignment.py
+++ b/tests/fleet/ownership/test_assignment.py
@@ -1,4 +1,4 @@
-"""Assigning lost shards and rebalancing."""
+"""Assignment of orphaned shards, and rebalancing."""
 
 from collections import Counter
 from math import ceil
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_assignment_is_balanced_and_moves_no_more_than_it_must(seed: int) -> None:
+def test_assignment_is_balanced_with_few_moves(seed: int) -> None:
     rng = Random(seed)
     members = [f"m{number}" for number in range(rng.randint(2, 7))]
     owners = [rng.choice([*members, ""]) for _ in range(rng.choice([8, 64, 256]))]
@@ -33,6 +33,6 @@
             moved += 1
     shards_owned = [owners.count(member) for member in eligible]
     assert max(shards_owned) - min(shards_owned) <= 1
-    # The most that one may own is fixed by the mean; below it the least owners even out: at most
-    # one more move each.
+    # Members above the maximum share must give up the excess, which takes `least_moves`. Evening
+    # out the members below it takes at most one more move for each member.
     assert least_moves <= moved <= least_moves + len(eligible)
--- a/tests/fleet/ownership/test_health_check_assignment.py
+++ b/tests/fleet/ownership/test_health_check_assignment.py
@@ -1,4 +1,4 @@
-"""Decisions on shared health checks, beside a plain model."""
+"""Decisions on shared health checks."""
 
 from collections import Counter
 
@@ -12,32 +12,32 @@
 )
 
 
-def test_requests_are_answered_by_fresh_results_or_the_owner_and_else_checked_seldom() -> None:
+def test_unanswered_requests_lead_to_infrequent_fallback_checks() -> None:
     shared = SharedHealthChecks(0.4)
     assert shared.request(0.0, "w") is None
     assert shared.overdue(0.5, 5) == []
     assert shared.overdue(0.9, 5) == ["w"]
-    assert shared.overdue(0.9, 5) == [], "in progress"
+    assert shared.overdue(0.9, 5) == [], "the check is in progress"
     result = HealthCheckResult("w", True, "ok", 0.1, 1.0)
     assert shared.record_own_result(result)
     assert not shared.record_own_result(result)
     assert shared.request(1.5, "w") == result
     assert shared.request(2.5, "w") is None
     times = [n / 10 for n in range(25, 200) if shared.overdue(n / 10, 5)]
-    assert times == [5.9], "five members: each five seconds"
+    assert times == [5.9], "with five members each checks once in five seconds"
     assert shared.request_as_owner(20.0, "x") is OwnerAction.START_CHECK
     assert shared.request_as_owner(20.1, "x") is OwnerAction.AWAIT_CHECK
     assert shared.request_as_owner(1.9, "w") == result
 
 
-def test_an_owner_that_does_not_reach_a_worker_is_not_believed_without_a_check() -> None:
-    """Cut off from the worker, it would say for all that it is dead; each checks, as seldom as
-    without an owner.
+def test_an_owners_failed_check_is_confirmed_by_an_own_check() -> None:
+    """An owner that is cut off from a worker reports failed checks to all members. Each of them
+    checks the worker itself first, as infrequently as without an owner.
     """
     shared = SharedHealthChecks(0.4)
     failed = HealthCheckResult("w", False, "timeout", 0.4, 10.0)
     assert shared.record_remote_result(failed, 10.0, 3) is RemoteResultUse.STORE, (
-        "nobody waits for it here"
+        "no request waits for it on this member"
     )
     shared.request(20.0, "w")
     assert shared.record_remote_result(failed, 20.1, 3) is RemoteResultUse.CHECK_FIRST
@@ -47,18 +47,18 @@
     assert shared.request(20.5, "w") == healthy
     shared.request(22.0, "w")
     assert shared.record_remote_result(failed, 22.1, 3) is RemoteResultUse.SUBMIT, (
-        "we have checked within three seconds; its word stands"
+        "this member has checked within three seconds, so the owner's result counts"
     )
     shared.request(24.0, "w")
     assert shared.record_remote_result(failed, 24.1, 3) is RemoteResultUse.CHECK_FIRST
     shared.request(30.0, "x")
     answered = HealthCheckResult("x", True, "ok", 0.1, 30.1)
     assert shared.record_remote_result(answered, 30.1, 3) is RemoteResultUse.SUBMIT, (
-        "who answers it is there for all"
+        "a healthy result needs no confirmation"
     )
 
 
-def test_workers_fall_into_groups_evenly_enough() -> None:
+def test_workers_are_spread_evenly_over_the_groups() -> None:
     sizes = Counter(task_of(f"10.0.0.{number}:80") for number in range(6400))
     assert len(sizes) == WORKER_GROUPS
     assert max(sizes.values()) < 150
--- a/tests/fleet/ownership/test_history.py
+++ b/tests/fleet/ownership/test_history.py
@@ -1,4 +1,4 @@
-"""The checker of what executors saw."""
+"""The checker of executed effects."""
 
 from dunlinlug.fleet.ownership import history
 from dunlinlug.fleet.ownership.history import Observation
@@ -20,9 +20,9 @@
     ]
     assert history.find_violations(in_order) == []
     for violating, description in (
-        (observed(1, 9, "a"), "a lower number after a higher"),
-        (observed(2, 1, "b"), "done again"),
-        (observed(2, 2, "c"), "two owners under one number"),
+        (observed(1, 9, "a"), "a lower token after a higher one"),
+        (observed(2, 1, "b"), "effect repeated"),
+        (observed(2, 2, "c"), "two owners under one token"),
     ):
         first = history.find_violations([*in_order, violating])[0]
         assert first.description.startswith(description)
--- a/tests/fleet/ownership/test_log.py
+++ b/tests/fleet/ownership/test_log.py
@@ -1,4 +1,4 @@
-"""The assignment table, by entries and by snapshots."""
+"""The assignment table, built from entries and from snapshots."""
 
 from random import Random
 
@@ -22,7 +22,7 @@
     )
 
 
-def test_the_table_is_the_same_by_entries_and_by_snapshots_and_ignores_what_is_late() -> None:
+def test_entries_and_snapshots_build_the_same_table_and_late_checkpoints_are_ignored() -> None:
     table = log.AssignmentTable(16)
     rng = Random(2)
     for number in range(1, 200):
@@ -30,7 +30,7 @@
         before = list(table.tokens)
         table.apply(log.decode_entry(log.encode_entry(entry)), (1 + number // 50, number))
         assert all(new >= old for new, old in zip(table.tokens, before, strict=True)), (
-            "tokens only grow"
+            "tokens never decrease"
         )
         assert vars(log.decode_snapshot(table.snapshot(), 16)) == vars(table)
     checkpoints = dict(table.checkpoints)
@@ -42,6 +42,6 @@
             log.decode_entry(invalid)
         with pytest.raises(log.LogFormatError):
             log.decode_snapshot(invalid, 16)
-    with pytest.raises(log.LogFormatError, match="16 slots, we 8"):
+    with pytest.raises(log.LogFormatError, match="16 shards, expected 8"):
         log.decode_snapshot(table.snapshot(), 8)
     assert term_of(token_at((7, 12))) == 7
--- a/tests/fleet/ownership/test_model.py
+++ b/tests/fleet/ownership/test_model.py
@@ -1,4 +1,4 @@
-"""Short runs of ownership's model; docs/ownership.md tells of the long ones."""
+"""Short runs of the ownership model; docs/ownership.md describes the long ones."""
 
 from dunlinlug.fleet.model_checking.engine import (
     WalkOptions,
@@ -8,15 +8,15 @@
 from dunlinlug.fleet.ownership.model import DEEP_LIMITS, OwnershipModel
 
 
-def test_a_short_search_finds_no_violation_and_all_states_recover() -> None:
+def test_a_short_search_finds_no_violation_and_all_checked_states_recover() -> None:
     found = explore_breadth_first(OwnershipModel(), 3000, recovery_check_interval=499)
     assert (found.violation, found.trace) == ("", [])
     assert found.states >= 3000
     assert found.recoveries.recovered == found.recoveries.checked > 4
 
 
-def test_effects_without_a_fence_and_a_second_check_are_caught() -> None:
+def test_without_fencing_and_without_the_second_lease_check_a_violation_is_found() -> None:
     model = OwnershipModel(limits=DEEP_LIMITS, fenced=False, recheck=False)
     found = swarm_search(model, WalkOptions(seed=1, length=80, max_walks=30))
-    assert "though" in found.violation
+    assert "although" in found.violation
     assert found.trace
