--- a/tests/fleet/ownership/test_protocol.py
+++ b/tests/fleet/ownership/test_protocol.py
@@ -1,4 +1,4 @@
-"""Ownership in simulated time: one owner at a time for each shard, whatever fails."""
+"""Ownership in simulated time: each shard has at most one owner at a time under any faults."""
 
 from collections import Counter
 from dataclasses import replace
@@ -33,13 +33,15 @@
 
 
 def imbalance(owners: list[str]) -> int:
-    """How many shards more the member that owns most has than the one that owns least."""
+    """Returns the difference between the largest and the smallest number of owned shards."""
     shards_owned = Counter(owners).values()
     return max(shards_owned) - min(shards_owned)
 
 
-def storm(seed: int, members: int, seconds: float = 60.0, **options: Any) -> SimulatedNetwork:
-    """Freezes, kills, restarts and partitions, drawn from one seed; calm at the end."""
+def run_random_faults(
+    seed: int, members: int, seconds: float = 60.0, **options: Any
+) -> SimulatedNetwork:
+    """Runs with freezes, kills, restarts and partitions drawn from one seed, and ends without."""
     net = SimulatedNetwork(seed, SimulationOptions(members, TASKS, **options))
     rng = Random(f"storm {seed}")
     net.run(4.0)
@@ -53,17 +55,18 @@
 
 
 def inject_fault(net: SimulatedNetwork, rng: Random) -> None:
-    """One drawn fault and its end, or none."""
+    """Draws a fault and schedules its end, or draws none."""
     name = rng.choice(net.member_names)
     node = net.nodes[name]
     match rng.choice(["freeze", "freeze", "kill", "partition", "mute", "none"]):
         case "freeze" if not node.frozen and not node.dead:
             net.freeze(name)
-            thaw = partial(net.freeze, name, False)
-            net.schedule(net.now + rng.choice([0.3, 1.01, 2.0, 4.0]), thaw)
+            unfreeze = partial(net.freeze, name, False)
+            net.schedule(net.now + rng.choice([0.3, 1.01, 2.0, 4.0]), unfreeze)
         case "kill" if not node.frozen and not node.dead:
             net.kill(name)
-            # Never without its disk: as promised, no more than one at a time forgets its vote.
+            # Never with an empty disk: the protocol tolerates at most one member at a time that
+            # has lost its vote.
             net.schedule(net.now + rng.uniform(0.1, 3.0), partial(net.start, name))
         case "partition":
             members = net.member_names
@@ -76,8 +79,8 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_two_members_hold_a_shard_and_all_shards_are_owned_again(seed: int) -> None:
-    net = storm(
+def test_no_two_members_hold_a_shard_and_all_shards_are_held_after_the_faults(seed: int) -> None:
+    net = run_random_faults(
         seed, 3 + 2 * (seed % 2), loss=0.05, duplication=0.05, max_effect_delay=0.5 * (seed % 3)
     )
     assert not net.ownership_conflicts, net.ownership_conflicts[:3]
@@ -89,20 +92,22 @@
     assert len({observation.owner for observation in net.observations}) > 1
 
 
-def test_an_effect_in_a_frozen_owner_s_queue_is_checked_again_or_rejected() -> None:
-    """Without the second check it leaves, and the fence rejects it; with neither history finds it."""
+def test_an_effect_pending_in_a_frozen_owner_is_checked_again_or_rejected() -> None:
+    """Without the second lease check the effect is sent and the executor rejects it. Without the
+    check and without fencing the history shows a violation.
+    """
     for recheck, fenced in ((True, True), (False, True), (True, False), (False, False)):
         net = SimulatedNetwork(2, SimulationOptions(recheck=recheck, fenced=fenced))
         net.run(5.0)
         frozen = next_follower_with_pending_effects(net)
-        net.freeze(frozen.name)  # between its decision and its sending
+        net.freeze(frozen.name)  # after it decided the effect, before it sends it
         net.run(net.now + 3.0)
         net.freeze(frozen.name, False)
         net.run(net.now + 1.0)
         found = [violation.description for violation in history.find_violations(net.observations)]
         rejected = sum(not observation.done for observation in net.observations)
         case = (recheck, fenced, found)
-        assert ("a lower number after a higher" in found) == (not recheck and not fenced), case
+        assert ("a lower token after a higher one" in found) == (not recheck and not fenced), case
         assert bool(rejected) == (not recheck and fenced), case
 
 
@@ -114,11 +119,11 @@
         net.run(net.now + 0.005)
 
 
-# Protocols with one rule taken out.
+# Protocols without one of the rules.
 
 
 class ReassignsTooEarly(OwnershipProtocol):
-    """Assigns shards anew as soon as a member is late, not when all that it was granted has ended."""
+    """Reassigns a member's shards as soon as a renewal is late, before its leases have expired."""
 
     class Coordinator(LeaseCoordinator):
         def _grant_lease(self, now: float, member: str) -> list[object]:
@@ -131,7 +136,7 @@
 
 
 class GrantsBeyondOwnLease(OwnershipProtocol):
-    """Grants beyond the coordinator's own lease."""
+    """Uses leases that outlast the coordinator's own lease."""
 
     class Lease(HeldLease):
         def receive(self, lease: LeaseGranted) -> None:
@@ -141,7 +146,7 @@
 
 
 class CountsLeaseFromResponse(OwnershipProtocol):
-    """Counts a lease from when the answer came."""
+    """Counts a lease from the arrival of the answer instead of the sending of the renewal."""
 
     def receive(self, now: float, message: Any) -> list[object]:
         if isinstance(message, LeaseGranted):
@@ -151,7 +156,7 @@
 
 
 class UsesOutdatedLog(OwnershipProtocol):
-    """Back from a partition, counts a lease by a log that it has not brought up to date."""
+    """Uses a lease after a partition before its log is up to date."""
 
     class Lease(HeldLease):
         def log_covers(self, lease: LeaseGranted) -> bool:
@@ -169,20 +174,24 @@
         (CountsLeaseFromResponse, {"delay": (0.0005, 0.4), "lease": 1.0}),
     ],
 )
-def test_a_protocol_without_one_of_its_rules_is_caught(
+def test_a_protocol_without_one_of_its_rules_leads_to_conflicts(
     protocol_class: type[OwnershipProtocol], options: dict[str, Any]
 ) -> None:
     for seed in range(80):
-        net = storm(seed, 3, 20.0, protocol_factory=protocol_class, loss=0.05, **options)
+        net = run_random_faults(
+            seed, 3, 20.0, protocol_factory=protocol_class, loss=0.05, **options
+        )
         if net.ownership_conflicts:
             return
-    raise AssertionError("not seen in eighty storms")
+    raise AssertionError("no conflict in 80 runs with random faults")
 
 
 # Assignment.
 
 
-def test_a_death_moves_only_what_was_owned_and_a_return_rebalances_by_the_fewest_moves() -> None:
+def test_a_kill_moves_only_the_members_shards_and_a_restart_rebalances_by_the_fewest_moves() -> (
+    None
+):
     net = SimulatedNetwork(3, SimulationOptions(5, shards=256))
     net.run(5.0)
     started_at = net.now
@@ -200,12 +209,12 @@
     net.run(net.now + 12.0)
     final = list(net.nodes["m1"].protocol.assignments.owners)
     moved = sum(old != new for old, new in zip(after, final, strict=True))
-    assert Counter(final)["m4"] == moved == 51, "not one more than its share"
+    assert Counter(final)["m4"] == moved == 51, "exactly its share moves"
     assert len(net.assignments) > assigned
     assert net.now > started_at
 
 
-def test_a_flapping_member_is_assigned_less_and_less() -> None:
+def test_a_flapping_member_is_assigned_no_shards_in_the_end() -> None:
     net = SimulatedNetwork(4, SimulationOptions(3, shards=64))
     net.run(6.0)
     owned = list[int]()
@@ -219,7 +228,7 @@
     assert owned[-1] == 0, owned
 
 
-def test_a_suspicion_that_is_refuted_moves_nothing() -> None:
+def test_a_refuted_suspicion_moves_no_shards() -> None:
     net = SimulatedNetwork(5, SimulationOptions(5, shards=64))
     net.run(6.0)
     before = list(net.nodes["m1"].protocol.assignments.tokens)
@@ -235,7 +244,7 @@
     assert net.nodes["m1"].protocol.assignments.tokens == before
 
 
-def test_an_operator_moves_a_task_and_it_stays_for_a_while() -> None:
+def test_an_operator_moves_a_task_to_another_member() -> None:
     net = SimulatedNetwork(8, SimulationOptions(3, shards=9))
     net.run(6.0)
     coordinator = coordinator_of(net)
@@ -244,7 +253,7 @@
     [owner] = net.lease_holders()["x"]
     target = next(name for name in net.member_names if name != owner)
     shard = protocol.assignments.shard_of("x")
-    with pytest.raises(ShardMoveError, match="no member that is here"):
+    with pytest.raises(ShardMoveError, match="not a voting member with a valid lease"):
         protocol.move_shard(now, shard, "m9")
     net.execute(coordinator, protocol.move_shard(now, shard, target))
     net.run(net.now + 0.3)
@@ -252,7 +261,7 @@
     assert history.find_violations(net.observations) == []
 
 
-def test_only_a_side_of_a_partition_with_a_majority_owns_shards_and_it_owns_all() -> None:
+def test_a_majority_side_of_a_partition_holds_all_shards_and_other_sides_none() -> None:
     for sizes, owning_members in (((3, 2), 3), ((2, 2, 1), 0), ((4, 1), 4)):
         net = SimulatedNetwork(9, SimulationOptions(5, shards=64))
         net.run(6.0)
@@ -273,7 +282,7 @@
         assert history.find_violations(net.observations) == []
 
 
-def test_thousands_of_tasks_orphaned_in_one_moment_are_assigned_by_one_entry() -> None:
+def test_thousands_of_tasks_orphaned_at_once_are_reassigned_by_one_entry() -> None:
     tasks = tuple(f"worker/o-{number}/ramp" for number in range(10_000))
     net = SimulatedNetwork(10, SimulationOptions(3, shards=256))
     net.run(6.0)
@@ -286,13 +295,13 @@
     net.run(net.now + 1.5)
     assert orphaned > 3000
     assert victim not in coordinator.protocol.assignments.owners
-    assert coordinator.protocol.log.position[1] == entries + 1, "as many messages as for ten tasks"
+    assert coordinator.protocol.log.position[1] == entries + 1, "one entry for any number of tasks"
 
 
-# Checkpoints, tokens, leases.
+# Checkpoints, tokens and leases.
 
 
-def test_the_next_owner_learns_how_far_a_task_had_come() -> None:
+def test_the_next_owner_gets_the_tasks_checkpoint() -> None:
     net = SimulatedNetwork(6)
     net.run(5.0)
     [owner] = net.lease_holders()["x"]
@@ -307,12 +316,12 @@
     assert next_owner != owner
     assert net.nodes[next_owner].protocol.assignments.checkpoints["x"][1] == b"step 2"
     other = next(name for name in net.member_names if name not in (owner, next_owner))
-    with pytest.raises(CheckpointError, match="not ours"):
+    with pytest.raises(CheckpointError, match="does not hold the shard"):
         net.nodes[other].protocol.store_checkpoint(net.now, "x", b"step 9")
 
 
-def test_no_token_passes_a_fence_twice_after_all_disks_were_lost() -> None:
-    """Terms begin anew, and executors know of higher tokens."""
+def test_no_token_is_accepted_twice_after_all_disks_were_lost() -> None:
+    """Terms start from zero, but executors have already recorded higher tokens."""
     net = SimulatedNetwork(7)
     net.run(6.0)
     for name in net.member_names:
@@ -324,12 +333,14 @@
     assert all(len(owners) == 1 for owners in net.lease_holders().values())
     recent = [seen for seen in net.observations if seen.observed_at > net.now - 2.0]
     assert {seen.task for seen in recent if seen.done} == {"x", "y"}, (
-        "work goes on under tokens above all that were seen"
+        "work continues under tokens above all earlier ones"
     )
     assert any(not seen.done for seen in net.observations)
 
 
-def test_a_lease_of_another_incarnation_or_coordinator_or_of_a_newer_log_gives_nothing() -> None:
+def test_a_lease_for_another_incarnation_or_of_another_coordinator_or_newer_log_is_ignored() -> (
+    None
+):
     net = SimulatedNetwork(11)
     net.run(5.0)
     node = follower_of(net)
--- a/tests/fleet/ownership/test_service.py
+++ b/tests/fleet/ownership/test_service.py
@@ -1,4 +1,4 @@
-"""Ownership over sockets in one process: effects of a former owner, and tokens after a restart."""
+"""Ownership over sockets in one process: a former owner's effects, and tokens after a restart."""
 
 from functools import partial
 
@@ -11,7 +11,7 @@
 TASK = "site/north"
 
 
-async def test_effects_of_an_owner_that_lost_a_task_are_rejected_and_it_stops(
+async def test_effects_of_a_former_owner_are_rejected_and_it_stops_sending(
     three_members: OwnershipMembers,
 ) -> None:
     executed = list[tuple[str, bytes]]()
@@ -31,26 +31,26 @@
     late = Effect(0, owner, TASK, members[owner].held_token(TASK) or 0, 99, b"late")
     coordinator.move_task(TASK, target)
     await until(lambda: members[target].held_token(TASK) is not None)
-    assert members[target].checkpoint(TASK) == b"step 2", "the next owner knows how far it had come"
+    assert members[target].checkpoint(TASK) == b"step 2", "the next owner has the checkpoint"
     assert not members[owner].send_effect(target, TASK, b"no more")
     assert members[owner].counters["not_ours"] == 1
     for name in members:
         if name != owner:
-            # As if it had been in a socket's buffer.
+            # Simulates an effect that was delayed in a socket buffer.
             members[owner].transport.send(name, late)
     await until(lambda: members[owner].counters["refused_by_others"] == 2)
     assert b"late" not in {body for _, body in executed}
-    assert members[target].held_token(TASK) is not None, "and who owns it goes on"
+    assert members[target].held_token(TASK) is not None, "the new owner still holds the task"
 
 
-async def test_a_member_that_has_restarted_goes_by_new_tokens(
+async def test_a_restarted_member_gets_new_tokens(
     three_members: OwnershipMembers,
 ) -> None:
     members = three_members.ownerships
     restarted = next(name for name, one in members.items() if not one.protocol.log.is_leader)
     before = dict(members[restarted].protocol.held_shards)
     three_members.stop(restarted)
-    await trio.sleep(0.1)  # far less than a lease: its shards are still its own
+    await trio.sleep(0.1)  # much less than a lease, so that the member keeps its shards
     await three_members.start(restarted)
     await until(lambda: len(members[restarted].protocol.held_shards) > 60)
     held = members[restarted].protocol.held_shards
--- a/tests/fleet/ownership/test_shared_health_checks.py
+++ b/tests/fleet/ownership/test_shared_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks shared over sockets in one process."""
+"""Health checks shared by members over sockets in one process."""
 
 from collections import Counter
 
@@ -10,7 +10,7 @@
 WORKERS = [f"w{number}" for number in range(24)]
 
 
-async def test_a_worker_that_five_managers_ask_for_is_checked_once_and_all_learn_of_it(
+async def test_a_worker_requested_by_five_managers_is_checked_once_and_all_get_the_result(
     five_members: OwnershipMembers,
 ) -> None:
     ownerships = five_members.ownerships.values()
@@ -20,16 +20,16 @@
             coordinator.request(worker)
     await until(lambda: len(five_members.submitted) == 5 * len(WORKERS))
     assert five_members.checks == Counter(dict.fromkeys(WORKERS, 1)), (
-        "one check each, where five would each check"
+        "one check per worker instead of five"
     )
-    learned = Counter(name for name, _ in five_members.submitted)
-    assert learned == Counter(dict.fromkeys("abcde", len(WORKERS)))
+    results_by_member = Counter(name for name, _ in five_members.submitted)
+    assert results_by_member == Counter(dict.fromkeys("abcde", len(WORKERS)))
     assert all(coordinator.checks_started for coordinator in five_members.coordinators.values()), (
-        "and all of them made some"
+        "each member made some of the checks"
     )
 
 
-async def test_without_a_majority_each_checks_for_itself_and_seldom(
+async def test_without_a_majority_a_member_makes_infrequent_fallback_checks(
     three_members: OwnershipMembers,
 ) -> None:
     three_members.stop("b")
@@ -45,4 +45,4 @@
     requested_at = trio.current_time()
     coordinator.request("w1")
     await until(lambda: len(three_members.submitted) == 2)
-    assert trio.current_time() - requested_at > 2.0, "a third as often as one owner of three would"
+    assert trio.current_time() - requested_at > 2.0, "a third as often as a single owner checks"
--- a/tests/fleet/ownership/test_shared_overrides.py
+++ b/tests/fleet/ownership/test_shared_overrides.py
@@ -1,4 +1,4 @@
-"""Operator overrides of the whole fleet, over three managers in one process."""
+"""Operator overrides for the whole fleet, with three managers in one process."""
 
 import json
 from pathlib import Path
@@ -18,30 +18,32 @@
 
 
 def active_overrides(managers: Fleet) -> dict[str, list[str]]:
-    """By member the traffic classes that have an override there."""
+    """Returns, by member, the traffic classes that have an active override on it."""
     return {
         name: sorted(entry["product"] for entry in manager.admin_api.overrides.to_plain())
         for name, manager in managers.managers.items()
     }
 
 
-async def ask(managers: Fleet, name: str, method: str, path: str, body: object = None) -> Response:
-    """What a manager answers an operator."""
+async def send_request(
+    managers: Fleet, name: str, method: str, path: str, body: object = None
+) -> Response:
+    """Returns a manager's answer to an operator's request."""
     headers = {"authorization": f"Bearer {TOKEN}"}
     request = Request(method, path, {}, headers, json.dumps(body).encode())
     return await managers.managers[name].admin_api.handle(request)
 
 
 async def put_override(managers: Fleet, name: str) -> Response:
-    return await ask(managers, name, "PUT", "/pins", OVERRIDE)
+    return await send_request(managers, name, "PUT", "/pins", OVERRIDE)
 
 
 async def delete_override(managers: Fleet, name: str) -> Response:
-    return await ask(managers, name, "DELETE", f"/pins/{TRAFFIC_CLASS}")
+    return await send_request(managers, name, "DELETE", f"/pins/{TRAFFIC_CLASS}")
 
 
 async def until_ready(managers: Fleet) -> None:
-    """All managers hold shards and know the workers."""
+    """Waits until all managers hold shards and have the list of workers."""
     await until(
         lambda: all(
             manager.ownership and len(manager.ownership.protocol.held_shards) > 60
@@ -65,7 +67,7 @@
     )
 
 
-async def test_operators_at_two_managers_change_an_override_one_at_a_time_and_all_have_it(
+async def test_an_override_is_changed_on_its_owner_only_and_applied_on_all_managers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     token = tmp_path / "token"
@@ -83,13 +85,16 @@
         other = next(name for name in managers.managers if name != owner)
         rejected = await put_override(managers, other)
         assert rejected.status == 409
-        assert f"{owner} decides on pins of {TRAFFIC_CLASS}; say it" in rejected.body.decode()
+        assert (
+            f"{owner} owns the override of {TRAFFIC_CLASS}; make the change"
+            in rejected.body.decode()
+        )
         with monkeypatch.context() as patch:
             patch.setattr(messages, "MAX_CHECKPOINT_BYTES", 10)
             too_large = await put_override(managers, owner)
         assert too_large.status == 409
-        assert "over 10 bytes" in too_large.body.decode()
-        assert active_overrides(managers) == NOWHERE, "what can't be told to all stands nowhere"
+        assert "exceeds 10 bytes" in too_large.body.decode()
+        assert active_overrides(managers) == NOWHERE, "a change that is not logged is not applied"
         assert (await put_override(managers, owner)).status == 200
         await until(lambda: active_overrides(managers) == EVERYWHERE)
         coordinator = next(
@@ -106,6 +111,6 @@
         for name in set(managers.managers) - {other}:
             await managers.stop(name)
         await until(lambda: not managers.managers[other].ownership.protocol.held_shards)
-        nobody = await put_override(managers, other)
-        assert nobody.status == 409
-        assert "nobody decides" in nobody.body.decode(), "overrides stay as they are"
+        rejected = await put_override(managers, other)
+        assert rejected.status == 409
+        assert "no manager owns" in rejected.body.decode(), "overrides stay as they are"
