--- a/dunlinlug/fleet/ownership/granted_leases.py
+++ b/dunlinlug/fleet/ownership/granted_leases.py
@@ -15,10 +15,17 @@
 
 
 class GrantedLeases:
-    """Records the latest lease end, the latest renewal and the incarnation of each member."""
+    """Records granted leases.
+
+    Attributes:
+        granted_until: By member, the latest time at which a granted lease can end, in seconds on
+            this member's clock.
+        last_renewals: The last renewal by member.
+        incarnations: The current incarnation by member.
+    """
 
     def __init__(self) -> None:
-        self.granted_until: dict[str, float] = {}  # seconds on this member's clock
+        self.granted_until: dict[str, float] = {}
         self.last_renewals: dict[str, Renewal] = {}
         self.incarnations: dict[str, int] = {}
 
@@ -36,9 +43,9 @@
 
     def record_renewal(self, now: float, renewal: RenewLease) -> None:
         """Records a renewal unless one that was sent later is already recorded."""
-        renewed = Renewal(renewal.sent_at, now)
+        received = Renewal(renewal.sent_at, now)
         previous = self.last_renewals.get(renewal.sender, Renewal(-inf, now))
-        self.last_renewals[renewal.sender] = max(previous, renewed)
+        self.last_renewals[renewal.sender] = max(previous, received)
 
     def record_early_renewal(self, now: float, renewal: RenewLease) -> None:
         """Records a renewal from before leases can be granted.
--- a/dunlinlug/fleet/ownership/lease.py
+++ b/dunlinlug/fleet/ownership/lease.py
@@ -44,7 +44,7 @@
         return self.until if self.replica.follows_term(self.term) else -inf
 
     def committed(self) -> LogPosition:
-        """Returns the last log position that this member knows to be on a majority."""
+        """Returns the last log position that is known to be committed."""
         log = self.replica.log
         return log.committed if log.is_leader else self.committed_position
 
--- a/dunlinlug/fleet/ownership/log_driver.py
+++ b/dunlinlug/fleet/ownership/log_driver.py
@@ -40,7 +40,7 @@
     def handle_log_orders(self, now: float, orders: Iterable[log_messages.Order]) -> Orders:
         """Executes orders of the log's protocol and returns the orders left for the service.
 
-        An entry or snapshot that cannot be decoded discards the log of this member.
+        If an entry or snapshot cannot be decoded, this member discards its log.
         """
         remaining: Orders = []
         for order in orders:
--- a/dunlinlug/fleet/ownership/messages.py
+++ b/dunlinlug/fleet/ownership/messages.py
@@ -123,7 +123,7 @@
     token: int = field(metadata=wire("number"))
     sequence: int = field(metadata=wire("count"))
     done: bool = field(metadata=wire("done"))
-    # The token that the executor compared with, and that token's owner.
+    # The highest token that the executor has for the shard, and that token's owner.
     highest_token: int = field(metadata=wire("seen"))
     owner: str = field(metadata=wire("owner"))
 
@@ -131,7 +131,7 @@
     def rejection(
         cls, executor: str, effect: Effect, highest: FencingToken, term: int = 0
     ) -> "EffectResult":
-        """Returns the answer to a rejected effect, with the token that it was compared with."""
+        """Returns the answer to a rejected effect, with the executor's highest token."""
         return cls(
             term,
             executor,
--- a/dunlinlug/fleet/ownership/model.py
+++ b/dunlinlug/fleet/ownership/model.py
@@ -38,7 +38,7 @@
 from dunlinlug.fleet.ownership.fencing import DUPLICATE_REASON, FencingGuard
 from dunlinlug.fleet.ownership.messages import Effect, EffectResult, SendMessage
 from dunlinlug.fleet.ownership.model_state import (
-    Fence,
+    HighestToken,
     OwnershipLimits,
     OwnershipState,
     PendingEffect,
@@ -98,7 +98,7 @@
             pending_effects=(None,) * len(MEMBERS),
             effect_sequences=(0,) * len(MEMBERS),
             in_flight=(),
-            fences=((),) * len(EXECUTORS),
+            highest_tokens=((),) * len(EXECUTORS),
             remaining=self.limits,
         )
         state = self.settle(replace(state, now=LEASE_UNITS // HEARTBEAT_UNITS), (0,))
@@ -319,18 +319,22 @@
     """Returns the state after an executor received an effect, which its fencing may reject."""
     index = EXECUTORS.index(executor)
     shard = TASKS.index(effect.task)
-    fence = FencingGuard()
-    fence.highest_tokens = {entry.shard: entry.token for entry in state.fences[index]}
-    highest = fence.highest_token(shard)
-    reason = fence.check(shard, effect.token, effect.sender, effect.sequence)
+    guard = FencingGuard()
+    guard.highest_tokens = {entry.shard: entry.token for entry in state.highest_tokens[index]}
+    highest = guard.highest_token(shard)
+    reason = guard.check(shard, effect.token, effect.sender, effect.sequence)
     if reason and fenced:
         if reason == DUPLICATE_REASON:
             return state
         rejection = EffectResult.rejection(executor, effect, highest)
         return replace(state, in_flight=(*state.in_flight, Delivery(effect.sender, rejection)))
     violation = f"{executor} executes {effect.sender}'s effect although {reason}" if reason else ""
-    fences = tuple(Fence(*item) for item in sorted(fence.highest_tokens.items()))
-    return replace(state, fences=replace_item(state.fences, index, fences), violation=violation)
+    tokens = tuple(HighestToken(*item) for item in sorted(guard.highest_tokens.items()))
+    return replace(
+        state,
+        highest_tokens=replace_item(state.highest_tokens, index, tokens),
+        violation=violation,
+    )
 
 
 def main() -> None:
--- a/dunlinlug/fleet/ownership/model_state.py
+++ b/dunlinlug/fleet/ownership/model_state.py
@@ -44,7 +44,7 @@
     token: int
 
 
-class Fence(NamedTuple):
+class HighestToken(NamedTuple):
     """The highest fencing token that an executor has executed for a shard."""
 
     shard: int
@@ -55,14 +55,14 @@
 class OwnershipState(SystemState[OwnershipProtocol, OwnershipLimits]):
     """The members, the executors and the messages in flight.
 
-    Each tuple has one item per member; `fences` has one per executor.
+    Each tuple has one item per member; `highest_tokens` has one per executor.
     """
 
     disks: tuple[messages.Persist, ...]
     incarnations: tuple[int, ...]
     pending_effects: tuple[PendingEffect | None, ...]
     effect_sequences: tuple[int, ...]
-    fences: tuple[tuple[Fence, ...], ...]
+    highest_tokens: tuple[tuple[HighestToken, ...], ...]
 
 
 def local_time(state: OwnershipState, index: int) -> int:
@@ -76,8 +76,9 @@
         _protocol_form(protocol, local_time(state, index))
         for index, protocol in enumerate(state.protocols)
     ]
-    fences = [
-        [(fence.shard, *vars(fence.token).values()) for fence in fences] for fences in state.fences
+    highest_tokens = [
+        [(highest.shard, *vars(highest.token).values()) for highest in tokens]
+        for tokens in state.highest_tokens
     ]
     limits = state.remaining
     return digest(
@@ -87,7 +88,7 @@
             state.pending_effects,
             state.effect_sequences,
             sorted(repr(_delivery_form(state, delivery)) for delivery in state.in_flight),
-            fences,
+            highest_tokens,
             [(disk.term, disk.voted_for) for disk in state.disks],
             list(vars(limits).values()),
         )
--- a/dunlinlug/fleet/ownership/simulated_network.py
+++ b/dunlinlug/fleet/ownership/simulated_network.py
@@ -360,9 +360,9 @@
             self._schedule_after(delay, partial(self._deliver, sender, executor, effect))
 
     def _deliver_to_executor(self, executor: str, effect: Effect) -> None:
-        fence = self.fencing_guards[executor]
+        guard = self.fencing_guards[executor]
         shard = self.nodes[self.member_names[0]].protocol.assignments.shard_of(effect.task)
-        reason = fence.check(shard, effect.token, effect.sender, effect.sequence)
+        reason = guard.check(shard, effect.token, effect.sender, effect.sequence)
         done = not reason or not self.options.fenced
         self.observations.append(
             Observation(
@@ -370,7 +370,7 @@
             )
         )
         if reason and reason != DUPLICATE_REASON:
-            rejection = EffectResult.rejection(executor, effect, fence.highest_token(shard))
+            rejection = EffectResult.rejection(executor, effect, guard.highest_token(shard))
             delay = self.rng.uniform(*self.options.delay)
             self._schedule_after(delay, partial(self._deliver, executor, effect.sender, rejection))
 
--- a/tests/fleet/ownership/test_service.py
+++ b/tests/fleet/ownership/test_service.py
@@ -23,7 +23,7 @@
     for name, ownership in members.items():
         ownership.handle_effects("site", partial(record, name))
     owner = next(name for name in members if members[name].held_token(TASK) is not None)
-    coordinator = next(one for one in members.values() if one.protocol.log.is_leader)
+    coordinator = next(member for member in members.values() if member.protocol.log.is_leader)
     target = next(name for name in members if name != owner)
     members[owner].store_checkpoint(TASK, b"step 2")
     assert members[owner].send_effect(target, TASK, b"first")
@@ -47,7 +47,7 @@
     three_members: OwnershipMembers,
 ) -> None:
     members = three_members.ownerships
-    restarted = next(name for name, one in members.items() if not one.protocol.log.is_leader)
+    restarted = next(name for name, member in members.items() if not member.protocol.log.is_leader)
     before = dict(members[restarted].protocol.held_shards)
     three_members.stop(restarted)
     await trio.sleep(0.1)  # much less than a lease, so that the member keeps its shards
--- a/tests/fleet/ownership/test_shared_overrides.py
+++ b/tests/fleet/ownership/test_shared_overrides.py
@@ -73,12 +73,12 @@
     token = tmp_path / "token"
     token.write_text(TOKEN)
     token.chmod(0o600)
-    more = (
+    extra_config = (
         f"\n[operators]\ntoken_file = {token}\nlisten = 127.0.0.1:0\n"
         "\n[members]\nme = ME\nkey_file = KEY\nbeat = 50ms\n"
         "\n[owner]\non = yes\nlease = 500ms\nbeat = 50ms\n"
     )
-    async with fleet(tmp_path, proxies=0, more=more, succession=False) as managers:
+    async with fleet(tmp_path, proxies=0, more=extra_config, succession=False) as managers:
         await until_ready(managers)
         task = shared_overrides.task_of(TRAFFIC_CLASS)
         owner = owner_of(managers, task)
