--- a/dunlinlug/decision/state/__init__.py
+++ b/dunlinlug/decision/state/__init__.py
@@ -1,6 +1,6 @@
-"""The state that the decisions go by, kept up change by change.
+"""The state on which the decision module bases its decisions, updated incrementally.
 
-Nothing is decided here, nothing is read from outside and no clock is asked: thresholds, weights
-and the order of steps are those of the modules in `dunlinlug/decision/`. Each class stands beside a
-slow plain model in its tests.
+This package makes no decisions, performs no I/O and reads no clock: thresholds, weights and the
+order of steps are set by the modules in `dunlinlug/decision/`. The tests compare each class with a
+slow, plain model.
 """
--- a/dunlinlug/decision/state/assignments.py
+++ b/dunlinlug/decision/state/assignments.py
@@ -1,8 +1,9 @@
 """Which proxies are connected and which tables each may be using.
 
-State alone: nothing is decided here. Proxies with the same tables stand in one group, so that a
-reply costs the tables in use and the proxies that it concerns, not all proxies times all endpoints.
-A slow plain model of it stands in `tests/decision/state/test_state_models.py`.
+Bookkeeping only: no decisions are made here. Proxies with the same assigned tables form one group,
+so that the cost of a reply depends on the tables in use and the proxies concerned, not on all
+proxies times all endpoints. `tests/decision/state/test_state_models.py` compares it with a slow,
+plain model.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,14 +19,14 @@
     TablesInUse,
 )
 
-# The proxies of a group, in the order in which they came into it.
+# The proxies of a group, in the order in which they were added.
 Group = dict[int, None]
-# What a proxy may be using that has no table; not to be changed.
+# The tables in use of a proxy that has none; must not be modified.
 NO_TABLES: list[TableInUse] = []
 
 
 class Assignments(TableRegistry):
-    """Owns the connected proxies, the tables that each may be using, and their groups."""
+    """Holds the connected proxies, the tables that each may be using, and their groups."""
 
     def __init__(self, class_count: int) -> None:
         super().__init__()
@@ -33,11 +34,11 @@
         self.join_count = 0
         self.proxies: dict[int, Proxy] = {}
         self.groups: dict[AssignedTables, Group] = {}  # none is empty
-        # By table the groups that are assigned to it for some class, in the groups' order.
+        # By table, the groups that are assigned to it for some class, in the order of `groups`.
         self.groups_by_table: dict[Table, dict[AssignedTables, None]] = {}
 
     def rebuild_derived(self) -> None:
-        """Let classes that use the same tables share one list again after a read from the wire."""
+        """Make classes with equal lists of tables share one list again, after decoding."""
         for proxy in self.proxies.values():
             merged: dict[tuple[TableInUse, ...], list[TableInUse]] = {}
             proxy.tables_in_use = {
@@ -46,14 +47,14 @@
             }
 
     def add_proxy(self, proxy_id: int, zone: str, request_rate: float = 0.0) -> None:
-        """Add a connected proxy, which has no table yet; the rate is requests a second."""
+        """Add a connected proxy without tables; `request_rate` is in requests per second."""
         self.join_count += 1
         assigned_tables: AssignedTables = (None,) * self.class_count
         self.proxies[proxy_id] = Proxy(zone, request_rate, self.join_count, assigned_tables)
         self._add_to_group(proxy_id, assigned_tables)
 
     def remove_proxy(self, proxy_id: int) -> None:
-        """Remove a proxy, if it is connected; its tables are used by one less."""
+        """Remove a proxy, if it is connected, and release the tables that it may be using."""
         if proxy_id in self.proxies:
             self.set_tables_in_use(
                 proxy_id, {traffic_class: [] for traffic_class in range(self.class_count)}
@@ -62,7 +63,10 @@
             self._remove_from_group(proxy_id, proxy.assigned_tables)
 
     def set_tables_in_use(self, proxy_id: int, tables_in_use: TablesInUse) -> None:
-        """Set what a proxy may be using for these classes; it changes nowhere else."""
+        """Set the tables that a proxy may be using for these classes.
+
+        Every change of a proxy's tables goes through this method.
+        """
         proxy = self.proxies[proxy_id]
         self._count_uses(proxy, tables_in_use)
         is_reassigned = any(
@@ -73,7 +77,7 @@
             self._update_assigned_tables(proxy_id, proxy)
 
     def _count_uses(self, proxy: Proxy, tables_in_use: TablesInUse) -> None:
-        """Replace a proxy's lists of tables in use, and count the uses of the tables."""
+        """Replace a proxy's lists of tables in use, and update the tables' use counts."""
         use_changes: dict[Table, int] = {}
         for traffic_class, entries in tables_in_use.items():
             for table, _ in proxy.tables_in_use.pop(traffic_class, ()):
@@ -87,7 +91,7 @@
                 self.adjust_use_count(table, delta)
 
     def _update_assigned_tables(self, proxy_id: int, proxy: Proxy) -> None:
-        """Move a proxy to the group of its newest tables, and its request rate with it."""
+        """Move a proxy, with its request rate, to the group of its newest tables."""
         assigned_tables = tuple(
             proxy.tables_in_use[traffic_class][-1][0]
             if traffic_class in proxy.tables_in_use
@@ -104,7 +108,7 @@
         self._add_to_group(proxy_id, assigned_tables)
 
     def _remove_from_group(self, proxy_id: int, assigned_tables: AssignedTables) -> None:
-        """Take a proxy out of its group; one that is empty goes."""
+        """Remove a proxy from its group, and the group if that leaves it empty."""
         group = self.groups[assigned_tables]
         del group[proxy_id]
         if group:
@@ -117,7 +121,7 @@
                     del self.groups_by_table[table]
 
     def _add_to_group(self, proxy_id: int, assigned_tables: AssignedTables) -> None:
-        """Put a proxy into the group of these tables."""
+        """Add a proxy to the group of these tables."""
         if assigned_tables not in self.groups:
             self.groups[assigned_tables] = {}
             for table in set(assigned_tables):
@@ -133,11 +137,11 @@
         ack_number: int,
         now: float,
     ) -> None:
-        """Record that a proxy was sent this table for these classes, to be acknowledged."""
+        """Record that a proxy was sent this table for these classes but has not acknowledged it."""
         proxy = self.proxies[proxy_id]
         proxy.updated_at = now
         tables_in_use: TablesInUse = {}
-        extended: dict[int, list[TableInUse]] = {}  # classes that shared a list go on with one
+        extended: dict[int, list[TableInUse]] = {}  # by id of the old list: keeps the sharing
         for traffic_class in traffic_classes:
             entries = proxy.tables_in_use.get(traffic_class, NO_TABLES)
             if id(entries) not in extended:
@@ -146,7 +150,7 @@
         self.set_tables_in_use(proxy_id, tables_in_use)
 
     def unassign(self, proxy_id: int, traffic_classes: Iterable[int], table_id: int) -> None:
-        """Record that a proxy never got this table."""
+        """Record that a proxy did not receive this table."""
         tables_in_use = self.proxies[proxy_id].tables_in_use
         remaining = {
             traffic_class: [
@@ -161,7 +165,7 @@
     def record_update(
         self, table: Table, proxy_ids: Iterable[int], ack_number: int, now: float
     ) -> None:
-        """Record that these proxies, which are assigned to the table, were sent entries of it."""
+        """Record that these proxies, all assigned to the table, were sent entries of it."""
         for proxy_id in proxy_ids:
             proxy = self.proxies[proxy_id]
             proxy.updated_at = now
@@ -170,15 +174,18 @@
                     entries[-1] = (table, ack_number)
 
     def acknowledge(self, proxy_id: int, acknowledged: list[int]) -> None:
-        """Record that a proxy applied these replies: tables before the newest are out of use."""
+        """Record that a proxy applied these replies.
+
+        The proxy no longer uses the tables before the newest one that it acknowledged.
+        """
         proxy = self.proxies[proxy_id]
         remaining: dict[int, list[TableInUse]] = {}
         for entries in proxy.distinct_tables_in_use():
             newest_confirmed = max(
                 (
-                    place
-                    for place, (_, awaited) in enumerate(entries)
-                    if not awaited or awaited in acknowledged
+                    index
+                    for index, (_, ack_number) in enumerate(entries)
+                    if not ack_number or ack_number in acknowledged
                 ),
                 default=None,
             )
@@ -200,9 +207,9 @@
     def has_lagging_proxy(
         self, traffic_class: int, old_table: Table, table: Table, since: float
     ) -> bool:
-        """Whether a proxy that was written to after `since` may use another table of the class.
+        """Whether a proxy that was sent a table after `since` may use another one for the class.
 
-        Where the table was changed in place, only the proxies assigned to it are asked.
+        If the table was changed in place, only the proxies assigned to it are considered.
         """
         confirmed = [(table, 0)]
         proxy_ids = self.assigned_proxies(table) if old_table is table else self.proxies
@@ -213,7 +220,7 @@
         )
 
     def lagging_classes(self, updates: Mapping[int, tuple[Table, Table]], since: float) -> set[int]:
-        """Return the classes with a lagging proxy, given the old table and the new by class."""
+        """Return the classes with a lagging proxy; `updates` has the old and the new tables."""
         classes_by_update: dict[tuple[bool, Table], list[int]] = {}
         for traffic_class, (old_table, table) in updates.items():
             classes_by_update.setdefault((old_table is table, table), []).append(traffic_class)
@@ -243,7 +250,10 @@
         return [*chain.from_iterable(groups)]
 
     def groups_by_row(self, rows: set[int]) -> dict[int, list[Group]]:
-        """Return by row the groups with an entry for it, or without a table as they may get one."""
+        """Return, by row, the groups that have an entry for it or may get one.
+
+        A group may get one if it has no table for some class.
+        """
         groups: dict[int, list[Group]] = {row: [] for row in rows}
         if not rows:
             return groups
@@ -259,9 +269,9 @@
     def differing_admission(
         self, admission_levels: list[AdmissionLevel]
     ) -> dict[tuple[int, Table], list[Group]]:
-        """Return by class and table where a table in use has another level, with its groups.
+        """Return the tables in use with another level for a class, by class and table.
 
-        The groups are those that are assigned to the table for the class.
+        The values are the groups that are assigned to the table for the class.
         """
         groups_by_table: dict[tuple[int, Table], list[Group]] = {}
         differing_tables = {
@@ -284,10 +294,10 @@
     def groups_to_assign(
         self, current: Mapping[int, Table], table: Table, new_proxies: bool
     ) -> dict[AssignedTables, tuple[int, ...]]:
-        """Return the groups that lack this current table, with the classes for which they do.
+        """Return the groups not assigned to this current table, with the classes concerned.
 
-        With `new_proxies` those that have no table for the first of these classes, otherwise those
-        that have another.
+        With `new_proxies`, only groups without a table for the first of these classes; otherwise
+        only groups with a different one.
         """
         current_tables = tuple(current.values())
         missing_classes: dict[AssignedTables, tuple[int, ...]] = {}
@@ -306,7 +316,7 @@
     def lacks_local_endpoint(
         self, proxy_id: int, rows_by_zone: Mapping[str, set[int]], tables: Iterable[Table | None]
     ) -> bool:
-        """Whether a table has no endpoint of the proxy's zone though `rows_by_zone` has one."""
+        """Whether a table has no endpoint in the proxy's zone while `rows_by_zone` has one."""
         local_rows = rows_by_zone.get(self.proxies[proxy_id].zone, set())
         return bool(local_rows) and any(
             table is not None and local_rows.isdisjoint(table.weights) for table in tables
--- a/dunlinlug/decision/state/coverage.py
+++ b/dunlinlug/decision/state/coverage.py
@@ -1,25 +1,25 @@
-"""Which rows have an entry in any of some tables, and which have none.
+"""Which rows have an entry in at least one of several tables, and which have none.
 
-State alone: nothing is decided here.
+Bookkeeping only: no decisions are made here.
 """
 
 from bisect import bisect_left, insort
 
 
 class Coverage:
-    """Owns by row the number of tables with an entry for it, and the rows that are in none."""
+    """Holds, by row, the number of tables with an entry for it, and the rows that have none."""
 
     def __init__(self) -> None:
         self.table_counts: dict[int, int] = {}  # by row
-        # Rows that came into a first table or went out of the last since `find_uncovered`.
+        # Rows whose count was adjusted since the last `find_uncovered`.
         self.changed_rows = set[int]()
-        # Rows that have a weight and are in no table, in order.
+        # Rows that have a weight and are in no table, ascending.
         self.uncovered_rows = list[int]()
-        # How far the log was read.
+        # The position up to which the change log was read.
         self.log_position = 0
 
     def adjust_count(self, row: int, delta: int) -> None:
-        """Count that so many more tables have an entry for the row."""
+        """Change the number of tables with an entry for the row by `delta`."""
         self.table_counts[row] = self.table_counts.get(row, 0) + delta
         if not self.table_counts[row]:
             del self.table_counts[row]
@@ -28,9 +28,10 @@
     def find_uncovered(
         self, weights: dict[int, float], log: list[int], truncated: int
     ) -> list[int]:
-        """Return the rows that have a weight and are in no table, in order; not to be changed.
+        """Return the rows that have a weight and are in no table, ascending.
 
-        `log` has the rows whose weight came or went, without its first `truncated` entries.
+        The result must not be modified. `log` lists the rows whose weight was set or removed,
+        without its first `truncated` entries.
         """
         if self.log_position < truncated:
             self.uncovered_rows = sorted(weights.keys() - self.table_counts.keys())
@@ -43,7 +44,7 @@
         return self.uncovered_rows
 
     def _update_row(self, row: int, is_uncovered: bool) -> None:
-        """Put a row into the sorted list of uncovered ones, or take it out."""
+        """Insert a row into the sorted list of uncovered rows, or remove it."""
         position = bisect_left(self.uncovered_rows, row)
         is_present = position < len(self.uncovered_rows) and self.uncovered_rows[position] == row
         if is_present and not is_uncovered:
--- a/dunlinlug/decision/state/desired_weights.py
+++ b/dunlinlug/decision/state/desired_weights.py
@@ -1,8 +1,9 @@
 """The desired weights, and where tables differ from them.
 
-State alone: nothing is decided here. What changed is logged; a table catches up on the log when it
-is asked about, so that it costs what changed since it was asked last, and a table that nobody asks
-about costs nothing. A slow plain model stands in `tests/decision/state/test_incremental_state.py`.
+Bookkeeping only: no decisions are made here. Changes are appended to a log, which is read when a
+table is compared. A comparison therefore costs time proportional to the changes since the table's
+last one, and a table that is never compared costs nothing.
+`tests/decision/state/test_incremental_state.py` compares it with a slow, plain model.
 """
 
 from collections.abc import Iterable
@@ -16,43 +17,43 @@
 
 
 class DesiredWeights:
-    """Owns by ready row its weight fraction, and its default weight where it has one.
+    """Holds, by ready row, the weight fraction and, if there is one, the default weight.
 
-    Default weights are those without an operator override; other weights are given to the
-    methods, which then walk through them.
+    Default weights are those without an operator override. The methods also accept other weights;
+    for these nothing is cached, and each call iterates over them.
     """
 
-    MIN_CAPACITY = 1e-6  # of a table without available endpoint; divides
-    MIN_LOG_LENGTH = 1000  # entries of the log that are kept in any case
+    MIN_CAPACITY = 1e-6  # of a table without an available endpoint; positive, as it is a divisor
+    MIN_LOG_LENGTH = 1000  # entries up to which the log is never truncated
 
     def __init__(self) -> None:
         self.weight_fractions = Weights()
         self.default_weights = Weights()
-        # Rows whose weight changed or that were ejected or readmitted, and how many entries were
-        # cut off before them.
+        # Rows whose weight changed or that were ejected or readmitted, oldest first, and the
+        # number of older entries that were removed.
         self.change_log = list[int]()
         self.truncated = 0
         self.ejected = set[int]()
-        # Sum of the weights that are not ejected, and how long the log was then.
+        # Sum of the weights that are not ejected, and the end of the log when it was computed.
         self.available_sum = 0.0
         self.summed_position = -1
-        # The highest row that had a weight, and whether the weights are out of the order of rows.
+        # The highest row that ever had a weight, and whether the weights are out of row order.
         self.highest_row = -1
         self.unordered = False
 
     @property
     def log_end(self) -> int:
-        """How many entries the log has had so far."""
+        """The number of entries logged so far, including removed ones."""
         return self.truncated + len(self.change_log)
 
     def remove(self, rows: Iterable[int]) -> None:
-        """Take out rows that are not ready."""
+        """Remove rows that are not ready."""
         for row in rows:
             self.set_weight(row, 0.0, None)
             del self.weight_fractions[row]
 
     def set_weight(self, row: int, weight_fraction: float, weight: float | None) -> None:
-        """Set a row's weight fraction and its weight; None where it has none."""
+        """Set a row's weight fraction and its default weight; None if it has none."""
         self.weight_fractions[row] = weight_fraction
         if self.default_weights.get(row) == weight:
             return
@@ -67,20 +68,20 @@
         self._truncate_log()
 
     def set_ejected(self, ejected: set[int]) -> None:
-        """Take in which rows are ejected now."""
+        """Replace the set of ejected rows."""
         self.change_log.extend(ejected ^ self.ejected)
         self.ejected = set(ejected)
         self._truncate_log()
 
     def _truncate_log(self) -> None:
-        """Cut off the older half of a log that is long beside the number of rows."""
+        """Remove the older half of the log if it is long compared with the number of rows."""
         if len(self.change_log) > self.MIN_LOG_LENGTH + 2 * len(self.default_weights):
             removed = len(self.change_log) // 2
             del self.change_log[:removed]
             self.truncated += removed
 
     def ordered_weights(self) -> Weights:
-        """Return the default weights, in the order of rows."""
+        """Return the default weights, in row order."""
         if self.unordered:
             entries = sorted(self.default_weights.items())
             self.default_weights.clear()
@@ -91,9 +92,10 @@
     def differing_rows(
         self, table: Table, desired: Weights, include_missing: bool = True
     ) -> set[int]:
-        """Return the rows whose entry in the table is not the desired one; not to be changed.
+        """Return the rows whose entry in the table differs from the desired one.
 
-        Rows that the table lacks count if `include_missing`.
+        Rows without an entry in the table are included only if `include_missing`. The result must
+        not be modified.
         """
         installed = table.weights
         if desired is not self.default_weights:
@@ -111,7 +113,7 @@
         return table.differing_rows
 
     def _rows_to_compare(self, table: Table, include_missing: bool) -> Iterable[int]:
-        """Return the rows changed since the table was compared, or all if that is not known."""
+        """Return the rows changed since the table was last compared, or all if that is unknown."""
         if table.log_position >= self.truncated and table.missing_included == include_missing:
             new_entries = self.change_log[table.log_position - self.truncated :]
             return {*new_entries, *table.changed_rows}
@@ -130,7 +132,7 @@
                 self.change_log[table.capacity_position - self.truncated :]
             )
         ):
-            # No row of the table changed since its capacity was added up.
+            # No row of the table changed since its capacity was computed.
             table.capacity_position = self.truncated + len(self.change_log)
             return table.cached_capacity
         available = (
@@ -147,7 +149,7 @@
         return {table: self.capacity(table, desired) for table in tables}
 
     def available_uncovered_rows(self, coverage: Coverage, desired: Weights) -> Iterable[int]:
-        """Return the rows that have a weight, are not ejected and not covered, in order."""
+        """Return the rows that have a weight and are neither ejected nor covered, ascending."""
         if desired is self.default_weights:
             rows = coverage.find_uncovered(self.default_weights, self.change_log, self.truncated)
         else:
@@ -155,9 +157,9 @@
         return (row for row in rows if row not in self.ejected)
 
     def available_weight(self, desired: Weights) -> float:
-        """Return the sum of the weights that are not ejected, added up in order.
+        """Return the sum of the weights that are not ejected, added in order.
 
-        It is added up anew only where something changed since.
+        For the default weights it is recomputed only after a change.
         """
         if desired is not self.default_weights:
             return sum(weight for row, weight in desired.items() if row not in self.ejected)
@@ -169,7 +171,7 @@
         return self.available_sum
 
     def rows_by_demand(self, desired: Weights, demand_ratios: dict[Table, float]) -> list[int]:
-        """Return the rows that are not ejected, those of which these tables ask least first."""
+        """Return the rows that are not ejected, by ascending demand of these tables on them."""
         demands = dict.fromkeys((row for row in sorted(desired) if row not in self.ejected), 0.0)
         for table, demand_ratio in demand_ratios.items():
             for row in table.weights:
@@ -178,7 +180,7 @@
         return sorted(demands, key=demands.__getitem__)
 
     def distances(self, tables: Iterable[Table], desired_weights: list[Weights]) -> list[float]:
-        """Return how far each table is from its desired weights: the sum over its entries."""
+        """Return, for each table, the sum of the differences from its desired weights."""
         pairs = [*zip(tables, map(id, desired_weights), strict=True)]
         differing = {
             pair: (pair[0], desired, self.differing_rows(pair[0], desired))
@@ -193,8 +195,8 @@
             return [0.0] * len(pairs)
         sums = sorted(distance_by_pair.values())
         if any(after - before < ROUNDING_TOLERANCE * after for before, after in pairwise(sums)):
-            # Without this, rounding would tell equal ones apart. Added up in the order of
-            # entries, they are as alike as their tables.
+            # Rounding can make equal distances differ. If the differences are added in the order
+            # of entries, tables with equal entries have equal distances.
             self.ordered_weights()
             for pair in distance_by_pair:
                 table, desired, _ = differing[pair]
@@ -205,5 +207,5 @@
 
     @staticmethod
     def _distance(table: Table, desired: Weights, rows: list[int]) -> float:
-        """Return the sum of the differences in these rows, added up in their order."""
+        """Return the sum of the absolute differences in these rows, added in the given order."""
         return sum(abs(desired.get(row, 0.0) - table.weights.get(row, 0.0)) for row in rows)
--- a/dunlinlug/decision/state/endpoints.py
+++ b/dunlinlug/decision/state/endpoints.py
@@ -1,6 +1,6 @@
-"""The endpoint list as known.
+"""The endpoint list as last received.
 
-State alone: nothing is decided here.
+Bookkeeping only: no decisions are made here.
 """
 
 from bisect import bisect_left, insort
@@ -9,16 +9,16 @@
 
 from dunlinlug.decision.events import Endpoint, EndpointState, EndpointsUpdated, UpdateType
 
-# Update types that hold the whole list.
+# Update types that contain the complete list.
 SNAPSHOT_TYPES = (UpdateType.SNAPSHOT, UpdateType.RESTORED)
 
 
 class Fleet:
-    """Owns the listed endpoints, in parallel arrays by row.
+    """Holds the listed endpoints, in parallel arrays by row.
 
     An endpoint keeps its row while it is listed or in use. `base_weights` are the weights of the
-    ready ones; one without a listed weight has what `default_weight` makes of the listed ones.
-    `readiness_changes` are the rows that the last update made ready or not ready.
+    ready rows; a row without a listed weight gets the result of `default_weight` for the listed
+    ones. `readiness_changes` are the rows that the last update made ready or not ready.
     """
 
     def __init__(self, default_weight: Callable[[list[float]], float]) -> None:
@@ -27,22 +27,22 @@
         self.zones: list[str] = []
         self.ready: list[bool] = []
         self.listed_weights: list[float | None] = []
-        self.started_at: list[float] = []  # seconds; -inf where it is long ago
+        self.started_at: list[float] = []  # seconds; -inf if it was long ago
         self.default_weight = default_weight
         self.changed_rows = set[int]()
         self.readiness_changes = set[int]()
         self.base_weights = dict[int, float]()
-        self.unweighted_rows = set[int]()  # ready ones without a listed weight
+        self.unweighted_rows = set[int]()  # ready rows without a listed weight
         self.ready_rows = list[int]()  # sorted
-        self.weight_sum = 0.0  # of the ready ones; negative: to be added up anew
+        self.weight_sum = 0.0  # of the ready rows; negative if it must be recomputed
 
     def apply_update(
         self, update: EndpointsUpdated, rows_in_use: Callable[[], set[int]]
     ) -> list[tuple[int, bool]]:
-        """Take in an update; return the rows that have started anew, and whether they are new.
+        """Apply an update; return the rows of started endpoints, and whether each is new.
 
-        The row of an endpoint that went is given to another once over half of all rows are of
-        such, but not while it is in use: the endpoint may come back.
+        Once fewer than half of all rows are ready, rows of endpoints that are not ready are
+        reused, except rows in use: their endpoints may return.
         """
         restarted = list[tuple[int, bool]]()
         changed = set[int]()
@@ -50,7 +50,7 @@
         is_snapshot = update.update_type in SNAPSHOT_TYPES
         may_reuse_rows = 2 * (0 if is_snapshot else len(self.ready_rows)) < len(self.ids)
         if is_snapshot:
-            # Whoever a snapshot does not name is gone.
+            # An endpoint that a snapshot does not list is gone.
             self.ready = [False] * len(self.ids)
         for endpoint in update.endpoints:
             is_new = endpoint.id not in self.row_by_id
@@ -65,7 +65,7 @@
             has_restarted = is_new or _started_at(endpoint) > self.started_at[row]
             if has_restarted:
                 restarted.append((row, is_new))
-            if has_restarted or self._is_listed_otherwise(row, endpoint):
+            if has_restarted or self._is_listing_changed(row, endpoint):
                 changed.add(row)
             self._update_row(row, endpoint)
         updated_rows: Iterable[int] = range(len(self.ids))
@@ -83,7 +83,7 @@
         ]
 
     def _add_row(self, endpoint: Endpoint, row: int) -> None:
-        """Give an endpoint this row: one behind the last, or that of an endpoint that went."""
+        """Store an endpoint in this row: one past the last row, or a reused one."""
         self.row_by_id[endpoint.id] = row
         if row < len(self.ids):
             self.row_by_id.pop(self.ids[row], None)
@@ -93,19 +93,19 @@
         self.listed_weights[row : row + 1] = [None]
         self.started_at[row : row + 1] = [_started_at(endpoint)]
 
-    def _is_listed_otherwise(self, row: int, endpoint: Endpoint) -> bool:
-        """Whether the list had the endpoint in another zone or with another weight."""
+    def _is_listing_changed(self, row: int, endpoint: Endpoint) -> bool:
+        """Whether the endpoint was listed in another zone or with another weight before."""
         return endpoint.zone != self.zones[row] or endpoint.weight != self.listed_weights[row]
 
     def _update_row(self, row: int, endpoint: Endpoint) -> None:
-        """Take in an endpoint's entry; its start time does not go back."""
+        """Store an endpoint's list entry; its start time never decreases."""
         self.zones[row] = endpoint.zone
         self.listed_weights[row] = endpoint.weight
         self.ready[row] = endpoint.state == EndpointState.READY
         self.started_at[row] = max(_started_at(endpoint), self.started_at[row])
 
     def _update_weights(self, changed: set[int], updated_rows: Iterable[int]) -> None:
-        """Bring the weights of the ready rows in line with the updated rows."""
+        """Update the weights of the ready rows after these rows were updated."""
         self.readiness_changes = {
             row for row in updated_rows if self.ready[row] != (row in self.base_weights)
         }
@@ -135,22 +135,22 @@
         self.changed_rows |= all_changed | self.unweighted_rows
 
     def take_changed_rows(self) -> set[int]:
-        """Return the rows that changed since this was asked last."""
+        """Return the rows that changed since the last call."""
         changed = self.changed_rows
         self.changed_rows = set()
         return changed
 
     def total_weight(self) -> float:
-        """Return the weight of all ready rows, added up by row."""
+        """Return the total weight of the ready rows, added in row order."""
         if self.weight_sum < 0.0:
             self.weight_sum = sum(map(self.base_weights.__getitem__, self.ready_rows))
         return self.weight_sum
 
     def available_fraction(self, ejected: set[int], exact_below: float) -> float:
-        """Return the part of the weight that is not ejected.
+        """Return the fraction of the weight that is not ejected.
 
-        Below `exact_below` it is added up row by row, as an admission level can go by its last
-        digit.
+        Below `exact_below` it is added row by row, as its last digit can decide an admission
+        level.
         """
         total_weight = self.total_weight()
         ejected_weight = sum(self.base_weights[row] for row in ejected if row in self.base_weights)
--- a/dunlinlug/decision/state/outlier_statistics.py
+++ b/dunlinlug/decision/state/outlier_statistics.py
@@ -1,9 +1,9 @@
-"""What proxies observed at each endpoint, and in what order the endpoints stand by it.
+"""What proxies observed at each endpoint, and indexes that sort the endpoints by it.
 
-State alone: nothing is decided here. An observation is stored as of its last report, so that an
-endpoint's figures change by its own reports alone; what is asked of all endpoints (medians, sums,
-who is due) is kept up with each report. A slow plain model stands in
-`tests/decision/state/test_incremental_state.py`.
+Bookkeeping only: no decisions are made here. Observations are stored as of an endpoint's last
+report, so that its statistics change only with its own reports. Values over all endpoints (medians,
+sums, due rows) are updated with each report. `tests/decision/state/test_incremental_state.py`
+compares it with a slow, plain model.
 """
 
 from bisect import bisect_left, bisect_right, insort
@@ -11,33 +11,33 @@
 from math import inf
 from typing import NamedTuple, TypeVar
 
-# Sums are whole numbers of this fraction: however long they are kept up, nothing drifts.
+# Sums are integers in units of 1 / FIXED_POINT_SCALE, so that rounding errors do not accumulate.
 FIXED_POINT_SCALE = 2.0**80
-# Two sums are taken to differ if they do by this part, and not by rounding.
+# Relative difference up to which two sums may differ through rounding alone.
 ROUNDING_TOLERANCE = 1e-9
 
-FigureAndRow = tuple[float, int]
-Sortable = TypeVar("Sortable", float, FigureAndRow)
+ValueAndRow = tuple[float, int]
+Sortable = TypeVar("Sortable", float, ValueAndRow)
 
 
 def remove_sorted(entries: list[Sortable], entry: Sortable) -> None:
-    """Take one such entry out of a sorted list."""
+    """Remove one occurrence of `entry` from a sorted list."""
     del entries[bisect_left(entries, entry)]
 
 
-def sorted_median(figures: list[float]) -> float:
-    """Return the median of sorted figures, as `statistics.median` gives it."""
-    half = len(figures) // 2
-    return figures[half] if len(figures) % 2 else (figures[half - 1] + figures[half]) / 2
+def sorted_median(values: list[float]) -> float:
+    """Return the median of sorted values, equal to the result of `statistics.median`."""
+    half = len(values) // 2
+    return values[half] if len(values) % 2 else (values[half - 1] + values[half]) / 2
 
 
 class OutlierThresholds(NamedTuple):
-    """What an endpoint's figures are held against when it is put into the indexes."""
+    """Thresholds that determine which indexes contain an endpoint."""
 
     peer_limit: float  # weight limit from which an endpoint is a peer
-    min_attempts: float  # from which its figures count
-    min_failed: float  # from which it is a suspect ...
-    failure_rate: float  # ... at this failure rate
+    min_attempts: float  # attempts from which its statistics count
+    min_failed: float  # failed attempts from which it is suspect ...
+    failure_rate: float  # ... if its failure rate is at least this
 
 
 # A row's weight limit, recovery limit, due time, attempts, failed attempts and sum of latencies.
@@ -45,17 +45,18 @@
 
 
 class OutlierStatistics:
-    """Owns what was observed by row, in parallel arrays, and the indexes over them.
-
-    Attempts, failed attempts and latencies are sums that fade by half in `half_life` seconds. The
-    indexes are over the ready rows: `failure_rates` and `mean_latencies` are the sorted figures of
-    those that are not ejected and have enough attempts, `peer_failure_rates` and `peer_latencies`
-    of those among them that have the peer limit or more. Ejected rows have a weight limit of 0,
-    rows on probation one below the peer limit, limited rows one below 1; suspect rows have enough
-    failed attempts at the threshold's failure rate. Times are seconds.
+    """Holds what was observed, in parallel arrays by row, and the indexes over them.
+
+    Attempts, failed attempts and latencies are sums that decay by half every `half_life` seconds.
+    The indexes cover the ready rows: `failure_rates` and `mean_latencies` are the sorted values of
+    the rows that are not ejected and have enough attempts, `peer_failure_rates` and
+    `peer_latencies` those of the rows among them at or above the peer limit. Ejected rows have a
+    weight limit of 0, rows on probation one below the peer limit, limited rows one below 1;
+    suspect rows have enough failed attempts at or above the threshold's failure rate. Times are
+    seconds.
     """
 
-    # The indexes, which `rebuild_derived` makes of the arrays.
+    # The indexes, which `rebuild_derived` computes from the arrays.
     DERIVED = (
         "failure_rates",
         "mean_latencies",
@@ -77,34 +78,34 @@
         self.half_life = half_life
         self.initial_ejection_time = initial_ejection_time
         self.thresholds = thresholds
-        # Fading sums.
+        # Decaying sums.
         self.attempts = list[float]()
         self.failed = list[float]()
         self.latency_sums = list[float]()
         self.reported_at = list[float]()
-        self.ejection_times = list[float]()  # seconds that the next ejection takes
+        self.ejection_times = list[float]()  # seconds that the next ejection lasts
         self.due_at = list[float]()  # when the weight limit may next rise
-        self.weight_limits = list[float]()  # fraction of its weight that it gets; 0: ejected
+        self.weight_limits = list[float]()  # highest fraction of its weight; 0: ejected
         self.recovery_limits = list[float]()  # the weight limit that it returns to
         self.ready_rows = set[int]()
         self.changed_rows = set[int]()
         self.failure_rates = list[float]()
         self.mean_latencies = list[float]()
         self.peer_failure_rates = list[float]()
-        self.peer_latencies = list[FigureAndRow]()
-        self.ejection_deadlines = list[FigureAndRow]()
-        self.recovery_deadlines = list[FigureAndRow]()
+        self.peer_latencies = list[ValueAndRow]()
+        self.ejection_deadlines = list[ValueAndRow]()
+        self.recovery_deadlines = list[ValueAndRow]()
         self.suspect_rows = set[int]()
         self.limited_rows = set[int]()
         self.probation_rows = set[int]()
         self.ejected_rows = set[int]()
         # Attempts and failed attempts of the rows in `failure_rates`, in fixed point.
         self.totals = [0, 0]
-        # The columns by which a row stands in the indexes.
+        # The columns with which each row was added to the indexes.
         self.indexed_columns: dict[int, Columns] = {}
 
     def add_endpoint(self, row: int) -> None:
-        """Begin a row, a new one or a former endpoint's, with nothing observed."""
+        """Initialize a new or reused row without observations."""
         for column in (
             self.attempts,
             self.failed,
@@ -119,7 +120,7 @@
         self.update_indexes(row)
 
     def set_ready(self, rows: Iterable[int], ready: list[bool]) -> None:
-        """Take in which of these rows are ready now (`ready` has it by row)."""
+        """Update which of these rows are ready; `ready` is indexed by row."""
         for row in rows:
             if ready[row]:
                 self.ready_rows.add(row)
@@ -128,13 +129,13 @@
             self.update_indexes(row)
 
     def take_changed_rows(self) -> set[int]:
-        """Return the rows whose weight limit or readiness changed since this was asked last."""
+        """Return the rows whose weight limit or readiness changed since the last call."""
         changed = self.changed_rows
         self.changed_rows = set()
         return changed
 
     def reset(self, row: int, weight_limit: float, due_at: float) -> None:
-        """Go on with nothing observed, at this weight limit."""
+        """Clear a row's observations and set its weight limit."""
         self.attempts[row] = 0.0
         self.failed[row] = 0.0
         self.latency_sums[row] = 0.0
@@ -144,14 +145,14 @@
         self.update_indexes(row)
 
     def postpone(self, row: int) -> None:
-        """Let a row not be due before it is reset."""
+        """Keep a row from becoming due until it is reset."""
         self.due_at[row] = inf
         self.update_indexes(row)
 
     def record(
         self, row: int, now: float, attempts: float, failed: float, mean_latency: float
     ) -> None:
-        """Add a report of attempts and failed ones; the latency is of those that succeeded."""
+        """Add a report of attempts; `mean_latency` is that of the successful ones."""
         decay = 0.5 ** ((now - self.reported_at[row]) / self.half_life)
         self.reported_at[row] = now
         self.attempts[row] = self.attempts[row] * decay + attempts
@@ -160,7 +161,7 @@
         self.update_indexes(row)
 
     def rebuild_derived(self) -> None:
-        """Make the indexes of the arrays, where these alone were read."""
+        """Compute the indexes from the arrays, which are all that was decoded."""
         self.thresholds = OutlierThresholds(*self.thresholds)
         changed = self.changed_rows
         self.changed_rows = set()
@@ -177,7 +178,7 @@
         return self.latency_sums[row] / max(self.attempts[row] - self.failed[row], 0.5)
 
     def update_indexes(self, row: int) -> None:
-        """Bring the indexes in line with a row's columns: to be called after any change of them."""
+        """Update a row in the indexes; must be called after any change of its columns."""
         new: Columns | None = None
         if row in self.ready_rows:
             new = (
@@ -197,18 +198,18 @@
         if new:
             self._add_to_indexes(row, new)
             self.indexed_columns[row] = new
-        # A row that is not indexed compares as if it had no weight limit.
+        # -1 is the weight limit of a row that is not indexed.
         if (new[0] if new else -1.0) != (old[0] if old else -1.0):
             self.changed_rows.add(row)
 
     @staticmethod
     def _rates(columns: Columns) -> tuple[float, float]:
-        """Return the failure rate and the mean latency of a row's columns."""
+        """Return the failure rate and the mean latency that follow from a row's columns."""
         _, _, _, attempts, failed, latency_sum = columns
         return failed / attempts if attempts else 0.0, latency_sum / max(attempts - failed, 0.5)
 
     def _add_to_indexes(self, row: int, columns: Columns) -> None:
-        """Put a row into the indexes where its columns belong."""
+        """Add a row to the indexes that its columns qualify it for."""
         weight_limit, recovery_limit, due_at, attempts, failed, _ = columns
         peer_limit, min_attempts, min_failed, failure_rate_threshold = self.thresholds
         failure_rate, mean_latency = self._rates(columns)
@@ -233,7 +234,7 @@
             insort(self.recovery_deadlines, (due_at, row))
 
     def _remove_from_indexes(self, row: int, columns: Columns) -> None:
-        """Take a row out of the indexes, where its columns were when it was put in."""
+        """Remove a row from the indexes; `columns` are those with which it was added."""
         weight_limit, recovery_limit, due_at, attempts, failed, _ = columns
         peer_limit, min_attempts, _, _ = self.thresholds
         failure_rate, mean_latency = self._rates(columns)
@@ -258,15 +259,15 @@
             remove_sorted(self.recovery_deadlines, (due_at, row))
 
     def attempt_totals(self, failure_rate: float) -> tuple[float, float]:
-        """Return the attempts and failed attempts of all rows that count.
+        """Return the attempts and failed attempts of all rows with enough attempts.
 
-        Where just this part of them failed the last digit tells, so that next to it they are added
-        up row by row, in order.
+        If the fraction that failed is so close to `failure_rate` that rounding decides the
+        comparison, they are added row by row, in order.
         """
         attempts = self.totals[0] / FIXED_POINT_SCALE
         failed = self.totals[1] / FIXED_POINT_SCALE
-        is_apart = abs(failed - failure_rate * attempts) > ROUNDING_TOLERANCE * attempts
-        if not self.failure_rates or is_apart:
+        differs = abs(failed - failure_rate * attempts) > ROUNDING_TOLERANCE * attempts
+        if not self.failure_rates or differs:
             return attempts, failed
         rows = [
             row
@@ -276,17 +277,17 @@
         return sum(self.attempts[row] for row in rows), sum(self.failed[row] for row in rows)
 
     def due_ejections(self, now: float) -> list[int]:
-        """Return the ejected rows whose time is over, sorted."""
+        """Return the ejected rows whose ejection time has elapsed, sorted."""
         due = self.ejection_deadlines[: bisect_right(self.ejection_deadlines, (now, inf))]
         return sorted(row for _, row in due)
 
     def due_recoveries(self, now: float) -> list[int]:
-        """Return the rows whose weight limit may rise now, those that are due longest first."""
+        """Return the rows whose weight limit may rise now, longest overdue first."""
         due = self.recovery_deadlines[: bisect_right(self.recovery_deadlines, (now, inf))]
         return [row for _, row in due]
 
     def slow_peers(self, latency: float) -> list[int]:
-        """Return the peers with this mean latency (seconds) or a longer one."""
+        """Return the peers with at least this mean latency, in seconds."""
         slow = self.peer_latencies[bisect_left(self.peer_latencies, (latency, -1)) :]
         return [row for _, row in slow]
 
--- a/dunlinlug/decision/state/pending_acks.py
+++ b/dunlinlug/decision/state/pending_acks.py
@@ -1,31 +1,32 @@
-"""What was ordered on a channel and may still wait there.
+"""The replies that no acknowledgement has confirmed, and how much may still be queued.
 
-State alone: nothing is decided here. The channel keeps the order of replies, so that an
-acknowledgement of one shows that all before it have left. A proxy that has left takes its own
-entries out and shows nothing of the others'. Acknowledgement numbers are kept by proxy too: an
-acknowledgement costs what that proxy still owes, not all that is under way.
+Bookkeeping only: no decisions are made here. The channel sends replies in order, so that the
+acknowledgement of one shows that all before it have left the queue. When a proxy disconnects, only
+its own entries are removed, as this shows nothing about those of others. Acknowledgement numbers
+are also indexed by proxy, so that the cost of an acknowledgement depends on that proxy's pending
+replies, not on all pending ones.
 """
 
 from collections import deque
 from collections.abc import Container, Iterable
 from dataclasses import dataclass
 
-# Table and acknowledgement numbers go round below this bound, which the wire sets.
+# Table and acknowledgement numbers wrap around after this one, which the wire format requires.
 MAX_NUMBER = 65000
 
 
 def next_free_number(last_number: int, taken: Container[int]) -> int:
-    """Return the first number after the last one given that is not taken, going round."""
+    """Return the first number after `last_number` that is not taken, wrapping around."""
     candidates = ((last_number + offset) % MAX_NUMBER + 1 for offset in range(MAX_NUMBER))
     return next(number for number in candidates if number not in taken)
 
 
 @dataclass(eq=False)
 class PendingReply:
-    """One reply's entries by proxy that has yet to acknowledge it.
+    """One reply's entries, by proxy that has yet to acknowledge it.
 
-    `queued_before` is what waited in the channel once the reply was ordered, in entries; `queued`
-    is whether its entries may still wait.
+    `queued_before` is the number of entries in the channel's queue after the reply was added,
+    including its own; `queued` is whether its entries may still be queued.
     """
 
     entries_by_proxy: dict[int, float]
@@ -34,21 +35,21 @@
 
 
 class PendingAcks:
-    """Owns the replies that are not acknowledged, and how many entries may wait at most.
+    """Holds the replies that are not acknowledged, and an upper bound of the entries queued.
 
-    Times are seconds. Of each proxy the times of its last messages are kept, as many as the
-    message history is long.
+    Times are seconds. The times of the last `message_history_length` messages to each proxy are
+    stored.
     """
 
     def __init__(self, message_history_length: int) -> None:
         self.message_history_length = message_history_length
         self.queued_entries = 0.0
         self.pending_replies: dict[int, PendingReply] = {}  # by number, oldest first
-        # Numbers whose entries may wait, oldest first, and some that were acknowledged since.
+        # Numbers whose entries may be queued, oldest first, and some that are acknowledged by now.
         self.queued_acks: deque[int] = deque()
-        # By connected proxy the numbers that it has yet to acknowledge, oldest first.
+        # By connected proxy, the numbers that it has yet to acknowledge, oldest first.
         self.awaited_acks: dict[int, dict[int, None]] = {}
-        # By proxy, connected or not, when it was sent its last messages.
+        # By proxy, connected or not, the times of the last messages sent to it.
         self.sent_times: dict[int, deque[float]] = {}
 
     def record(self, ack_number: int, now: float, entries_by_proxy: dict[int, float]) -> None:
@@ -65,9 +66,9 @@
             self.sent_times[proxy_id].append(now)
 
     def acknowledge(self, proxy_id: int, ack_number: int) -> list[int]:
-        """Acknowledge this number and all before it for the proxy; return which.
+        """Acknowledge this number and all before it for the proxy; return these numbers.
 
-        Raises ValueError for a number that the proxy does not owe.
+        Raises ValueError for a number that the proxy does not have to acknowledge.
         """
         awaited = list(self.awaited_acks[proxy_id])
         acknowledged = awaited[: awaited.index(ack_number) + 1]
@@ -80,7 +81,7 @@
         return acknowledged
 
     def _remove(self, proxy_id: int, ack_numbers: Iterable[int]) -> None:
-        """Take a proxy's entries out of these replies."""
+        """Remove a proxy's entries from these replies."""
         for ack_number in ack_numbers:
             del self.awaited_acks[proxy_id][ack_number]
             pending = self.pending_replies[ack_number]
@@ -91,9 +92,9 @@
                 del self.pending_replies[ack_number]
 
     def forget_proxy(self, proxy_id: int) -> None:
-        """Drop what waits for a proxy that left or connected anew: it will not acknowledge it."""
+        """Drop a disconnected or reconnected proxy's replies, which it will not acknowledge."""
         self._remove(proxy_id, list(self.awaited_acks.get(proxy_id, ())))
         self.awaited_acks.pop(proxy_id, None)
-        # What it was sent still counts. If it were forgotten with the connection, a proxy that
-        # breaks off and comes back would be sent twice what the limit allows. It costs a few times
-        # for each proxy that there ever was.
+        # `sent_times` is kept: if it were cleared with the connection, a proxy that reconnects
+        # could be sent twice as many messages as the limit allows. The cost is a few timestamps
+        # for each proxy that ever connected.
--- a/dunlinlug/decision/state/table_registry.py
+++ b/dunlinlug/decision/state/table_registry.py
@@ -1,7 +1,7 @@
 """The tables that exist, which of them are in use, and when the others are deleted.
 
-State alone: nothing is decided here. What is asked of all tables (which rows are not ready, which
-rows the subsets cover) is kept up change by change.
+Bookkeeping only: no decisions are made here. Values over all tables (rows that are not ready, rows
+that the subsets cover) are updated incrementally.
 """
 
 from collections.abc import Iterable
@@ -12,25 +12,25 @@
 
 
 class TableRegistry:
-    """Owns the tables by number, their entries and their deletion.
+    """Holds the tables by id, their entries and their scheduled deletions.
 
-    Tables are also kept by `sequence`, the order of creation, so that walks go in that order.
+    Tables are also indexed by `sequence`, so that iteration follows their order of creation.
     """
 
     def __init__(self) -> None:
-        self.tables: dict[int, Table] = {}  # by number
+        self.tables: dict[int, Table] = {}  # by id
         self.tables_in_use: dict[int, Table] = {}  # by sequence, those that a proxy may be using
-        # By sequence, those whose unready rows are kept up: all but unused subsets.
+        # By sequence, those whose unready rows are tracked: all but unused subsets.
         self.retained_tables: dict[int, Table] = {}
-        # Rows that were ready and are not.
+        # Rows that were ready and no longer are.
         self.unready_rows = set[int]()
-        self.retiring_tables: dict[int, Table] = {}  # by sequence, those that are to be deleted
+        self.retiring_tables: dict[int, Table] = {}  # by sequence, those scheduled for deletion
         self.table_count = 0  # created so far
-        # Rows of subsets in use that receive requests.
+        # Rows covered by subsets that are in use and receive requests.
         self.subset_coverage = Coverage()
 
     def add_table(self, table: Table) -> Table:
-        """Add a new table under its number, and return it."""
+        """Add a new table under its id, and return it."""
         self.table_count += 1
         table.sequence = self.table_count
         self.tables[table.table_id] = table
@@ -38,7 +38,7 @@
         return table
 
     def _retain(self, table: Table) -> None:
-        """Keep up the table's unready rows from now on."""
+        """Track the table's unready rows from now on."""
         self.retained_tables[table.sequence] = table
         table.unready_rows = set()
         if self.unready_rows:
@@ -47,7 +47,10 @@
     def set_entry(
         self, table: Table, row: int, weight: float | None, weight_fraction: float = 1.0
     ) -> None:
-        """Change an entry of a table; None takes it away. Entries change nowhere else."""
+        """Set an entry of a table, or remove it if `weight` is None.
+
+        Every change of an entry goes through this method.
+        """
         if table.is_covered and (row in table.weights) != (weight is not None):
             self.subset_coverage.adjust_count(row, -1 if weight is None else 1)
         table.changed_rows.add(row)
@@ -64,7 +67,7 @@
             table.weight_fractions[row] = weight_fraction
 
     def set_ready(self, rows: Iterable[int], ready: list[bool]) -> None:
-        """Take in which of these rows are ready now (`ready` has it by row)."""
+        """Update which of these rows are ready; `ready` is indexed by row."""
         for row in rows:
             if ready[row]:
                 self.unready_rows.discard(row)
@@ -77,7 +80,7 @@
                     table.unready_rows.discard(row)
 
     def referenced_rows(self, *extra_rows: Iterable[int]) -> set[int]:
-        """Return the rows that a table has an entry for, and the given ones."""
+        """Return the rows that some table has an entry for, and the given ones."""
         return set().union(*extra_rows, *(table.weight_fractions for table in self.tables.values()))
 
     def list_tables_in_use(self) -> list[Table]:
@@ -89,7 +92,7 @@
         return [table for table in self.list_tables_in_use() if table.is_subset]
 
     def set_subsets(self, tables: list[Table]) -> list[Table]:
-        """Make these tables subsets, and return them."""
+        """Mark these tables as subsets, and return them."""
         for table in tables:
             table.is_subset = True
             if not table.use_count:
@@ -97,7 +100,7 @@
         return tables
 
     def adjust_use_count(self, table: Table, delta: int) -> None:
-        """Count in how many more lists of tables in use a table is."""
+        """Change the number of lists of tables in use that contain a table by `delta`."""
         table.use_count += delta
         if table.use_count:
             self.tables_in_use[table.sequence] = table
@@ -110,7 +113,7 @@
         self.update_coverage(table)
 
     def update_coverage(self, table: Table) -> None:
-        """Count a table's rows as covered while it is a subset that receives requests."""
+        """Count a table's rows as covered while it is a subset in use that receives requests."""
         is_covered = table.is_subset and table.use_count > 0 and table.request_rate != 0.0
         if is_covered != table.is_covered:
             table.is_covered = is_covered
@@ -118,9 +121,9 @@
                 self.subset_coverage.adjust_count(row, 1 if is_covered else -1)
 
     def schedule_deletion(self, table: Table, delete_at: float) -> None:
-        """Have a table deleted at this time (seconds), or not at all if it is inf.
+        """Schedule a table's deletion at this time (seconds), or cancel it if that is inf.
 
-        One that was deleted already stays so.
+        A table that was already deleted is not scheduled again.
         """
         table.delete_at = delete_at
         self.retiring_tables.pop(table.sequence, None)
@@ -128,16 +131,16 @@
             self.retiring_tables[table.sequence] = table
 
     def retire_unused(self, tables: Iterable[Table], now: float) -> None:
-        """Have those of the tables deleted that no proxy may be using, and the others not."""
+        """Schedule the deletion of those tables that no proxy may be using; keep the others."""
         for table in tables:
             self.schedule_deletion(table, inf if table.use_count else now)
 
     def has_retiring_tables(self) -> bool:
-        """Whether a table is to be deleted."""
+        """Whether a table is scheduled for deletion."""
         return bool(self.retiring_tables)
 
     def take_deletable(self, now: float) -> list[int]:
-        """Remove the tables that are due and that no proxy may be using; return their numbers."""
+        """Remove the tables that are due and that no proxy may be using; return their ids."""
         deletable = [
             self.retiring_tables[sequence]
             for sequence in sorted(self.retiring_tables)
