--- a/dunlinlug/guard/__init__.py
+++ b/dunlinlug/guard/__init__.py
@@ -1,4 +1,4 @@
-"""Validates every order before it reaches a proxy; apart from the decision module, free of I/O."""
+"""Validates every order before it reaches a proxy; separate from the decision module, no I/O."""
 
 from dunlinlug.guard.order_rules import VALIDATED_ORDERS
 from dunlinlug.guard.order_validator import OrderValidator, ValidatedBatch
--- a/dunlinlug/guard/capacity_estimates.py
+++ b/dunlinlug/guard/capacity_estimates.py
@@ -1,7 +1,7 @@
-"""Estimates what is not known: an endpoint's capacity, a proxy's demand, the load of retries.
+"""Estimates of endpoint capacity, proxy demand and retries, from the proxies' reports.
 
-Demand and capacity are in requests a second. Nothing here is reported by an endpoint itself;
-`docs/guard.md` says where the estimates fail.
+Demand and capacity are in requests per second. Endpoints report none of these values themselves;
+`docs/guard.md` describes where the estimates fail.
 """
 
 from collections.abc import Iterable
@@ -18,41 +18,42 @@
 )
 from dunlinlug.decision.settings import SafetyLimits, TrafficClass
 
-# Seconds in which the best measured success rate loses half: a few report cycles, and shorter than
-# a warm-up.
-SUCCESS_RATE_HALF_TIME = 4.0
-# Weight of the newest report in a proxy's demand: a rise is followed in two or three cycles.
+# Half-life in seconds of the best measured success rate: a few report cycles, and shorter than a
+# warm-up.
+SUCCESS_RATE_HALF_LIFE = 4.0
+# Weight of the newest report in a proxy's demand: the estimate follows a rise in two or three
+# cycles.
 DEMAND_SMOOTHING = 0.5
-# What remains of the counted attempts and failures at each new endpoint report.
+# Factor applied to the counted attempts and failures at each new endpoint report.
 ATTEMPT_COUNT_DECAY = 0.9
 SILENCE_TIMEOUT = 5.0  # seconds without a report after which a proxy counts as silent
-# A silent proxy is taken to send this many times its last demand, as that may have grown unseen.
+# A silent proxy's demand is estimated at this multiple of the last report, as it may have risen.
 SILENT_DEMAND_FACTOR = 1.25
-# A warming endpoint may be sent this many times its limit, as its estimated capacity is a lower
+# A warming endpoint may be sent this multiple of its limit, as its estimated capacity is a lower
 # bound.
 CAPACITY_MARGIN = 1.1
-# The most retries of a request, by retry policy.
+# Maximum number of retries of a request, by retry policy.
 MAX_RETRIES = (0, 1, 1, 2)
 
 
 class MeasuredRate(NamedTuple):
-    """A success rate (requests a second) and when it was measured (seconds)."""
+    """A success rate (requests per second) and when it was measured (seconds)."""
 
     rate: float
     measured_at: float
 
     def decayed(self, now: float) -> float:
-        """The rate, halved for every half time since it was measured."""
-        return self.rate * 0.5 ** ((now - self.measured_at) / SUCCESS_RATE_HALF_TIME)
+        """The rate, halved for every half-life since it was measured."""
+        return self.rate * 0.5 ** ((now - self.measured_at) / SUCCESS_RATE_HALF_LIFE)
 
 
 class CapacityEstimates:
-    """Fed with the events that the decision module handles.
+    """Estimates that are updated by the events that the decision module handles.
 
     Attributes:
-        demand: Smoothed requests a second, by proxy id and index of the traffic class.
-        changed_proxies: Proxies that reported since `DemandTotals` took this last; a dict for its
-            order.
+        demand: Smoothed requests per second, by proxy id and index of the traffic class.
+        changed_proxies: Proxies that reported since `DemandTotals` last took this; a dict as it
+            keeps their order.
     """
 
     def __init__(
@@ -65,19 +66,19 @@
         }
         self.demand: dict[tuple[int, int], float] = {}
         self.reported_at: dict[tuple[int, int], float] = {}
-        self.usual_rates: dict[int, float] = {}  # by proxy, as it said when it connected
-        # By endpoint and by the zone of the proxies that reported on it: the best rate of late.
+        self.declared_rates: dict[int, float] = {}  # by proxy, as declared when it connected
+        # By endpoint and by zone of the reporting proxies: the best recent rate.
         self.success_rates: dict[str, dict[str, MeasuredRate]] = {}
         self.attempts = 0.0
         self.failed = 0.0
         self.changed_proxies: dict[int, None] = {}
 
     def handle(self, now: float, event: Event) -> None:
-        """Take in one event; those that say nothing of demand or success are passed over."""
+        """Process one event; those that affect no estimate are ignored."""
         match event:
-            case ProxyConnected(proxy, _, usual_rate, _):
+            case ProxyConnected(proxy, _, declared_rate, _):
                 self._forget(proxy)
-                self.usual_rates[proxy] = usual_rate
+                self.declared_rates[proxy] = declared_rate
             case ProxyDisconnected(proxy):
                 self._forget(proxy)
             case DemandReported():
@@ -108,42 +109,42 @@
         self.failed = ATTEMPT_COUNT_DECAY * self.failed + report.failed
 
     def _forget(self, proxy: int) -> None:
-        self.usual_rates.pop(proxy, None)
+        self.declared_rates.pop(proxy, None)
         for key in [key for key in self.demand if key[0] == proxy]:
             del self.demand[key]
             del self.reported_at[key]
 
     def success_rate(self, worker: str, now: float) -> float:
-        """Requests a second that the endpoint served of late, summed over the proxies' zones."""
+        """Requests per second that the endpoint recently served, summed over proxies' zones."""
         rates = self.success_rates.get(worker, {}).values()
         return float(sum(measured.decayed(now) for measured in rates))
 
     def expected_demand(self, now: float, proxy: int, traffic_class: int) -> float:
-        """Requests a second that a proxy may send of a traffic class.
+        """Requests per second that a proxy may send of a traffic class.
 
-        As it reported; more if it is silent; before any report its usual rate, divided evenly over
-        the traffic classes.
+        This is its reported demand, raised if it is silent; before its first report, its declared
+        rate divided evenly among the traffic classes.
         """
         reported = self.demand.get((proxy, traffic_class))
         if reported is None:
-            return self.usual_rates.get(proxy, 0.0) / len(self.class_indexes)
+            return self.declared_rates.get(proxy, 0.0) / len(self.class_indexes)
         is_silent = now > self.reported_at[proxy, traffic_class] + SILENCE_TIMEOUT
         return reported * (SILENT_DEMAND_FACTOR if is_silent else 1.0)
 
     def attempts_per_request(self, retry_policy: int) -> float:
-        """Attempts for each request, retries included.
+        """Attempts per request, including retries.
 
-        Retries follow the recent failure rate. Policy 1 retries only what certainly ran nowhere, so
-        that this is an upper bound for it.
+        The number of retries is estimated from the recent failure rate. For policy 1, which retries
+        only requests that certainly ran on no endpoint, the result is an upper bound.
         """
         failure_rate = self.failed / self.attempts if self.attempts else 0.0
         return 1.0 + MAX_RETRIES[retry_policy] * failure_rate
 
     def capacity_fraction(self, now: float, started_at: float) -> float:
-        """What part of its full capacity an endpoint surely has at its age.
+        """Lower bound of the fraction of its full capacity that an endpoint has at its age.
 
-        It rises evenly from the initial fraction at its start to 1 after the warm-up time, which is
-        the latest that the safety limits allow.
+        It rises linearly from the initial fraction at its start to 1 after the warm-up time, the
+        longest that the safety limits allow.
         """
         limits = self.safety_limits
         age = max(now - started_at, 0.0)
@@ -155,10 +156,10 @@
         )
 
     def capacity_per_weight(self, now: float, warm_endpoints: Iterable[Endpoint]) -> float:
-        """Requests a second that a warm endpoint can serve at least for each unit of its weight.
+        """Lower bound of the requests per second that a warm endpoint serves per unit of weight.
 
-        It is the success rate of the warm endpoints over their weight; infinite while none of them
-        has served anything, as nothing is known then.
+        It is the success rate of the warm endpoints divided by their weight; infinite while none of
+        them has served a request, as nothing is known then.
         """
         total_rate = 0.0
         total_weight = 0.0
@@ -170,7 +171,7 @@
         return total_rate / total_weight if total_rate else inf
 
     def max_rate(self, now: float, started_at: float, capacity: float) -> float:
-        """Requests a second beyond which an endpoint of this full capacity overloads at its age."""
+        """Requests per second above which an endpoint of this full capacity is overloaded now."""
         return (
             CAPACITY_MARGIN
             * self.safety_limits.overload_multiple
--- a/dunlinlug/guard/demand_totals.py
+++ b/dunlinlug/guard/demand_totals.py
@@ -1,6 +1,6 @@
-"""Demand summed over all proxies that may use the same tables, kept up to date between batches.
+"""Demand summed over all proxies that may use the same tables, updated between batches.
 
-Only proxies whose demand or tables have changed are summed anew.
+Only the contributions of proxies whose demand or tables have changed are recomputed.
 """
 
 from math import inf
@@ -9,21 +9,22 @@
 from dunlinlug.guard.capacity_estimates import CapacityEstimates
 from dunlinlug.guard.table_usage import TableUsage
 
-# Seconds after which everything is summed anew: as long as a proxy must be silent to count as such.
+# Seconds after which all sums are recomputed; as long as the timeout after which a proxy counts as
+# silent, since its demand then changes without a report.
 REBUILD_INTERVAL = 5.0
 
 DemandGroup = tuple[int, tuple[int, ...]]  # a traffic class, and the tables a proxy may use for it
 
 
 class Contribution(NamedTuple):
-    """What one proxy adds to which group, in requests a second."""
+    """One proxy's contribution to the sum of a group, in requests per second."""
 
     group: DemandGroup
     demand: float
 
 
 class DemandTotals:
-    """Requests a second by group; owns the sums and what each proxy contributes to them."""
+    """Holds the requests per second of each group, and each proxy's contribution to them."""
 
     def __init__(
         self, usage: TableUsage, estimates: CapacityEstimates, traffic_class_count: int
@@ -37,7 +38,7 @@
         self.rebuilt_at = -inf
 
     def by_group(self, now: float) -> dict[DemandGroup, float]:
-        """Requests a second by group; the caller must not change the dict."""
+        """Requests per second by group; the caller must not modify the dict."""
         changed_proxies = dict(self.usage.changed_proxies)
         changed_proxies.update(self.estimates.changed_proxies)
         self.usage.changed_proxies = {}
--- a/dunlinlug/guard/endpoints.py
+++ b/dunlinlug/guard/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that service discovery has listed: their state and when they started."""
+"""The endpoints that service discovery has listed, with their states and start times."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -8,30 +8,30 @@
 
 
 class ListedEndpoints:
-    """Follows the endpoint list.
+    """Tracks the endpoint list.
 
     Attributes:
-        by_id: The newest entry of every endpoint that was ever listed, also of those now gone.
+        by_id: The newest entry of every endpoint that was ever listed, including those now gone.
         started_at: By endpoint id, the latest start that was listed (seconds on the clock of the
             events; minus infinity if it started long ago).
         warming_up: Ids of endpoints that may still be warming up, in the order in which they were
-            listed; a dict for its order.
+            listed; a dict as it keeps the order.
     """
 
     def __init__(self, warm_up_time: float) -> None:
-        """Take an endpoint as warming up for `warm_up_time` seconds after its start."""
+        """Treat an endpoint as warming up for `warm_up_time` seconds after its start."""
         self.warm_up_time = warm_up_time
         self.by_id: dict[str, Endpoint] = {}
         self.started_at: dict[str, float] = {}
         self.warming_up: dict[str, None] = {}
 
     def handle(self, now: float, event: Event) -> None:
-        """Take in an update of the endpoint list; other events change nothing."""
+        """Apply an update of the endpoint list; other events are ignored."""
         if not isinstance(event, EndpointsUpdated) or event.update_type == "failed":
             return
         if event.update_type != "changes":
-            # Without this, an endpoint that a snapshot leaves out would count as it was listed
-            # last, although it is gone.
+            # An endpoint that a snapshot does not list is gone; its last listed state no longer
+            # applies.
             self.by_id = {
                 worker: replace(endpoint, state=EndpointState.GONE)
                 for worker, endpoint in self.by_id.items()
@@ -56,7 +56,7 @@
         return now < self.started_at.get(worker, -inf) + self.warm_up_time
 
     def warming_endpoints(self, now: float) -> list[Endpoint]:
-        """The listed endpoints that are warming up; the others are forgotten as warming."""
+        """The listed endpoints that are warming up; all others are removed from `warming_up`."""
         self.warming_up = {
             worker: None for worker in self.warming_up if self.is_warming_up(now, worker)
         }
--- a/dunlinlug/guard/load_limits.py
+++ b/dunlinlug/guard/load_limits.py
@@ -1,4 +1,4 @@
-"""Keeps endpoints that are warming up from being sent more than they can serve."""
+"""Limits the load of endpoints that are warming up to what they can serve."""
 
 from collections.abc import Sequence
 
@@ -11,7 +11,7 @@
 
 
 def warm_up_rate_limits(committed: CommittedState, now: float) -> dict[str, float]:
-    """By id of a warming endpoint, the requests a second that it may be sent."""
+    """Maximum requests per second by id of each endpoint that is warming up."""
     endpoints = committed.endpoints
     estimates = committed.estimates
     warming_endpoints = endpoints.warming_endpoints(now)
@@ -29,7 +29,7 @@
 
 
 class LoadLimits:
-    """Rejects orders of one batch that would send a warming endpoint too much."""
+    """Rejects orders of one batch that would overload a warming endpoint."""
 
     def __init__(self, committed: CommittedState, now: float) -> None:
         self.started_at = committed.endpoints.started_at
@@ -43,10 +43,10 @@
         after: TentativeUsage,
         proxies: Sequence[int] = (),
     ) -> Rejection | None:
-        """Check that an order sends no warming endpoint more than its limit and than before.
+        """Reject an order that raises the load of a warming endpoint above its limit.
 
         Args:
-            order: The order at hand.
+            order: The order to validate.
             before: The usage without the order.
             after: The usage with it.
             proxies: Ids of the proxies that a rejection concerns.
--- a/dunlinlug/guard/order_validator.py
+++ b/dunlinlug/guard/order_validator.py
@@ -1,8 +1,9 @@
-"""Validates each batch of orders by what proxies may be using, the endpoint list, and the demand.
+"""Validates batches of orders by the tables that may be in use, the endpoint list and the demand.
 
-Orders are validated one by one, each on top of those accepted before it; a rejected order is left
-out and all others are accepted. Ejecting an endpoint that is not ready and a proxy's first table
-are never held back: where nothing better is left, the lesser harm is accepted and reported.
+Orders are validated one by one, each as if those accepted before it were applied; a rejected order
+is left out and all others are accepted. The ejection of an endpoint that is not ready and a proxy's
+first table are never held back: if there is no better choice, the lesser harm is accepted and
+reported.
 """
 
 from collections.abc import Iterable, Mapping
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True)
 class ValidatedBatch:
-    """The orders accepted in their order, the rejections, and the usage with the accepted orders.
+    """The accepted orders in sequence, the rejections, and the usage with the accepted orders.
 
     Rejections include those that are allowed anyway; their orders are among the accepted.
     """
@@ -34,12 +35,12 @@
 
 
 class OrderValidator:
-    """Give it every event first, then the orders that the decision module answers with.
+    """Validates the decision module's orders; it must be given each batch's events before them.
 
     Attributes:
-        settings: What the manager was given at its start.
-        enforced: Whether rejected orders are held back; if not, all are carried out and the table
-            usage follows that, but for malformed orders.
+        settings: The manager's settings at its start.
+        enforced: Whether rejected orders are held back; if not, all are carried out, and all but
+            malformed ones are applied to the table usage.
         endpoints: The endpoint list.
         usage: Which tables the proxies may be using.
         estimates: Capacity and demand.
@@ -57,7 +58,7 @@
         )
 
     def handle(self, now: float, events: Iterable[Event]) -> None:
-        """Take in events; `now` in seconds on their clock."""
+        """Process events; `now` is in seconds on their clock."""
         for event in events:
             self.estimates.handle(now, event)
             self.usage.handle(event)
@@ -70,7 +71,7 @@
         tables: Mapping[int, tuple[Mapping[str, float], Mapping[int, tuple[int, float]]]],
         ejected: Iterable[str],
     ) -> None:
-        """Go on from where another manager was.
+        """Continue from another manager's state.
 
         Args:
             now: Seconds on the clock of the events.
@@ -93,7 +94,7 @@
         self.usage.ejected = set(ejected)
 
     def validate(self, now: float, orders: list[Order]) -> tuple[list[Order], list[Rejection]]:
-        """Validate a batch and take it in: the accepted orders, in order, and the rejections."""
+        """Validate and apply a batch; return the accepted orders in sequence, and rejections."""
         if not any(isinstance(order, VALIDATED_ORDERS) for order in orders):
             self.usage.apply(orders)
             return orders, []
@@ -102,7 +103,7 @@
         return batch.accepted, batch.rejections
 
     def preview(self, now: float, orders: list[Order]) -> ValidatedBatch:
-        """Validate a batch without taking it in."""
+        """Validate a batch without applying it."""
         accepted: list[Order] = []
         rejections: list[Rejection] = []
         usage = TentativeUsage(self._committed, now)
@@ -117,15 +118,15 @@
         return ValidatedBatch(accepted, rejections, usage)
 
     def rate_limits(self, now: float) -> dict[str, float]:
-        """By id of a warming endpoint, the requests a second that it may be sent."""
+        """Maximum requests per second by id of each endpoint that is warming up."""
         return warm_up_rate_limits(self._committed, now)
 
 
 def _well_formed(orders: list[Order], batch: ValidatedBatch) -> list[Order]:
-    """Return the orders without those that are malformed, by identity.
+    """Return the orders without those that are malformed, compared by identity.
 
-    Without this, a figure that means nothing would enter the usage, and a later validation that
-    reckons with it would raise and end the manager.
+    An invalid number in the usage would make a later validation raise an error that ends the
+    manager.
     """
     malformed_ids = {
         id(rejection.order)
--- a/dunlinlug/guard/overrides.py
+++ b/dunlinlug/guard/overrides.py
@@ -1,10 +1,10 @@
 """Operator overrides: whether one may be activated, and when it ends. Free of I/O.
 
-An override gives a traffic class other weights, a subset of the endpoints, or an exclusion for a
-while. The decision module keeps slow start, outlier detection and ejections under it, and brings it
-in by the ordinary staged update; the validator sees every order that comes of it. What is evaluated
-here is the table as all proxies would have it, before the module is notified of the override. Times
-are seconds on the caller's clock.
+An override temporarily sets other weights for a traffic class, restricts it to some endpoints or
+excludes some. Slow start, outlier detection and ejections stay in effect. The decision module
+applies an override by the ordinary staged update, and the validator validates every order of it.
+This module evaluates the overridden table as if all proxies used it, before the decision module is
+notified of the override. Times are seconds on the caller's clock.
 """
 
 from collections.abc import Iterable, Mapping
@@ -23,17 +23,17 @@
 
 
 class OverrideError(DunlinlugError, ValueError):
-    """An override that cannot be right; the text names the mistake and what would be right."""
+    """An invalid override; the message names the mistake and what would be valid."""
 
 
 @dataclass(frozen=True)
 class Override:
-    """What an operator wants for a traffic class.
+    """An operator's weights for a traffic class.
 
     Attributes:
         traffic_class: Index of the traffic class.
-        weights: By endpoint id the weight in place of the listed one; 0 for not to be used, None
-            for the listed one.
+        weights: By endpoint id, the weight that replaces the listed one; 0 excludes the endpoint,
+            None keeps the listed weight.
         keep_unlisted: Whether endpoints that `weights` does not name keep their listed weights;
             otherwise they are not used.
         expires_at: When it ends, in seconds.
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class EndedOverride:
-    """An override that has ended; `revoked` if it was no longer valid, not because it expired."""
+    """An override that has ended; `revoked` if it became invalid before it expired."""
 
     override: Override
     reason: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class OverrideEvaluation:
-    """What speaks against an override: rejections forbid it, warnings (texts) do not."""
+    """The result of evaluating an override: rejections prevent it, warnings (texts) do not."""
 
     rejections: list[Rejection] = field(default_factory=list)
     warnings: list[str] = field(default_factory=list)
@@ -70,13 +70,13 @@
     """The active overrides by traffic class; at most one each."""
 
     def __init__(self, validator: OrderValidator, max_duration: float) -> None:
-        """No override lasts longer than `max_duration` seconds."""
+        """Limit the duration of each override to `max_duration` seconds."""
         self.validator = validator
         self.max_duration = max_duration
         self.active: dict[int, Override] = {}
 
     def validate(self, override: Override, now: float) -> None:
-        """Check what no state of the fleet could make right.
+        """Check an override for mistakes that make it invalid in any state of the fleet.
 
         Raises:
             OverrideError: An unknown traffic class or endpoint, no endpoint, or a weight or time
@@ -99,10 +99,10 @@
                 raise OverrideError(f"{worker} was never listed")
 
     def evaluate(self, now: float, override: Override) -> OverrideEvaluation:
-        """What would be rejected if all proxies used the overridden table beside their own.
+        """Return what would be rejected if all proxies used the overridden table besides their own.
 
-        Warnings are of warm endpoints that would be sent much more than they served of late, as no
-        rule keeps an operator from that.
+        Warnings name warm endpoints that would be sent much more than they recently served, which
+        no rule forbids.
         """
         if not self._has_usable_endpoint(override):
             return OverrideEvaluation([self._without_endpoint(override)])
@@ -131,10 +131,10 @@
         )
 
     def _readmissions(self, override: Override) -> list[Order]:
-        """Readmissions of the override's endpoints that are ejected for now.
+        """Readmissions of the override's endpoints that are currently ejected.
 
-        Without these, an ejected endpoint would be sent its overridden weight unchecked on the day
-        on which it is readmitted.
+        Evaluating them covers the load that an ejected endpoint gets by its overridden weight once
+        it is readmitted.
         """
         return [
             SetEjected(worker, False)
@@ -145,9 +145,9 @@
         ]
 
     def _warnings(self, now: float, workers: Iterable[str], usage: TentativeUsage) -> list[str]:
-        """Names endpoints that would be sent a multiple of what they served of late.
+        """Name endpoints that would be sent more than a multiple of what they recently served.
 
-        The multiple is the one beyond which a warming endpoint overloads.
+        The multiple is the one above which a warming endpoint overloads.
         """
         warnings = []
         estimates = self.validator.estimates
@@ -162,25 +162,25 @@
         return warnings
 
     def activate(self, override: Override) -> OverrideChanged:
-        """Let it take effect, in place of an earlier one of its traffic class."""
+        """Activate an override; it replaces an earlier one of its traffic class."""
         self.active[override.traffic_class] = override
         return override.to_event()
 
     def end(self, traffic_class: int) -> OverrideChanged | None:
-        """End an override as an operator wishes; None if there is none."""
+        """End an override at an operator's request; None if there is none."""
         if self.active.pop(traffic_class, None) is None:
             return None
         return OverrideChanged(traffic_class)
 
     def next_expiry(self) -> float:
-        """When the next override ends, in seconds; infinite if there is none."""
+        """When the next override expires, in seconds; infinite if there is none."""
         return min((override.expires_at for override in self.active.values()), default=inf)
 
     def end_invalid(self, now: float, rejections: Iterable[Rejection] = ()) -> list[EndedOverride]:
         """End the overrides that have expired or are no longer valid.
 
-        An override is no longer valid if none of its endpoints may be used, or if an entry that it
-        gives a weight was among the rejections.
+        An override is no longer valid if none of its endpoints may be used, or if an order that
+        would send load to an endpoint with an overridden weight was rejected.
         """
         reason_by_worker = {
             _worker_receiving_load(rejection.order): rejection.reason
@@ -204,7 +204,7 @@
             return EndedOverride(override, "none of its workers may be used any more", revoked=True)
         for worker, weight in override.weights.items():
             if weight and worker in reason_by_worker:
-                reason = f"what it weighs was refused: {reason_by_worker[worker]}"
+                reason = f"an order for one of its workers was rejected: {reason_by_worker[worker]}"
                 return EndedOverride(override, reason, revoked=True)
         return None
 
@@ -224,21 +224,21 @@
     def _effective_weights(self, now: float, override: Override) -> dict[str, float]:
         """The overridden table: weights by endpoint, reduced for those that are warming up."""
         endpoints = self.validator.endpoints
-        usual_weight = self._usual_weight()
+        default_weight = self._default_weight()
         weights = {}
         for worker in self._selected_workers(override):
             if not endpoints.is_ready(worker):
                 continue
             weight = override.weights.get(worker)
             if weight is None:
-                weight = endpoints.by_id[worker].weight or usual_weight
+                weight = endpoints.by_id[worker].weight or default_weight
             weights[worker] = weight * self.validator.estimates.capacity_fraction(
                 now, endpoints.started_at[worker]
             )
         return weights
 
-    def _usual_weight(self) -> float:
-        """The mean listed weight of the ready endpoints; for those listed without one."""
+    def _default_weight(self) -> float:
+        """The weight of endpoints listed without one: the mean listed weight of ready ones."""
         listed_weights = [
             endpoint.weight
             for endpoint in self.validator.endpoints.by_id.values()
@@ -250,7 +250,7 @@
 
 
 def _worker_receiving_load(order: Order) -> str:
-    """The endpoint that the order would have sent requests to; empty if there is none."""
+    """The endpoint to which the order would have sent requests; empty if there is none."""
     if isinstance(order, SetWeight) and order.weight:
         return order.worker
     if isinstance(order, SetEjected) and not order.ejected:
--- a/dunlinlug/guard/rejection.py
+++ b/dunlinlug/guard/rejection.py
@@ -23,10 +23,10 @@
     Attributes:
         order: The order as the decision module gave it.
         rule: The rule that it breaks.
-        reason: What was measured against which limit, as text for operators.
-        remedy: What would be accepted in its place, as text for operators.
-        proxies: Ids of the proxies that the order concerns; empty if it concerns none by name.
-        allowed_anyway: Whether the order is carried out all the same, as the lesser harm.
+        reason: The measured value and the limit that it exceeds, or the fault; text for operators.
+        remedy: What would be accepted instead; text for operators.
+        proxies: Ids of the proxies that the order concerns; empty if it concerns no specific ones.
+        allowed_anyway: Whether the order is carried out despite the rejection, as the lesser harm.
     """
 
     order: Order
--- a/dunlinlug/guard/table_usage.py
+++ b/dunlinlug/guard/table_usage.py
@@ -1,9 +1,9 @@
-"""Which tables each proxy may be using: the old one, the new one, and both until it acknowledges.
+"""Which tables each proxy may be using: until it acknowledges a new table, both old and new.
 
-Whether an endpoint is ejected has two answers while proxies have not acknowledged it. For the
-question whether a proxy could be left without an endpoint, it counts as ejected from the order on,
-and as readmitted only once all proxies have acknowledged. For the question how much it could be
-sent it is the other way round.
+Until all proxies have acknowledged an ejection or readmission, the endpoint counts as ejected for
+one kind of check and not for the other. When checking whether a proxy could be left without an
+endpoint, an endpoint counts as ejected from the order on, and as readmitted only once all proxies
+have acknowledged that. When estimating the load that it could be sent, the reverse holds.
 """
 
 from dataclasses import dataclass, field
@@ -36,18 +36,18 @@
     admission: dict[int, Admission] = field(default_factory=dict)
 
     def copy(self) -> "TableContents":
-        """A table of its own with the same contents."""
+        """Return an independent copy."""
         return TableContents(dict(self.weights), dict(self.admission))
 
     def set_weight(self, worker: str, weight: float) -> None:
-        """Set one entry; weight 0 takes it away."""
+        """Set one entry; weight 0 removes it."""
         self.weights[worker] = weight
         if not weight:
             del self.weights[worker]
 
 
 class AssignedTable(NamedTuple):
-    """A table that a proxy was told to use, and the batch that told it so."""
+    """A table that a proxy was assigned to, and the batch with the assignment."""
 
     table_id: int
     batch: int
@@ -62,16 +62,16 @@
 
 
 class TableUsage:
-    """Follows the orders carried out, the acknowledgements, and which proxies are connected.
+    """Tracks the orders carried out, the acknowledgements, and which proxies are connected.
 
-    Batches of orders are counted from 1; an acknowledgement of one covers all before it.
+    Batches of orders are numbered from 1; an acknowledgement of one covers all before it.
 
     Attributes:
         tables: All tables by their id, as ordered.
         assignments: By connected proxy and traffic class, the tables that it may use, oldest first.
-        changed_proxies: Proxies whose tables changed since `DemandTotals` took this last; a dict
-            for its order.
-        ejected: Ids of the endpoints that are ejected as ordered last.
+        changed_proxies: Proxies whose tables changed since `DemandTotals` last took this; a dict
+            as it keeps their order.
+        ejected: Ids of the endpoints that are ejected according to the last order.
         pending_ejections: By endpoint id, its last ejection or readmission if not yet acknowledged
             by all.
         batch_by_ack_number: The batch that each acknowledgement request ended.
@@ -88,7 +88,7 @@
         self.batch = 0
 
     def handle(self, event: Event) -> None:
-        """Take in a connection, its end, or an acknowledgement; other events change nothing."""
+        """Process a connection, its end, or an acknowledgement; other events are ignored."""
         match event:
             case ProxyConnected(proxy):
                 self._disconnect(proxy)
@@ -124,7 +124,7 @@
                 self._record_change(proxy)
 
     def apply(self, orders: list[Order]) -> None:
-        """Take in the orders of one batch that are carried out."""
+        """Apply the orders of one batch that are carried out."""
         self.batch += 1
         for order in orders:
             self._apply_order(order)
@@ -162,15 +162,15 @@
         self.pending_ejections[worker] = PendingEjection(self.batch, set(self.assignments))
 
     def may_be_ejected(self, worker: str) -> bool:
-        """Whether some proxy may hold the endpoint for ejected."""
+        """Whether the endpoint may be ejected at some proxy."""
         return worker in self.ejected or worker in self.pending_ejections
 
-    def is_surely_ejected(self, worker: str) -> bool:
-        """Whether all proxies hold the endpoint for ejected."""
+    def is_ejected_everywhere(self, worker: str) -> bool:
+        """Whether the endpoint is certainly ejected at all proxies."""
         return worker in self.ejected and worker not in self.pending_ejections
 
     def proxies_by_table(self) -> dict[int, dict[int, None]]:
-        """The proxies that may be using each table; made anew only when that has changed."""
+        """The proxies that may be using each table; recomputed only after a change."""
         if self._proxies_by_table is None:
             self._proxies_by_table = {}
             for proxy, assigned_by_class in self.assignments.items():
--- a/dunlinlug/guard/tentative_usage.py
+++ b/dunlinlug/guard/tentative_usage.py
@@ -1,4 +1,4 @@
-"""Table usage as it would be with the orders of a batch, while these are validated one by one.
+"""Table usage as it would be with the orders of a batch, while they are validated one by one.
 
 Only what the orders change is copied; everything else is read from the committed state.
 """
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class CommittedState:
-    """What the validator knows, with all earlier batches taken in."""
+    """The validator's state after all earlier batches."""
 
     settings: ManagerSettings
     endpoints: ListedEndpoints
@@ -26,12 +26,12 @@
 
 
 class TentativeUsage:
-    """The committed state with the accepted orders of one batch laid over it.
+    """The committed state overlaid with the accepted orders of one batch.
 
     Attributes:
         changed_tables: Tables that the batch has changed, by id, with all their contents.
         new_assignments: By proxy and traffic class, the tables that the batch assigned.
-        new_proxies: By table, the proxies that the batch assigned to it; dicts for their order.
+        new_proxies: By table, the proxies that the batch assigned to it; dicts keep their order.
         changed_ejections: By endpoint id, whether the batch ejected or readmitted it.
     """
 
@@ -46,7 +46,7 @@
         self._total_weights: dict[int, float] = {}
         self._usable_workers: dict[int, list[str]] = {}
 
-    # What is.
+    # The state with the orders accepted so far.
 
     def table(self, table_id: int) -> TableContents:
         """The contents of a table; empty if there is no such table."""
@@ -79,19 +79,19 @@
         ]
 
     def may_be_ejected(self, worker: str) -> bool:
-        """Whether some proxy may hold the endpoint for ejected."""
+        """Whether the endpoint may be ejected at some proxy."""
         return self.changed_ejections.get(worker, False) or self.committed.usage.may_be_ejected(
             worker
         )
 
-    def is_surely_ejected(self, worker: str) -> bool:
-        """Whether all proxies hold the endpoint for ejected."""
-        return self.committed.usage.is_surely_ejected(worker) and self.changed_ejections.get(
+    def is_ejected_everywhere(self, worker: str) -> bool:
+        """Whether the endpoint is certainly ejected at all proxies."""
+        return self.committed.usage.is_ejected_everywhere(worker) and self.changed_ejections.get(
             worker, True
         )
 
     def usable_workers(self, table_id: int) -> list[str]:
-        """The endpoints of a table that every proxy on it can use for sure."""
+        """The endpoints of a table that every proxy on it can certainly use."""
         usable = self._usable_workers.get(table_id)
         if usable is None:
             usable = [
@@ -102,10 +102,10 @@
             self._usable_workers[table_id] = usable
         return usable
 
-    # How much an endpoint could be sent.
+    # The load that an endpoint could be sent.
 
     def demand_by_group(self) -> dict[DemandGroup, float]:
-        """Requests a second by traffic class and the tables that their proxies may be using."""
+        """Requests per second by traffic class and the tables that their proxies may be using."""
         if self._demand_by_group is None:
             self._demand_by_group = dict(self.committed.demand_totals.by_group(self.now))
             for proxy, traffic_class in self.new_assignments:
@@ -130,11 +130,11 @@
             demand[new_group] = demand.get(new_group, 0.0) + proxy_demand
 
     def max_load(self, worker: str) -> float:
-        """Attempts a second that all proxies together may send to an endpoint.
+        """Attempts per second that all proxies together may send to an endpoint.
 
-        Each proxy counts with the worst of the tables that it may be using.
+        For each proxy, the table that sends the most counts, of those that it may be using.
         """
-        if self.is_surely_ejected(worker):
+        if self.is_ejected_everywhere(worker):
             return 0.0
         return sum(
             max(self._attempts_per_request(worker, table_id, traffic_class) for table_id in tables)
@@ -143,7 +143,7 @@
         )
 
     def _attempts_per_request(self, worker: str, table_id: int, traffic_class: int) -> float:
-        """Attempts at the endpoint for each request that comes to a proxy on this table."""
+        """Attempts at the endpoint per request that a proxy on this table receives."""
         table = self.table(table_id)
         weight = table.weights.get(worker, 0.0)
         if not weight:
@@ -162,7 +162,7 @@
         )
 
     def _total_weight(self, table_id: int) -> float:
-        """The weight of a table's endpoints that are surely not ejected."""
+        """The total weight of a table's endpoints that are certainly not ejected."""
         if table_id not in self._total_weights:
             self._total_weights[table_id] = sum(
                 weight
@@ -171,14 +171,14 @@
             )
         return self._total_weights[table_id]
 
-    # What an order would change.
+    # Effects of an order.
 
     def is_unchanged(self, order: SetWeight) -> bool:
-        """Whether the entry already has the weight that the order gives it."""
+        """Whether the entry already has the weight that the order sets."""
         return self.table(order.table_id).weights.get(order.worker, 0.0) == order.weight
 
     def with_weight(self, order: SetWeight) -> "TentativeUsage":
-        """The usage with an entry's weight set; only to ask for loads."""
+        """The usage with an entry's weight set; only for computing loads."""
         changed = self._shallow_copy()
         table = self.table(order.table_id)
         weights = dict(table.weights)
@@ -190,7 +190,7 @@
         return changed
 
     def with_assignment(self, order: AssignTable) -> "TentativeUsage":
-        """The usage with a proxy told to use a table; only to ask for loads."""
+        """The usage with a proxy assigned to a table; only for computing loads."""
         changed = self._shallow_copy()
         changed._demand_by_group = dict(self.demand_by_group())
         changed.new_assignments = dict(self.new_assignments)
@@ -204,14 +204,14 @@
         return changed
 
     def with_readmission(self, worker: str) -> "TentativeUsage":
-        """The usage with an endpoint readmitted; only to ask for loads."""
+        """The usage with an endpoint readmitted; only for computing loads."""
         changed = self._shallow_copy()
         changed.changed_ejections = dict(self.changed_ejections)
         changed.changed_ejections[worker] = False
         return changed
 
     def _shallow_copy(self) -> "TentativeUsage":
-        """A copy that shares all its parts with this one; the caller replaces what it changes."""
+        """A copy that shares all attributes; the caller replaces those that it changes."""
         copied = TentativeUsage(self.committed, self.now)
         copied.changed_tables = self.changed_tables
         copied.new_assignments = self.new_assignments
@@ -222,7 +222,7 @@
         return copied
 
     def apply(self, order: Order) -> None:
-        """Take in an accepted order of the batch."""
+        """Apply an accepted order of the batch."""
         match order:
             case SetWeight(table_id, worker, weight):
                 self._writable_table(table_id).set_weight(worker, weight)
--- a/dunlinlug/manager/__init__.py
+++ b/dunlinlug/manager/__init__.py
@@ -1,6 +1,6 @@
-"""The running manager's host parts, shared by both front ends; they decide nothing.
+"""The runtime around the decision module, shared by both front ends; it makes no decisions.
 
-The decision loop hosts one decision module and carries out its orders. Around it stand the paced
-channel, the installed tables, the endpoint watcher, health checks, reports, validation, signals
-and logs.
+The decision loop runs one decision module and carries out its orders. The other parts are the paced
+channel, the installed tables, the endpoint watcher, health checks, load reports, validation,
+signals and logs.
 """
--- a/dunlinlug/manager/channel.py
+++ b/dunlinlug/manager/channel.py
@@ -1,22 +1,22 @@
-"""The paced channel: messages leave one after the other, at a rate in table entries per second.
+"""The paced channel: sends messages one after the other, at a rate in table entries per second.
 
-The rate is the one by which the decision module accounts for the channel.
+The decision module uses the same rate in its own estimate of the channel's queue.
 """
 
 from collections import defaultdict, deque
 
 from dunlinlug.manager.interfaces import OutgoingMessage
 
-# Seconds of the rate that may be made up for after a stall: a scheduler's usual hiccup.
+# Seconds' worth of entries that may be sent at once after a stall: a common scheduling delay.
 MAX_CATCH_UP_S = 0.1
 
 
 class PacedChannel:
-    """A queue of messages to proxies that is emptied in order, at a given rate.
+    """A FIFO queue of messages to proxies that is drained at a given rate.
 
     Times are seconds on the caller's clock. `max_queued_entries` and `max_messages` (to one proxy
     within `messages_window` seconds) are limits that are reported when exceeded, not enforced; a
-    `max_messages` of 0 is no limit.
+    `max_messages` of 0 means no limit.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self.max_messages = max_messages
         self.messages_window = messages_window
         self.queue: deque[tuple[int, OutgoingMessage]] = deque()
-        self.head_departs_at = 0.0  # when the last byte of the queue's first message has left
+        self.head_departs_at = 0.0  # when the first message in the queue is completely sent
         self.queued_entries = 0.0
         self.peak_queued_entries = 0.0
         self.sent_times: dict[int, deque[float]] = defaultdict(deque)
@@ -39,7 +39,7 @@
     def enqueue(self, now: float, proxy: int, message: OutgoingMessage) -> list[str]:
         """Queue a message and return the names of the limits that it exceeds.
 
-        It is sent all the same.
+        A message is queued even if it exceeds a limit.
         """
         if not self.queue:
             self.head_departs_at = (
@@ -60,10 +60,10 @@
         return exceeded_limits
 
     def pop_due(self, now: float) -> list[tuple[int, OutgoingMessage]]:
-        """Return the messages that have left by `now`, with their proxies, in order."""
+        """Remove and return the messages due by `now`, with their proxies, in order."""
         departed = []
         if self.queue:
-            # Without this, all that was queued would leave in one burst after the process stood.
+            # Limits the burst after the process was suspended, when all queued messages are due.
             self.head_departs_at = max(self.head_departs_at, now - MAX_CATCH_UP_S)
         while self.queue and self.head_departs_at <= now:
             proxy, message = self.queue.popleft()
@@ -74,13 +74,13 @@
         return departed
 
     def next_due_at(self) -> float | None:
-        """Return when the next message has left; None while nothing is queued."""
+        """Return when the next message is due; None while nothing is queued."""
         return self.head_departs_at if self.queue else None
 
     def remove_proxy(self, proxy: int) -> None:
-        """Drop what is queued for a disconnected proxy, and its count of messages.
+        """Drop the messages queued for a disconnected proxy, and its message times.
 
-        The message at the head stays, as it is leaving already.
+        The message at the head stays, as it is already being sent.
         """
         head = self.queue[0] if self.queue else None
         remaining = [entry for entry in self.queue if entry[0] != proxy or entry is head]
@@ -89,13 +89,13 @@
         self.sent_times.pop(proxy, None)
 
     def clear(self) -> None:
-        """Drop all that is queued: this manager no longer orders anything."""
+        """Drop all queued messages, as this manager no longer gives orders."""
         self.queue.clear()
         self.sent_times.clear()
         self.queued_entries = 0.0
 
     def set_rate(self, now: float, entries_per_s: float) -> None:
-        """Change the rate, also for the rest of the message at the head."""
+        """Change the rate, including that of the unsent part of the message at the head."""
         remaining_time = max(self.head_departs_at - now, 0.0)
         self.head_departs_at = now + remaining_time * self.entries_per_s / entries_per_s
         self.entries_per_s = entries_per_s
--- a/dunlinlug/manager/decision_loop.py
+++ b/dunlinlug/manager/decision_loop.py
@@ -1,6 +1,6 @@
 """The decision loop: batches events for the decision module and carries out its orders in order.
 
-What arrives while a batch is being decided forms the next batch.
+Events that arrive while a batch is being decided form the next batch.
 """
 
 import heapq
@@ -25,13 +25,13 @@
 
 
 class DecisionLoop:
-    """One decision module, its queue of events and its timers.
+    """Runs one decision module, with its event queue and its timers.
 
-    Other parts `submit` events; orders that are not for proxies go to handlers by their type.
-    Module, timers and events live on the module's clock: trio's clock plus `clock_offset` seconds,
-    which a takeover from another manager sets. `min_batch_interval` is the least time in seconds
-    from one batch to the next. `deliver` writes a message that the channel has released; it takes
-    the kind of message that the order sink makes.
+    Other components `submit` events; orders that are not for proxies are passed to the handler for
+    their type. The module, its timers and its events use the module's clock: trio's clock plus
+    `clock_offset` seconds, which is set by a takeover from another manager. `min_batch_interval`
+    is the minimum time in seconds between two batches. `deliver` sends a message that the channel
+    has released; it accepts the type of message that the order sink creates.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917 - one argument for each collaborator
@@ -55,7 +55,7 @@
         self.event_arrived = trio.Event()
         self.channel_changed = trio.Event()
         self.timers: list[tuple[float, int]] = []  # a heap: due time on the module's clock, token
-        # by type of order: who carries out those that are not for proxies
+        # by order type: the handler, for orders that are not for proxies
         self.order_handlers: dict[type, Callable[[Any], None]] = {}
         self.batch_count = 0
         self.clock_offset = 0.0
@@ -63,7 +63,7 @@
         self.stopped = False
 
     def handle_orders(self, order_type: type[OrderT], handler: Callable[[OrderT], None]) -> None:
-        """Have `handler` carry out the orders of one type."""
+        """Register `handler` for the orders of one type."""
         self.order_handlers[order_type] = handler
 
     def set_leadership(self, leadership: ReplicatedLeadership) -> None:
@@ -76,26 +76,26 @@
         self.event_arrived.set()
 
     def notify_channel_changed(self) -> None:
-        """Look at the channel anew, as its rate has changed."""
+        """Check the channel's next due time again, as its rate has changed."""
         self.channel_changed.set()
 
     def stop(self) -> None:
-        """Decide nothing from now on.
+        """Decide no further batches.
 
-        Without this, a batch that is due as the process is told to stop would still be decided
-        before the loop is cancelled, and would order what nobody stays to see through.
+        A batch that is due when the process is stopped could otherwise still be decided before the
+        loop is cancelled, and the process would exit before its orders are carried out.
         """
         self.stopped = True
 
     async def run(self) -> None:
-        """Decide batch after batch and release messages until cancelled."""
+        """Decide batches and release messages until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_due_messages)
             while True:
                 with trio.move_on_at(self._next_timer_at()):
                     await self.event_arrived.wait()
                 self.run_batch(trio.current_time())
-                # whatever else is ready runs before the next batch
+                # lets the other tasks that are ready run before the next batch
                 await trio.sleep(self.min_batch_interval)
 
     def _next_timer_at(self) -> float:
@@ -107,7 +107,7 @@
         return self.timers[0][0] - self.clock_offset
 
     def run_batch(self, now: float) -> None:
-        """Decide one batch of due timers and pending events at `now` on trio's clock."""
+        """Decide one batch of pending events and due timers at `now` on trio's clock."""
         events = self._take_pending_events(now)
         if not events:
             return
@@ -131,18 +131,17 @@
         self._log_decision(events, orders, messages)
 
     def _take_pending_events(self, now: float) -> list[Event]:
-        """Return pending events and those of due timers; none while nothing may be decided."""
+        """Return pending events and those of due timers; none while decisions are not allowed."""
         events = self.pending_events
         self.pending_events = []
         self.event_arrived = trio.Event()
         if self.stopped:
             return []
         if self.leadership is not None and not self.leadership.holds_lease(now):
-            # Without this check, a manager that was suspended until after its lease would decide
-            # on what arrived meanwhile, which is now another leader's to decide. A leader whose
-            # lease is not valid at the moment keeps its events: while the answers to a new leader's
-            # first heartbeats are on their way they hold its own partition status, and who had
-            # connected to the former leader.
+            # A manager that was suspended until after its lease must not decide on the events that
+            # arrived meanwhile, as another leader decides on them by now. A leader without a valid
+            # lease keeps its events: until a new leader's first heartbeats are answered, they
+            # contain its own partition status and the proxies connected to the former leader.
             self.pending_events = events if self.leadership.is_leader() else []
             return []
         while self.timers and self.timers[0][0] <= now + self.clock_offset:
@@ -164,10 +163,10 @@
     def replay_batch(
         self, now: float, events: Sequence[Event], rejected_indexes: Sequence[int]
     ) -> None:
-        """Decide another manager's batch at its time, so that the state comes to be the same.
+        """Decide another manager's batch at its time, to reach the same state.
 
-        `now` is on the module's clock; `rejected_indexes` are the orders that the other manager's
-        validation rejected. No message leaves.
+        `now` is on the module's clock; `rejected_indexes` are the positions of the orders that the
+        other manager's validation rejected. No message is sent.
         """
         self.clock_offset = max(self.clock_offset, now - trio.current_time())
         fired_tokens = {event.token for event in events if isinstance(event, TimerFired)}
@@ -200,7 +199,7 @@
         orders: Sequence[Order],
         messages: Mapping[int, OutgoingMessage],
     ) -> None:
-        """Log what a reply orders, for how many proxies, and the events that caused it."""
+        """Log a reply's orders, the number of proxies concerned and the events that caused it."""
         order_counts = Counter(
             type(order).__name__ for order in orders if not isinstance(order, SetTimer | LogMessage)
         )
@@ -233,13 +232,13 @@
 
 
 def _indexes_of_rejected(decided: Sequence[Order], accepted: Sequence[Order]) -> list[int]:
-    """Return the places in `decided` of the orders that are not in `accepted`, by identity."""
+    """Return the positions in `decided` of orders not in `accepted`, compared by identity."""
     accepted_ids = {id(order) for order in accepted}
     return [index for index, order in enumerate(decided) if id(order) not in accepted_ids]
 
 
 def _count_by_kind(events: Iterable[Event]) -> dict[str, int]:
-    """Return how many events of each kind there are, by the names that the log uses."""
+    """Return the number of events of each kind, by the kind's name in the log."""
     counts = Counter[str]()
     for event in events:
         kind = type(event).__name__
--- a/dunlinlug/manager/endpoint_watcher.py
+++ b/dunlinlug/manager/endpoint_watcher.py
@@ -1,4 +1,4 @@
-"""Follows service discovery by blocking queries: changes to the module, the list to the store."""
+"""Watches service discovery by blocking queries; submits changes and stores the endpoint list."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -14,15 +14,15 @@
 
 
 class DiscoveryError(DunlinlugError):
-    """Service discovery did not answer as agreed; the text says how."""
+    """Service discovery gave no answer or an invalid one; the message describes the fault."""
 
 
 class EndpointWatcher:
     """Queries service discovery and submits `EndpointsUpdated` for each change.
 
-    `timeout` is the seconds for an answer beyond the query's own wait. `clock_offset` returns the
-    module's clock less the wall clock, in seconds. `store_list` gets each list's body, whose start
-    times are wall time.
+    `timeout` is the time in seconds that an answer may take beyond the query's own wait.
+    `clock_offset` returns the module's clock minus the wall clock, in seconds. `store_list` gets
+    each list in encoded form, with start times in wall time.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917 - one argument for each collaborator
@@ -47,11 +47,11 @@
         self.failing = False
 
     def forget_list(self) -> None:
-        """Report the next list as a snapshot, whatever was reported before."""
+        """Submit the next list as a snapshot instead of its changes."""
         self.last_list = None
 
     async def watch(self, retry_failures: bool) -> None:
-        """Follow the list until cancelled.
+        """Watch the list until cancelled.
 
         With `retry_failures` false, the first failure is submitted and ends the watch.
         """
@@ -69,7 +69,7 @@
                 await trio.sleep(pause)
 
     async def list_endpoints(self) -> None:
-        """Query the complete list once; a failure is submitted."""
+        """Query the complete list once; a failure is submitted as an event."""
         self.state.index = 0
         try:
             await self._query_once()
@@ -94,7 +94,7 @@
         await trio.sleep(MIN_QUERY_INTERVAL)
 
     async def _request(self) -> http.Response:
-        """Return the answer to one query; raises DiscoveryError for none, or another status."""
+        """Return the answer to one query; raises DiscoveryError if it fails or is not a 200."""
         reply: http.Response | None = None
         with trio.move_on_after(self.timeout + self.state.wait):
             try:
@@ -102,13 +102,13 @@
             except http.HttpError as error:
                 raise DiscoveryError(str(error)) from None
         if reply is None:
-            raise DiscoveryError("no answer in time")
+            raise DiscoveryError("no answer within the timeout")
         if reply.status != 200:
-            raise DiscoveryError(f"answered with status {reply.status}")
+            raise DiscoveryError(f"answered with HTTP status {reply.status}, expected 200")
         return reply
 
     def _publish_list(self, entries_read: list[Endpoint]) -> None:
-        """Submit the first list as a snapshot, then what changed; a missing entry is gone."""
+        """Submit the first list as a snapshot, later ones as changes; a missing entry is gone."""
         self.store_list(entries.encode_workers(entries_read))
         workers = [
             self.start_times.to_module_clock(worker, self.clock_offset()) for worker in entries_read
--- a/dunlinlug/manager/health_checks.py
+++ b/dunlinlug/manager/health_checks.py
@@ -1,4 +1,4 @@
-"""Active health checks by HTTP, a bounded number at a time; each result goes to the module."""
+"""Active health checks over HTTP with limited concurrency; each result is submitted as an event."""
 
 import json
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 from dunlinlug.decision.events import Event, HealthCheckCompleted
 from dunlinlug.net import http
 
-# Bytes of an answer: a load report has some hundred. Without a bound, answers without end would
-# fill the memory, as many as there are checks at once.
+# A load report has a few hundred bytes. The limit keeps endless answers to concurrent checks from
+# filling the memory.
 MAX_REPORT_BYTES = 2**16
 
 
 class HealthCheckResult(StrEnum):
-    """What came of a health check, with the value that the module gets."""
+    """The result of a health check; the values are those in `HealthCheckCompleted`."""
 
     OK = "ok"
     OVERLOADED = "full"
@@ -42,7 +42,7 @@
 def parse_json_report(body: bytes) -> dict[str, float]:
     """Return a load report's metrics by name.
 
-    Raises ValueError, TypeError or AttributeError for a body that is no JSON object of numbers.
+    Raises ValueError, TypeError or AttributeError if the body is not a JSON object of numbers.
     """
     return {str(metric): float(value) for metric, value in json.loads(body or b"{}").items()}
 
@@ -71,7 +71,7 @@
         self.limit = trio.CapacityLimiter(max(max_concurrent, 1))
 
     def register_result_handler(self, submit: Callable[[Event], None]) -> None:
-        """Send results to `submit` from now on, in place of where they went before."""
+        """Send results to `submit` from now on instead of the previous handler."""
         self.submit = submit
 
     async def check(self, worker: str) -> None:
@@ -113,7 +113,7 @@
         return _Answer(HealthCheckResult.OK, self._read_load(reply.body))
 
     def _read_load(self, body: bytes) -> dict[str, float]:
-        """Return the load report's metrics, or none of them if the report is not usable."""
+        """Return the load report's metrics; none if the report is invalid."""
         try:
             load = self.parse_report(body)
         except (ValueError, AttributeError, TypeError):
--- a/dunlinlug/manager/installed_tables.py
+++ b/dunlinlug/manager/installed_tables.py
@@ -1,8 +1,8 @@
-"""Installed tables and the proxies assigned to them: what a reply affects, whatever the wire.
+"""Installed tables and the proxies assigned to them, independent of the wire format.
 
 A reply's orders are carried out one after the other; `entries_by_proxy` then holds, for each proxy
-that gets a message, the table entries that the module accounts for. No socket, no clock, no
-decision.
+that gets a message, the number of table entries that the decision module counts for it on the
+channel. This module uses no sockets, reads no clock and makes no decisions.
 """
 
 from collections.abc import Iterable
@@ -45,7 +45,7 @@
 
 @dataclass(eq=False)
 class _PendingTableChange:
-    """What was changed at a table and not yet counted at its proxies."""
+    """Changes of a table that are not yet counted for its proxies."""
 
     entry_count: float = 0.0
     admission_changed: bool = False
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class _EjectionEffect:
-    """What a set of changed ejections means to proxies with the same tables."""
+    """The effect of a set of ejection changes on proxies with the same tables."""
 
     entry_count: float
     affected_tables: set[int]
@@ -62,8 +62,8 @@
 class TableInstaller(Generic[ProxyStateT]):
     """Carries out a reply's orders on tables, ejections and assignments.
 
-    A front end derives from it and overrides the hooks at the end for what its wire needs to know
-    of each order; it adds the proxies to `proxies` itself.
+    A front end subclasses it and overrides the hooks at the end to encode the effects of each order
+    in its wire format. It also adds the proxies to `proxies`.
     """
 
     def __init__(self, traffic_class_count: int) -> None:
@@ -71,12 +71,12 @@
         self.tables: dict[int, InstalledTable] = {}
         self.ejected: set[str] = set()
         self.proxies: dict[int, ProxyStateT] = {}
-        # by table: the proxies assigned to it, in the order in which they were
+        # by table: the proxies assigned to it, in the order of their assignment
         self.table_users: dict[int, dict[int, None]] = {}
-        # by proxy: the table entries of the reply at hand
+        # by proxy: the number of table entries of the current reply
         self.entries_by_proxy: dict[int, float] = {}
-        # Changes are counted at the proxies once the reply goes on to something else. Without
-        # this, a change of a whole table or many ejections at once would cost proxies x entries.
+        # Consecutive changes are collected and counted for the proxies together: counted one by
+        # one, a change of a whole table or many ejections would cost proxies x entries.
         self.pending_table_changes: dict[int, _PendingTableChange] = {}
         self.pending_ejection_changes: list[str] = []  # workers ejected or readmitted
 
@@ -91,9 +91,9 @@
     ) -> int | None:
         """Carry out the orders that concern proxies and return the reply's acknowledgement number.
 
-        The other orders are the decision loop's. `awaited_proxies` get a message whatever else
-        they get, as the module awaits their acknowledgement for orders that were rejected. Returns
-        None where no acknowledgement is requested.
+        The decision loop handles the other orders. Each of `awaited_proxies` gets a message even
+        if no order is for it, as the module awaits its acknowledgement of orders that were
+        rejected. Returns None if no acknowledgement is requested.
         """
         self.entries_by_proxy = {}
         self.pending_table_changes = {}
@@ -115,7 +115,7 @@
         return ack_number
 
     def _add_awaited(self, awaited_proxies: Iterable[int]) -> None:
-        """Have each of these proxies get a message, be it one without table entries."""
+        """Ensure that each of these proxies gets a message, possibly without table entries."""
         for proxy in awaited_proxies:
             if proxy in self.proxies:
                 self.entries_by_proxy.setdefault(proxy, 0.0)
@@ -128,7 +128,7 @@
     def _update_table(self, order: SetWeight | DeleteTable | SetAdmission) -> None:
         table = self._get_or_create_table(order.table_id)
         if self.pending_ejection_changes:
-            self._flush_pending_changes()  # ejections count by the entries as they were
+            self._flush_pending_changes()  # ejections are counted by the entries before the change
         match order:
             case SetWeight(_, worker, weight):
                 table.weights[worker] = weight
@@ -152,7 +152,7 @@
             self.table_users.pop(order.table_id, None)
 
     def _flush_pending_changes(self) -> None:
-        """Count the pending changes at the proxies that use the tables now."""
+        """Count the pending changes for the proxies that use the tables now."""
         pending = self.pending_table_changes
         self.pending_table_changes = {}
         for table_id, change in pending.items():
@@ -163,9 +163,9 @@
             self._flush_ejection_changes()
 
     def _flush_ejection_changes(self) -> None:
-        """Count one entry at each proxy for each changed worker that its tables name.
+        """Count, for each proxy, one entry per changed worker in its tables.
 
-        A proxy with a traffic class whose table is not known counts all the workers.
+        For a proxy that has a traffic class without a known table, all changed workers count.
         """
         changed_workers = self.pending_ejection_changes
         self.pending_ejection_changes = []
@@ -197,16 +197,16 @@
         }
         if len(assigned_tables) < self.traffic_class_count:
             return _EjectionEffect(float(len(changed_workers)), affected_tables)
-        named_workers = set[str]()
+        affected_workers = set[str]()
         for table_id in affected_tables:
-            named_workers |= changed_workers_by_table[table_id]
-        return _EjectionEffect(float(len(named_workers)), affected_tables)
+            affected_workers |= changed_workers_by_table[table_id]
+        return _EjectionEffect(float(len(affected_workers)), affected_tables)
 
     def _assign_table(self, proxy: int, traffic_classes: tuple[int, ...], table_id: int) -> None:
         table = self._get_or_create_table(table_id)
         table_by_class = self.proxies[proxy].table_by_class
         if self._has_pending_changes(table_id, table_by_class.values()):
-            self._flush_pending_changes()  # they count at those who were assigned until now
+            self._flush_pending_changes()  # they count for the proxies assigned until now
         for assigned_table in table_by_class.values():
             self.table_users.get(assigned_table, {}).pop(proxy, None)
         table_by_class.update(dict.fromkeys(traffic_classes, table_id))
@@ -249,12 +249,12 @@
         """Called after a table has been changed or deleted."""
 
     def on_ejection_changed(self, worker: str) -> None:
-        """Called after a worker was ejected or readmitted, whoever uses it."""
+        """Called once after a worker was ejected or readmitted, independent of its proxies."""
 
     def on_proxy_table_changed(self, proxy: int, table_id: int, admission_changed: bool) -> None:
         """Called for each proxy whose table has been changed.
 
-        `admission_changed` tells whether admission was changed, and not its entries alone.
+        `admission_changed` is whether the table's admission has been changed, not only its entries.
         """
 
     def on_table_assigned(
@@ -265,6 +265,6 @@
     def on_proxy_ejections_changed(self, proxy: int, affected_tables: set[int]) -> None:
         """Called for each proxy that may use a worker that was ejected or readmitted.
 
-        `affected_tables` are the proxy's tables that name such a worker; none where only a table
-        that is not known may.
+        `affected_tables` are the proxy's tables with an entry for such a worker; it is empty if
+        only a table that is not known may have one.
         """
--- a/dunlinlug/manager/interfaces.py
+++ b/dunlinlug/manager/interfaces.py
@@ -1,7 +1,7 @@
-"""What the decision loop needs of its surroundings, as protocols.
+"""Protocols for the components that the decision loop depends on.
 
-Each front end (xDS, platform) and each optional stage (validation, leadership) implements one of
-them, so that the loop knows none of them by class.
+Each front end (xDS, platform) and each optional stage (validation, leadership) implements some of
+them, so that the loop does not depend on their classes.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -12,24 +12,24 @@
 
 
 class DecisionModule(Protocol):
-    """The decision module, or whatever stands in its place."""
+    """The decision module, or a replacement for it."""
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
         """Handle one batch of events at `now` (seconds) and return the orders that follow."""
 
 
 class OutgoingMessage(Protocol):
-    """One proxy's message of one reply, in the form of the front end at hand."""
+    """One proxy's message of one reply, in the front end's format."""
 
     entry_count: float
-    """Table entries that the message counts for on the channel."""
+    """Number of table entries that the message counts for on the channel."""
 
 
 class OrderSink(Protocol):
-    """The front end's state on the wire."""
+    """The front end's state, from which it creates messages."""
 
     def handle_events(self, events: Iterable[Event]) -> None:
-        """Take note of events that the module is about to handle, in order."""
+        """Process the events that the module is about to handle, in order."""
 
     def apply_orders(
         self, orders: Iterable[Order], now: float, awaited_proxies: Iterable[int] = ()
@@ -41,25 +41,25 @@
 
 
 class OutgoingChannel(Protocol):
-    """What releases messages to proxies."""
+    """A queue that releases messages to proxies over time."""
 
     queued_entries: float
-    """Table entries of the messages that are queued."""
+    """Number of table entries in the queued messages."""
 
     def enqueue(self, now: float, proxy: int, message: OutgoingMessage) -> list[str]:
-        """Take a message and return the names of the limits that it exceeds."""
+        """Queue a message and return the names of the limits that it exceeds."""
 
     def pop_due(self, now: float) -> Sequence[tuple[int, OutgoingMessage]]:
-        """Return the messages that are to leave by `now`, with their proxies, in order."""
+        """Remove and return the messages due by `now`, with their proxies, in order."""
 
     def next_due_at(self) -> float | None:
         """Return when the next message is due; None while nothing is queued."""
 
     def remove_proxy(self, proxy: int) -> None:
-        """Drop what is queued for a proxy that has disconnected."""
+        """Drop the messages queued for a proxy that has disconnected."""
 
     def clear(self) -> None:
-        """Drop all that is queued."""
+        """Drop all queued messages."""
 
 
 class OrderValidation(Protocol):
@@ -72,20 +72,20 @@
         orders: list[Order],
         submit: Callable[[Event], None],
     ) -> tuple[list[Order], list[int]]:
-        """Return the orders to carry out, and the proxies that a rejected one concerned."""
+        """Return the orders to carry out, and the proxies that rejected orders concerned."""
 
 
 class ReplicatedLeadership(Protocol):
-    """Where several managers replace each other: whether this one may order, and the replication.
+    """Leadership among several managers: whether this one may give orders, and replication.
 
     Implemented by `fleet.election.leadership.Leadership`.
     """
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether this manager may order at `now`."""
+        """Return whether this manager may give orders at `now`."""
 
     def is_leader(self) -> bool:
-        """Return whether this manager is leader, be its lease valid or not."""
+        """Return whether this manager is leader, even if its lease is not valid."""
 
     def replicate(self, now: float, events: Sequence[Event], rejected_indexes: list[int]) -> int:
         """Send a batch to the other managers and return its number."""
--- a/dunlinlug/manager/order_validation.py
+++ b/dunlinlug/manager/order_validation.py
@@ -1,6 +1,6 @@
-"""The validation stage of the decision loop: has replies checked and makes rejections known.
+"""The validation stage of the decision loop: validates replies and records rejections.
 
-A rejection is logged, stored, and, where rejections are enforced, submitted to the module.
+A rejection is logged, stored, and, if rejections are enforced, submitted to the module.
 """
 
 import time
@@ -20,7 +20,7 @@
 class RejectionRecord:
     """One rejection as it is logged and stored; the field names are the keys of the record."""
 
-    source: str  # whose order it was
+    source: str  # who gave the order: the module or an operator
     rule: str
     order: str
     why: str
@@ -56,7 +56,7 @@
         self.on_validated = callback
 
     def replace_validator(self, validator: OrderValidator) -> None:
-        """Validate by another state from now on, as a new leader does."""
+        """Use another validator from now on, as a new leader does with its restored state."""
         self.validator = validator
 
     def validate(
@@ -66,7 +66,7 @@
         orders: list[Order],
         submit: Callable[[Event], None],
     ) -> tuple[list[Order], list[int]]:
-        """Return the orders to carry out, and the proxies that a rejected one concerned."""
+        """Return the orders to carry out, and the proxies that rejected orders concerned."""
         self.validator.handle(now, events)
         accepted, rejections = self.validator.validate(now, orders)
         if rejections:
@@ -83,7 +83,7 @@
         return accepted, awaited_proxies
 
     def record_rejections(self, rejections: list[Rejection], source: str) -> None:
-        """Log and store rejections; `source` is whose orders they were."""
+        """Log and store rejections; `source` is who gave the orders."""
         records = []
         for rejection in rejections:
             self.rejection_count += 1
@@ -104,7 +104,7 @@
         )
 
     def _outcome(self, rejection: Rejection) -> str:
-        """Return what was done with the order, in the record's words."""
+        """Return the record's text for what was done with the order."""
         if rejection.allowed_anyway:
             return "passed as the lesser harm"
         if self.enforced:
--- a/dunlinlug/manager/rejected_order_text.py
+++ b/dunlinlug/manager/rejected_order_text.py
@@ -1,7 +1,7 @@
-"""The text by which a rejected order stands in the store and in the log.
+"""The text of a rejected order in the store and in the log.
 
-Managers of earlier versions wrote it, and operators' scripts read it: its names are those of that
-record and do not follow the names of the code.
+Earlier versions wrote the same text and operators' scripts parse it, so its names are fixed and
+differ from those of the code.
 """
 
 from dunlinlug.decision.orders import AssignTable, DeleteTable, SetAdmission, SetEjected, SetWeight
@@ -10,7 +10,7 @@
 def rejected_order_text(
     order: SetWeight | DeleteTable | AssignTable | SetEjected | SetAdmission,
 ) -> str:
-    """Return the one-line text of one order, as in the store and in the log."""
+    """Return the one-line text of an order for the store and the log."""
     match order:
         case SetWeight(table_id, worker, weight):
             return f"Share(tbl={table_id!r}, worker={worker!r}, weight={weight!r})"
--- a/dunlinlug/manager/report_aggregator.py
+++ b/dunlinlug/manager/report_aggregator.py
@@ -1,6 +1,6 @@
-"""Sums of what proxies report, passed on at the rate that the module is set up for.
+"""Aggregates the proxies' load reports and passes on the totals at the configured event rate.
 
-The oldest sums leave first; the others go on adding up.
+The oldest totals are passed on first; the others continue to accumulate.
 """
 
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 @dataclass
 class _EndpointTotals:
-    """What proxies of one zone saw at one endpoint since `started_at`."""
+    """Totals that proxies of one zone reported of one endpoint since `started_at`."""
 
     started_at: float
     attempts: int = 0
@@ -23,7 +23,7 @@
 
 @dataclass
 class _DemandTotals:
-    """What one proxy received of one traffic class since `started_at`."""
+    """Totals of the requests that one proxy received of one traffic class since `started_at`."""
 
     started_at: float
     requests: int = 0
@@ -31,9 +31,9 @@
 
 
 class ReportAggregator:
-    """Adds up load reports and turns the sums into events.
+    """Sums up load reports and converts the totals to events.
 
-    At most `events_per_s` events leave each second. Times are seconds on the caller's clock.
+    At most `events_per_s` events are returned per second. Times are seconds on the caller's clock.
     """
 
     def __init__(self, events_per_s: float, traffic_classes: frozenset[str]) -> None:
@@ -47,7 +47,7 @@
         self.last_taken_at: float | None = None
 
     def add_report(self, now: float, proxy: int, zone: str, report: LoadReport) -> None:
-        """Add one proxy's report; traffic classes that are not configured are passed over."""
+        """Add one proxy's report; traffic classes that are not configured are ignored."""
         started_at = now - report.window
         for worker, endpoint_load in report.workers.items():
             endpoint = self.endpoint_totals.setdefault((zone, worker), _EndpointTotals(started_at))
@@ -71,9 +71,9 @@
         }
 
     def take_events(self, now: float) -> list[Event]:
-        """Return the events that may leave now, the oldest sums first, and drop their sums."""
+        """Return the events that the rate allows now, oldest totals first, and drop the totals."""
         self._add_credit(now)
-        # Ordered by age; at the same age endpoints go before demand, then by their keys as text.
+        # Sorted by age; at the same age endpoints come before demand, then sorted by key as text.
         endpoint_keys = [
             (totals.started_at, 0, key[0], key[1]) for key, totals in self.endpoint_totals.items()
         ]
@@ -92,7 +92,7 @@
         return events
 
     def _add_credit(self, now: float) -> None:
-        """Add the events that have become due since the last call, up to those of one second."""
+        """Add the credit for the time since the last call, up to that for one second."""
         elapsed = now - self.last_taken_at if self.last_taken_at is not None else 1.0
         self.last_taken_at = now
         self.event_credit = min(
@@ -104,8 +104,8 @@
         timed_attempts = totals.attempts - totals.failed - totals.without_latency
         if timed_attempts > 0:
             self.last_latency[worker] = totals.total_latency / timed_attempts
-        # Successes without a latency count at the worker's latency as reported last; 0 if none
-        # was ever reported.
+        # Successes without a latency count with the worker's last reported mean latency, or 0 if
+        # none was ever reported.
         mean_latency = 0.0
         if totals.attempts > totals.failed:
             mean_latency = self.last_latency.get(worker, 0.0)
--- a/dunlinlug/manager/skewed_clock.py
+++ b/dunlinlug/manager/skewed_clock.py
@@ -1,4 +1,4 @@
-"""A trio clock that runs faster or slower than the machine's, for trials with clocks that drift."""
+"""A trio clock that runs faster or slower than the machine's, to test effects of clock drift."""
 
 import time
 
@@ -13,12 +13,12 @@
 
     def __init__(self, rate: float) -> None:
         if not 0.5 <= rate <= 2.0:
-            raise ValueError("a clock's rate is to be from 0.5 to 2")
+            raise ValueError("clock rate must be between 0.5 and 2")
         self.rate = rate
         self.started_at = 0.0
 
     def start_clock(self) -> None:
-        """Start at 0; trio calls this once, as it begins to run."""
+        """Start at 0; trio calls this once, when it starts to run."""
         self.started_at = time.monotonic()
 
     def current_time(self) -> float:
@@ -26,5 +26,5 @@
         return (time.monotonic() - self.started_at) * self.rate
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Return the seconds of the machine's clock until `deadline` of this one."""
+        """Return the seconds on the machine's clock until `deadline` on this clock."""
         return (deadline - self.current_time()) / self.rate
--- a/dunlinlug/manager/start_times.py
+++ b/dunlinlug/manager/start_times.py
@@ -15,10 +15,10 @@
 
 
 class StartTimes:
-    """The start of each endpoint on the module's clock, converted once per incarnation.
+    """The start time of each endpoint on the module's clock, converted once per incarnation.
 
-    Without this, a wall clock that is set back would make every start look recent, and the whole
-    fleet would be taken to be warming up.
+    If a start time were converted again after the wall clock was set back, every start would look
+    recent and the whole fleet would be treated as warming up.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
     def to_module_clock(self, endpoint: Endpoint, clock_offset: float) -> Endpoint:
         """Return the endpoint with its start on the module's clock.
 
-        `clock_offset` is the module's clock less the wall clock, in seconds, now.
+        `clock_offset` is the module's clock minus the wall clock at present, in seconds.
         """
         if endpoint.started_at is None:
             return endpoint
@@ -40,7 +40,7 @@
     def retain_only(self, endpoint_ids: Container[str]) -> None:
         """Forget all other endpoints, as they are gone.
 
-        Without this, the starts would pile up where ids are always new.
+        Otherwise start times would accumulate in a fleet whose endpoints always get new ids.
         """
         self.known_starts = {
             endpoint_id: start
--- a/dunlinlug/manager/structured_logging.py
+++ b/dunlinlug/manager/structured_logging.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error: for people on a terminal, else one JSON object a line."""
+"""Structured logs on standard error: readable text on a terminal, else one JSON object per line."""
 
 import sys
 from typing import Any
@@ -7,9 +7,9 @@
 
 
 def configure_logging(log_format: str) -> None:
-    """Set up the whole process' logs; `log_format` is 'auto', 'console' or 'json'.
+    """Configure logging for the whole process; `log_format` is 'auto', 'console' or 'json'.
 
-    With 'auto', lines are made for people if standard error is a terminal.
+    'auto' means 'console' if standard error is a terminal, else 'json'.
     """
     use_console = log_format == "console" or (log_format == "auto" and sys.stderr.isatty())
     renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
@@ -27,5 +27,5 @@
 
 
 def get_logger(component: str) -> Any:
-    """Return a logger whose lines name the component of the process in the field `part`."""
+    """Return a logger that adds the component of the process to each line as the field `part`."""
     return structlog.get_logger(part=component)
