--- a/tests/decision/state/test_incremental_state.py
+++ b/tests/decision/state/test_incremental_state.py
@@ -1,5 +1,6 @@
-"""State kept up change by change, each part beside a slow, plain model that walks all of it; a
-fault in it is seen.
+"""Incrementally updated state, compared with slow, plain models that recompute all of it.
+
+Faults injected into the incremental updates must make the comparison fail.
 """
 
 from collections.abc import Callable
@@ -25,8 +26,8 @@
 WEIGHT_LIMITS = [0.0, 0.25, 0.5, 0.75, 1.0]
 
 
-def compare_statistics(statistics: OutlierStatistics, now: float) -> None:
-    """All that the indexes say of the columns, as one would find it anew."""
+def check_indexes(statistics: OutlierStatistics, now: float) -> None:
+    """Compare all indexes with their values recomputed from the columns."""
     rows = sorted(statistics.ready_rows)
     counted_rows = [
         row
@@ -84,7 +85,7 @@
         sum(statistics.attempts[row] for row in counted_rows),
         sum(statistics.failed[row] for row in counted_rows),
     )
-    assert statistics.attempt_totals(exact_failure_rate) == expected, "to the last digit"
+    assert statistics.attempt_totals(exact_failure_rate) == expected, "must be exactly equal"
     for found, column in zip(
         statistics.attempt_totals(2.0), (statistics.attempts, statistics.failed), strict=True
     ):
@@ -92,9 +93,9 @@
         assert found == pytest.approx(float(exact), rel=1e-15, abs=1e-20)
 
 
-def play_statistics(seed: int) -> None:
+def check_random_statistics(seed: int) -> None:
     rng, now = Random(seed), 0.0
-    statistics, before = (
+    statistics, limits_before = (
         OutlierStatistics(
             0.8, 4.0, OutlierThresholds(PEER_LIMIT, MIN_ATTEMPTS, MIN_FAILED, MIN_FAILURE_RATE)
         ),
@@ -145,17 +146,17 @@
                     rng.choice([0, attempts_reported, attempts_reported // 2]),
                     rng.choice([0.2, 0.3]),
                 )
-        compare_statistics(statistics, now)
-        after = {row: statistics.weight_limits[row] for row in statistics.ready_rows}
+        check_indexes(statistics, now)
+        limits_after = {row: statistics.weight_limits[row] for row in statistics.ready_rows}
         assert (
             statistics.take_changed_rows()
-            == {row for row in range(12) if before.get(row) != after.get(row)}
+            == {row for row in range(12) if limits_before.get(row) != limits_after.get(row)}
             and not statistics.take_changed_rows()
         )
-        before = after
+        limits_before = limits_after
     rebuilt = OutlierStatistics(
         0.8, 4.0, OutlierThresholds(PEER_LIMIT, MIN_ATTEMPTS, MIN_FAILED, MIN_FAILURE_RATE)
-    )  # as a standby reads it
+    )  # as on a standby manager, which decodes the arrays alone
     vars(rebuilt).update(
         {
             key: value
@@ -168,75 +169,81 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_statistics_are_what_a_walk_over_all_rows_gives(seed: int) -> None:
-    play_statistics(seed)
+def test_statistics_equal_those_recomputed_over_all_rows(seed: int) -> None:
+    check_random_statistics(seed)
 
 
-def play_fleet(seed: int) -> None:
+def check_random_endpoint_lists(seed: int) -> None:
     rng, fleet = Random(seed), Fleet(fmean)
     known_before: dict[int, tuple[float, float]] = {}
-    for n in range(200):
-        rows = [
+    for step in range(200):
+        endpoints = [
             Endpoint(
-                f"w{k}",
-                "abc"[k % 3],
+                f"w{number}",
+                "abc"[number % 3],
                 "",
                 0,
                 rng.choice(["ready", "ready", "draining", "gone"]),
                 rng.choice([1.0, 1.0, 0.5, 1.3, None, 0.0]) if seed % 2 else 1.0,
-                rng.choice([None, float(n)]),
+                rng.choice([None, float(step)]),
             )
-            for k in rng.sample(range(14), rng.choice([1, 9]))
+            for number in rng.sample(range(14), rng.choice([1, 9]))
         ]
         ready_before = {row for row, ready in enumerate(fleet.ready) if ready}
         fleet.apply_update(
             EndpointsUpdated(
-                rng.choice(["changes", "changes", "changes", "whole", "kept"]), tuple(rows)
+                rng.choice(["changes", "changes", "changes", "whole", "kept"]), tuple(endpoints)
             ),
             set,
         )
-        now = [row for row, ready in enumerate(fleet.ready) if ready]
-        listed = [w for w in (fleet.listed_weights[row] for row in now) if w] or [1.0]
-        assert fleet.ready_rows == now and fleet.readiness_changes == ready_before ^ set(now)
+        ready_rows = [row for row, ready in enumerate(fleet.ready) if ready]
+        listed_weights = [
+            weight for weight in (fleet.listed_weights[row] for row in ready_rows) if weight
+        ] or [1.0]
+        assert fleet.ready_rows == ready_rows and fleet.readiness_changes == ready_before ^ set(
+            ready_rows
+        )
         assert fleet.base_weights == {
-            row: fleet.listed_weights[row] or fmean(listed) for row in now
+            row: fleet.listed_weights[row] or fmean(listed_weights) for row in ready_rows
         }
-        assert fleet.total_weight() == sum(fleet.base_weights[row] for row in now)
+        assert fleet.total_weight() == sum(fleet.base_weights[row] for row in ready_rows)
         ejected_now = set(rng.sample(range(len(fleet.ids)), len(fleet.ids) // 2))
-        left = {row: fleet.base_weights[row] for row in now}
-        exact = sum(left[row] for row in left.keys() - ejected_now) / (sum(left.values()) or 1.0)
-        assert not now or (
+        ready_weights = {row: fleet.base_weights[row] for row in ready_rows}
+        exact = sum(ready_weights[row] for row in ready_weights.keys() - ejected_now) / (
+            sum(ready_weights.values()) or 1.0
+        )
+        assert not ready_rows or (
             fleet.available_fraction(ejected_now, 2.0),
             fleet.available_fraction(ejected_now, 0.0),
         ) == (
             exact,
             pytest.approx(exact),
         )
-        rebuilt = {row: (fleet.base_weights[row], fleet.started_at[row]) for row in now}
+        known_after = {row: (fleet.base_weights[row], fleet.started_at[row]) for row in ready_rows}
         assert (
             fleet.take_changed_rows()
             >= {
                 row
-                for row in known_before.keys() | rebuilt
-                if known_before.get(row) != rebuilt.get(row)
+                for row in known_before.keys() | known_after
+                if known_before.get(row) != known_after.get(row)
             }
             and not fleet.take_changed_rows()
         )
-        known_before = rebuilt
+        known_before = known_after
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_weights_are_what_a_walk_over_the_list_gives(seed: int) -> None:
-    play_fleet(seed)
+def test_weights_equal_those_recomputed_over_the_list(seed: int) -> None:
+    check_random_endpoint_lists(seed)
 
 
-def compare_weights(
+def check_weights(
     desired_weights: DesiredWeights, assignments: Assignments, ejected_now: set[int], rng: Random
 ) -> None:
     expected = dict(sorted(desired_weights.default_weights.items()))
     other = {
-        row: share for row, share in expected.items() if row % 3
-    }  # not the default weights: as an override's
+        row: weight for row, weight in expected.items() if row % 3
+    }  # not the default weights, like those of an override
     for table in assignments.tables.values():
         for desired in (desired_weights.default_weights, other):
             installed = table.weights
@@ -270,7 +277,11 @@
         )
         demand_ratios = {table: rng.random() for table in covering_subsets}
         demand_by_row = {
-            row: sum(more for table, more in demand_ratios.items() if row in table.weights)
+            row: sum(
+                demand_ratio
+                for table, demand_ratio in demand_ratios.items()
+                if row in table.weights
+            )
             for row in sorted(desired)
         }
         order = desired_weights.rows_by_demand(desired, demand_ratios)
@@ -295,15 +306,17 @@
     )
 
 
-def play_weights(seed: int) -> None:
+def check_random_weights(seed: int) -> None:
     rng, desired_weights, assignments, ready = (
         Random(seed),
         DesiredWeights(),
         Assignments(2),
         [False] * 20,
     )
-    known_before, ejected_now = set[int](), set[int]()  # rows that were ready once; ejected rows
-    desired_weights.MIN_LOG_LENGTH = 20  # so that the log is cut, and tables fall behind it
+    # `former_ready_rows` are the rows that were ready at least once.
+    former_ready_rows, ejected_now = set[int](), set[int]()
+    # Short, so that the log is truncated past entries that some tables have not read.
+    desired_weights.MIN_LOG_LENGTH = 20
     for proxy_id in range(4):
         assignments.add_proxy(proxy_id, "a", 0.0 if proxy_id == 3 else 5.0)
     for ack_number in range(1, 250):
@@ -311,7 +324,7 @@
         match rng.randrange(8):
             case 0 | 1:
                 ready[row] = True
-                known_before.add(row)
+                former_ready_rows.add(row)
                 desired_weights.set_weight(row, 0.5, rng.choice([None, 0.5, 1.0, 0.325]))
                 assignments.set_ready([row], ready)
             case 2 if row in desired_weights.weight_fractions:
@@ -341,8 +354,8 @@
             case 7:
                 assignments.acknowledge(rng.randrange(4), [*range(ack_number)])
         if rng.random() < 0.5:
-            compare_weights(desired_weights, assignments, ejected_now, rng)
-        unready = {row for row in known_before if not ready[row]}
+            check_weights(desired_weights, assignments, ejected_now, rng)
+        unready = {row for row in former_ready_rows if not ready[row]}
         for table in tables:
             if table.use_count or not table.is_subset:
                 assert table.unready_rows == table.weight_fractions.keys() & unready
@@ -354,18 +367,19 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_weights_and_tables_differ_as_a_walk_over_all_finds(seed: int) -> None:
-    play_weights(seed)
+def test_differences_of_weights_and_tables_equal_recomputed_ones(seed: int) -> None:
+    check_random_weights(seed)
+
 
+def check_random_assignments(seed: int) -> None:
+    """Compare tables in use, lagging classes, admission levels and missing tables with a plain model.
 
-def play_assignments(seed: int) -> None:
-    """Classes that share a list go on with one; lagging, levels and missing tables beside a walk by
-    proxy and class.
+    The model goes through each proxy and class, although classes may share one list of tables.
     """
     rng, assignments = Random(seed), Assignments(5)
     tables = [
-        assignments.add_table(Table(n, {1: 1.0}, {1: 1.0}, [admission_level(1.0, 1)] * 5))
-        for n in range(1, 5)
+        assignments.add_table(Table(index, {1: 1.0}, {1: 1.0}, [admission_level(1.0, 1)] * 5))
+        for index in range(1, 5)
     ]
     for proxy_id in range(5):
         assignments.add_proxy(proxy_id, "a")
@@ -374,28 +388,37 @@
         proxy_id, table = rng.randrange(5), rng.choice(tables)
         match rng.randrange(5):
             case 0 | 1:
-                products = rng.choice([(0, 1, 2, 3, 4), (1, 2), (4,)])
-                assignments.assign(proxy_id, products, table, ack_number, ack_number)
-                for k in products:
-                    expected[proxy_id].setdefault(k, []).append((table.table_id, ack_number))
+                traffic_classes = rng.choice([(0, 1, 2, 3, 4), (1, 2), (4,)])
+                assignments.assign(proxy_id, traffic_classes, table, ack_number, ack_number)
+                for traffic_class in traffic_classes:
+                    expected[proxy_id].setdefault(traffic_class, []).append(
+                        (table.table_id, ack_number)
+                    )
             case 2:
                 assignments.acknowledge(
-                    proxy_id, acknowledged := [m for m in range(ack_number) if rng.random() < 0.8]
+                    proxy_id,
+                    acknowledged := [number for number in range(ack_number) if rng.random() < 0.8],
                 )
-                for k, entries in expected[proxy_id].items():
-                    last = max(
-                        (n for n, (_, m) in enumerate(entries) if not m or m in acknowledged),
+                for traffic_class, entries in expected[proxy_id].items():
+                    newest = max(
+                        (
+                            index
+                            for index, (_, number) in enumerate(entries)
+                            if not number or number in acknowledged
+                        ),
                         default=None,
                     )
-                    expected[proxy_id][k] = (
-                        entries if last is None else [(entries[last][0], 0), *entries[last + 1 :]]
+                    expected[proxy_id][traffic_class] = (
+                        entries
+                        if newest is None
+                        else [(entries[newest][0], 0), *entries[newest + 1 :]]
                     )
             case 3:
                 assignments.record_update(
                     table, proxy_ids := assignments.assigned_proxies(table), ack_number, ack_number
                 )
-                for user_id in proxy_ids:
-                    for entries in expected[user_id].values():
+                for assigned_id in proxy_ids:
+                    for entries in expected[assigned_id].values():
                         entries[-1:] = (
                             [(table.table_id, ack_number)]
                             if entries[-1][0] == table.table_id
@@ -403,37 +426,41 @@
                         )
             case 4:
                 assignments.unassign(proxy_id, (0, 1), table.table_id)
-                for k in (0, 1):
-                    expected[proxy_id][k] = [
+                for traffic_class in (0, 1):
+                    expected[proxy_id][traffic_class] = [
                         entry
-                        for entry in expected[proxy_id].get(k, ())
+                        for entry in expected[proxy_id].get(traffic_class, ())
                         if entry[0] != table.table_id
                     ]
                 expected[proxy_id] = {
-                    k: entries for k, entries in expected[proxy_id].items() if entries
+                    traffic_class: entries
+                    for traffic_class, entries in expected[proxy_id].items()
+                    if entries
                 }
                 table.admission_levels = [
                     admission_level(rng.choice([1.0, 0.5]), 1) for _ in range(5)
                 ]
         for other_id, proxy in assignments.proxies.items():
             assert {
-                k: [(t.table_id, m) for t, m in entries]
-                for k, entries in proxy.tables_in_use.items()
+                traffic_class: [(each_table.table_id, number) for each_table, number in entries]
+                for traffic_class, entries in proxy.tables_in_use.items()
             } == expected[other_id]
-        updates = {k: (rng.choice(tables), table) for k in range(5)}
+        updates = {traffic_class: (rng.choice(tables), table) for traffic_class in range(5)}
         since = ack_number - rng.randrange(20)
         assert assignments.lagging_classes(updates, since) == {
-            k
-            for k, (old, new) in updates.items()
+            traffic_class
+            for traffic_class, (old, new) in updates.items()
             if any(
                 proxy.updated_at > since
-                and proxy.tables_in_use.get(k) != [(new, 0)]
+                and proxy.tables_in_use.get(traffic_class) != [(new, 0)]
                 and (old is not new or new in proxy.assigned_tables)
                 for proxy in assignments.proxies.values()
             )
         }
         assert assignments.lagging_classes(updates, since) == {
-            k for k, move in updates.items() if assignments.has_lagging_proxy(k, *move, since)
+            traffic_class
+            for traffic_class, tables_of_update in updates.items()
+            if assignments.has_lagging_proxy(traffic_class, *tables_of_update, since)
         }
         desired_levels = [admission_level(1.0, 1)] * 5
         assert {
@@ -444,31 +471,35 @@
                 desired_levels
             ).items()
         } == {
-            (k, t.table_id): proxy_ids
-            for t in tables
-            for k in range(5)
-            if t.admission_levels[k] != desired_levels[k]
+            (traffic_class, each_table.table_id): proxy_ids
+            for each_table in tables
+            for traffic_class in range(5)
+            if each_table.admission_levels[traffic_class] != desired_levels[traffic_class]
             and (
                 proxy_ids := [
                     proxy_id
                     for proxy_id, proxy in assignments.proxies.items()
-                    if proxy.assigned_tables[k] is t
+                    if proxy.assigned_tables[traffic_class] is each_table
                 ]
             )
         }
-        current = {k: tables[k % 2] for k in range(5)}
+        current = {traffic_class: tables[traffic_class % 2] for traffic_class in range(5)}
         for new_proxies in (True, False):
             missing_classes = {
                 proxy_id: tuple(
-                    k for k in range(5) if current[k] is tables[0] is not proxy.assigned_tables[k]
+                    traffic_class
+                    for traffic_class in range(5)
+                    if current[traffic_class]
+                    is tables[0]
+                    is not proxy.assigned_tables[traffic_class]
                 )
                 for proxy_id, proxy in assignments.proxies.items()
             }
             found = assignments.groups_to_assign(current, tables[0], new_proxies)
             assert {
                 proxy_id: other
-                for tops, other in found.items()
-                for proxy_id in assignments.groups[tops]
+                for assigned_tables, other in found.items()
+                for proxy_id in assignments.groups[assigned_tables]
             } == {
                 proxy_id: other
                 for proxy_id, other in missing_classes.items()
@@ -478,100 +509,115 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_tables_in_use_are_what_each_class_by_itself_would_have(seed: int) -> None:
-    play_assignments(seed)
+def test_tables_in_use_equal_those_tracked_separately_for_each_class(seed: int) -> None:
+    check_random_assignments(seed)
 
 
-def nothing(*_: object, **__: object) -> None:
+def do_nothing(*_: object, **__: object) -> None:
     return None
 
 
 FAULTS: dict[str, tuple[Callable[[int], None], type, str, Callable[..., object]]] = {
     "rows stay in the indexes": (
-        play_statistics,
+        check_random_statistics,
         OutlierStatistics,
         "_remove_from_indexes",
-        nothing,
+        do_nothing,
     ),
     "a reset does not reach the indexes": (
-        play_statistics,
+        check_random_statistics,
         OutlierStatistics,
         "reset",
         lambda self, row, weight_limit, due_at: self.weight_limits.__setitem__(row, weight_limit),
     ),
     "changed rows are reported again": (
-        play_statistics,
+        check_random_statistics,
         OutlierStatistics,
         "take_changed_rows",
         lambda self: self.changed_rows,
     ),
-    "a sum is left as it was": (
-        play_fleet,
+    "a sum is not updated": (
+        check_random_endpoint_lists,
         Fleet,
         "total_weight",
         lambda self: (
             self.weight_sum if self.weight_sum > 0 else setattr(self, "weight_sum", 1e9) or 1e9
         ),
     ),
-    "weights are left as they were": (play_fleet, Fleet, "_update_weights", nothing),
-    "ejections are not logged": (play_weights, DesiredWeights, "set_ejected", nothing),
-    "a table does not follow": (
-        play_weights,
+    "weights are not updated": (
+        check_random_endpoint_lists,
+        Fleet,
+        "_update_weights",
+        do_nothing,
+    ),
+    "ejections are not logged": (check_random_weights, DesiredWeights, "set_ejected", do_nothing),
+    "a table's differing rows are not updated": (
+        check_random_weights,
         DesiredWeights,
         "differing_rows",
         lambda self, table, desired, include_missing=True: table.differing_rows,
     ),
-    "order is not kept": (
-        play_weights,
+    "default weights are not sorted": (
+        check_random_weights,
         DesiredWeights,
         "ordered_weights",
         lambda self: self.default_weights,
     ),
-    "the log is cut and not counted": (
-        play_weights,
+    "truncated log entries are not counted": (
+        check_random_weights,
         DesiredWeights,
         "_truncate_log",
         lambda self: self.change_log.clear(),
     ),
-    "a capacity is kept too long": (
-        play_weights,
+    "a cached capacity is not invalidated": (
+        check_random_weights,
         DesiredWeights,
         "capacity",
         lambda self, table, desired: (
             table.cached_capacity or setattr(table, "cached_capacity", 1.0) or 1.0
         ),
     ),
-    "coverage does not count": (play_weights, Coverage, "adjust_count", nothing),
+    "coverage counts are not updated": (check_random_weights, Coverage, "adjust_count", do_nothing),
     "coverage forgets changed rows": (
-        play_weights,
+        check_random_weights,
         Coverage,
         "adjust_count",
         lambda self, row, delta: self.table_counts.__setitem__(
             row, self.table_counts.get(row, 0) + delta
         ),
     ),
-    "tables do not hear of readiness": (play_weights, Assignments, "set_ready", nothing),
-    "a table used again is not brought up to date": (
-        play_weights,
+    "readiness changes do not reach tables": (
+        check_random_weights,
+        Assignments,
+        "set_ready",
+        do_nothing,
+    ),
+    "unready rows of a table used again are not updated": (
+        check_random_weights,
         Assignments,
         "_retain",
         lambda self, table: self.retained_tables.__setitem__(table.sequence, table),
     ),
     "no class lags": (
-        play_assignments,
+        check_random_assignments,
         Assignments,
         "lagging_classes",
         lambda self, updates, since: set(),
     ),
-    "an acknowledgement confirms nothing": (play_assignments, Assignments, "acknowledge", nothing),
+    "an acknowledgement confirms nothing": (
+        check_random_assignments,
+        Assignments,
+        "acknowledge",
+        do_nothing,
+    ),
     "levels never differ": (
-        play_assignments,
+        check_random_assignments,
         Assignments,
         "differing_admission",
         lambda self, admission_levels: {},
     ),
-    "nobody lacks a table": (
-        play_assignments,
+    "no group lacks a table": (
+        check_random_assignments,
         Assignments,
         "groups_to_assign",
         lambda self, current, table, new_proxies: {},
@@ -580,9 +626,9 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_fault_in_the_bookkeeping_is_seen(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    play, statistics, method, fault = FAULTS[name]
-    monkeypatch.setattr(statistics, method, fault)
+def test_a_fault_in_the_bookkeeping_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    check, state_class, method, fault = FAULTS[name]
+    monkeypatch.setattr(state_class, method, fault)
     with pytest.raises(AssertionError):
         for seed in range(4):
-            play(seed)
+            check(seed)
--- a/tests/decision/state/test_state_models.py
+++ b/tests/decision/state/test_state_models.py
@@ -1,4 +1,4 @@
-"""The state beneath the decisions, each part beside a slow, plain model on generated inputs."""
+"""The decision state, compared with slow, plain models on random inputs."""
 
 from random import Random
 from statistics import fmean
@@ -20,7 +20,7 @@
 
 
 def check_groups(assignments: Assignments) -> None:
-    """Groups and use counts are what one would count anew, proxy by proxy."""
+    """Compare groups and use counts with those recomputed proxy by proxy."""
     for proxy_id, proxy in assignments.proxies.items():
         assigned_tables = tuple(
             proxy.tables_in_use[traffic_class][-1][0]
@@ -37,26 +37,26 @@
     )
     for each_table in assignments.tables.values():
         entries = [
-            t
+            table_in_use
             for proxy in assignments.proxies.values()
             for entries in proxy.tables_in_use.values()
-            for t, _ in entries
+            for table_in_use, _ in entries
         ]
         assert each_table.use_count == entries.count(each_table) and (
             each_table in assignments.list_tables_in_use()
         ) == (each_table.use_count > 0)
         assert sorted(assignments.assigned_proxies(each_table)) == sorted(
             proxy_id
-            for proxy_id, x in assignments.proxies.items()
-            if each_table in x.assigned_tables
+            for proxy_id, proxy in assignments.proxies.items()
+            if each_table in proxy.assigned_tables
         )
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_groups_and_use_counts_are_what_counting_anew_gives(seed: int) -> None:
+def test_groups_and_use_counts_equal_recomputed_ones(seed: int) -> None:
     rng, assignments = Random(seed), Assignments(2)
-    for n in range(5):
-        assignments.add_table(table(n))
+    for number in range(5):
+        assignments.add_table(table(number))
     awaited_numbers: dict[int, list[int]] = {}
     for ack_number in range(1, 400):
         proxy_id = rng.randrange(12)
@@ -85,7 +85,11 @@
             assignments.acknowledge(proxy_id, acknowledged)
             for traffic_class, entries in before.items():
                 newest = max(
-                    (n for n, (_, m) in enumerate(entries) if not m or m in acknowledged),
+                    (
+                        index
+                        for index, (_, awaited) in enumerate(entries)
+                        if not awaited or awaited in acknowledged
+                    ),
                     default=None,
                 )
                 expected = (
@@ -108,21 +112,21 @@
             if assignments.proxies[proxy_id].assigned_tables[0] is not None
         ]
         groups = [
-            members
-            for assigned_tables, members in assignments.groups.items()
+            group
+            for assigned_tables, group in assignments.groups.items()
             if assigned_tables[0] is not None
         ]
-        assert assignments.by_join_order(groups) == order  # the dict keeps the order of connecting
+        assert assignments.by_join_order(groups) == order  # the dict is in the order of connecting
         since, each_table = ack_number - 5, assignments.tables[0]
         assert assignments.has_lagging_proxy(0, assignments.tables[1], each_table, since) == any(
-            x.updated_at > since and x.tables_in_use.get(0) != [(each_table, 0)]
-            for x in assignments.proxies.values()
+            proxy.updated_at > since and proxy.tables_in_use.get(0) != [(each_table, 0)]
+            for proxy in assignments.proxies.values()
         )
 
 
 def test_a_table_is_deleted_when_due_and_only_once_no_proxy_uses_it() -> None:
     assignments = Assignments(1)
-    used, unused, current = (assignments.add_table(table(n)) for n in (1, 2, 3))
+    used, unused, current = (assignments.add_table(table(number)) for number in (1, 2, 3))
     assignments.add_proxy(7, "a")
     assignments.assign(7, (0,), used, 1, 0.0)
     assignments.retire_unused((used, unused), 5.0)
@@ -131,24 +135,23 @@
         assignments.take_deletable(5.0) == [2]
         and not assignments.has_retiring_tables()
         and used.delete_at > 1e9
-    ), "it is in use and stays"
+    ), "a table in use is not deleted"
     assignments.schedule_deletion(used, 6.0)
     assert not assignments.take_deletable(6.0)
     assignments.remove_proxy(7)
     assert assignments.take_deletable(6.0) == [1] and list(assignments.tables.values()) == [current]
     assignments.schedule_deletion(used, 7.0)
     assert not assignments.has_retiring_tables() and not assignments.take_deletable(8.0), (
-        "a deleted table stays so"
+        "a deleted table is not scheduled again"
     )
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_queued_entries_are_what_a_walk_through_all_messages_gives(seed: int) -> None:
-    """Beside it a channel that keeps the order, and loses what waits for a proxy that disconnects."""
+def test_queued_entries_equal_the_sum_over_all_messages(seed: int) -> None:
+    """The model is a FIFO channel that drops the messages of a proxy that disconnects."""
     rng, pending = Random(seed), PendingAcks(4)
-    expected: list[
-        tuple[int, int, float]
-    ] = []  # messages not known to have left: number, proxy, entries
+    # Messages not known to have been sent: number, proxy, entries.
+    expected: list[tuple[int, int, float]] = []
     channel: list[tuple[int, int, float]] = []
     awaited: dict[int, list[int]] = {proxy_id: [] for proxy_id in range(8)}
     for ack_number in range(1, 400):
@@ -159,9 +162,9 @@
                 for proxy_id in rng.sample(range(8), rng.randrange(1, 6))
             }
             pending.record(ack_number, ack_number, entries_by_proxy)
-            for proxy_id, n in entries_by_proxy.items():
-                expected.append((ack_number, proxy_id, n))
-                channel.append((ack_number, proxy_id, n))
+            for proxy_id, entry_count in entries_by_proxy.items():
+                expected.append((ack_number, proxy_id, entry_count))
+                channel.append((ack_number, proxy_id, entry_count))
                 awaited[proxy_id].append(ack_number)
         elif step < 0.5:
             proxy_id = rng.randrange(8)
@@ -175,26 +178,26 @@
             del channel[: rng.randrange(6)]
         else:
             proxy_id = rng.randrange(8)
-            arrived = [
-                m
-                for m in awaited[proxy_id]
-                if (m, proxy_id) not in {entry[:2] for entry in channel}
+            delivered = [
+                number
+                for number in awaited[proxy_id]
+                if (number, proxy_id) not in {entry[:2] for entry in channel}
             ]
-            if arrived:
-                assert pending.acknowledge(proxy_id, arrived[-1]) == arrived
-                awaited[proxy_id] = awaited[proxy_id][len(arrived) :]
+            if delivered:
+                assert pending.acknowledge(proxy_id, delivered[-1]) == delivered
+                awaited[proxy_id] = awaited[proxy_id][len(delivered) :]
                 expected = [
                     entry
                     for entry in expected
-                    if entry[0] >= arrived[-1] and entry[:2] != (arrived[-1], proxy_id)
+                    if entry[0] >= delivered[-1] and entry[:2] != (delivered[-1], proxy_id)
                 ]
         assert (
             pending.queued_entries
-            == sum(n for _, _, n in expected)
-            >= sum(n for _, _, n in channel)
+            == sum(entry_count for _, _, entry_count in expected)
+            >= sum(entry_count for _, _, entry_count in channel)
         )
         assert {
-            m for awaited_numbers in awaited.values() for m in awaited_numbers
+            number for awaited_numbers in awaited.values() for number in awaited_numbers
         } == pending.pending_replies.keys()
         assert len(pending.queued_acks) <= 400
 
@@ -209,7 +212,7 @@
 
 
 class ReferenceInstaller(TableInstaller[ProxyAssignment]):
-    """Counts the entries that each proxy would be sent, order by order."""
+    """A model that counts, order by order, the entries that each proxy would be sent."""
 
     def count(self, orders: list[Order]) -> dict[int, float]:
         entries_sent: dict[int, float] = {}
@@ -264,20 +267,20 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_entries_counted_for_a_batch_are_those_of_its_orders_one_by_one(seed: int) -> None:
+def test_entries_counted_for_a_batch_equal_those_of_its_orders_one_by_one(seed: int) -> None:
     rng, installer = Random(seed), ReferenceInstaller(2)
     installer.install_orders(
         [
-            SetWeight(each_table, f"w{n}", 1.0)
+            SetWeight(each_table, f"w{number}", 1.0)
             for each_table in range(3)
-            for n in range(each_table, 8, 2)
+            for number in range(each_table, 8, 2)
         ]
     )
     for step in range(60):
         if rng.random() < 0.3 or not installer.proxies:
             installer.remove_proxy(step % 9)
             installer.proxies[step % 9] = ProxyAssignment()
-        ejected = {f"w{n}" for n in range(8)} & installer.ejected
+        ejected = {f"w{number}" for number in range(8)} & installer.ejected
         orders: list[Order] = []
         for _ in range(rng.randrange(8)):
             each_table, worker = rng.randrange(3), f"w{rng.randrange(8)}"
@@ -292,7 +295,7 @@
                         rng.choice([*installer.proxies]), rng.choice([(0,), (0, 1)]), each_table
                     )
                 )
-            elif worker not in {o.worker for o in orders if isinstance(o, SetEjected)}:
+            elif worker not in {order.worker for order in orders if isinstance(order, SetEjected)}:
                 ejected ^= {worker}
                 orders.append(SetEjected(worker, worker in ejected))
         expected = installer.count(orders)
@@ -300,39 +303,37 @@
         assert installer.entries_by_proxy == expected
 
 
-def test_rows_of_endpoints_that_went_are_reused() -> None:
-    """A day of replacements, one endpoint at a time: rows do not grow, and no row in use is given
-    away.
-    """
+def test_rows_of_removed_endpoints_are_reused() -> None:
+    """Replaces endpoints one at a time: the rows stay bounded, and no row in use is reused."""
     fleet, rng = Fleet(fmean), Random(3)
-    present = [endpoint(n) for n in range(20)]
+    present = [endpoint(number) for number in range(20)]
     fleet.apply_update(EndpointsUpdated("whole", tuple(present)), set)
-    for n in range(20, 2000):
-        arrived = present.pop(rng.randrange(20))
-        present.append(endpoint(n))
-        entries = {fleet.row_by_id[arrived.id]}.copy  # still in a table
+    for number in range(20, 2000):
+        removed = present.pop(rng.randrange(20))
+        present.append(endpoint(number))
+        rows_in_use = {fleet.row_by_id[removed.id]}.copy  # the row is still in a table
         fleet.apply_update(
             EndpointsUpdated(
-                "changes", (Endpoint(arrived.id, arrived.zone, "", 0, "gone", 1.0, None),)
+                "changes", (Endpoint(removed.id, removed.zone, "", 0, "gone", 1.0, None),)
             ),
-            entries,
+            rows_in_use,
         )
-        fleet.apply_update(EndpointsUpdated("changes", (present[-1],)), entries)
-        assert fleet.row_by_id[arrived.id] in entries()
+        fleet.apply_update(EndpointsUpdated("changes", (present[-1],)), rows_in_use)
+        assert fleet.row_by_id[removed.id] in rows_in_use()
         assert all(
-            fleet.ids[fleet.row_by_id[w.id]] == w.id and fleet.ready[fleet.row_by_id[w.id]]
-            for w in present
+            fleet.ids[fleet.row_by_id[each.id]] == each.id and fleet.ready[fleet.row_by_id[each.id]]
+            for each in present
         )
     assert len(fleet.ids) <= 2 * 20 + 2 and len(fleet.row_by_id) == len(fleet.ids)
 
 
 def test_a_new_endpoint_in_a_reused_row_has_no_history() -> None:
     model = Model(manager_settings())
-    model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(4)))])
+    model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(number) for number in range(4)))])
     model.step(0.1, [ProxyConnected(1, "north", 5.0, True)])
     detector = model.module.state.outlier_detector
-    for n in range(4, 40):
-        row = model.module.state.fleet.row_by_id[endpoint(n - 4).id]
+    for number in range(4, 40):
+        row = model.module.state.fleet.row_by_id[endpoint(number - 4).id]
         (
             detector.weight_limits[row],
             detector.recovery_limits[row],
@@ -345,8 +346,10 @@
             9.0,
         )
         detector.update_indexes(row)
-        model.step(0.1, [EndpointsUpdated("changes", (endpoint(n - 4, "gone"), endpoint(n)))])
-        row = model.module.state.fleet.row_by_id[endpoint(n).id]
+        model.step(
+            0.1, [EndpointsUpdated("changes", (endpoint(number - 4, "gone"), endpoint(number)))]
+        )
+        row = model.module.state.fleet.row_by_id[endpoint(number).id]
         assert (
             detector.weight_limits[row],
             detector.recovery_limits[row],
--- a/tests/guard/example_fleet.py
+++ b/tests/guard/example_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet for tests of the guard: eight endpoints, two of them warming up, and four proxies."""
+"""A fleet for the guard's tests: eight endpoints, two of which are warming up, and four proxies."""
 
 from collections.abc import Iterable
 
@@ -17,13 +17,13 @@
 NOW = 100.0
 WORKERS = [f"10.0.0.{number}:80" for number in range(8)]
 WARM = WORKERS[:6]
-WARMING = WORKERS[6:]  # started a second ago
+WARMING = WORKERS[6:]  # started one second before NOW
 PROXIES = range(4)
 WARM_WEIGHTS = dict.fromkeys(WARM, 1.0)
 
 
 def listed(*, ready: Iterable[str] = WORKERS, draining: Iterable[str] = ()) -> EndpointsUpdated:
-    """An update of the endpoint list that names these endpoints."""
+    """An update of the endpoint list that contains these endpoints."""
     return EndpointsUpdated(
         "changes",
         tuple(
@@ -37,9 +37,9 @@
 def fleet_validator(
     proxy_count: int = 4, rate: float = 10.0, settings: ManagerSettings | None = None
 ) -> OrderValidator:
-    """A validator that knows the fleet.
+    """A validator that has processed the fleet's events.
 
-    Each proxy sends `rate` requests a second of each traffic class; the warm endpoints served them.
+    Each proxy sends `rate` requests per second of each traffic class, served by the warm endpoints.
     """
     validator = OrderValidator(settings or manager_settings())
     served = int(2 * rate * proxy_count / len(WARM))
@@ -54,7 +54,7 @@
 
 
 def set_weights(table_id: int, weights: dict[str, float]) -> list[Order]:
-    """Orders that make a table of these entries."""
+    """Orders that create a table with these entries."""
     return [SetWeight(table_id, worker, weight) for worker, weight in weights.items()]
 
 
@@ -63,14 +63,14 @@
     proxies: Iterable[int] = PROXIES,
     traffic_classes: tuple[int, ...] = (0, 1),
 ) -> list[Order]:
-    """Orders that tell proxies to use a table."""
+    """Orders that assign a table to proxies."""
     return [AssignTable(proxy, traffic_classes, table_id) for proxy in proxies]
 
 
 def new_table(
     table_id: int, weights: dict[str, float], traffic_classes: tuple[int, ...] = (0, 1)
 ) -> list[Order]:
-    """A batch that makes a table and tells all proxies to use it and to acknowledge that."""
+    """A batch that creates a table, assigns it to all proxies and requests acknowledgements."""
     return [
         *set_weights(table_id, weights),
         *assign(table_id, traffic_classes=traffic_classes),
@@ -79,14 +79,14 @@
 
 
 def even_weights(warming_weight: float = 0.25) -> dict[str, float]:
-    """All endpoints with weight 1, those that are warming up with less."""
+    """Weight 1 for each endpoint, `warming_weight` for those that are warming up."""
     return {worker: warming_weight if worker in WARMING else 1.0 for worker in WORKERS}
 
 
 def rejections_of(
     validator: OrderValidator, orders: list[Order], now: float = NOW
 ) -> list[Rejection]:
-    """The rejections of a batch; all other orders, and only those, must be accepted."""
+    """Validate a batch and return its rejections; all other orders must be accepted, and only they."""
     accepted, rejections = validator.validate(now, orders)
     held_back = [rejection.order for rejection in rejections if not rejection.allowed_anyway]
     assert [order for order in orders if order not in held_back] == accepted
--- a/tests/guard/test_order_validator.py
+++ b/tests/guard/test_order_validator.py
@@ -1,4 +1,4 @@
-"""The rules of the order validator, each by cases that are easily got wrong."""
+"""The rules of the order validator, with cases that are easy to get wrong."""
 
 from math import inf, nan
 
@@ -56,10 +56,10 @@
     assert rejections_of(validator, new_table(1, even_weights())) == []
 
 
-def test_a_table_that_overloads_a_warming_endpoint_is_rejected_by_what_all_proxies_send(
+def test_a_table_that_overloads_a_warming_endpoint_by_the_load_of_all_proxies_is_rejected(
     validator: OrderValidator,
 ) -> None:
-    """Each proxy's assignment alone is harmless; the first are accepted, later ones are not."""
+    """Each proxy's assignment alone is harmless: the first ones are accepted, later ones are not."""
     assert rejections_of(validator, new_table(1, WARM_WEIGHTS)) == []
     rejections = rejections_of(validator, new_table(2, {WARMING[0]: 1.0}))
     assert {rejection.rule for rejection in rejections} == {"pushed"}
@@ -79,7 +79,7 @@
 
 
 def test_a_previous_table_counts_until_the_new_one_is_acknowledged() -> None:
-    """While some proxies may use each, the worst of both counts for each proxy."""
+    """While a proxy may be using either table, the one that sends more load counts."""
     weights = {**WARM_WEIGHTS, WARMING[0]: 1.2}
     for acknowledged in (False, True):
         validator = fleet_validator()
@@ -127,7 +127,7 @@
 def test_retry_policies_that_could_repeat_an_effect_are_rejected(
     validator: OrderValidator,
 ) -> None:
-    """Class 1 is non-idempotent; a key that holds within a zone alone does not protect either."""
+    """Class 1 is non-idempotent; an idempotency key shared only within a zone is no protection."""
     harmless = [SetAdmission(1, 0, 3, 1.0), SetAdmission(1, 1, 1, 1.0)]
     assert rejections_of(validator, [*set_weights(1, even_weights()), *harmless]) == []
     rejections = rejections_of(validator, [SetAdmission(1, 1, 2, 1.0)])
@@ -152,8 +152,8 @@
     assert rejections_of(validator, [SetEjected(WORKERS[1], True)]) == []
 
 
-def test_what_proxies_of_several_zones_report_of_an_endpoint_adds_up() -> None:
-    """By the best zone alone an endpoint's capacity would be taken for a third of what it is."""
+def test_success_rates_that_proxies_of_several_zones_report_of_an_endpoint_are_summed() -> None:
+    """With the best zone's rate alone, the endpoint's capacity is estimated at a third."""
     for zones in ((), ("south", "east")):
         validator = fleet_validator()
         for zone in zones:
@@ -201,7 +201,7 @@
 def test_in_watch_mode_a_malformed_order_is_recorded_and_later_batches_are_still_validated(
     malformed: Order,
 ) -> None:
-    """Guards against a malformed order that ends the manager at a later validation."""
+    """A malformed order that is applied to the usage can make a later validation raise an error."""
     watching = OrderValidator(manager_settings(), enforced=False)
     enforcing = OrderValidator(manager_settings())
     for validator in (watching, enforcing):
@@ -219,7 +219,7 @@
     rejections_of(watching, [SetWeight(1, WARMING[0], 2.0), DeleteTable(2)])
 
 
-def test_a_drained_endpoint_is_not_readmitted_while_unknown_tables_may_name_it(
+def test_a_drained_endpoint_is_not_readmitted_while_unknown_tables_may_have_an_entry_for_it(
     validator: OrderValidator,
 ) -> None:
     validator.handle(NOW, [listed(ready=WORKERS[1:], draining=WORKERS[:1])])
@@ -240,7 +240,7 @@
 def test_an_endpoint_that_a_snapshot_leaves_out_may_be_ejected(
     validator: OrderValidator,
 ) -> None:
-    """Restored after a restart and gone meanwhile: its ejection is a drain, not malformed."""
+    """An endpoint that is restored after a restart and gone by then: its ejection is well-formed."""
     assert rejections_of(validator, new_table(1, dict.fromkeys(WORKERS[:2], 1.0))) == []
     snapshot = tuple(Endpoint(worker, "north", "", 0, "ready", 1.0, None) for worker in WORKERS[2:])
     validator.handle(NOW, [EndpointsUpdated("whole", snapshot)])
@@ -264,7 +264,7 @@
     rejections = rejections_of(validator, [SetEjected(WORKERS[0], True), *assign(2)])
     assert len(rejections) == 4
     assert all(rejection.allowed_anyway for rejection in rejections), (
-        "all are bad: the lesser harm is accepted and reported"
+        "no table is usable: the lesser harm is accepted and reported"
     )
 
 
@@ -293,7 +293,7 @@
     assert rejections_of(validator, orders, now=NOW + 60.0) == [], "warm by then"
 
 
-def test_an_entry_is_validated_where_it_is_in_use_and_a_deletion_waits_for_acknowledgements(
+def test_entries_of_tables_in_use_are_validated_and_deletions_need_acknowledgements(
     validator: OrderValidator,
 ) -> None:
     assert rejections_of(validator, new_table(1, WARM_WEIGHTS)) == []
@@ -307,7 +307,7 @@
     assert rejections_of(validator, [DeleteTable(1)]) == []
 
 
-def test_readmitting_a_warming_endpoint_is_validated_by_the_tables_that_still_name_it(
+def test_readmission_of_a_warming_endpoint_is_validated_by_the_tables_with_an_entry_for_it(
     validator: OrderValidator,
 ) -> None:
     ejection = [SetEjected(WARMING[0], True), RequestAcknowledgement(1, True)]
--- a/tests/guard/test_overrides.py
+++ b/tests/guard/test_overrides.py
@@ -1,4 +1,4 @@
-"""Operator overrides: which are rejected, which only cause a warning, and when one is revoked."""
+"""Operator overrides: which are rejected, which only cause warnings, and when they are revoked."""
 
 from math import inf, nan
 
@@ -44,7 +44,7 @@
         ),
     ],
 )
-def test_an_override_that_cannot_be_right_is_an_error_that_names_the_mistake(
+def test_an_invalid_override_raises_an_error_that_names_the_mistake(
     overrides: Overrides, override: Override, message: str
 ) -> None:
     with pytest.raises(OverrideError, match=message):
--- a/tests/guard/test_random_batches.py
+++ b/tests/guard/test_random_batches.py
@@ -1,4 +1,4 @@
-"""Thousands of random orders, beside a plain model that enumerates what each proxy may do."""
+"""Random orders, compared with a plain model that enumerates the possible states of each proxy."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -109,7 +109,7 @@
 
 
 def random_batch(rng: Random, table_id: int) -> list[Order]:
-    """A batch: good as a decision module's mostly are, or careless in one of many ways."""
+    """A batch that is mostly valid, like those of a decision module, or careless in several ways."""
     careless = rng.random() < 0.3
     weights = {worker: rng.choice([0.5, 1.0, 2.0]) for worker in rng.sample(WARM, 4)}
     weights |= {
@@ -134,8 +134,8 @@
     harmless_rejected: int = 0
 
 
-def test_no_bad_order_is_accepted_and_hardly_a_good_one_is_rejected() -> None:
-    """400 streams of 10 batches; the model judges the accepted and the rejected orders."""
+def test_no_harmful_order_is_accepted_and_few_harmless_ones_are_rejected() -> None:
+    """400 sequences of 10 batches; the model checks the accepted and the rejected orders."""
     counts = Counts()
     for seed in range(400):
         rng = Random(seed)
@@ -152,7 +152,7 @@
         f"{counts.rejected} of {counts.accepted + counts.rejected} rejected, "
         f"{counts.harmless_rejected} of them harmless"
     )
-    assert counts.rejected > 500, "the streams hold enough that is bad"
+    assert counts.rejected > 500, "the sequences must contain enough harmful orders"
     assert counts.harmless_rejected <= 0.01 * counts.accepted, counts
 
 
@@ -163,7 +163,7 @@
     orders: list[Order],
     counts: Counts,
 ) -> None:
-    """Validate a batch, send what is accepted, and judge both kinds of orders by the model."""
+    """Validate a batch, send the accepted orders, and check both kinds of orders by the model."""
     loads_before = {worker: fleet.max_load(worker) for worker in WARMING}
     without_endpoint = fleet.without_endpoint()
     fleet_before = fleet.copy()
@@ -177,23 +177,23 @@
         load = fleet.max_load(worker)
         assert (
             is_lesser_harm
-            or ejections  # drains are never held back
+            or ejections  # ejections of draining endpoints are never held back
             or load <= rate_limits[worker] * (1 + 1e-9)
             or load <= loads_before[worker] * (1 + 1e-9)
         )
-    # Nor are ejections of warming endpoints.
+    # Ejections of warming endpoints are never held back either.
     has_warming_ejection = any(ejection.worker in WARMING for ejection in ejections)
     assert is_lesser_harm or has_warming_ejection or fleet.without_endpoint() <= without_endpoint
 
     counts.accepted += len(accepted)
     counts.rejected += len(rejections)
     for rejection in rejections:
-        fleet_with = fleet_before.copy()
-        fleet_with.send(
+        fleet_with_order = fleet_before.copy()
+        fleet_with_order.send(
             batch, [order for order in orders if order in accepted or order == rejection.order]
         )
-        counts.harmless_rejected += fleet_with.without_endpoint() <= without_endpoint and all(
-            fleet_with.max_load(worker) <= rate_limits[worker]
-            or fleet_with.max_load(worker) <= loads_before[worker]
+        counts.harmless_rejected += fleet_with_order.without_endpoint() <= without_endpoint and all(
+            fleet_with_order.max_load(worker) <= rate_limits[worker]
+            or fleet_with_order.max_load(worker) <= loads_before[worker]
             for worker in WARMING
         )
--- a/tests/manager/test_channel.py
+++ b/tests/manager/test_channel.py
@@ -1,4 +1,4 @@
-"""The paced channel against a plain model, its limits, and a process that was stopped."""
+"""The paced channel, compared with a plain model; its limits; and a process that was suspended."""
 
 from random import Random
 
@@ -10,11 +10,11 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_the_channel_keeps_its_rate_and_order(seed: int) -> None:
-    """A message has left when all entries before it and its own have passed at the rate."""
+    """A message is sent once all entries before it and its own have been sent at the rate."""
     rng = Random(seed)
     channel = PacedChannel(100.0, 50.0, 5, 10.0)
     now = 0.0
-    free_at = 0.0
+    idle_at = 0.0
     due = list[tuple[float, int]]()
     departed = list[tuple[float, int]]()
     for number in range(200):
@@ -22,24 +22,24 @@
         departed += [(now, int(batch.ordered_at)) for _, batch in channel.pop_due(now)]
         if rng.random() < 0.6:
             entry_count = float(rng.randint(1, 8))
-            free_at = max(free_at, now) + entry_count / 100.0
-            due.append((free_at, number))
-            waiting = sum(1 for at, _ in due if at > now)
+            idle_at = max(idle_at, now) + entry_count / 100.0
+            due.append((idle_at, number))
+            queued_count = sum(1 for departs_at, _ in due if departs_at > now)
             channel.enqueue(
                 now, 0, ResponseBatch(entry_count=entry_count, ordered_at=float(number))
             )
-            assert len(channel.queue) <= waiting + 1
+            assert len(channel.queue) <= queued_count + 1
     next_due_at = channel.next_due_at()
     while next_due_at is not None:
         now = max(now, next_due_at)
         departed += [(now, int(batch.ordered_at)) for _, batch in channel.pop_due(now)]
         next_due_at = channel.next_due_at()
     assert [number for _, number in departed] == [number for _, number in due]
-    for (at, _), (expected, _) in zip(departed, due, strict=True):
-        assert expected - 1e-9 <= at <= expected + MAX_CATCH_UP_S
+    for (departs_at, _), (expected, _) in zip(departed, due, strict=True):
+        assert expected - 1e-9 <= departs_at <= expected + MAX_CATCH_UP_S
 
 
-def test_the_channel_names_the_limit_exceeded_and_forgets_a_proxy_that_left() -> None:
+def test_the_channel_reports_exceeded_limits_and_drops_a_removed_proxys_messages() -> None:
     channel = PacedChannel(100.0, 50.0, 2, 10.0)
     assert channel.enqueue(0.0, 1, ResponseBatch(entry_count=40.0)) == []
     assert channel.enqueue(0.0, 2, ResponseBatch(entry_count=20.0)) == ["waiting_most"]
@@ -49,11 +49,11 @@
     assert channel.queued_entries == 42.0 and [proxy for proxy, _ in channel.queue] == [1, 1, 1]
     channel.set_rate(0.2, 10.0)
     assert channel.next_due_at() == pytest.approx(0.2 + 20.0 / 10.0), (
-        "half of the head's entries are left, at a tenth of the rate"
+        "half of the head's entries remain, at a tenth of the rate"
     )
 
 
-def test_after_the_process_was_stopped_nothing_leaves_in_a_burst() -> None:
+def test_after_the_process_was_suspended_messages_are_not_sent_in_a_burst() -> None:
     channel = PacedChannel(100.0, 1000.0, 0, 10.0)
     for number in range(20):
         channel.enqueue(0.0, number, ResponseBatch(entry_count=10.0))
--- a/tests/manager/test_manager.py
+++ b/tests/manager/test_manager.py
@@ -1,11 +1,11 @@
-"""The running manager over sockets: a fault of one peer does not reach another."""
+"""The running manager over sockets: a fault of one peer does not affect another."""
 
 import threading
 import time
 from dataclasses import replace
 from pathlib import Path
 
-import grpc as outside
+import grpc as grpcio
 import pytest
 import trio
 from envoy.config.endpoint.v3 import endpoint_pb2
@@ -26,10 +26,13 @@
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
         run.roster.tell(w2="draining")
-        await proxy.until(lambda h: WORKERS[2].id not in h.usable_weights("press-book"))
+        await proxy.until(lambda state: WORKERS[2].id not in state.usable_weights("press-book"))
         assert WORKERS[2].id in proxy.holdings.ejected
         await proxy.until(
-            lambda h: all(WORKERS[2].id not in h.tables[t].weights for t, _ in h.routes.values())
+            lambda state: all(
+                WORKERS[2].id not in state.tables[table].weights
+                for table, _ in state.routes.values()
+            )
         )
         await until(
             lambda: len([s for s in run.said("decided") if s["causes"].get("Acknowledged")]) > 1
@@ -62,7 +65,7 @@
                 while await silent.receive_some():
                     pass
         run.roster.tell(w1="draining")
-        await valid.until(lambda h: WORKERS[1].id in h.ejected)
+        await valid.until(lambda state: WORKERS[1].id in state.ejected)
 
 
 async def test_a_peer_that_does_not_read_blocks_no_other_and_gets_the_newest_state(
@@ -73,15 +76,15 @@
         await slow.until(bound)
         service = run.manager.components.service
         session = service.sessions[service.proxy_numbers["slow"]]
-        for n in range(30):
-            run.roster.tell(**{f"w{n % 3}": "draining" if n % 6 < 3 else "ready"})
+        for number in range(30):
+            run.roster.tell(**{f"w{number % 3}": "draining" if number % 6 < 3 else "ready"})
             await until(
                 lambda: run.manager.components.endpoint_watcher.state.index == run.roster.index
             )
-        await valid.until(lambda h: not h.ejected & {w.id for w in WORKERS[:3]})
+        await valid.until(lambda state: not state.ejected & {worker.id for worker in WORKERS[:3]})
         assert len(session.in_flight) <= 8, "the rest is merged"
         await valid.until(bound)
-        await slow.until(lambda h: bound(h) and not h.ejected)
+        await slow.until(lambda state: bound(state) and not state.ejected)
 
 
 async def test_a_rejected_response_is_no_acknowledgement_and_is_not_sent_again(
@@ -116,25 +119,25 @@
             nursery.start_soon(reject_tables)
             run.roster.tell(w1="gone")
             await until(lambda: bool(run.said("proxy.response_rejected")))
-            await trio.sleep(1.5)  # time in which a repetition would show
+            await trio.sleep(1.5)  # long enough for the response to be sent again
             nursery.cancel_scope.cancel()
         assert run.said("proxy.response_rejected")[0]["why"] == "not today"
         assert (
             rejection_count <= 4 and len(run.said("proxy.response_rejected")) <= 2 * rejection_count
-        ), "a table, and a route to it"
+        ), "a rejected table leads to at most one rejected route to it"
         assert WORKERS[1].id in proxy.holdings.ejected, (
-            "an ejection is not lost with the tables beside it"
+            "an ejection is not lost with tables in the same response"
         )
         tables_in_use = run.manager.components.loop.module.state.assignments.proxies[
             0
         ].tables_in_use  # type: ignore[attr-defined]
         assert any(ack_number for tables in tables_in_use.values() for _, ack_number in tables), (
-            "the module got no acknowledgement"
+            "the rejection must not count as an acknowledgement"
         )
-        assert {t for t, _ in proxy.holdings.routes.values()} <= tables_before.keys()
+        assert {table for table, _ in proxy.holdings.routes.values()} <= tables_before.keys()
 
 
-async def test_a_stream_that_ends_with_a_set_half_delivered_is_continued_by_the_next(
+async def test_a_stream_that_ends_with_a_response_set_half_delivered_is_continued_by_the_next(
     tmp_path: Path,
 ) -> None:
     async with running(tmp_path) as run:
@@ -148,20 +151,23 @@
         holdings.versions[names.ENDPOINTS_TYPE]["gone/1"] = "old"
         async with peer(run, "p0", holdings) as second:
             await second.until(bound)
-            await second.until(lambda h: "gone/1" not in h.tables)
+            await second.until(lambda state: "gone/1" not in state.tables)
 
 
 async def test_a_proxy_that_disconnects_before_its_assignment_delays_no_update(
     tmp_path: Path,
 ) -> None:
-    async with running(tmp_path) as run, peer(run, "stays") as stays:
-        await stays.until(bound)
-        async with peer(run, "dies") as dies:
-            await dies.until(bound)
+    async with running(tmp_path) as run, peer(run, "stays") as remaining:
+        await remaining.until(bound)
+        async with peer(run, "dies") as disconnecting:
+            await disconnecting.until(bound)
             run.roster.tell(w4="gone")
             await until(lambda: bool(run.said("discovery.endpoints_changed")))
-        await stays.until(
-            lambda h: all(WORKERS[4].id not in h.tables[t].weights for t, _ in h.routes.values())
+        await remaining.until(
+            lambda state: all(
+                WORKERS[4].id not in state.tables[table].weights
+                for table, _ in state.routes.values()
+            )
         )
 
 
@@ -206,17 +212,17 @@
         }
 
 
-async def test_discovery_that_goes_back_or_fails_does_not_stop_updates(tmp_path: Path) -> None:
+async def test_a_lower_index_or_failure_of_discovery_does_not_stop_updates(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
         run.roster.tell(index=3, w0="draining")
-        await proxy.until(lambda h: WORKERS[0].id in h.ejected)
+        await proxy.until(lambda state: WORKERS[0].id in state.ejected)
         run.roster.fault = "error"
         run.roster.tell()
         await until(lambda: bool(run.said("discovery.failed")))
         run.roster.fault = ""
         run.roster.tell(w3="draining")
-        await proxy.until(lambda h: WORKERS[3].id in h.ejected)
+        await proxy.until(lambda state: WORKERS[3].id in state.ejected)
         assert len(run.said("discovery.failed")) == 1 and run.said("discovery.recovered")
 
 
@@ -231,7 +237,7 @@
             trio.current_time() - time.time() + 3600.0
         )
         run.roster.tell(w0="draining")
-        await proxy.until(lambda h: WORKERS[0].id in h.ejected)
+        await proxy.until(lambda state: WORKERS[0].id in state.ejected)
         assert run.said("discovery.endpoints_changed")[-1]["changed"] == [
             f"{WORKERS[0].id} draining"
         ]
@@ -250,7 +256,7 @@
             with trio.fail_after(5.0), pytest.raises(grpc.CallEndedError):
                 await call.receive()
         run.roster.tell(w1="draining")
-        await proxy.until(lambda h: WORKERS[1].id in h.ejected)
+        await proxy.until(lambda state: WORKERS[1].id in state.ejected)
         assert "TypeError" in run.said("connection.internal_error")[0]["why"]
 
 
@@ -274,7 +280,7 @@
 def subscribe_with_grpcio(
     address: tuple[str, int], done: threading.Event
 ) -> list[discovery_pb2.DeltaDiscoveryResponse]:
-    """Subscribe by an unmodified outside client, and acknowledge all until `done` is set."""
+    """Subscribe with an unmodified grpcio client, and acknowledge all responses until `done`."""
     responses: list[discovery_pb2.DeltaDiscoveryResponse] = []
     acks: list[discovery_pb2.DeltaDiscoveryRequest] = []
     ack_queued = threading.Condition()
@@ -292,7 +298,7 @@
                 batch, acks[:] = list(acks), []
             yield from batch
 
-    with outside.insecure_channel(f"{address[0]}:{address[1]}") as channel:
+    with grpcio.insecure_channel(f"{address[0]}:{address[1]}") as channel:
         stream = channel.stream_stream(
             names.DELTA_ADS_METHOD,
             discovery_pb2.DeltaDiscoveryRequest.SerializeToString,
@@ -310,8 +316,8 @@
     return responses
 
 
-def all_acknowledged(run: Running) -> bool:
-    """Return whether the module has acknowledgements of all proxies for all that it ordered."""
+def are_all_acknowledged(run: Running) -> bool:
+    """Return whether all proxies have acknowledged all tables that the module assigned."""
     proxies = run.manager.components.loop.module.state.assignments.proxies  # type: ignore[attr-defined]
     return bool(proxies) and all(
         proxy.tables_in_use and not ack_number
@@ -327,25 +333,26 @@
     async with running(tmp_path) as run:
         done, responses = threading.Event(), list[discovery_pb2.DeltaDiscoveryResponse]()
 
-        async def outside_client() -> None:
+        async def run_client() -> None:
             responses.extend(
                 await trio.to_thread.run_sync(subscribe_with_grpcio, run.address, done)
             )
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(outside_client)
+            nursery.start_soon(run_client)
             try:
-                await until(lambda: all_acknowledged(run))
+                await until(lambda: are_all_acknowledged(run))
             finally:
                 done.set()
         tables = endpoint_pb2.ClusterLoadAssignment()
         tables.ParseFromString(responses[0].resources[0].resource.value)
         ports = {
-            e.endpoint.address.socket_address.port_value
-            for g in tables.endpoints
-            for e in g.lb_endpoints
+            endpoint.endpoint.address.socket_address.port_value
+            for group in tables.endpoints
+            for endpoint in group.lb_endpoints
         }
-        assert ports == {7000 + n for n in range(6)}
-        assert [r.type_url for r in responses[:2]] == [names.ENDPOINTS_TYPE, names.ROUTES_TYPE], (
-            "tables before routes"
-        )
+        assert ports == {7000 + number for number in range(6)}
+        assert [response.type_url for response in responses[:2]] == [
+            names.ENDPOINTS_TYPE,
+            names.ROUTES_TYPE,
+        ], "tables before routes"
--- a/tests/manager/test_start_times.py
+++ b/tests/manager/test_start_times.py
@@ -1,4 +1,4 @@
-"""Start times of endpoints on the module's clock."""
+"""Conversion of endpoint start times to the module's clock."""
 
 from dunlinlug.decision.events import Endpoint
 from dunlinlug.manager.start_times import StartTimes
