--- a/dunlinlug/decision/state/coverage.py
+++ b/dunlinlug/decision/state/coverage.py
@@ -7,7 +7,7 @@
 
 
 class Coverage:
-    """Holds, by row, the number of tables with an entry for it, and the rows that have none."""
+    """Holds, by row, the number of tables with an entry for it, and lists the rows in no table."""
 
     def __init__(self) -> None:
         self.table_counts: dict[int, int] = {}  # by row
--- a/dunlinlug/decision/state/pending_acks.py
+++ b/dunlinlug/decision/state/pending_acks.py
@@ -1,4 +1,4 @@
-"""The replies that no acknowledgement has confirmed, and how much may still be queued.
+"""Unacknowledged replies, and the number of their entries that may still be queued.
 
 Bookkeeping only: no decisions are made here. The channel sends replies in order, so that the
 acknowledgement of one shows that all before it have left the queue. When a proxy disconnects, only
@@ -11,7 +11,7 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass
 
-# Table and acknowledgement numbers wrap around after this one, which the wire format requires.
+# Highest table and acknowledgement number of the wire format; numbers wrap around to 1 after it.
 MAX_NUMBER = 65000
 
 
--- a/dunlinlug/manager/endpoint_watcher.py
+++ b/dunlinlug/manager/endpoint_watcher.py
@@ -94,7 +94,7 @@
         await trio.sleep(MIN_QUERY_INTERVAL)
 
     async def _request(self) -> http.Response:
-        """Return the answer to one query; raises DiscoveryError if it fails or is not a 200."""
+        """Return the answer to one query; raises DiscoveryError unless its status is 200."""
         reply: http.Response | None = None
         with trio.move_on_after(self.timeout + self.state.wait):
             try:
--- a/dunlinlug/manager/installed_tables.py
+++ b/dunlinlug/manager/installed_tables.py
@@ -249,7 +249,7 @@
         """Called after a table has been changed or deleted."""
 
     def on_ejection_changed(self, worker: str) -> None:
-        """Called once after a worker was ejected or readmitted, independent of its proxies."""
+        """Called once after a worker was ejected or readmitted, even if no proxy uses it."""
 
     def on_proxy_table_changed(self, proxy: int, table_id: int, admission_changed: bool) -> None:
         """Called for each proxy whose table has been changed.
--- a/dunlinlug/manager/signals.py
+++ b/dunlinlug/manager/signals.py
@@ -9,7 +9,7 @@
 
 
 class SignalReceiver:
-    """Keeps signals that have arrived until `receive` returns them.
+    """Stores signals that have arrived until `receive` returns them.
 
     Its handlers stay installed until the process exits. A receiver that is opened late and closed
     early would leave two gaps in which a signal has its default effect: a second SIGTERM, or a
