--- a/bench/scale/part.py
+++ b/bench/scale/part.py
@@ -159,7 +159,7 @@
     for holder, names in (
         (link, ("_drain_socket", "_execute", "_handle_datagram")),
         (link.protocol, ("tick", "next_deadline", "receive")),
-        (membership, ("_update_partition", "_broadcast_facts")),
+        (membership, ("_update_partition", "_send_due_broadcasts")),
     ):
         for name in names:
             watch.put_round(holder, name)
--- a/bench/scale/slopes.py
+++ b/bench/scale/slopes.py
@@ -743,7 +743,7 @@
                     host.loads.loads[name] = ReceivedLoad((1, 2 + go), load, at)
                     host.list_digests.digests[name] = (digest, at)
             host._update_partition()
-            host._broadcast_facts()
+            host._send_due_broadcasts()
         best = min(best, (time.process_time() - began) / (at - first))
     return {"cpu": best}
 
--- a/dunlinlug/fleet/membership/__init__.py
+++ b/dunlinlug/fleet/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: which managers there are, which have failed, and where a partition runs.
+"""Cluster membership: which managers exist, which have failed, and the side of a partition.
 
-SWIM with Lifeguard's extensions; `protocol` is the way in, `docs/membership.md` the overview.
+SWIM with Lifeguard's extensions. The entry point is `protocol`, an overview `docs/membership.md`.
 """
--- a/dunlinlug/fleet/membership/bans.py
+++ b/dunlinlug/fleet/membership/bans.py
@@ -1,4 +1,4 @@
-"""Operators' bans: a member that is taken out of the cluster, whatever it says of itself."""
+"""Operators' bans: a banned member is excluded from the cluster, whatever state it reports."""
 
 from dunlinlug.fleet.membership.local_member import Lifecycle, LocalMember
 from dunlinlug.fleet.membership.messages import (
@@ -14,7 +14,7 @@
 
 
 def set_banned(member: LocalMember, name: str, banned: bool) -> list[Order]:
-    """Ban a member or let it in again. Raises ValueError for a name that is no known member."""
+    """Ban a member or end its ban. Raises ValueError if the name is not a known member."""
     table = member.table
     if name not in table.members:
         known = ", ".join(sorted(table.members))
@@ -23,13 +23,13 @@
     orders = merge_ban(member, MemberBan(name, version, banned), member.self_id)
     member.next_gossip_at = member.now
     if name != member.self_id:
-        # A banned member gets no gossip any more, so the ban is sent to it directly.
+        # Regular gossip goes to live members only, so the banned member is sent its ban directly.
         orders.append(member.send(name, Gossip(member.local_state, name, (table.bans[name],))))
     return orders
 
 
 def merge_ban(member: LocalMember, ban: MemberBan, sender_name: str) -> list[Order]:
-    """Merge a ban or its end; gives the change if there is one."""
+    """Merge a ban or its end; returns the state change, if any."""
     was_banned = member.table.is_banned(ban.name)
     if not member.table.merge(ban) or was_banned == ban.banned:
         return []
@@ -43,7 +43,7 @@
 
 
 def _handle_local_ban(member: LocalMember, banned: bool) -> None:
-    """We are banned, or may join again."""
+    """Update the local lifecycle state after a ban of this member, or after the end of one."""
     if member.state == Lifecycle.SUPERSEDED:
         return
     member.state = Lifecycle.BANNED if banned else Lifecycle.JOINING
@@ -53,9 +53,9 @@
 
 
 def receive_from_banned(member: LocalMember, message: Message) -> list[Order]:
-    """Take nothing of a banned member but the end of its ban, and send it the ban.
+    """Merge only the sender's own ban or its end, and answer a ping with the ban.
 
-    The end of a ban may come from anyone, that member included.
+    The end of a ban is accepted from any member, the banned one included.
     """
     name = message.sender.name
     orders: list[Order] = []
--- a/dunlinlug/fleet/membership/clock.py
+++ b/dunlinlug/fleet/membership/clock.py
@@ -1,6 +1,6 @@
-"""Protocol time: host time that never goes back, and pauses of the process.
+"""Protocol time, which is monotonic, and detection of process pauses.
 
-Both are departures from SWIM, whose model has neither clocks that jump nor processes that stop.
+Both depart from SWIM, whose model has neither clock jumps nor process pauses.
 """
 
 from math import inf
@@ -13,7 +13,8 @@
 def advance(member: LocalMember, host_time: float) -> None:
     """Set protocol time from the host's clock.
 
-    Without the offset, a host clock set back by an hour would leave nothing due for that hour.
+    The offset compensates for backward jumps of the host's clock. Otherwise no timer would fire for
+    an hour after that clock is set back by an hour.
     """
     if host_time + member.clock_offset < member.now:
         member.clock_offset = member.now - host_time
@@ -21,10 +22,10 @@
 
 
 def detect_pause(member: LocalMember) -> list[Order]:
-    """Drop what was begun before a pause: being called more than an interval late.
+    """Discard open probes after a process pause, which is a call more than an interval late.
 
-    Without this, a member that was stopped would count every answer that waits unread as never
-    given, and suspect whom it had probed. Suspicions are moved on by the pause.
+    Acks that arrive during a pause wait unread, so the open probes would time out and every member
+    probed would be suspected. Suspicions are extended by the length of the pause.
     """
     delay = member.now - member.next_due_at
     if delay <= member.probe_interval:
--- a/dunlinlug/fleet/membership/codec.py
+++ b/dunlinlug/fleet/membership/codec.py
@@ -1,9 +1,10 @@
-"""Membership messages as signed datagrams, and as one signed frame on a stream; free of I/O.
+"""Membership messages as signed datagrams, or as one signed frame on a stream; free of I/O.
 
-A datagram is, in this order: the format's version (1 byte), the key's id (4), the sender's session
-id (8, drawn at its start), a sequence number (8), a keyed BLAKE2b over all that and the body (16),
-and the body in msgpack. A frame is its length (4 bytes) and a datagram. One that arrived before, or
-is too old to tell, is rejected; so is what no valid key has signed, at the cost of one signature.
+A datagram consists of the format version (1 byte), the key id (4), the sender's session id (8,
+random for each process start), a sequence number (8), a keyed BLAKE2b over these fields and the
+body (16), and the body in msgpack. A frame is its length (4 bytes) followed by a datagram.
+Duplicates and datagrams too old for the replay window are rejected; so are datagrams that no valid
+key has signed, at the cost of computing one signature.
 """
 
 import struct
@@ -25,20 +26,20 @@
 FORMAT_VERSION = 1
 HEADER = struct.Struct(f">B{KEY_ID_BYTES}s8sQ")
 LENGTH = struct.Struct(">I")
-# bytes of a datagram without a body
+# Size of a datagram with an empty body, in bytes.
 MIN_DATAGRAM_BYTES = HEADER.size + DATAGRAM_SEAL.mac_bytes
-# bytes that one network path carries at the most
+# Bytes that one packet carries at most on common network paths.
 MAX_DATAGRAM_BYTES = 1500
-# bytes of a frame on a stream: all that can be known of the largest set of members
+# Largest frame on a stream, in bytes: the full state of the largest cluster.
 MAX_FRAME_BYTES = 2**19
-# sessions whose sequence numbers are remembered
+# Sessions whose replay windows are kept.
 MAX_SESSIONS = 2 * MAX_MEMBERS
 
 
 class DatagramSealer(MessageSealer):
-    """Writes datagrams and frames of one start of this process.
+    """Seals the datagrams and frames of one process start.
 
-    `session_id` are eight bytes drawn anew at each start of the process.
+    `session_id` has eight random bytes, drawn again at each process start.
     """
 
     def __init__(self, key: bytes, session_id: bytes) -> None:
@@ -46,19 +47,19 @@
         self.session_id = session_id
 
     def seal(self, message: Message) -> bytes:
-        """The message as a datagram."""
+        """Return the message as a signed datagram."""
         header = HEADER.pack(FORMAT_VERSION, self.key_id, self.session_id, self.next_sequence())
         body = msgspec.msgpack.encode(message)
         return header + self.sign(header, body) + body
 
     def frame(self, message: Message) -> bytes:
-        """The message as a frame on a stream of its own."""
+        """Return the message as a frame, for a stream that carries nothing else."""
         data = self.seal(message)
         return LENGTH.pack(len(data)) + data
 
 
 class DatagramOpener(MessageOpener):
-    """Reads datagrams of all members; remembers the sequence numbers of their latest sessions."""
+    """Verifies and decodes datagrams of all members, with a replay window per recent session."""
 
     def __init__(self, keys: list[bytes]) -> None:
         super().__init__(keys, DATAGRAM_SEAL)
@@ -66,10 +67,10 @@
         self.decoder = msgspec.msgpack.Decoder(Message)
 
     def open(self, data: bytes) -> Message:
-        """The message of a datagram.
+        """Return the message of a datagram.
 
         Raises:
-            AuthenticationError: It is not signed by a valid key, not new, or not a message.
+            AuthenticationError: No valid key signed it, it is a replay, or it is malformed.
         """
         if not MIN_DATAGRAM_BYTES <= len(data) <= MAX_FRAME_BYTES:
             raise AuthenticationError(RejectReason.SIZE)
@@ -89,7 +90,7 @@
             raise AuthenticationError(RejectReason.MALFORMED) from None
 
     def _window_of(self, session_id: bytes) -> ReplayWindow:
-        """The window of a session; the one that was silent longest makes room for a new one."""
+        """Return a session's replay window; over the limit, the least recently used is evicted."""
         window = self.windows.get(session_id)
         if window is None:
             window = ReplayWindow()
--- a/dunlinlug/fleet/membership/dissemination.py
+++ b/dunlinlug/fleet/membership/dissemination.py
@@ -1,14 +1,15 @@
-"""Dissemination: what is spread to others beside pings, and what comes in on any message.
+"""Dissemination: gossip in messages of its own, and merging of the gossip on any message.
 
-Changes ride on pings and acks, each a bounded number of times (SWIM's infection-style
+Changes are piggybacked on pings and acks, each a bounded number of times (SWIM's infection-style
 dissemination, Das, Gupta, Motivala 2002, section 4.1; the queue is `MembershipTable`'s). A change
-that was never sent goes to a few members at once in a message of its own, as in memberlist.
+that was never sent also goes to a few random members at once in a separate message, as in
+memberlist.
 """
 
 from math import inf
 
 from dunlinlug.fleet.membership import bans, claims
-from dunlinlug.fleet.membership.local_member import SMALL_CLUSTER, LocalMember
+from dunlinlug.fleet.membership.local_member import SMALL_CLUSTER_SIZE, LocalMember
 from dunlinlug.fleet.membership.messages import (
     Broadcast,
     BroadcastReceived,
@@ -22,11 +23,11 @@
     gossip_of,
 )
 
-GOSSIP_FANOUT = 3  # members that are sent a change at once
+GOSSIP_FANOUT = 3  # random members that receive a new change at once
 
 
-def gossip_news(member: LocalMember) -> list[Order]:
-    """Send what is new to a few members at once; the others get it with pings."""
+def send_new_gossip(member: LocalMember) -> list[Order]:
+    """Send new changes to a few random members at once; the others receive them with pings."""
     member.next_gossip_at = inf
     if not member.table.has_unsent():
         return []
@@ -40,17 +41,17 @@
 
 
 def broadcast(member: LocalMember, broadcasts: tuple[Broadcast, ...]) -> list[Order]:
-    """Send short-lived facts straight to every other member, or to a sample of a large cluster."""
+    """Send short-lived data directly to all other members, or to a sample of a large cluster."""
     recipients = member.other_live_members()
-    if len(recipients) >= SMALL_CLUSTER:
-        recipients = member.rng.sample(recipients, SMALL_CLUSTER)
+    if len(recipients) >= SMALL_CLUSTER_SIZE:
+        recipients = member.rng.sample(recipients, SMALL_CLUSTER_SIZE)
     if not broadcasts:
         return []
     return [member.send(name, Gossip(member.local_state, name, broadcasts)) for name in recipients]
 
 
 def merge_gossip(member: LocalMember, message: Message) -> list[Order]:
-    """Merge everything that rides on a message."""
+    """Merge all gossip items of a message."""
     orders: list[Order] = []
     for item in gossip_of(message):
         orders += _merge_item(member, item, message.sender.name)
--- a/dunlinlug/fleet/membership/failure_detection.py
+++ b/dunlinlug/fleet/membership/failure_detection.py
@@ -1,11 +1,11 @@
-"""Failure detection: the round of probes, indirect probes, and what follows on timeouts and acks.
-
-Source: SWIM (Das, Gupta, Motivala 2002): members are probed in rounds of random order (section
-4.3), one in each interval, directly and then through others (section 3.1); who answers nobody is
-suspected (section 4.2). From Lifeguard (Dadgar, Phillips, Currey 2018): nacks and the local health
-multiplier ("LHA-Probe"). Departures, each for a case that the tests play: a member that is heard
-while it leaves a probe unanswered is not suspected, and a member that hears nobody suspects nobody
-for a while.
+"""Failure detection: the rounds of probes, indirect probes, and handling of timeouts and acks.
+
+From SWIM (Das, Gupta, Motivala 2002): members are probed in rounds of random order (section 4.3),
+one in each interval, directly and then through others (section 3.1); a member is suspected if no
+ack arrives either way (section 4.2). From Lifeguard (Dadgar, Phillips, Currey 2018): nacks and the
+local health multiplier ("LHA-Probe"). Two departures, each covered by tests: a member that leaves a
+probe unanswered is not suspected while its own messages arrive, and a member that receives no
+messages at all starts no suspicion for a while.
 """
 
 from math import inf
@@ -29,13 +29,14 @@
     PingRequest,
 )
 
-INDIRECT_PROBES = 3  # SWIM's k: members that are asked to probe for us
-# Probe intervals until a failed or departed member is forgotten: far beyond what any message takes.
+INDIRECT_PROBES = 3  # SWIM's k: members that are asked for an indirect probe
+# Probe intervals until a failed or departed member is forgotten: longer than any message is in
+# flight.
 RETENTION_INTERVALS = 600.0
 
 
 def run_probe_interval(member: LocalMember) -> list[Order]:
-    """Begin a probe interval: forget who departed long ago, and probe the next of the round."""
+    """Start a probe interval: forget long departed members, and probe the next of the round."""
     member.next_probe_at = member.now + member.probe_interval * local_health.multiplier(member)
     orders = _forget_departed(member)
     name = _next_in_round(member)
@@ -59,7 +60,7 @@
 
 
 def _next_in_round(member: LocalMember) -> str | None:
-    """The next member in random order; each is probed once before any is probed twice."""
+    """Return the next member in random order; each is probed once per round."""
     known = set(member.other_live_members())
     while member.probe_order and member.probe_order[-1] not in known:
         member.probe_order.pop()
@@ -70,7 +71,7 @@
 
 
 def handle_timeouts(member: LocalMember) -> list[Order]:
-    """Carry on with every probe that has waited long enough for its next step."""
+    """Request indirect probes or handle the timeout for every probe that is due."""
     orders: list[Order] = []
     for sequence in [n for n, probe in member.probes.items() if probe.indirect_at <= member.now]:
         orders += request_indirect_probes(member, sequence)
@@ -80,7 +81,7 @@
 
 
 def request_indirect_probes(member: LocalMember, sequence: int) -> list[Order]:
-    """Ask some others to probe a member that has not answered us directly."""
+    """Ask some other members to probe one that has not answered directly."""
     probe = member.probes[sequence]
     probe.indirect_at = inf
     others = [name for name in member.other_live_members() if name != probe.name]
@@ -96,7 +97,10 @@
 
 
 def handle_probe_timeout(member: LocalMember, probe: Probe) -> list[Order]:
-    """Nobody had an answer of the member probed: suspect it, unless the fault may be ours."""
+    """Suspect a member that left a probe unanswered, unless the fault may be local.
+
+    If the probe was to check a claim that the member failed, the claim is accepted.
+    """
     known = member.table.members.get(probe.name)
     peer = member.peers.get(probe.name)
     if known is None or peer is None or known.state > SUSPECTED:
@@ -104,30 +108,30 @@
     if known.incarnation[0] != probe.start_epoch:
         return []
     if probe.claim is not None:
-        reason = f"{probe.claim.reporter} says so, and it does not answer us"
+        reason = f"reported by {probe.claim.reporter}, and it does not answer this member's probe"
         return merging.merge_state(member, probe.claim, reason)
     peer.directly_reachable = False
     peer.unresponsive = True
     if peer.last_received_at >= probe.started_at:
-        # It is alive, since we hear it: what is lost are our own messages.
+        # Its messages arrive, so it is alive; the messages sent to it are lost.
         local_health.degrade(member)
         reachability.update_report(member)
         return []
     isolated = member.last_received_at < probe.started_at
     if probe.nacks < probe.indirect_count or isolated:
-        # Helpers are silent as well, so it may be we who hear nothing.
+        # Helpers are silent as well, so this member itself may not receive messages.
         local_health.degrade(member)
     if isolated and member.local_health <= local_health.ISOLATED_LOCAL_HEALTH:
         return []
     reason = (
-        f"no answer in {member.now - probe.started_at:.2f} s, nor to {probe.indirect_count} others "
-        f"({probe.nacks} said so)"
+        f"no ack in {member.now - probe.started_at:.2f} s, directly or through "
+        f"{probe.indirect_count} others ({probe.nacks} sent a nack)"
     )
     return merging.merge_state(member, merging.with_state(member, probe.name, SUSPECTED), reason)
 
 
 def handle_ack(member: LocalMember, ack: Ack) -> None:
-    """A probe of ours was answered, by the member probed or by one that probed it for us."""
+    """Handle an ack for an open probe, direct or forwarded by the member that probed for us."""
     probe = member.probes.get(ack.sequence)
     if probe is None or probe.name != ack.subject:
         return
@@ -145,13 +149,13 @@
 
 
 def handle_nack(member: LocalMember, nack: Nack) -> None:
-    """A helper is well and has no answer yet: the fault is not in hearing helpers."""
+    """Count a nack: messages from this helper arrive, but it has no ack of the member probed."""
     if nack.sequence in member.probes:
         member.probes[nack.sequence].nacks += 1
 
 
 def expire_suspicions(member: LocalMember) -> list[Order]:
-    """Members suspected for their full time without a refutation have failed."""
+    """Mark members as failed whose suspicion timed out without a refutation."""
     expired = [
         name for name in member.suspicions if suspicions.deadline(member, name) <= member.now
     ]
@@ -160,6 +164,6 @@
         suspicion = member.suspicions[name]
         duration = member.now - suspicion.started_at
         reporters = ", ".join(sorted(suspicion.confirmed_by))
-        reason = f"suspected for {duration:.2f} s, witnesses: {reporters}"
+        reason = f"suspected for {duration:.2f} s, confirmed by {reporters}"
         orders += merging.merge_state(member, merging.with_state(member, name, FAILED), reason)
     return orders
--- a/dunlinlug/fleet/membership/indirect_probes.py
+++ b/dunlinlug/fleet/membership/indirect_probes.py
@@ -1,7 +1,8 @@
-"""Answering pings, and probing a member on behalf of another.
+"""Answers to pings, and indirect probes on behalf of other members.
 
-Source: SWIM (Das, Gupta, Motivala 2002), section 3.1, ping-req; the nack, by which a helper says
-that it is well though the member probed is silent, is Lifeguard's (Dadgar, Phillips, Currey 2018).
+From SWIM (Das, Gupta, Motivala 2002), section 3.1, ping-req. The nack, which shows that a helper
+itself is reachable while the member probed is silent, is from Lifeguard (Dadgar, Phillips, Currey
+2018).
 """
 
 from collections.abc import Iterable
@@ -20,11 +21,11 @@
     Send,
 )
 
-MAX_INDIRECT_PROBES = 64  # probes on behalf of others at a time
+MAX_INDIRECT_PROBES = 64  # open probes on behalf of others
 
 
 def answer_ping(member: LocalMember, ping: Ping) -> Send:
-    """The ack of a ping; a sender that is suspected hears so first and can refute it."""
+    """Return the ack of a ping; a suspected sender receives that state first, and can refute it."""
     known = member.table.members[ping.sender.name]
     priority_items = (known,) if known.state != ALIVE else ()
     return _make_ack(member, ping.sender, ping.sequence, priority_items)
@@ -49,7 +50,7 @@
 
 
 def handle_request(member: LocalMember, request: PingRequest) -> list[Order]:
-    """Probe a member for another; of ourselves we answer at once."""
+    """Probe a member on behalf of another; a probe of this member is acked at once."""
     subject = request.subject
     if subject.name == member.self_id:
         return [_make_ack(member, request.sender, request.sequence)]
@@ -68,7 +69,7 @@
 
 
 def forward_ack(member: LocalMember, ack: Ack) -> list[Order]:
-    """Pass a direct ack on to whom we have probed for; nothing if it is not of such a probe."""
+    """Forward a direct ack to the requester of an indirect probe; no orders if there is none."""
     indirect_probe = member.indirect_probes.pop(ack.sequence, None)
     if indirect_probe is None:
         return []
@@ -86,7 +87,7 @@
 
 
 def expire(member: LocalMember) -> list[Order]:
-    """Send a nack for every probe on behalf of another that had no answer in time."""
+    """Send a nack for every indirect probe that was not answered in time."""
     expired = [
         sequence
         for sequence, indirect_probe in member.indirect_probes.items()
--- a/dunlinlug/fleet/membership/list_digests.py
+++ b/dunlinlug/fleet/membership/list_digests.py
@@ -1,9 +1,9 @@
-"""Whether service discovery gives all managers the same list of endpoints. Free of I/O.
+"""Detects managers whose endpoint list from service discovery differs from the local one.
 
-Each manager broadcasts a digest of its list and compares the others' with its own. Workers fall
-into buckets by their names; a bucket's fingerprint is equal wherever the same workers are in the
-same state, so that a difference names the buckets in which to look. Nothing is decided on it: each
-manager goes by its own list.
+Each manager broadcasts a digest of its list and compares the digests of others with its own.
+Workers are divided into buckets by name. A bucket's fingerprint is equal on two managers if both
+list the same workers in the same state, so a difference narrows down the workers to check. The
+result is for operators only: each manager uses its own list. Free of I/O.
 """
 
 from collections.abc import Mapping
@@ -16,25 +16,25 @@
 from dunlinlug.decision.events import Endpoint
 from dunlinlug.fleet.membership.messages import MAX_MEMBERS, Broadcast
 
-KEY_PREFIX = "list/"  # of broadcasts; the manager's name follows
-BUCKETS = 16  # of a list: few workers are in one bucket, and all fingerprints fit in one broadcast
+KEY_PREFIX = "list/"  # of broadcast keys; the manager's name follows
+BUCKETS = 16  # of a list: few workers share one, and all fingerprints fit in one broadcast
 BROADCAST_INTERVAL = 1.0  # seconds
-# Seconds for which two lists may differ: discovery is polled every ten seconds, so that managers
-# learn of a change at different times.
+# Seconds for which two lists may differ: discovery is polled every ten seconds, so managers see a
+# change at different times.
 DIVERGENCE_TOLERANCE = 15.0
-STALE_AFTER = 10.0  # seconds after which a digest is not compared any more
-MAX_NAMED_WORKERS = 8  # workers named in a description of a difference
+STALE_AFTER = 10.0  # seconds after which a received digest is no longer compared
+MAX_NAMED_WORKERS = 8  # workers named in the description of a difference
 
 Fingerprint = Annotated[int, Meta(ge=0, lt=2**32)]
 
 
 class ListDigest(msgspec.Struct, frozen=True, array_like=True):
-    """Digest of one manager's list; on the wire an array of the fields in this order.
+    """Digest of one manager's list; encoded as an array in field order.
 
     Attributes:
-        start_epoch: Number of the manager's start.
-        sequence: Counts up within a start; with it, it orders a manager's digests.
-        workers: Number of workers listed.
+        start_epoch: Number of the manager's process start.
+        sequence: Increases within a start; orders the digests of one start.
+        workers: Number of workers in the list.
         fingerprints: One for each bucket.
     """
 
@@ -44,24 +44,24 @@
     fingerprints: Annotated[tuple[Fingerprint, ...], Meta(min_length=BUCKETS, max_length=BUCKETS)]
 
     def version(self) -> tuple[int, int]:
-        """Order among the digests of one manager."""
+        """Sort key among the digests of one manager."""
         return self.start_epoch, self.sequence
 
 
 class DivergenceChange(NamedTuple):
-    """A manager's list has differed from ours for long, or does no more; described for people."""
+    """A manager's list has differed for too long, or no longer differs; described for operators."""
 
     manager: str
     description: str
 
 
 def bucket_of(worker: str) -> int:
-    """The bucket, 0 to `BUCKETS` - 1, of a worker's id."""
+    """Return the bucket, 0 to `BUCKETS` - 1, of a worker's id."""
     return xxhash.xxh32_intdigest(worker.encode()) % BUCKETS
 
 
 def bucket_fingerprints(listed_workers: Mapping[str, Endpoint]) -> tuple[int, ...]:
-    """Fingerprints by bucket: the exclusive or over its workers, so that order does not matter."""
+    """Return the fingerprint of each bucket: an XOR over its workers, whose order is irrelevant."""
     fingerprints = [0] * BUCKETS
     for worker in listed_workers.values():
         encoded = f"{worker.id} {worker.state} {worker.zone}"
@@ -70,11 +70,11 @@
 
 
 class ListDigests:
-    """Digests of all managers by name, ours among them, and which have differed for how long.
+    """Digests of all managers by name, the local one included, and since when each has differed.
 
     Args:
-        self_id: Our name.
-        start_epoch: Number of our start.
+        self_id: Name of the local manager.
+        start_epoch: Number of its process start.
     """
 
     def __init__(self, self_id: str, start_epoch: int) -> None:
@@ -82,14 +82,14 @@
         self.start_epoch = start_epoch
         self.sequence = 0
         self.next_broadcast_at = 0.0
-        self.digests: dict[str, tuple[ListDigest, float]] = {}  # with the time at which each came
+        self.digests: dict[str, tuple[ListDigest, float]] = {}  # with the time of receipt
         self.divergent_since: dict[str, float] = {}
-        self.reported = set[str]()  # managers whose difference was reported
+        self.reported = set[str]()  # managers whose divergence was reported
 
     def due_broadcast(
         self, now: float, listed_workers: Mapping[str, Endpoint] | None
     ) -> Broadcast | None:
-        """Our digest as a broadcast, if it is time for one; none while we have no list."""
+        """Return the local digest as a broadcast if one is due; None while there is no list."""
         if now < self.next_broadcast_at:
             return None
         self.next_broadcast_at = now + BROADCAST_INTERVAL
@@ -107,9 +107,9 @@
         return Broadcast(f"{KEY_PREFIX}{self.self_id}", msgspec.msgpack.encode(digest))
 
     def merge(self, now: float, broadcast: Broadcast) -> bool:
-        """Take another manager's digest, in any order and any number of times.
+        """Merge another manager's digest, in any order and any number of times.
 
-        Gives whether it was news.
+        Returns whether it was newer than the known one.
         """
         try:
             digest = msgspec.msgpack.decode(broadcast.payload, type=ListDigest)
@@ -127,7 +127,7 @@
         return True
 
     def divergent(self, now: float) -> dict[str, ListDigest]:
-        """Managers whose present list differs from ours at this moment."""
+        """Managers whose current list differs from the local one."""
         local = self.digests.get(self.self_id)
         if local is None:
             return {}
@@ -143,13 +143,13 @@
     def divergence_changes(
         self, now: float, listed_workers: Mapping[str, Endpoint] | None
     ) -> list[DivergenceChange]:
-        """Managers whose list began to differ for too long, or ceased to, since the last call."""
+        """Managers whose list has differed for too long, or no longer does, since the last call."""
         divergent = self.divergent(now)
         self.divergent_since = {name: self.divergent_since.get(name, now) for name in divergent}
         changes: list[DivergenceChange] = []
         for name in sorted(self.reported - divergent.keys()):
             self.reported.discard(name)
-            changes.append(DivergenceChange(name, "the same again, or not told any more"))
+            changes.append(DivergenceChange(name, "no longer differs, or has no current digest"))
         for name, digest in divergent.items():
             if name in self.reported or now - self.divergent_since[name] < DIVERGENCE_TOLERANCE:
                 continue
@@ -161,7 +161,7 @@
     def _describe_difference(
         self, digest: ListDigest, listed_workers: Mapping[str, Endpoint]
     ) -> str:
-        """For people: how many buckets differ, and which of our workers are in them."""
+        """Describe how many buckets differ and which local workers are in them."""
         local = self.digests[self.self_id][0]
         buckets = {n for n in range(BUCKETS) if digest.fingerprints[n] != local.fingerprints[n]}
         workers = sorted(worker for worker in listed_workers if bucket_of(worker) in buckets)
@@ -169,6 +169,6 @@
         if len(workers) > MAX_NAMED_WORKERS:
             examples += f" and {len(workers) - MAX_NAMED_WORKERS} more"
         return (
-            f"it was told of {digest.workers} workers, we of {local.workers}; "
-            f"{len(buckets)} of {BUCKETS} parts differ, among ours in them: {examples or 'none'}"
+            f"it lists {digest.workers} workers, this manager {local.workers}; {len(buckets)} of "
+            f"{BUCKETS} buckets differ, local workers in them: {examples or 'none'}"
         )
--- a/dunlinlug/fleet/membership/load.py
+++ b/dunlinlug/fleet/membership/load.py
@@ -1,4 +1,4 @@
-"""What load each manager carries, as it broadcasts it. Free of I/O."""
+"""The load of each manager, as broadcast to the others. Free of I/O."""
 
 from typing import Annotated, NamedTuple
 
@@ -7,27 +7,27 @@
 
 from dunlinlug.fleet.membership.messages import Broadcast
 
-KEY_PREFIX = "burden/"  # of broadcasts; the manager's name follows
+KEY_PREFIX = "burden/"  # of broadcast keys; the manager's name follows
 BROADCAST_INTERVAL = 1.0  # seconds; proxies choose a manager within seconds
-STALE_AFTER = 10.0  # seconds after which a load is not shown as present any more
-# Utilisation of its busiest resource from which a manager counts as overloaded, and below which it
-# does not any more.
+STALE_AFTER = 10.0  # seconds after which a received load is no longer current
+# A manager counts as overloaded once the utilisation of its busiest resource reaches the first
+# threshold, until it falls below the second.
 OVERLOAD_THRESHOLD = 0.8
 RECOVERY_THRESHOLD = 0.6
 MAX_MANAGERS = 1024  # managers whose load is kept
 
 Fraction = Annotated[float, Meta(ge=0.0)]
-Version = tuple[int, int]  # a manager's start epoch, and a number that counts up within it
+Version = tuple[int, int]  # a manager's start epoch, and a sequence number within it
 
 
 class ManagerLoad(msgspec.Struct, frozen=True, array_like=True):
-    """A manager's load; on the wire an array of the fields in this order.
+    """A manager's load; encoded as an array in field order.
 
     Attributes:
-        proxies: Proxies connected to it.
-        requests_per_second: What they ask for.
-        channel: Part of the entries that may wait for the channel that do wait.
-        processor: Part of one core in use.
+        proxies: Number of connected proxies.
+        requests_per_second: Request rate of these proxies.
+        channel: Entries that wait for the channel, as a fraction of the queue limit.
+        processor: Fraction of one core in use.
     """
 
     proxies: Annotated[int, Meta(ge=0)]
@@ -35,20 +35,20 @@
     channel: Fraction
     processor: Fraction
 
-    def highest(self) -> tuple[float, str]:
-        """Utilisation and name of the busiest resource."""
+    def busiest_resource(self) -> tuple[float, str]:
+        """Return the utilisation and name of the busiest resource."""
         return max((self.channel, "channel"), (self.processor, "processor"))
 
 
 class LoadPayload(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What is broadcast: a load with its version; on the wire an array in this order."""
+    """Payload of a broadcast: a load with its version; encoded as an array in field order."""
 
     start_epoch: int
     sequence: int
     load: ManagerLoad
 
     def version(self) -> Version:
-        """Order among the loads of one manager."""
+        """Sort key among the loads of one manager."""
         return self.start_epoch, self.sequence
 
 
@@ -56,7 +56,7 @@
 
 
 class ReceivedLoad(NamedTuple):
-    """A manager's newest load, and when it came, in seconds."""
+    """A manager's newest load, and its time of receipt in seconds."""
 
     version: Version
     load: ManagerLoad
@@ -64,7 +64,7 @@
 
 
 class LoadChange(NamedTuple):
-    """A manager became overloaded or recovered, with the reason for people."""
+    """A manager became overloaded or recovered, with the reason for operators."""
 
     manager: str
     load: ManagerLoad
@@ -72,11 +72,11 @@
 
 
 class ManagerLoads:
-    """Loads of all managers by name, ours among them.
+    """Loads of all managers by name, the local one included.
 
     Args:
-        self_id: Our name.
-        start_epoch: Number of our start; of another manager the later start overrides.
+        self_id: Name of the local manager.
+        start_epoch: Number of its process start; a later start overrides an earlier one.
     """
 
     def __init__(self, self_id: str, start_epoch: int) -> None:
@@ -88,7 +88,7 @@
         self.overloaded = set[str]()
 
     def due_broadcast(self, now: float, load: ManagerLoad) -> Broadcast | None:
-        """Our load as a broadcast, if it is time for one."""
+        """Return the local load as a broadcast if one is due."""
         if now < self.next_broadcast_at:
             return None
         self.next_broadcast_at = now + BROADCAST_INTERVAL
@@ -98,9 +98,9 @@
         return Broadcast(f"{KEY_PREFIX}{self.self_id}", msgspec.msgpack.encode(payload))
 
     def merge(self, now: float, broadcast: Broadcast) -> bool:
-        """Take another manager's load, in any order and any number of times.
+        """Merge another manager's load, in any order and any number of times.
 
-        Gives whether it was news.
+        Returns whether it was newer than the known one.
         """
         try:
             payload = msgspec.msgpack.decode(broadcast.payload, type=LoadPayload)
@@ -118,8 +118,8 @@
         self.loads[name] = ReceivedLoad(payload.version(), payload.load, now)
         return True
 
-    def present(self, now: float) -> dict[str, ManagerLoad]:
-        """Loads that are not stale, by manager in order of names."""
+    def current_loads(self, now: float) -> dict[str, ManagerLoad]:
+        """Loads that are not stale, in order of the managers' names."""
         return {
             name: received.load
             for name, received in sorted(self.loads.items())
@@ -129,22 +129,22 @@
     def overload_changes(self, now: float) -> list[LoadChange]:
         """Managers that became overloaded or recovered since the last call.
 
-        A manager that has broadcast nothing for long counts as recovered, since it is not there.
+        A manager without a current load counts as recovered, since it is no longer there.
         """
-        present = self.present(now)
+        current_loads = self.current_loads(now)
         changes: list[LoadChange] = []
-        for name in sorted(self.overloaded - present.keys()):
+        for name in sorted(self.overloaded - current_loads.keys()):
             self.overloaded.discard(name)
-            changes.append(LoadChange(name, NO_LOAD, "back: it tells no more"))
-        for name, load in present.items():
-            utilization, resource = load.highest()
+            changes.append(LoadChange(name, NO_LOAD, "recovered: no current load"))
+        for name, load in current_loads.items():
+            utilization, resource = load.busiest_resource()
             if name in self.overloaded:
                 if utilization < RECOVERY_THRESHOLD:
                     self.overloaded.discard(name)
-                    description = f"back: {resource} at {utilization:.2f}"
+                    description = f"recovered: {resource} at {utilization:.2f}"
                     changes.append(LoadChange(name, load, description))
             elif utilization >= OVERLOAD_THRESHOLD:
                 self.overloaded.add(name)
-                description = f"over: {resource} at {utilization:.2f}"
+                description = f"overloaded: {resource} at {utilization:.2f}"
                 changes.append(LoadChange(name, load, description))
         return changes
--- a/dunlinlug/fleet/membership/local_health.py
+++ b/dunlinlug/fleet/membership/local_health.py
@@ -1,29 +1,29 @@
-"""Lifeguard's local health multiplier: a member that has reason to doubt itself takes more time.
+"""Lifeguard's local health multiplier: longer timeouts while the local member may be at fault.
 
-The score counts such reasons, from 0 (healthy) to `MAX_LOCAL_HEALTH`. Probe intervals and timeouts
-are stretched by it. Source: Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More
+The score counts signs of a local fault, from 0 (healthy) to `MAX_LOCAL_HEALTH`. Probe intervals and
+timeouts grow with it. Source: Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More
 Accurate Failure Detection" (2018), "LHA-Probe".
 """
 
 from dunlinlug.fleet.membership.local_member import LocalMember
 
-# The paper's bound S: probe intervals grow to this many times plus one of their length.
+# The paper's bound S: probe intervals grow to at most S + 1 times their length.
 MAX_LOCAL_HEALTH = 8
-# A member that hears nobody suspects nobody up to this score: three probe intervals, each longer
-# than the one before, which is about two seconds.
+# A member that receives no messages starts no suspicion up to this score: three probe intervals,
+# each longer than the one before, which take about two seconds.
 ISOLATED_LOCAL_HEALTH = 3
 
 
 def degrade(member: LocalMember) -> None:
-    """Count one more reason for doubt: a pause, a refutation, a missed nack, a lost answer."""
+    """Raise the score after a process pause, a refutation, a missing nack or a lost ack."""
     member.local_health = min(MAX_LOCAL_HEALTH, member.local_health + 1)
 
 
 def improve(member: LocalMember) -> None:
-    """Count one reason less: a scheduled probe was answered directly."""
+    """Lower the score after a direct ack of a scheduled probe."""
     member.local_health = max(0, member.local_health - 1)
 
 
 def multiplier(member: LocalMember) -> int:
-    """By how much probe intervals and timeouts are longer at present; 1 when healthy."""
+    """Factor by which probe intervals and timeouts are extended; 1 when healthy."""
     return 1 + member.local_health
--- a/dunlinlug/fleet/membership/local_member.py
+++ b/dunlinlug/fleet/membership/local_member.py
@@ -1,6 +1,6 @@
-"""What one member remembers: its identity, its table, its open probes and suspicions, its timers.
+"""The state of one member: its identity, its table, its open probes and suspicions, its timers.
 
-The rules of the protocol are functions over this record, one job to a module (`failure_detection`,
+The rules of the protocol are functions on this record, one topic to a module (`failure_detection`,
 `suspicions`, `merging`, `dissemination`, `state_sync`, ...). `MembershipProtocol` adds the entry
 points. Keeping the state apart from the rules lets the model checker copy and compare members.
 """
@@ -20,35 +20,36 @@
     Send,
 )
 
-# Up to so many members, each hears each other one often enough to say whom it does not hear, and
-# facts go straight to everyone.
-SMALL_CLUSTER = 32
+# Up to this size, each member receives messages of every other often enough to report silent ones,
+# and broadcasts go directly to all members.
+SMALL_CLUSTER_SIZE = 32
 
 
 class Lifecycle(enum.StrEnum):
-    """Where this member is in its own life; operators see the values."""
+    """Lifecycle state of the local member; operators see the values."""
 
-    JOINING = "joining"  # no other member was heard yet
+    JOINING = "joining"  # has not received a message of another member yet
     ALIVE = "alive"
-    LEFT = "left"  # it said goodbye
-    BANNED = "barred"  # an operator took it out
-    SUPERSEDED = "yielded"  # a later start of a process has its name
+    LEFT = "left"  # has announced its departure
+    BANNED = "barred"  # banned by an operator
+    SUPERSEDED = "yielded"  # a later start of a process uses its name
 
 
-# A tuple, since the hash of an enum member is computed in Python and `receive` asks each time.
-INACTIVE = (Lifecycle.LEFT, Lifecycle.BANNED, Lifecycle.SUPERSEDED)
+# A tuple, since the hash of an enum member is computed in Python and `receive` checks the state for
+# each message.
+INACTIVE_STATES = (Lifecycle.LEFT, Lifecycle.BANNED, Lifecycle.SUPERSEDED)
 
 
 @dataclass
 class PeerState:
-    """What this member observed of another one itself. Times are protocol time, in seconds.
+    """What this member has itself observed of another one. Times are protocol time, in seconds.
 
     Attributes:
-        since: When the peer entered its present state.
-        last_received_at: When its last message came.
-        directly_reachable: Whether it answers our own probes, not only those of others.
-        unresponsive: Whether it has left our last probe unanswered, though we may hear it.
-        diverged_since: Since when the digest of its table differs from ours.
+        since: When the peer entered its current state.
+        last_received_at: When its last message was received.
+        directly_reachable: Whether it answers this member's own probes, not only those of others.
+        unresponsive: Whether it left the last probe unanswered, though its messages may arrive.
+        diverged_since: Since when the digest of its table has differed from the local one.
     """
 
     since: float
@@ -60,18 +61,18 @@
 
 @dataclass
 class Probe:
-    """A probe of ours that was not answered yet.
+    """An open probe by this member.
 
     Attributes:
         name: The member probed.
         start_epoch: The start of its process that has to answer.
-        started_at: When the first ping went out.
-        deadline: When the probe has failed.
-        indirect_at: When others are asked to probe for us.
-        indirect_count: How many others were asked.
-        nacks: How many of them said that they have no answer either.
+        started_at: When the first ping was sent.
+        deadline: When the probe times out.
+        indirect_at: When other members are asked for indirect probes.
+        indirect_count: How many members were asked.
+        nacks: How many of them sent a nack.
         unscheduled: Whether it is outside the regular probe order.
-        claim: Another's claim that the member failed, which is believed if this probe fails.
+        claim: Another member's claim that this one failed, accepted if the probe times out.
     """
 
     name: str
@@ -87,7 +88,7 @@
 
 @dataclass
 class Suspicion:
-    """A member that is suspected: since when, and by which members independently."""
+    """A suspicion of a member: when it started, and which members reported it independently."""
 
     started_at: float
     confirmed_by: set[str] = field(default_factory=set)
@@ -95,7 +96,7 @@
 
 @dataclass
 class IndirectProbe:
-    """A probe that we make for another: for whom, and its sequence number there."""
+    """A probe on behalf of another member: the requester, and its sequence number there."""
 
     sequence: int
     requester: MemberState
@@ -104,16 +105,16 @@
 
 @dataclass(eq=False)
 class LocalMember:
-    """All that one member remembers.
+    """The state of one member.
 
-    Times are protocol time in seconds, which never goes back (see `clock`). Each group of fields
-    is written by the module named beside it.
+    Times are protocol time in seconds, which is monotonic (see `clock`). Each group of fields is
+    written by the modules named beside it.
 
     Args:
         self_id: This member's name.
         start_epoch: Number of this start of a process under that name.
         address: Host and port where others reach this member.
-        seeds: Addresses at which other members may be found.
+        seeds: Addresses of members to join through.
         now: Host time in seconds.
         probe_interval: Seconds from probe to probe, the unit of all other intervals.
         rng: Source of every random choice.
@@ -127,13 +128,13 @@
     probe_interval: float
     rng: Random
 
-    # What is known of members (merging, bans, reachability) and what was observed of each peer.
+    # The view of all members (merging, bans, reachability) and observations of each peer.
     local_state: MemberState = field(init=False)
     state: Lifecycle = field(init=False)
     table: MembershipTable = field(init=False, default_factory=MembershipTable)
     peers: dict[str, PeerState] = field(init=False, default_factory=dict)
-    last_received_at: float = field(init=False)  # when any member was heard last
-    report_version: int = field(init=False, default=0)  # of our own reachability report
+    last_received_at: float = field(init=False)  # when the last message of any member came
+    report_version: int = field(init=False, default=0)  # of the local reachability report
 
     # Failure detection: probes by sequence number, suspicions by name, the rest of the round.
     sequence: int = field(init=False, default=0)
@@ -144,15 +145,15 @@
     local_health: int = field(init=False, default=0)  # 0 is healthy; see `local_health`
 
     # Clock and timers.
-    clock_offset: float = field(init=False, default=0.0)  # protocol time less host time
-    next_due_at: float = field(init=False)  # the deadline that the host was last given
+    clock_offset: float = field(init=False, default=0.0)  # protocol time minus host time
+    next_due_at: float = field(init=False)  # the deadline last returned to the host
     next_probe_at: float = field(init=False)
     next_reconnect_at: float = field(init=False)
     next_gossip_at: float = field(init=False, default=inf)
     next_sync_at: float = field(init=False, default=inf)
 
     def __post_init__(self, start_epoch: int, address: Address) -> None:
-        """Start as the only member known, with a probe and a reconnect due at once."""
+        """Start with no other member known; a probe and a reconnect are due at once."""
         self.seeds = [seed for seed in self.seeds if seed != address]
         self.local_state = MemberState(self.self_id, (start_epoch, 0), ALIVE, address, self.self_id)
         self.table.merge(self.local_state)
@@ -163,7 +164,7 @@
         self.next_reconnect_at = self.now
 
     def other_live_members(self) -> list[str]:
-        """Names of members alive or suspected and not banned, but our own, in table order."""
+        """Names of all other members that are alive or suspected and not banned, in table order."""
         return [name for name in self.table.live_members() if name != self.self_id]
 
     def address_of(self, name: str) -> Address:
@@ -171,11 +172,11 @@
         return self.table.members[name].address
 
     def send(self, name: str, message: Message) -> Send:
-        """The order to send a message to a known member."""
+        """Return the order to send a message to a known member."""
         return Send(self.address_of(name), message)
 
     def set_local_state(self, incarnation: Incarnation, state: int) -> None:
-        """Say something new of ourselves, to be spread by gossip at once."""
+        """Change this member's own state, and schedule its gossip at once."""
         self.local_state = MemberState(
             self.self_id, incarnation, state, self.local_state.address, self.self_id
         )
--- a/dunlinlug/fleet/membership/member_table.py
+++ b/dunlinlug/fleet/membership/member_table.py
@@ -1,9 +1,9 @@
-"""What one member knows of all others: merging, the digest, and the queue of gossip.
+"""One member's view of the cluster: merging, the digest, and the queue of gossip.
 
-Merging is commutative, associative and idempotent: each name keeps its highest precedence, each ban
-and each reachability report its highest version. What is new is sent on with other messages, the
-least sent first, a number of times that grows with the logarithm of the cluster's size (SWIM: Das,
-Gupta, Motivala 2002, section 4.1). Free of I/O and time.
+Merging is commutative, associative and idempotent: of each name the state of highest precedence is
+kept, and the ban and the reachability report of highest version. Changes are piggybacked on other
+messages, those sent least often first, a number of times that grows with the logarithm of the
+cluster's size (SWIM: Das, Gupta, Motivala 2002, section 4.1). Free of I/O and time.
 """
 
 from collections.abc import Iterable, Iterator
@@ -26,17 +26,18 @@
     ReachabilityReport,
 )
 
-# SWIM's lambda: each item is sent so many times log2 of the size, by which all members but one in
-# a thousand receive it.
+# SWIM's lambda: each item is sent this many times log2 of the cluster's size, by which all members
+# but one in a thousand receive it.
 RETRANSMIT_MULTIPLIER = 3
-# Bytes of items in one datagram: with header and seal below the 1,280 that every path carries.
+# Bytes of items in one datagram: with header and signature, it stays below the 1,280 bytes that
+# every network path carries.
 MAX_GOSSIP_BYTES = 1000
-MAX_GOSSIP_ITEMS = 48  # items in one datagram, fewer than a receiver takes
-MAX_TOMBSTONES = 256  # forgotten names that are remembered: as many as fail in a retention time
-LOWEST_PRECEDENCE: tuple[Incarnation, int] = ((-1, 0), 0)  # below that of every statement
+MAX_GOSSIP_ITEMS = 48  # items in one datagram, below the limit of the receiver
+MAX_TOMBSTONES = 256  # forgotten names that are kept: as many as fail in a retention time
+LOWEST_PRECEDENCE: tuple[Incarnation, int] = ((-1, 0), 0)  # below that of every state
 
 MergeableItem = MemberState | MemberBan | ReachabilityReport
-# Kind of item, member and, of a suspicion, its reporter: newer items of a key replace older ones.
+# Kind of item, member and, for a suspicion, its reporter: newer items of a key replace older ones.
 BroadcastKey = tuple[str, ...]
 STATE_KEY = "t"
 BAN_KEY = "b"
@@ -44,7 +45,7 @@
 
 
 class PendingBroadcast(NamedTuple):
-    """An item to be sent on: how often it was sent, and its size in bytes."""
+    """A queued item: how often it was sent, and its size in bytes."""
 
     transmissions: int
     item: GossipItem
@@ -52,7 +53,7 @@
 
 
 class MembershipTable:
-    """Members, bans and reachability reports by name, and what of them is to be sent on.
+    """Members, bans and reachability reports by name, and the queue of items to gossip.
 
     A failed or departed member stays in the table until it is forgotten; its precedence is then
     kept as a tombstone.
@@ -64,21 +65,21 @@
         self.reachability_reports: dict[str, ReachabilityReport] = {}
         self.pending_broadcasts: dict[BroadcastKey, PendingBroadcast] = {}
         self.tombstones: dict[str, tuple[Incarnation, int]] = {}
-        self._digest = b""  # empty once the table has changed
+        self._digest = b""  # empty if out of date
 
     def merge(self, item: MergeableItem) -> bool:
-        """Merge one item and queue it for sending if it is news; gives whether it is."""
+        """Merge one item and queue it for gossip if the table changes; returns whether it did."""
         match item:
             case MemberState():
-                is_news = self._merge_state(item)
+                changed = self._merge_state(item)
             case MemberBan():
-                is_news = self._merge_ban(item)
+                changed = self._merge_ban(item)
             case ReachabilityReport():
-                is_news = self._merge_report(item)
-        if is_news:
+                changed = self._merge_report(item)
+        if changed:
             self._digest = b""
             self.queue_broadcast(item)
-        return is_news
+        return changed
 
     def _merge_state(self, item: MemberState) -> bool:
         previous = self.members.get(item.name)
@@ -115,10 +116,11 @@
         return True
 
     def forget(self, name: str) -> None:
-        """Remove a member and what it reported, and keep a tombstone of it.
+        """Remove a member and its reachability report, and keep a tombstone of it.
 
-        Without the tombstone, a member that forgets a little later would make us learn the name
-        again, and so on without end. Tombstones are bounded by number and not by time.
+        A member that forgets the name a little later still gossips it. The tombstone rejects that
+        state; otherwise members would add the name again in turns without end. Tombstones are
+        bounded in number, not in time.
         """
         while len(self.tombstones) >= MAX_TOMBSTONES:
             oldest = next(iter(self.tombstones))
@@ -135,7 +137,7 @@
         return name in self.bans and self.bans[name].banned
 
     def live_members(self) -> list[str]:
-        """Names of members that are alive or suspected and not banned, ours among them."""
+        """Names of members that are alive or suspected and not banned, the local one included."""
         return [
             name
             for name, member_state in self.members.items()
@@ -151,7 +153,7 @@
         )
 
     def digest(self) -> bytes:
-        """Eight bytes that are equal wherever the same is known; a suspicion counts as alive."""
+        """Return eight bytes that are equal for equal views; a suspected member counts as alive."""
         if not self._digest:
             states = [
                 (
@@ -166,11 +168,11 @@
         return self._digest
 
     def full_state(self) -> tuple[GossipItem, ...]:
-        """All items that the table holds, for a synchronisation."""
+        """All items in the table, for a synchronisation."""
         return (*self.members.values(), *self.bans.values(), *self.reachability_reports.values())
 
     def queue_broadcast(self, item: MergeableItem) -> None:
-        """Send an item on with the next messages, in place of what it overrides."""
+        """Queue an item for gossip, in place of the items that it overrides."""
         match item:
             case MemberState():
                 self._drop_overridden(item)
@@ -185,7 +187,7 @@
         self.pending_broadcasts[key] = PendingBroadcast(0, item, size)
 
     def _drop_overridden(self, item: MemberState) -> None:
-        """Drop older states of this member; reports of the same suspicion stay side by side."""
+        """Drop older states of this member; reports of the same suspicion are all kept."""
         prefix = (STATE_KEY, item.name)
         for key in [key for key in self.pending_broadcasts if key[:2] == prefix]:
             pending = self.pending_broadcasts[key].item
@@ -194,13 +196,13 @@
                 del self.pending_broadcasts[key]
 
     def has_unsent(self) -> bool:
-        """Whether some item was never sent."""
+        """Whether some queued item was never sent."""
         return any(pending.transmissions == 0 for pending in self.pending_broadcasts.values())
 
     def take_gossip(self, priority_items: Iterable[GossipItem] = ()) -> tuple[GossipItem, ...]:
-        """Items to ride on one datagram, counted as sent.
+        """Return items to piggyback on one datagram, and count them as sent.
 
-        The priority items come first, then those sent least, as many as there is room for.
+        The priority items come first, then those sent least often, as many as there is room for.
         """
         items = list(priority_items)
         remaining_bytes = MAX_GOSSIP_BYTES
--- a/dunlinlug/fleet/membership/merging.py
+++ b/dunlinlug/fleet/membership/merging.py
@@ -1,8 +1,8 @@
-"""Merging what is said of members, and refuting what is said wrongly of ourselves.
+"""Merges reported member states, and refutes false reports about the local member.
 
 Each member's state carries an incarnation; the higher (incarnation, state) wins, as in SWIM (Das,
-Gupta, Motivala 2002, section 4.2). An incarnation here is (start epoch, refutations): a restart of
-the process is no refutation of the death of the one before.
+Gupta, Motivala 2002, section 4.2). An incarnation here is (start epoch, refutations), so a restart
+of the process does not refute the failure of the previous process.
 """
 
 from dunlinlug.fleet.membership import local_health, probes, suspicions
@@ -17,20 +17,21 @@
     Superseded,
 )
 
-# Gossip of a change waits for this part of a probe interval, so that changes go out together.
+# Gossip of a change is delayed by the probe interval divided by this, so that changes go out
+# together.
 GOSSIP_DELAY_DIVISOR = 8
-# Of the members that hear of a suspicion, so many as expected probe the suspected one at once: all
-# of a small cluster, and no storm in a large one.
+# Expected number of members that probe a suspected member as soon as they receive the suspicion:
+# all of a small cluster, without a burst of probes in a large one.
 EXPECTED_CONFIRMING_PROBES = 8
 
 
 def merge_state(member: LocalMember, item: MemberState, reason: str) -> list[Order]:
-    """Merge one statement on a member; gives what follows from it.
+    """Merge one reported state; returns the resulting orders.
 
     Args:
-        member: Who merges.
-        item: What is said.
-        reason: Why, for people; it goes into the change that is logged.
+        member: The local member.
+        item: The reported state.
+        reason: Explanation for operators, included in the logged change.
     """
     if item.name == member.self_id:
         return refute(member, item)
@@ -54,13 +55,13 @@
         member.suspicions.pop(item.name, None)
     after = STATE_NAMES[item.state]
     if before != after or restarted:
-        stated_reason = f"started again: {reason}" if restarted else reason
-        orders.append(MemberStateChanged(item.name, before, after, stated_reason))
+        full_reason = f"restarted: {reason}" if restarted else reason
+        orders.append(MemberStateChanged(item.name, before, after, full_reason))
     return orders
 
 
 def _suspect(member: LocalMember, item: MemberState) -> list[Order]:
-    """Begin a suspicion; one that we only heard of is checked at once by some, by chance."""
+    """Start a suspicion; some members, at random, probe at once if another member reported it."""
     member.suspicions[item.name] = Suspicion(member.now, {item.reporter})
     others = len(member.other_live_members())
     probe_now = member.rng.random() * max(others, 1) < EXPECTED_CONFIRMING_PROBES
@@ -72,13 +73,13 @@
 
 
 def with_state(member: LocalMember, name: str, state: int) -> MemberState:
-    """Our own statement on a known member, within its present incarnation."""
+    """Return a state of a known member in its current incarnation, reported by the local member."""
     known = member.table.members[name]
     return MemberState(name, known.incarnation, state, known.address, member.self_id)
 
 
 def refute(member: LocalMember, item: MemberState) -> list[Order]:
-    """Answer what is said of ourselves: outbid what is wrong, and give way to a later start."""
+    """Handle a reported state of the local member: refute a false one, yield to a later start."""
     start_epoch, refutations = member.local_state.incarnation
     claimed_epoch, claimed_refutations = item.incarnation
     if claimed_epoch > start_epoch:
@@ -91,32 +92,33 @@
     ):
         member.set_local_state((start_epoch, claimed_refutations + 1), ALIVE)
         local_health.degrade(member)
-        return [_local_change(member, item.state, f"we speak against {item.reporter}")]
+        return [_local_change(member, item.state, f"refuted the report of {item.reporter}")]
     return []
 
 
 def _handle_later_start(member: LocalMember, item: MemberState) -> list[Order]:
-    """A start of our name that is later than ours is known: of the past, or of another process."""
+    """Handle a later start epoch of this member's name: a past one, or of another process."""
     start_epoch = member.local_state.incarnation[0]
     claimed_epoch = item.incarnation[0]
     if item.state > SUSPECTED and member.state != Lifecycle.LEFT:
-        # The later start is over: our store or our clock was lost, and we go on above it.
+        # The process of the later start has ended. The local epoch is lower because the store or
+        # the clock was lost, so continue above the later one.
         member.set_local_state((claimed_epoch + 1, 0), ALIVE)
-        reason = f"start {start_epoch} goes on as {claimed_epoch + 1}"
+        reason = f"start epoch {start_epoch} raised to {claimed_epoch + 1}"
         return [_local_change(member, item.state, reason)]
     if member.state in (Lifecycle.LEFT, Lifecycle.SUPERSEDED):
         return []
-    # Another process runs under our name. The later start stays, which needs no negotiation.
+    # Another process uses this name. The later start wins, which needs no negotiation.
     member.state = Lifecycle.SUPERSEDED
     member.probes.clear()
     return [
         Superseded(claimed_epoch),
         MemberStateChanged(
-            member.self_id, "alive", Lifecycle.SUPERSEDED.value, "a later start has our name"
+            member.self_id, "alive", Lifecycle.SUPERSEDED.value, "a later start uses this name"
         ),
     ]
 
 
 def _local_change(member: LocalMember, claimed_state: int, reason: str) -> MemberStateChanged:
-    """We are alive, whatever was said."""
+    """Return the change of the local member back to alive."""
     return MemberStateChanged(member.self_id, STATE_NAMES[claimed_state], "alive", reason)
--- a/dunlinlug/fleet/membership/messages.py
+++ b/dunlinlug/fleet/membership/messages.py
@@ -1,11 +1,11 @@
-"""What members send each other, and what the protocol orders of its host.
+"""Messages between members, and the orders that the protocol returns to its host.
 
-On the wire every record is a msgpack array that begins with the tag declared here; fields go by
-their place, and their names are not sent. A later version may add fields at the end, which an
-earlier one leaves out. Never reorder or retype fields: members of two versions run side by side.
+On the wire every record is a msgpack array that begins with the tag declared here; fields are
+positional, and their names are not sent. A later version may add fields at the end, which an
+earlier one ignores. Never reorder or retype fields: members of two versions run side by side.
 
-What is said of a member carries its incarnation and merges by order (see `merging`), so that
-messages may come twice, late and in any order.
+A member's state carries its incarnation and merges by precedence (see `merging`), so messages may
+be duplicated, delayed and reordered.
 """
 
 from typing import Annotated
@@ -13,12 +13,12 @@
 import msgspec
 from msgspec import Meta
 
-MAX_MEMBERS = 1024  # members known at a time: five hundred managers and as many that have been
-MAX_REPORTED_NAMES = 16  # names in each part of a reachability report
-UNKNOWN_NAME = "?"  # target of a message to an address whose member's name is not known
+MAX_MEMBERS = 1024  # members known at a time: five hundred managers and as many departed ones
+MAX_REPORTED_NAMES = 16  # names in each list of a reachability report
+UNKNOWN_NAME = "?"  # target of a message to an address whose member's name is unknown
 
 MemberName = Annotated[str, Meta(min_length=1, max_length=64)]
-# Number of the process's start, and how often it has refuted since.
+# Number of the process start, and how often the process has refuted a report since.
 Incarnation = tuple[Annotated[int, Meta(ge=0)], Annotated[int, Meta(ge=0)]]
 Address = tuple[Annotated[str, Meta(max_length=255)], Annotated[int, Meta(ge=0, le=65535)]]
 
@@ -31,13 +31,13 @@
 
 
 class WireStruct(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """A record whose fields go by place, after its tag."""
+    """A record that is encoded as an array: its tag, then its fields in order."""
 
 
 class MemberState(WireStruct, frozen=True, tag="t"):
-    """A member's state, as a reporter has it.
+    """A member's state as a reporter has it.
 
-    Reports of one suspicion by several reporters are confirmations independent of each other.
+    Reports of one suspicion by several reporters are independent confirmations.
     """
 
     name: MemberName
@@ -47,12 +47,12 @@
     reporter: MemberName
 
     def precedence(self) -> tuple[Incarnation, int]:
-        """Order of merging: the highest wins."""
+        """Sort key of merging: the highest wins."""
         return self.incarnation, self.state
 
 
 class MemberBan(WireStruct, frozen=True, tag="b"):
-    """An operator's ban of a member, or its end; the highest version wins."""
+    """An operator's ban of a member, or the end of one; the highest version wins."""
 
     name: MemberName
     version: Annotated[int, Meta(ge=0)]
@@ -60,13 +60,13 @@
 
 
 class ReachabilityReport(WireStruct, frozen=True, tag="r"):
-    """Whom a member does not reach by itself, though others may.
+    """Members that the reporter does not reach itself, though others may.
 
     Attributes:
         name: The member that reports.
-        version: Its start epoch and a number that counts up; the highest wins.
+        version: Its start epoch and a counter; the highest wins.
         not_answering: Members that do not answer its probes.
-        silent: Members of which no message comes.
+        silent: Members from which it receives no messages.
     """
 
     name: MemberName
@@ -76,7 +76,7 @@
 
 
 class Broadcast(WireStruct, frozen=True, tag="x"):
-    """A fact of the host's, which the protocol carries without reading it."""
+    """Data of the host, which the protocol carries without interpreting it."""
 
     key: Annotated[str, Meta(max_length=128)]
     payload: Annotated[bytes, Meta(max_length=256)]
@@ -88,14 +88,14 @@
 
 
 class Ping(WireStruct, frozen=True, tag="p"):
-    """A probe, to be answered by an Ack.
+    """A probe, answered by an Ack.
 
     Attributes:
-        sender: The sender's state, by itself; every message begins with it.
-        target: Name of the member meant, so that a copy sent elsewhere is not heeded.
-        sequence: Number of the probe, the sender's; 0 awaits no answer.
+        sender: The sender's state, reported by itself; every message begins with it.
+        target: Name of the intended member; other members ignore the message.
+        sequence: The sender's number for the probe; 0 expects no answer.
         digest: Digest of the sender's table.
-        gossip: What rides on the message.
+        gossip: Items piggybacked on the message.
     """
 
     sender: MemberState
@@ -106,7 +106,7 @@
 
 
 class Ack(WireStruct, frozen=True, tag="a"):
-    """The answer to a ping, the sender's own or one passed on to who had asked for the probe.
+    """The answer to a ping, direct or forwarded to the requester of an indirect probe.
 
     Attributes:
         subject: The member that answered the probe.
@@ -123,7 +123,7 @@
 
 
 class PingRequest(WireStruct, frozen=True, tag="k"):
-    """A request to ping the subject for the sender, and to answer by an Ack or a Nack."""
+    """A request to ping the subject for the sender, answered by an Ack or a Nack."""
 
     sender: MemberState
     target: MemberName
@@ -133,7 +133,7 @@
 
 
 class Nack(WireStruct, frozen=True, tag="n"):
-    """The subject of a PingRequest was pinged in time and has not answered yet."""
+    """The subject of a PingRequest was pinged and has not answered in time."""
 
     sender: MemberState
     target: MemberName
@@ -141,7 +141,7 @@
 
 
 class Gossip(WireStruct, frozen=True, tag="g"):
-    """Items that cannot wait for the next ping."""
+    """Items that are not delayed until the next ping."""
 
     sender: MemberState
     target: MemberName
@@ -149,7 +149,7 @@
 
 
 class StateSync(WireStruct, frozen=True, tag="w"):
-    """All that the sender knows, sent by a stream; the receiver may be asked for the same."""
+    """The full state of the sender's table, sent over a stream; may request the receiver's."""
 
     sender: MemberState
     target: MemberName
@@ -161,7 +161,7 @@
 
 
 def gossip_of(message: Message) -> tuple[GossipItem, ...]:
-    """All items that a message carries."""
+    """All gossip items of a message."""
     match message:
         case StateSync():
             return message.items
@@ -172,17 +172,17 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Order: send a message to an address, a StateSync by a stream, any other as a datagram."""
+    """Order: send a message to an address, a StateSync over a stream, any other as a datagram."""
 
     address: tuple[str, int]
     message: Message
 
 
 class MemberStateChanged(msgspec.Struct, frozen=True):
-    """Order: take note that a member's state has changed for us.
+    """Order: record that a member's state has changed in the local view.
 
-    States are names of `STATE_NAMES`, "unknown", "gone", or an operator's "barred" and "unbarred".
-    The reason is for people.
+    States are names of `STATE_NAMES`, "unknown", "gone", or for bans "barred" and "unbarred". The
+    reason is for operators.
     """
 
     name: str
@@ -192,22 +192,22 @@
 
 
 class ProcessPaused(msgspec.Struct, frozen=True):
-    """Order: take note that we were called so many seconds late; open probes were dropped."""
+    """Order: record that the host called this many seconds late; open probes were discarded."""
 
     seconds: float
 
 
 class Superseded(msgspec.Struct, frozen=True):
-    """Order: take note that another process has our name and this later start.
+    """Order: record that another process with this member's name has this later start epoch.
 
-    We are no active member any more, until that start is over.
+    The local member is inactive until that process has ended.
     """
 
     start_epoch: int
 
 
 class BroadcastReceived(msgspec.Struct, frozen=True):
-    """Order: take a fact of another host's."""
+    """Order: handle data that another host broadcast."""
 
     broadcast: Broadcast
 
--- a/dunlinlug/fleet/membership/model.py
+++ b/dunlinlug/fleet/membership/model.py
@@ -1,13 +1,13 @@
-"""Model checking of the membership: three members, deliveries in any order, and faults.
+"""Model checker of the membership protocol: three members, deliveries in any order, and faults.
 
 python -m dunlinlug.fleet.membership.model [--depth 5] [--walks 2000] [--seed 1]
 
-Takes all courses of so many steps from a set that has converged (no course goes on from a state
-visited before), then random walks of forty steps. Faults are lost and doubled messages, a kill, a
-restart and a partition. After each course messages flow again for a while, and then: who runs is
-alive to all, by its newest start; who does not run has failed; all views agree. On the way no
-member knows of a start that never was. The protocol is the class that runs in service, with a
-random number generator that always takes the same side.
+Explores all sequences of this many steps from a converged cluster, without continuing from a state
+visited before, then random walks of forty steps. Faults are lost and duplicated messages, a kill, a
+restart and a partition. After each sequence, messages flow without faults for a while. Then each
+running member must be alive in all views, with its newest start epoch; each stopped one must have
+failed; and all views must agree. At any step, no member may hold a start epoch that never existed.
+The protocol is the class used in production, with a random number generator of fixed results.
 """
 
 import pickle
@@ -28,14 +28,14 @@
 
 NAMES = ("a", "b", "c")
 PROBE_INTERVAL = 0.2  # seconds
-# seconds in which messages flow again: enough for a reconnect, a suspicion and a full sync
+# Seconds of delivery without faults: enough for a reconnect, a suspicion and a full sync.
 RECOVERY_SECONDS = 14.0
-DELIVERABLE_MESSAGES = 4  # the first so many on their way may be dealt with: the others come later
-NEVER = 1e9  # seconds beyond which a time is as good as never
+DELIVERABLE_MESSAGES = 4  # only the oldest messages in flight are delivered, lost or duplicated
+NEVER = 1e9  # seconds; a later time counts as never
 
 
 class Fault(StrEnum):
-    """What may go wrong, as often as `FAULT_BUDGET` allows; also the kind of the step."""
+    """Faults, each as often as `FAULT_BUDGET` allows; the values are also kinds of steps."""
 
     LOSE = "lose"
     DUPLICATE = "double"
@@ -54,30 +54,30 @@
 
 
 class FixedRandom(Random):
-    """A random number generator that always takes the same side: a course is its steps alone."""
+    """A random number generator with fixed results, so that a run depends on its steps alone."""
 
     def random(self) -> float:
-        """The middle."""
+        """Return the middle."""
         return 0.5
 
     def uniform(self, a: float, b: float) -> float:
-        """The middle."""
+        """Return the middle."""
         return (a + b) / 2
 
     def shuffle(self, x: Any) -> None:
-        """Leave the order as it is."""
+        """Keep the order."""
 
     def sample(self, population: Any, k: int, **_counts: Any) -> Any:
-        """The first `k`."""
+        """Return the first `k`."""
         return list(population)[:k]
 
     def choice(self, seq: Any) -> Any:
-        """The first."""
+        """Return the first."""
         return seq[0]
 
 
 class Delivery(NamedTuple):
-    """A message on its way between members."""
+    """A message in flight between members."""
 
     sender: str
     recipient: str
@@ -86,13 +86,13 @@
 
 @dataclass
 class MembershipState:
-    """All members that run, and the network between them."""
+    """All running members, and the network between them."""
 
     now: float = 0.0
     protocols: dict[str, MembershipProtocol] = field(default_factory=dict)
     start_epochs: dict[str, int] = field(default_factory=dict)
     in_flight: list[Delivery] = field(default_factory=list)
-    partitioned: str = ""  # the member that is cut off
+    isolated_member: str = ""  # empty if there is no partition
     remaining_faults: dict[Fault, int] = field(default_factory=lambda: dict(FAULT_BUDGET))
 
     def clone(self) -> "MembershipState":
@@ -106,7 +106,7 @@
         )
 
     def start(self, name: str) -> None:
-        """A member's process begins, without memory of an earlier one."""
+        """Start a member's process, without any state of an earlier one."""
         self.start_epochs[name] = self.start_epochs.get(name, 0) + 1
         seeds = [(other, 1) for other in NAMES]
         self.protocols[name] = MembershipProtocol(
@@ -114,13 +114,13 @@
         )
 
     def execute(self, name: str, orders: list[Any]) -> None:
-        """Put what a member sends on its way; its other orders change nothing here."""
+        """Put the messages that a member sends in flight; its other orders have no effect here."""
         for order in orders:
             if isinstance(order, Send) and order.address[0] in NAMES:
                 self.in_flight.append(Delivery(name, order.address[0], order.message))
 
     def tick(self) -> None:
-        """On to the next time at which a member has something to do."""
+        """Advance to the next deadline of a member, and run the timers that are due."""
         next_deadline = min(protocol.next_deadline() for protocol in self.protocols.values())
         self.now = max(self.now, next_deadline)
         for name, protocol in self.protocols.items():
@@ -128,18 +128,18 @@
                 self.execute(name, protocol.tick(self.now))
 
     def deliver(self, index: int) -> None:
-        """A message arrives, unless its recipient does not run or is cut off."""
+        """Deliver a message, unless its recipient is stopped or isolated."""
         self.arrive(self.in_flight.pop(index))
 
     def arrive(self, delivery: Delivery) -> None:
-        """The same for a message that the caller has taken off the network, or left there."""
+        """Deliver a message that was taken off the network, or stays there as a duplicate."""
         sender, recipient, message = delivery
-        if recipient in self.protocols and self.partitioned not in (sender, recipient):
+        if recipient in self.protocols and self.isolated_member not in (sender, recipient):
             self.execute(recipient, self.protocols[recipient].receive(self.now, message))
 
     def recover(self) -> None:
-        """Let all messages flow for a while, without faults."""
-        self.partitioned = ""
+        """Deliver all messages for `RECOVERY_SECONDS`, without faults."""
+        self.isolated_member = ""
         until = self.now + RECOVERY_SECONDS
         while self.now < until:
             self._deliver_all()
@@ -152,10 +152,10 @@
 
 
 class MembershipModel:
-    """The membership as a model for a search."""
+    """The membership protocol as a model for the search."""
 
     def initial_state(self) -> MembershipState:
-        """Three members that have found each other."""
+        """Three members that have joined each other."""
         state = MembershipState()
         for name in NAMES:
             state.start(name)
@@ -165,7 +165,7 @@
         return state
 
     def steps(self, state: MembershipState) -> Iterator[Step[MembershipState]]:
-        """All that may happen next."""
+        """All possible next steps."""
         remaining = state.remaining_faults
         yield _step("tick", 0, state, MembershipState.tick)
         for index, delivery in enumerate(state.in_flight[:DELIVERABLE_MESSAGES]):
@@ -180,37 +180,37 @@
                 yield _step(Fault.KILL, index, state, partial(_kill, name=name))
             if remaining[Fault.RESTART]:
                 yield _step(Fault.RESTART, index, state, partial(_restart, name=name))
-            if remaining[Fault.PARTITION] and not state.partitioned:
-                yield _step(Fault.PARTITION, index, state, partial(_cut_off, name=name))
-        if state.partitioned:
-            yield _step("heal", 0, state, partial(_cut_off, name=""))
+            if remaining[Fault.PARTITION] and not state.isolated_member:
+                yield _step(Fault.PARTITION, index, state, partial(_isolate, name=name))
+        if state.isolated_member:
+            yield _step("heal", 0, state, partial(_isolate, name=""))
 
     def check_invariants(self, state: MembershipState) -> str:
-        """What is wrong at any time: a start known to a member that never was; empty if nothing."""
+        """Describe a start epoch in some view that never existed; empty if there is none."""
         for name, protocol in state.protocols.items():
             for subject, member_state in protocol.table.members.items():
                 if member_state.incarnation[0] > state.start_epochs[subject]:
-                    return f"{name} tells of a start of {subject} that never was"
+                    return f"{name} holds a start epoch of {subject} that never existed"
         return ""
 
     def check_recovery(self, state: MembershipState) -> str:
-        """What is wrong once messages have flowed for a while; empty if nothing."""
+        """Describe what is wrong after a recovery; empty if nothing."""
         recovered = state.clone()
         recovered.recover()
         return _check_convergence(recovered) or self.check_invariants(recovered)
 
     def within_limits(self, state: MembershipState) -> bool:
-        """Always: steps beyond the budget of faults are not offered."""
+        """Always true: steps beyond the fault budget are not offered."""
         return min(state.remaining_faults.values()) >= 0
 
     def canonical_form(self, state: MembershipState) -> int:
-        """A state's number: equal for states from which all goes on in the same way."""
+        """Return a hash that is equal for states with the same future behaviour."""
         forms = [
             _protocol_form(name, protocol, state.now)
             for name, protocol in sorted(state.protocols.items())
         ]
         faults = sorted((str(fault), count) for fault, count in state.remaining_faults.items())
-        body = pickle.dumps((forms, state.in_flight, state.partitioned, faults))
+        body = pickle.dumps((forms, state.in_flight, state.isolated_member, faults))
         number: int = xxhash.xxh3_128_intdigest(body)
         return number
 
@@ -224,7 +224,7 @@
 def _successor(
     state: MembershipState, kind: str, change: Callable[[MembershipState], object]
 ) -> MembershipState:
-    """A copy of the state after a change, which a fault's budget pays for."""
+    """Return a copy of the state after a change; a fault is deducted from its budget."""
     successor = state.clone()
     if kind in set(Fault):
         successor.remaining_faults[Fault(kind)] -= 1
@@ -252,12 +252,12 @@
     state.start(name)
 
 
-def _cut_off(state: MembershipState, name: str) -> None:
-    state.partitioned = name
+def _isolate(state: MembershipState, name: str) -> None:
+    state.isolated_member = name
 
 
 def _check_convergence(state: MembershipState) -> str:
-    """What is wrong with the members' views; empty if they agree and are right."""
+    """Describe what is wrong with the members' views; empty if they agree and are right."""
     for name, protocol in state.protocols.items():
         if protocol.state != "alive":
             return f"{name} is {protocol.state}"
@@ -271,16 +271,16 @@
 
 
 def _check_view(state: MembershipState, subject: str, member_state: MemberState | None) -> str:
-    """How a member sees another, and why that is wrong; empty if it is right."""
+    """Describe a wrong view of the subject; empty if it is right."""
     if subject not in state.protocols:
         right = member_state is None or member_state.state == FAILED
-        return "" if right else f"{member_state}, which is dead"
+        return "" if right else f"{member_state}, which is stopped"
     start_epoch = state.start_epochs[subject]
     if member_state is not None:
         known = (member_state.state, member_state.incarnation[0])
         if known == (ALIVE, start_epoch):
             return ""
-    return f"{member_state}, which is well in its start {start_epoch}"
+    return f"{member_state}, which is running with start epoch {start_epoch}"
 
 
 def _protocol_form(name: str, protocol: MembershipProtocol, now: float) -> tuple[Any, ...]:
@@ -309,7 +309,7 @@
 
 
 def clone_protocol(protocol: MembershipProtocol) -> MembershipProtocol:
-    """An independent copy of a member's protocol state."""
+    """Return an independent copy of a member's protocol state."""
     duplicate = copy(protocol)
     duplicate.table = copy(protocol.table)
     for name in ("members", "bans", "reachability_reports", "pending_broadcasts", "tombstones"):
@@ -326,7 +326,7 @@
 
 
 def main() -> None:
-    """Search from the command line."""
+    """Run the search from the command line."""
     run_course_command(MembershipModel())
 
 
--- a/dunlinlug/fleet/membership/partition.py
+++ b/dunlinlug/fleet/membership/partition.py
@@ -1,9 +1,9 @@
-"""On which side of a network partition a manager is, and what it may do there.
+"""A manager's side of a network partition, and what it may do there.
 
-The side is judged by the voters last agreed and not by whoever answers now: a member that is not
-heard may be cut off and well. What a smaller side may not do is what rests on a view of the whole
-fleet. The safety rules hold for assigned proxies on any side, so that drains, endpoint lists and
-proxies without a table are never held up. Free of I/O and time.
+The side is determined by the last agreed voters and not by the members that answer now: a member
+whose messages do not arrive may be disconnected and healthy. A smaller side may not do what depends
+on a view of the whole fleet. The safety rules apply to assigned proxies on any side: drains,
+endpoint lists and tables for proxies without one are never held up. Free of I/O and time.
 """
 
 import enum
@@ -12,16 +12,16 @@
 
 from dunlinlug.fleet.membership.messages import ReachabilityReport
 
-# Probe intervals for which a status must hold before it counts: in a small cluster each member is
-# probed about once in them.
+# Probe intervals for which a status must hold before it takes effect: in a small cluster each
+# member is probed about once in that time.
 DEBOUNCE_INTERVALS = 5.0
-# What is missing between two members, as operators are shown it.
+# What is missing between two members, as shown to operators.
 NO_ANSWERS = "no answers"
-NO_MESSAGES = "no words"
+NO_MESSAGES = "no messages"
 
 
 class PartitionStatus(enum.StrEnum):
-    """Which part of the voters a manager reaches, itself included; operators see the values."""
+    """The part of the voters that a manager reaches, itself included; operators see the values."""
 
     ALL = "all"
     MAJORITY = "most"
@@ -35,8 +35,8 @@
     """What a manager may do in a partition status.
 
     Attributes:
-        max_ejected_fraction: Most of the ready weight that may be ejected on own evidence.
-        may_start_changes: Whether staged changes may begin that no rule asks for.
+        max_ejected_fraction: Most of the ready weight that may be ejected on local evidence.
+        may_start_changes: Whether staged changes may start that no safety rule requires.
         may_ramp_up: Whether the next step of a slow start may be taken.
         may_plan_fleet: Whether work for the whole fleet may be planned.
     """
@@ -47,9 +47,9 @@
     may_plan_fleet: bool
 
 
-# With a majority it is the design's ceiling of a fifth. A half or less may be the side that is cut
-# off, and workers that its proxies do not reach may be well: half of the ceiling, then a quarter,
-# which still ejects one hung worker of twenty.
+# A majority has the design's limit of a fifth. A smaller side may be the disconnected one, and
+# workers that its proxies do not reach may be healthy: half of the voters have half of the limit,
+# fewer a quarter, which still ejects one hung worker of twenty.
 LIMITS_BY_STATUS: Mapping[PartitionStatus, PartitionLimits] = {
     PartitionStatus.ALL: PartitionLimits(0.2, True, True, True),
     PartitionStatus.MAJORITY: PartitionLimits(0.2, True, True, True),
@@ -60,9 +60,9 @@
 
 
 def partition_status(voters: Collection[str], reachable: Collection[str]) -> PartitionStatus:
-    """The status of a manager that reaches these members, itself among them.
+    """Return the status of a manager that reaches these members, itself among them.
 
-    Members that are no voters do not count. A single voter reaches all.
+    Members that are not voters do not count. A single voter reaches all.
     """
     size = len(set(voters))
     reached_count = len(set(voters) & set(reachable))
@@ -77,8 +77,8 @@
     return PartitionStatus.ALONE
 
 
-class Debounced:
-    """A status that changes only once another has held for a while: one lost answer is no cut.
+class DebouncedStatus:
+    """A status that changes only once another has held for a while: one lost ack changes nothing.
 
     Args:
         initial: The first status.
@@ -94,7 +94,7 @@
         self.candidate_since = now
 
     def update(self, now: float, observed: PartitionStatus) -> bool:
-        """Take what is observed now; gives whether the status has just changed to it."""
+        """Record the observed status; returns whether the debounced status has changed now."""
         if observed != self.candidate:
             self.candidate = observed
             self.candidate_since = now
@@ -105,13 +105,13 @@
         return True
 
 
-def reachability(
+def reachability_summary(
     observer: str,
     subject: str,
     reports: Mapping[str, ReachabilityReport],
     live_members: Collection[str],
 ) -> str:
-    """Whether a member reaches another by its own report: "yes", or what is missing, for people."""
+    """Describe whether the observer itself reports to reach the subject: "yes", or what fails."""
     if observer == subject or subject not in live_members or observer not in live_members:
         return "-"
     missing: list[str] = []
@@ -129,9 +129,9 @@
     reports: Mapping[str, ReachabilityReport],
     live_members: Collection[str],
 ) -> str:
-    """What is between two members, by the reports of both, in words for people.
+    """Describe the connection between two members, by the reports of both.
 
-    In touch, cut from each other, a loss of one way or of some messages, or a failure.
+    It may be intact, broken in both directions or in one, lossy, or a member may have failed.
     """
     failed = [name for name in (first, second) if name not in live_members]
     if len(failed) == 2:
@@ -141,21 +141,21 @@
     return _live_connection_summary(
         first,
         second,
-        reachability(first, second, reports, live_members),
-        reachability(second, first, reports, live_members),
+        reachability_summary(first, second, reports, live_members),
+        reachability_summary(second, first, reports, live_members),
     )
 
 
 def _live_connection_summary(first: str, second: str, forward: str, back: str) -> str:
-    """What is between two live members, by what each reports of the other."""
+    """Describe the connection between two live members, by what each reports of the other."""
     if forward == "yes" and back == "yes":
         return "in touch"
-    first_hears = NO_MESSAGES not in forward
-    second_hears = NO_MESSAGES not in back
-    if not first_hears and not second_hears:
-        return "cut from each other, and alive to others"
-    if not second_hears:
-        return f"{first} is not heard by {second}"
-    if not first_hears:
-        return f"{second} is not heard by {first}"
-    return "words are lost between them"
+    first_receives = NO_MESSAGES not in forward
+    second_receives = NO_MESSAGES not in back
+    if not first_receives and not second_receives:
+        return "disconnected from each other, both alive to others"
+    if not second_receives:
+        return f"{second} receives no messages from {first}"
+    if not first_receives:
+        return f"{first} receives no messages from {second}"
+    return "some messages between them are lost"
--- a/dunlinlug/fleet/membership/probes.py
+++ b/dunlinlug/fleet/membership/probes.py
@@ -1,25 +1,25 @@
-"""Sending a probe: the ping itself, and the record of what it waits for.
+"""Sends probes: the ping itself, and the record of the open probe.
 
-Source: SWIM (Das, Gupta, Motivala 2002), section 3.1: a ping, and after a part of the interval
-requests to others. What follows on answers and timeouts is `failure_detection`'s.
+From SWIM (Das, Gupta, Motivala 2002), section 3.1: a ping, and after a part of the interval
+requests to others. Acks and timeouts are handled in `failure_detection`.
 """
 
 from dunlinlug.fleet.membership import local_health
 from dunlinlug.fleet.membership.local_member import LocalMember, Probe
 from dunlinlug.fleet.membership.messages import ALIVE, GossipItem, MemberState, Order, Ping, Send
 
-# Part of a probe interval for which a direct answer is awaited before others are asked: some
-# hundred times the way of a message within a site.
+# Fraction of a probe interval to wait for a direct ack before others are asked: about a hundred
+# times the latency within a site.
 DIRECT_PROBE_FRACTION = 0.4
 
 
 def _direct_timeout(member: LocalMember) -> float:
-    """Seconds for which a direct answer is awaited."""
+    """Seconds to wait for a direct ack."""
     return DIRECT_PROBE_FRACTION * member.probe_interval * local_health.multiplier(member)
 
 
 def start(member: LocalMember, name: str, *, unscheduled: bool = False) -> list[Order]:
-    """Probe a member; others are asked after a while without an answer."""
+    """Probe a member; others are asked if no direct ack arrives in time."""
     member.sequence += 1
     member.probes[member.sequence] = Probe(
         name,
@@ -33,7 +33,7 @@
 
 
 def start_for_claim(member: LocalMember, claim: MemberState) -> list[Order]:
-    """Probe a member of which another claims that it failed: once, directly, for a short time."""
+    """Probe a member claimed to have failed: once, directly, with a short timeout."""
     member.sequence += 1
     member.probes[member.sequence] = Probe(
         claim.name,
@@ -48,10 +48,10 @@
 def make_ping(
     member: LocalMember, name: str, sequence: int, claim: MemberState | None = None
 ) -> Send:
-    """The order to ping a known member, with gossip.
+    """Return the order to ping a known member, with gossip.
 
-    Who is suspected or claimed to have failed hears that first, so that it can refute it:
-    Lifeguard's "buddy system" (Dadgar, Phillips, Currey 2018).
+    A member that is suspected or claimed to have failed receives that state first, so that it can
+    refute it: Lifeguard's "buddy system" (Dadgar, Phillips, Currey 2018).
     """
     known = member.table.members[name]
     priority_items: tuple[GossipItem, ...] = ()
--- a/dunlinlug/fleet/membership/protocol.py
+++ b/dunlinlug/fleet/membership/protocol.py
@@ -1,10 +1,10 @@
-"""The membership protocol: messages and time in, messages and changes out.
+"""The membership protocol: takes messages and time, returns messages and changes.
 
-SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2018), free of I/O, of
-the clock and of sources of chance: the host passes in time, messages and a random generator, and
-carries out the orders that come back. `docs/membership.md` weighs the protocol against others,
-lists departures from the papers and says what is promised. The model checker
-(`dunlinlug/fleet/membership/model.py`) explores the states of this very class.
+SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2018), free of I/O, clocks
+and sources of randomness: the host passes in time, messages and a random number generator, and
+executes the returned orders. `docs/membership.md` compares the protocol with others, lists its
+departures from the papers and states its guarantees. The model checker
+(`dunlinlug/fleet/membership/model.py`) explores the states of this class itself.
 """
 
 from math import inf
@@ -21,7 +21,7 @@
     state_sync,
     suspicions,
 )
-from dunlinlug.fleet.membership.local_member import INACTIVE, Lifecycle, LocalMember
+from dunlinlug.fleet.membership.local_member import INACTIVE_STATES, Lifecycle, LocalMember
 from dunlinlug.fleet.membership.messages import (
     LEFT,
     UNKNOWN_NAME,
@@ -40,13 +40,13 @@
 
 
 class MembershipProtocol(LocalMember):
-    """One member: what it remembers (`LocalMember`), and the entry points for its host.
+    """One member: its state (`LocalMember`), and the entry points for its host.
 
-    Host times are seconds of any clock; they may jump either way.
+    Host times are seconds of any clock, which may jump in either direction.
     """
 
     def __post_init__(self, start_epoch: int, address: Address) -> None:
-        """Start as the only member known, and set the first synchronisation."""
+        """Start with no other member known, and schedule the first synchronisation."""
         super().__post_init__(start_epoch, address)
         state_sync.schedule_first(self)
 
@@ -62,11 +62,11 @@
         return self.next_due_at - self.clock_offset
 
     def tick(self, host_time: float) -> list[Order]:
-        """Do all that is due."""
+        """Run all timers that are due."""
         clock.advance(self, host_time)
         orders = clock.detect_pause(self)
-        if self.state in INACTIVE:
-            self._rest()
+        if self.state in INACTIVE_STATES:
+            self._suspend_timers()
             return orders
         orders += failure_detection.handle_timeouts(self)
         orders += indirect_probes.expire(self)
@@ -78,18 +78,18 @@
         if self.next_sync_at <= self.now:
             orders += state_sync.run_periodic(self)
         if self.next_gossip_at <= self.now:
-            orders += dissemination.gossip_news(self)
+            orders += dissemination.send_new_gossip(self)
         return orders
 
-    def _rest(self) -> None:
-        """Let no timer but one be due while we are no active member."""
+    def _suspend_timers(self) -> None:
+        """Reduce the timers to one per probe interval while this member is inactive."""
         self.next_probe_at = self.now + self.probe_interval
         self.next_sync_at = self.now + self.probe_interval
         self.next_reconnect_at = inf
         self.next_gossip_at = inf
 
     def receive(self, host_time: float, message: Message) -> list[Order]:
-        """Take one message."""
+        """Handle one message."""
         clock.advance(self, host_time)
         sender = message.sender
         if message.target not in (self.self_id, UNKNOWN_NAME) or self.state == Lifecycle.LEFT:
@@ -97,30 +97,30 @@
         if self.table.is_banned(sender.name):
             return bans.receive_from_banned(self, message)
         if sender.name == self.self_id:
-            return self._receive_from_namesake(message)
+            return self._receive_with_own_name(message)
         known = self.table.members.get(sender.name)
         if known is not None and known.incarnation[0] > sender.incarnation[0]:
             return self._receive_from_earlier_start(message)
-        orders = merging.merge_state(self, sender, "it says so itself")
+        orders = merging.merge_state(self, sender, "reported by itself")
         if sender.name not in self.peers or sender.name not in self.table.members:
-            return orders  # there is no room for more members
+            return orders  # the table is full
         self._record_receipt(message)
         if self.state == Lifecycle.JOINING:
             self.state = Lifecycle.ALIVE
             orders.append(state_sync.request(self, sender.name))
         orders += dissemination.merge_gossip(self, message)
-        if self.state not in INACTIVE:
+        if self.state not in INACTIVE_STATES:
             orders += self._handle_request(message)
         return orders
 
-    def _receive_from_namesake(self, message: Message) -> list[Order]:
-        """Another process has our name, or our own message came back."""
+    def _receive_with_own_name(self, message: Message) -> list[Order]:
+        """Handle a message from another process with this member's name, or one of its own."""
         if message.sender.incarnation == self.local_state.incarnation:
             return []
         return merging.merge_state(self, message.sender, "")
 
     def _receive_from_earlier_start(self, message: Message) -> list[Order]:
-        """Point an earlier process of this name to the later one, and heed nothing else of it."""
+        """Inform an earlier process of this name of the later one, and ignore its message."""
         sender = message.sender
         if not isinstance(message, Ping):
             return []
@@ -134,7 +134,7 @@
             self.peers[sender.name].last_received_at = self.now
 
     def _handle_request(self, message: Message) -> list[Order]:
-        """What the kind of a message asks for, beside the gossip on it."""
+        """Handle what a message requests or answers, apart from its gossip."""
         sender_name = message.sender.name
         match message:
             case Ping():
@@ -153,7 +153,7 @@
                 return []
 
     def _handle_ack(self, ack: Ack) -> list[Order]:
-        """Count an answer; a direct one is compared with our table and passed on if asked for."""
+        """Handle an ack; compare the digest of a direct one, and forward it if it was requested."""
         orders: list[Order] = []
         if ack.subject == ack.sender.name:
             orders += state_sync.compare_digest(self, ack.sender.name, ack.digest)
@@ -162,7 +162,7 @@
         return orders
 
     def leave(self, host_time: float) -> list[Order]:
-        """Say goodbye to all members; nothing is sent afterwards."""
+        """Announce this member's departure to all others; nothing is sent afterwards."""
         clock.advance(self, host_time)
         if self.state in (Lifecycle.LEFT, Lifecycle.SUPERSEDED):
             return []
@@ -177,14 +177,14 @@
         ]
 
     def set_banned(self, host_time: float, name: str, banned: bool) -> list[Order]:
-        """Ban a member or let it in again. Raises ValueError for a name that is no known member."""
+        """Ban a member or end its ban. Raises ValueError if the name is not a known member."""
         clock.advance(self, host_time)
         return bans.set_banned(self, name, banned)
 
     def broadcast(self, broadcasts: tuple[Broadcast, ...]) -> list[Order]:
-        """Send short-lived facts straight to the other members."""
+        """Send short-lived data directly to the other members."""
         return dissemination.broadcast(self, broadcasts)
 
     def is_reachable(self, name: str) -> bool:
-        """Whether this member and another reach each other, by whatever way."""
+        """Whether this member and another reach each other, directly or through others."""
         return reachability.is_reachable(self, name)
--- a/dunlinlug/fleet/membership/reconnects.py
+++ b/dunlinlug/fleet/membership/reconnects.py
@@ -1,7 +1,7 @@
-"""Joining, and healing of partitions: pings to failed members and to seeds.
+"""Joining, and recovery from partitions: pings to failed members and to seeds.
 
-SWIM never speaks to a failed member again, so that two sides of a partition would stay apart after
-it has healed. Each member therefore pings a failed member or a silent seed now and then.
+SWIM sends nothing to a failed member, so the two sides of a partition would stay apart after it has
+healed. Each member therefore pings a failed member or a silent seed periodically.
 """
 
 from dunlinlug.fleet.membership import state_sync
@@ -16,11 +16,11 @@
     Send,
 )
 
-RECONNECT_INTERVALS = 4.0  # probe intervals between attempts, more or less a quarter
+RECONNECT_INTERVALS = 4.0  # probe intervals between attempts, plus or minus a quarter
 
 
 def run_periodic(member: LocalMember) -> list[Order]:
-    """Set the next attempt, and make one now."""
+    """Schedule the next attempt, and make one now."""
     delay = RECONNECT_INTERVALS * member.probe_interval * member.rng.uniform(0.75, 1.25)
     member.next_reconnect_at = member.now + delay
     return reconnect(member)
@@ -29,7 +29,7 @@
 def reconnect(member: LocalMember) -> list[Order]:
     """Ping a random failed member, or a seed at whose address no live member is known.
 
-    While nobody else is known, the ping goes with a synchronisation of all, which joins us.
+    While no other member is known, a request for a full synchronisation is sent too, to join.
     """
     failed_names = _failed_names_by_address(member)
     live_addresses = {member.address_of(name) for name in member.table.live_members()}
@@ -51,7 +51,7 @@
 
 
 def _failed_names_by_address(member: LocalMember) -> dict[Address, str]:
-    """Members that failed (not those that left) and are not banned."""
+    """Members that failed and are not banned, by address; excludes those that left."""
     table = member.table
     return {
         table.members[name].address: name
--- a/dunlinlug/fleet/membership/service.py
+++ b/dunlinlug/fleet/membership/service.py
@@ -1,7 +1,7 @@
-"""A manager's part in the membership: the protocol, its sockets, and what it shares with others.
+"""A manager's membership: the protocol, its sockets, and the data shared with other managers.
 
-`Membership` runs the protocol by a transport, keeps the partition status, broadcasts load, list
-digests and observations, and takes those of other managers.
+`Membership` runs the protocol over a transport, keeps the partition status, broadcasts load, list
+digests and observations, and handles those of other managers.
 """
 
 from collections import deque
@@ -18,7 +18,7 @@
 from dunlinlug.fleet.membership.messages import Address, Broadcast, MemberStateChanged
 from dunlinlug.fleet.membership.partition import (
     LIMITS_BY_STATUS,
-    Debounced,
+    DebouncedStatus,
     PartitionLimits,
     PartitionStatus,
     partition_status,
@@ -27,74 +27,74 @@
 from dunlinlug.fleet.membership.shared_observations import SharedObservations
 from dunlinlug.fleet.membership.transport import MembershipTransport
 
-MAX_RECENT_CHANGES = 50  # changes of members' states that are kept for people
+MAX_RECENT_CHANGES = 50  # changes of members' states that are kept for operators
 
 
 def _ignore_event(_event: Event) -> None:
-    """Until somebody listens."""
+    """Default until a host is registered."""
 
 
 def _ignore_partition_change(_status: str, _limits: PartitionLimits) -> None:
-    """Until somebody listens."""
+    """Default until a host is registered."""
 
 
 def _ignore_member_change(_change: MemberStateChanged) -> None:
-    """Until somebody listens."""
+    """Default until a host is registered."""
 
 
 def _seed_addresses(addresses: Mapping[str, Address], self_id: str) -> list[Address]:
-    """Where the other configured members are, in order of their names."""
+    """Addresses of the other configured members, in order of their names."""
     return [address for name, address in sorted(addresses.items()) if name != self_id]
 
 
 def _initial_status(addresses: Mapping[str, Address]) -> PartitionStatus:
-    """Until others are heard, a manager among several counts as alone."""
+    """The status before the first message: a manager among several counts as alone."""
     return PartitionStatus.ALONE if len(addresses) > 1 else PartitionStatus.ALL
 
 
 class MembershipHost(Protocol):
-    """What the manager around a membership provides to it, and what it is notified of."""
+    """The manager that runs a membership: provides its data, and receives its notifications."""
 
     def submit_event(self, event: Event) -> None:
-        """Take an event for the decision module."""
+        """Pass an event to the decision module."""
 
     def listed_workers(self) -> Mapping[str, Endpoint] | None:
-        """The endpoint list as service discovery gave it here; None before the first."""
+        """The endpoint list of service discovery at this manager; None before the first."""
 
     def current_load(self) -> ManagerLoad:
         """The load of this manager since the last call."""
 
     def on_partition_change(self, status: PartitionStatus, limits: PartitionLimits) -> None:
-        """This manager's side of a partition, and what it may do there, has changed."""
+        """This manager's partition status and its limits have changed."""
 
     def on_member_change(self, change: MemberStateChanged) -> None:
-        """A member has another state."""
+        """A member's state has changed."""
 
 
 class Membership:
     """One manager's membership.
 
     Callbacks that its owner sets before `run`:
-        current_load: What load this manager carries now.
-        listed_workers: The endpoint list that service discovery gave us; None while there is none.
-        on_event: Takes events for the decision module: observations and loads of other managers.
-        on_partition_change: Takes each new partition status with its limits.
-        on_member_change: Takes each change of a member's state.
+        current_load: Returns the load of this manager.
+        listed_workers: Returns the endpoint list of service discovery; None while there is none.
+        on_event: Handles events for the decision module: observations and loads of other managers.
+        on_partition_change: Handles each new partition status with its limits.
+        on_member_change: Handles each change of a member's state.
 
     Args:
         self_id: This manager's name.
-        start_epoch: Number of this start.
-        addresses: Host and port by name of the configured members; ours is among them.
+        start_epoch: Number of this process start.
+        addresses: Host and port of each configured member by name, this one included.
         keys: One or two shared keys; the first signs.
         probe_interval: Seconds.
         rng: Source of random choices.
-        log_event: Takes an event's name and its fields.
-        voters: Gives the names of the voters last agreed.
-        clock: Gives the time in seconds.
+        log_event: Logs an event, given its name and its fields.
+        voters: Returns the names of the last agreed voters.
+        clock: Returns the time in seconds.
         bind_address: Where to listen, if that is not the address that others use.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 - what the process is assembled from, each once
+    def __init__(  # noqa: PLR0913, PLR0917 - one parameter per setting or collaborator
         self,
         self_id: str,
         start_epoch: int,
@@ -136,11 +136,11 @@
             clock,
             bind_address,
         )
-        self.partition = Debounced(_initial_status(addresses), clock(), probe_interval)
+        self.partition = DebouncedStatus(_initial_status(addresses), clock(), probe_interval)
         self.recent_changes: deque[status_report.TimedChange] = deque(maxlen=MAX_RECENT_CHANGES)
 
     def register_host(self, host: MembershipHost) -> None:
-        """Take facts from `host` and notify it, from now on."""
+        """Use `host` for local data and notifications from now on."""
         self.on_event = host.submit_event
         self.listed_workers = host.listed_workers
         self.current_load = host.current_load
@@ -149,16 +149,16 @@
 
     @property
     def partition_status(self) -> PartitionStatus:
-        """On which side of a partition we are."""
+        """This manager's side of a partition."""
         return self.partition.status
 
     @property
     def partition_limits(self) -> PartitionLimits:
-        """What this manager may do there."""
+        """What this manager may do on that side."""
         return LIMITS_BY_STATUS[self.partition_status]
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Be a member until cancelled. Raises OSError if our address is taken."""
+        """Run the membership until cancelled. Raises OSError if the address is taken."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.transport.run)
             self.log_event(
@@ -170,14 +170,14 @@
             while True:
                 await trio.sleep(self.probe_interval)
                 self._update_partition()
-                self._broadcast_facts()
+                self._send_due_broadcasts()
 
     def leave(self) -> None:
-        """Say goodbye before the end, so that a planned stop is no failure to others."""
+        """Announce a planned stop, so that other members do not count it as a failure."""
         self.transport.perform(self.protocol.leave)
 
     def record_reports(self, events: list[Event]) -> None:
-        """Count the reports of our own proxies among events for the decision module."""
+        """Count the reports of local proxies among events for the decision module."""
         self.observations.record_reports(self.clock(), events)
 
     def _update_partition(self) -> None:
@@ -195,8 +195,8 @@
         )
         self.on_partition_change(self.partition_status, self.partition_limits)
 
-    def _broadcast_facts(self) -> None:
-        """Broadcast what is due, and say what has changed in the loads and lists of others."""
+    def _send_due_broadcasts(self) -> None:
+        """Send the broadcasts that are due, and log changes in the loads and lists of others."""
         now = self.clock()
         listed_workers = self.listed_workers()
         due = [
@@ -226,7 +226,7 @@
             )
 
     def _handle_broadcast(self, broadcast: Broadcast) -> None:
-        """Take a fact of another manager's; each kind of fact knows its own keys."""
+        """Handle another manager's broadcast, according to the prefix of its key."""
         if broadcast.key.startswith(load.KEY_PREFIX):
             self.loads.merge(self.clock(), broadcast)
         if broadcast.key.startswith(list_digests.KEY_PREFIX):
@@ -239,7 +239,7 @@
         self.on_member_change(change)
 
     def address_of(self, name: str) -> Address:
-        """Where a member is by its own statement, or as configured while it is not known.
+        """Return the address a member reports, or the configured one while it is unknown.
 
         Raises KeyError for a name that is neither.
         """
@@ -247,15 +247,15 @@
         return member_state.address if member_state is not None else self.addresses[name]
 
     def reachable_voters(self) -> set[str]:
-        """Voters that we reach, ourselves among them."""
+        """Voters that this manager reaches, itself included."""
         return {name for name in self.voters() if self.protocol.is_reachable(name)}
 
     def set_banned(self, name: str, banned: bool) -> None:
-        """Ban a member or let it in again. Raises ValueError for a name that is no known member."""
+        """Ban a member or end its ban. Raises ValueError if the name is not a known member."""
         self.transport.perform(lambda now: self.protocol.set_banned(now, name, banned))
 
     def describe(self) -> dict[str, Any]:
-        """Our view for people and programs: see `status_report`."""
+        """The local view for operators and programs; see `status_report`."""
         now = self.clock()
         protocol = self.protocol
         counts: dict[str, int] = dict(self.transport.counts)
--- a/dunlinlug/fleet/membership/shared_observations.py
+++ b/dunlinlug/fleet/membership/shared_observations.py
@@ -1,9 +1,9 @@
-"""What the proxies of other managers observed at workers, as evidence for outlier detection.
+"""Observations of workers by the proxies of other managers, as evidence for outlier detection.
 
-Each manager counts what its own proxies reported of each worker since its start: attempts, failures
-and seconds of successes. The counts only grow, so that copies merge by the larger one and may come
-twice, late or never. What is new in a copy is evidence on the time since the last copy came, and
-weighs the less the older it is. Only workers that stand out are broadcast. Free of I/O.
+Each manager counts what its own proxies reported of each worker since its process start: attempts,
+failures and seconds of successes. The counts only grow, so copies merge by the larger one and may
+be duplicated, delayed or lost. The increase in a copy is evidence for the time since the previous
+copy, and its weight falls with its age. Only outliers are broadcast. Free of I/O.
 """
 
 from collections.abc import Iterable
@@ -17,26 +17,27 @@
 from dunlinlug.decision.events import EndpointReported, Event
 from dunlinlug.fleet.membership.messages import Broadcast
 
-KEY_PREFIX = "met"  # of broadcasts; manager, start epoch and worker follow, between slashes
-# Seconds: a part of a report cycle, so that broadcasts add little to the delay of reports.
+KEY_PREFIX = "met"  # of broadcast keys; manager, start epoch and worker follow, between slashes
+# Seconds; a fraction of a report cycle, so that broadcasts add little to the delay of reports.
 BROADCAST_INTERVAL = 0.25
-MAX_WORKERS_PER_BROADCAST = 16  # what one datagram carries
-# Seconds for which a worker is broadcast after it stood out last, so that its recovery is, too.
+MAX_WORKERS_PER_BROADCAST = 16  # as many as one datagram carries
+# Seconds for which a worker is broadcast after it was last an outlier, so that its recovery is
+# broadcast too.
 OUTLIER_REPORT_WINDOW = 8.0
-# Seconds in which evidence loses half its weight, as outlier detection's own does.
-WEIGHT_HALVING_TIME = 0.8
-# Attempts in our own newest report from which it is enough: the others' counts cover time before
-# it as well and would thin it out.
+# Seconds in which evidence loses half its weight, as in outlier detection itself.
+WEIGHT_HALF_LIFE = 0.8
+# Attempts in the newest local report from which remote counts are not used: they also cover the
+# time before it and would dilute it.
 SUFFICIENT_LOCAL_ATTEMPTS = 8.0
-# Attempts in the first copy of a count up to which it is used: a larger one was counted over a long
-# time that we do not know.
+# Most attempts in the first copy of a count for it to be used: a larger one was collected over a
+# long and unknown time.
 MAX_FIRST_ATTEMPTS = 50
-MAX_OBSERVATION_AGE = 8.0  # seconds beyond which evidence is not used: ten halvings
-MAX_WORKERS = 4096  # workers counted, and counts of others kept; the oldest are dropped first
+MAX_OBSERVATION_AGE = 8.0  # seconds, ten half-lives; older evidence is not used
+MAX_WORKERS = 4096  # workers counted, and remote counts kept; the oldest are dropped first
 
 
 class ObservationCounts(msgspec.Struct, frozen=True, array_like=True):
-    """Counts of one worker since a manager's start; on the wire an array in this order.
+    """Counts of one worker since a manager's process start; encoded as an array in field order.
 
     Attributes:
         attempts: Requests sent to the worker.
@@ -56,10 +57,10 @@
 
 @dataclass
 class WorkerObservation:
-    """What our own proxies reported of one worker since our start; times in seconds.
+    """Local counts of one worker since the process start; times in seconds.
 
     Attributes:
-        broadcast_attempts: Attempts as they were broadcast last.
+        broadcast_attempts: Attempts at the time of the last broadcast.
         latest_report_attempts: Attempts in the newest report alone.
     """
 
@@ -72,7 +73,7 @@
     latest_report_attempts: float = 0
 
     def record(self, now: float, report: EndpointReported) -> None:
-        """Count one report; failures make the worker stand out."""
+        """Count one report; failures mark the worker as an outlier."""
         self.attempts += report.attempts
         self.failures += report.failed
         self.success_seconds += report.latency * (report.attempts - report.failed)
@@ -82,35 +83,35 @@
             self.last_outlier_at = now
 
     def is_due(self, now: float) -> bool:
-        """Whether it has changed since it was broadcast, and stood out not long ago."""
+        """Whether the counts of a recent outlier have changed since the last broadcast."""
         if self.attempts == self.broadcast_attempts:
             return False
         return now - self.last_outlier_at < OUTLIER_REPORT_WINDOW
 
     def failure_fraction(self) -> float:
-        """Part of all attempts that failed."""
+        """Fraction of all attempts that failed."""
         return self.failures / max(self.attempts, 1)
 
     def counts(self, now: float) -> ObservationCounts:
-        """The form that is broadcast."""
+        """Return the counts in the form that is broadcast."""
         return ObservationCounts(
             self.attempts, self.failures, self.success_seconds, now - self.observed_at
         )
 
 
 class ReceivedCounts(NamedTuple):
-    """The newest counts under a key, and when they came, in seconds."""
+    """The newest counts under a key, and their time of receipt in seconds."""
 
     counts: ObservationCounts
     received_at: float
 
 
 class SharedObservations:
-    """Our own counts by worker, and the newest counts of other managers by broadcast key.
+    """Local counts by worker, and the newest counts of other managers by broadcast key.
 
     Args:
-        self_id: Our name.
-        start_epoch: Number of our start; a restarted manager counts anew under another key.
+        self_id: Name of the local manager.
+        start_epoch: Number of its process start; each start counts from zero under another key.
     """
 
     def __init__(self, self_id: str, start_epoch: int) -> None:
@@ -120,7 +121,7 @@
         self.next_broadcast_at = 0.0
 
     def record_reports(self, now: float, events: Iterable[Event]) -> None:
-        """Count the reports of our own proxies among these events."""
+        """Count the reports of local proxies among these events."""
         for event in events:
             if isinstance(event, EndpointReported) and event.local:
                 self._observation_of(event.worker).record(now, event)
@@ -136,7 +137,7 @@
         return observation
 
     def due_broadcasts(self, now: float) -> list[Broadcast]:
-        """Counts of workers that stand out, those with most failures first, if it is time."""
+        """Return the counts of outliers, highest failure fraction first, if a broadcast is due."""
         if now < self.next_broadcast_at:
             return []
         self.next_broadcast_at = now + BROADCAST_INTERVAL
@@ -154,10 +155,10 @@
         return broadcasts
 
     def merge(self, now: float, broadcast: Broadcast) -> list[Event]:
-        """Take another manager's counts.
+        """Merge another manager's counts.
 
-        Gives what is new in them as a report weighed by its age, or nothing if they are old or
-        known, our own, or no counts at all.
+        Returns their increase as a report weighted by its age, or nothing if the counts are old,
+        known, local or malformed.
         """
         try:
             counts = msgspec.msgpack.decode(broadcast.payload, type=ObservationCounts)
@@ -175,14 +176,14 @@
         self._store_remote(broadcast.key, ReceivedCounts(counts, now))
         if previous is None and attempts > MAX_FIRST_ATTEMPTS:
             return []
-        # How long the first copy was counted is unknown; a later one at most since the last.
+        # A later copy covers at most the time since the previous one; that of the first is unknown.
         since_last = now - previous.received_at if previous is not None else 0.0
         age = counts.age + since_last / 2
         if age > MAX_OBSERVATION_AGE or self._has_sufficient_evidence(worker):
             return []
-        # Weights stay fractions: rounded, one failure of three attempts could become one of one,
+        # Weighted counts are not rounded: one failure of three attempts could become one of one,
         # and a healthy worker would be ejected.
-        weight = 0.5 ** (age / WEIGHT_HALVING_TIME)
+        weight = 0.5 ** (age / WEIGHT_HALF_LIFE)
         report = EndpointReported(
             "",
             worker,
@@ -195,7 +196,7 @@
         return [report]
 
     def _store_remote(self, key: str, received: ReceivedCounts) -> None:
-        """Keep the newest counts, the key as the youngest of all."""
+        """Store the newest counts; their key becomes the last to be dropped."""
         self.remote_counts.pop(key, None)
         while len(self.remote_counts) >= MAX_WORKERS:
             oldest = next(iter(self.remote_counts))
@@ -208,7 +209,7 @@
 
 
 def _mean_latency(counts: ObservationCounts, known: ObservationCounts) -> float:
-    """Mean seconds of the successes that are new in a copy; 0 if there is none."""
+    """Mean seconds of the successes that are new in a copy; 0 if there are none."""
     successes = (counts.attempts - known.attempts) - (counts.failures - known.failures)
     if not successes:
         return 0.0
--- a/dunlinlug/fleet/membership/simulated_network.py
+++ b/dunlinlug/fleet/membership/simulated_network.py
@@ -1,6 +1,6 @@
 """Members in simulated time, on a network with loss, delay, partitions, pauses and skewed clocks.
 
-For tests and measurements; nothing of it runs in service. One seed gives one course of events.
+For tests and benchmarks, not for production. A run is determined by its seed.
 """
 
 import heapq
@@ -27,11 +27,11 @@
 )
 from dunlinlug.fleet.membership.protocol import MembershipProtocol
 
-MAX_QUEUED_MESSAGES = 500  # messages that wait for a paused process: a socket's buffer has an end
-# A stream retransmits, so that a synchronisation is lost as rarely as so many datagrams in a row.
+MAX_QUEUED_MESSAGES = 500  # messages queued for a paused process, as in a socket's finite buffer
+# A stream retransmits: a synchronisation is lost only if this many datagrams in a row would be.
 STREAM_LOSS_EXPONENT = 3
 
-# Called as `MembershipProtocol` is; a factory of another protocol of the same form, for comparison.
+# Has the signature of `MembershipProtocol`; a factory of another such protocol allows comparison.
 ProtocolFactory = Callable[[str, int, Address, list[Address], float, float, Random], Any]
 
 
@@ -40,14 +40,14 @@
     """A simulated process.
 
     Attributes:
-        name: What the process calls itself.
-        address: Where it is reached.
-        protocol: Its `MembershipProtocol`, or another protocol of the same form.
+        name: Name of the member.
+        address: Host and port where it is reached.
+        protocol: Its `MembershipProtocol`, or another protocol with the same interface.
         clock_rate: Seconds of its clock for one second of simulated time.
         max_timer_delay: Most seconds by which its timers are late.
-        frozen: Whether the process is stopped; messages queue up meanwhile.
+        frozen: Whether the process is paused; messages are queued meanwhile.
         dead: Whether it was killed.
-        queue: Messages that wait for a frozen process.
+        queue: Messages queued for a frozen process.
         clock_origin: Simulated time at which its clock shows the same.
     """
 
@@ -62,17 +62,17 @@
     clock_origin: float = 0.0
 
     def local_time(self, now: float) -> float:
-        """What its clock shows at a simulated time."""
+        """Return the reading of its clock at a simulated time."""
         return (now - self.clock_origin) * self.clock_rate + self.clock_origin
 
     def simulated_time(self, local_time: float) -> float:
-        """When its clock will show this time."""
+        """Return the simulated time at which its clock has this reading."""
         return (local_time - self.clock_origin) / self.clock_rate + self.clock_origin
 
 
 @dataclass
 class ObservedChange:
-    """A change of a member's state as one node saw it; time in simulated seconds."""
+    """A change of a member's state as observed by one node; time in simulated seconds."""
 
     at: float
     observer: str
@@ -83,7 +83,7 @@
 
 
 class Delivery(NamedTuple):
-    """A message on its way."""
+    """A message in flight."""
 
     sender: str
     address: Address
@@ -91,14 +91,14 @@
 
 
 class Timer(NamedTuple):
-    """A node's timer; it is void once the node has armed another."""
+    """A node's timer; it is void once the node has armed another one."""
 
     address: Address
     due: float
 
 
 class ScheduledEvent(NamedTuple):
-    """An entry of the event queue, in order of time and then of number."""
+    """An entry of the event queue, ordered by time, then by number."""
 
     at: float
     number: int
@@ -109,16 +109,16 @@
     """A network and its nodes.
 
     Args:
-        seed: Of every random choice.
+        seed: Seed of every random choice.
         probe_interval: Seconds, of all nodes.
         loss: Probability that a datagram is lost.
-        delay: Least and most seconds on the way.
-        protocol_factory: Makes a node's protocol.
-        duplication: Probability that a datagram comes twice.
+        delay: Least and greatest latency in seconds.
+        protocol_factory: Creates a node's protocol.
+        duplication: Probability that a datagram is duplicated.
         measure: Whether bytes are counted.
     """
 
-    def __init__(  # noqa: PLR0913 - conditions of a network, each named by its caller
+    def __init__(  # noqa: PLR0913 - conditions of the network, passed by name
         self,
         seed: int,
         probe_interval: float = 0.2,
@@ -141,9 +141,8 @@
         self.event_queue: list[ScheduledEvent] = []
         self.nodes: dict[Address, Node] = {}
         self.timer_deadlines: dict[Address, float] = {}
-        self.blocked_links = set[
-            tuple[str, str]
-        ]()  # from the first name nothing gets to the second
+        # Links as (sender, recipient) that carry no message.
+        self.blocked_links = set[tuple[str, str]]()
         self.observed_changes: list[ObservedChange] = []
         self.pauses = Counter[str]()
         self.superseded = list[str]()
@@ -151,7 +150,7 @@
         self.messages_sent = Counter[str]()
         self.bytes_sent = Counter[str]()
 
-    def start(  # noqa: PLR0913 - conditions of a process, each named by its caller
+    def start(  # noqa: PLR0913 - conditions of the process, passed by name
         self,
         name: str,
         start_epoch: int = 1,
@@ -161,7 +160,7 @@
         clock_rate: float = 1.0,
         max_timer_delay: float = 0.0,
     ) -> Node:
-        """Start a process that knows these members as seeds."""
+        """Start a process with these members as seeds."""
         node_address = address or (name, 1)
         seed_addresses = [(seed, 1) for seed in seeds]
         node = Node(name, node_address, None, clock_rate, max_timer_delay, clock_origin=self.now)
@@ -179,22 +178,22 @@
         return node
 
     def start_cluster(self, size: int, **conditions: Any) -> list[Node]:
-        """Start members m0, m1, ... that know the first three as seeds."""
+        """Start members m0, m1, ... with the first three as seeds."""
         names = [f"m{n}" for n in range(size)]
         return [self.start(name, seeds=tuple(names[:3]), **conditions) for name in names]
 
     def node(self, name: str) -> Node:
-        """The first running process of this name."""
+        """Return the first running process of this name."""
         return next(node for node in self.nodes.values() if node.name == name and not node.dead)
 
     def kill(self, name: str) -> None:
-        """End a process without a goodbye."""
+        """Kill a process; it does not announce its departure."""
         node = self.node(name)
         node.dead = True
         self.nodes.pop(node.address)
 
     def freeze(self, name: str, frozen: bool = True) -> None:
-        """Stop a process, or let it go on with the messages that came meanwhile."""
+        """Pause a process, or resume it, upon which it handles the queued messages."""
         node = self.node(name)
         node.frozen = frozen
         if frozen:
@@ -206,7 +205,7 @@
         self._tick(node)
 
     def partition(self, *sides: tuple[str, ...]) -> None:
-        """Block all links between these sides, both ways."""
+        """Block all links between these sides in both directions."""
         for side in sides:
             for other in sides:
                 if side is not other:
@@ -217,14 +216,14 @@
         self.blocked_links.clear()
 
     def schedule(self, when: float, action: Callable[[], None]) -> None:
-        """Call something at a simulated time."""
+        """Call an action at a simulated time."""
         self._push(when, action)
 
     def _push(self, when: float, event: Delivery | Timer | Callable[[], None]) -> None:
         heapq.heappush(self.event_queue, ScheduledEvent(when, next(self.event_numbers), event))
 
     def run(self, until: float) -> None:
-        """Let time go on to this moment."""
+        """Advance simulated time to this moment."""
         while self.event_queue and self.event_queue[0].at <= until:
             self.now, _, event = heapq.heappop(self.event_queue)
             match event:
@@ -266,7 +265,7 @@
         self._execute(node, node.protocol.receive(node.local_time(self.now), message))
 
     def perform(self, name: str, action: Callable[[Any, float], list[Order]]) -> None:
-        """Let a node's protocol do something by itself, such as leaving."""
+        """Execute an operation of a node's protocol, such as leaving."""
         node = self.node(name)
         self._execute(node, action(node.protocol, node.local_time(self.now)))
 
--- a/dunlinlug/fleet/membership/state_sync.py
+++ b/dunlinlug/fleet/membership/state_sync.py
@@ -1,8 +1,9 @@
-"""Push/pull synchronisation of all that two members know, as a safety net beside gossip.
+"""Push/pull synchronisation of two members' full states, as a fallback to gossip.
 
-Gossip is sent a bounded number of times, so that some of it is lost to some members. Not part of
-the SWIM paper; memberlist has the same exchange. It runs with a random member now and then, with a
-member whose table digest stays different from ours, and with the first member that is heard.
+Gossip is sent a bounded number of times, so some members may miss an item. Not part of the SWIM
+paper; memberlist has the same exchange. It takes place periodically with a random member, with a
+member whose table digest stays different from the local one, and with the first member from which a
+message arrives.
 """
 
 from math import inf
@@ -11,12 +12,12 @@
 from dunlinlug.fleet.membership.messages import Order, Send, StateSync, TableDigest
 
 SYNC_INTERVALS = 50.0  # probe intervals between exchanges with a random member
-# Probe intervals for which a peer's digest may differ from ours before we synchronise with it.
+# Probe intervals for which a peer's digest may differ before a synchronisation with it.
 DIVERGENCE_INTERVALS = 10.0
 
 
 def schedule_first(member: LocalMember) -> None:
-    """Set the first exchange, spread out so that a fleet started at once does not do it at once."""
+    """Schedule the first exchange, with jitter so that a fleet started at once is spread out."""
     delay = member.rng.uniform(0.5, 1.0) * SYNC_INTERVALS * member.probe_interval
     member.next_sync_at = member.now + delay
 
@@ -32,14 +33,14 @@
 
 
 def request(member: LocalMember, name: str) -> Order:
-    """Send a member all that we know, and ask for all that it knows."""
+    """Return the order to send a member the full local state and request its own."""
     return member.send(name, _make_sync(member, name, reply_requested=True))
 
 
 def answer(member: LocalMember, sync: StateSync) -> list[Order]:
-    """Send back all that we know, where that was asked for.
+    """Send back the full local state, if requested.
 
-    It goes to the address in the message, which may be another than the one in our table.
+    It is sent to the address in the message, which may differ from the one in the local table.
     """
     if not sync.reply_requested:
         return []
@@ -52,12 +53,12 @@
 
 
 def join_message(member: LocalMember, target: str) -> StateSync:
-    """What we send to a seed whose name may not be known, while nobody else is."""
+    """Return the request for a seed, possibly of unknown name, while no other member is known."""
     return _make_sync(member, target, reply_requested=True)
 
 
 def compare_digest(member: LocalMember, name: str, digest: TableDigest) -> list[Order]:
-    """Synchronise with a peer whose digest has stayed different from ours for long."""
+    """Synchronise with a peer whose digest has differed from the local one for too long."""
     peer = member.peers[name]
     if digest == member.table.digest():
         peer.diverged_since = inf
--- a/dunlinlug/fleet/membership/status_report.py
+++ b/dunlinlug/fleet/membership/status_report.py
@@ -1,6 +1,6 @@
-"""What people and programs are shown of a manager's view: `fleet show` and the admin endpoint.
+"""A manager's view as shown to operators and programs: `fleet show` and the admin endpoint.
 
-The JSON keys are an outside interface; each stands beside its field.
+The JSON keys are an external interface; each is declared at its field.
 """
 
 from collections.abc import Iterable, Sequence
@@ -18,7 +18,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """A member as we have it; `sees` gives by its own report whom it reaches."""
+    """A member in the local view; `sees` gives the members that it reaches by its own report."""
 
     name: str = field(name="member")
     start_epoch: int = field(name="start")
@@ -40,14 +40,14 @@
 
 
 class ListStatus(msgspec.Struct, frozen=True):
-    """A manager whose endpoint list differs from ours, and for how many seconds."""
+    """A manager whose endpoint list differs from the local one, and for how many seconds."""
 
     workers: int
     divergent_for: float = field(name="for")
 
 
 class RecentChange(msgspec.Struct, frozen=True):
-    """A change of a member's state, so many seconds ago."""
+    """A change of a member's state, and how many seconds ago it was observed."""
 
     ago: float
     name: str = field(name="member")
@@ -73,20 +73,20 @@
     counts: dict[str, int]
 
     def to_json(self) -> dict[str, Any]:
-        """Plain values, ready for a JSON encoder."""
+        """Return plain values for a JSON encoder."""
         report: dict[str, Any] = msgspec.to_builtins(self)
         return report
 
 
 class TimedChange(NamedTuple):
-    """A change of a member's state, and when we saw it, in seconds."""
+    """A change of a member's state, and the time of its observation in seconds."""
 
     at: float
     change: MemberStateChanged
 
 
 def member_statuses(protocol: MembershipProtocol) -> list[MemberStatus]:
-    """All known members in order of names."""
+    """All known members in order of their names."""
     live_members = protocol.table.live_members()
     names = sorted(protocol.table.members)
     return [_member_status(protocol, name, names, live_members) for name in names]
@@ -109,13 +109,16 @@
         state="barred" if table.is_banned(name) else STATE_NAMES[member_state.state],
         address=f"{host}:{port}",
         reachable=protocol.is_reachable(name),
-        sees={other: partition.reachability(name, other, reports, live_members) for other in names},
+        sees={
+            other: partition.reachability_summary(name, other, reports, live_members)
+            for other in names
+        },
         connection=connection,
     )
 
 
 def load_statuses(loads: ManagerLoads, now: float) -> dict[str, LoadStatus]:
-    """Loads that are present, by manager."""
+    """Current loads by manager."""
     return {
         name: LoadStatus(
             proxies=load.proxies,
@@ -123,12 +126,12 @@
             channel=round(load.channel, 3),
             processor=round(load.processor, 3),
         )
-        for name, load in loads.present(now).items()
+        for name, load in loads.current_loads(now).items()
     }
 
 
 def list_statuses(list_digests: ListDigests, now: float) -> dict[str, ListStatus]:
-    """Managers whose list differs from ours."""
+    """Managers whose list differs from the local one."""
     divergent_since = list_digests.divergent_since
     return {
         name: ListStatus(digest.workers, round(now - divergent_since.get(name, now), 3))
@@ -137,7 +140,7 @@
 
 
 def change_statuses(changes: Iterable[TimedChange], now: float) -> list[RecentChange]:
-    """The last changes, the oldest first."""
+    """The recent changes, the oldest first."""
     return [
         RecentChange(round(now - at, 3), change.name, change.before, change.after, change.reason)
         for at, change in changes
--- a/dunlinlug/fleet/membership/streams.py
+++ b/dunlinlug/fleet/membership/streams.py
@@ -1,4 +1,4 @@
-"""TCP at a member's address: frames too large for a datagram, and connections of other parts."""
+"""TCP at a member's address: frames too large for a datagram, connections of other components."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -10,19 +10,19 @@
 from dunlinlug.fleet.membership import codec
 from dunlinlug.fleet.sealing import RejectReason
 
-# frames in flight at once, each way, and seconds for one
+# Concurrent frames in each direction, and seconds for each.
 MAX_STREAMS = 16
 STREAM_TIMEOUT = 2.0
-# other parts' connections at once: a few for each member of the largest set that votes
+# Concurrent connections of other components: a few per voter of the largest voter set.
 MAX_DELEGATED_CONNECTIONS = 64
 RECEIVE_BYTES = 2**16
 
 
 class MembershipStreams:
-    """Sends and takes frames, one a connection, and gives away connections of other parts.
+    """Sends and receives frames, one per connection, and delegates other components' connections.
 
-    `on_frame` gets each complete frame without its length. What is not taken, or not sent, is
-    counted in `rejections` and `counts`, which belong to the member's transport.
+    `on_frame` is called with each complete frame without its length. Rejected frames are counted in
+    `rejections`, unsent ones in `counts`; both belong to the member's transport.
     """
 
     def __init__(
@@ -42,9 +42,9 @@
     def send(
         self, nursery: trio.Nursery, address: Address, make_frame: Callable[[], bytes]
     ) -> None:
-        """Starts to send a frame on a connection of its own; it may be lost.
+        """Start to send a frame on a connection of its own; it may be lost.
 
-        The frame is made only if it is sent, so that no sequence number is left out.
+        The frame is built only if it is sent, so that no sequence number is skipped.
         """
         if self.outgoing.try_acquire():
             nursery.start_soon(self._send, address, make_frame())
@@ -57,12 +57,12 @@
                 async with await trio.open_tcp_stream(*address) as stream:
                     await stream.send_all(frame)
         except (OSError, trio.BrokenResourceError):
-            self.counts["unsent"] += 1  # the next exchange makes up for it
+            self.counts["unsent"] += 1  # the next synchronisation makes up for it
         finally:
             self.outgoing.release()
 
     async def accept(self, stream: trio.SocketStream) -> None:
-        """Takes one frame, in time, and answers nothing on it; or gives the connection away."""
+        """Read one frame before the timeout and send no answer, or delegate the connection."""
         if not self.incoming.try_acquire():
             self.rejections[RejectReason.TOO_MANY_STREAMS.value] += 1
             await trio.aclose_forcefully(stream)
@@ -83,7 +83,7 @@
             self.rejections[RejectReason.INCOMPLETE_STREAM.value] += 1
 
     async def _read(self, stream: trio.SocketStream) -> bytes:
-        """Reads to the end, the bound, the timeout, or until the first byte names a handler."""
+        """Read to the end, the size limit or the timeout, or until the first byte has a handler."""
         data = b""
         with (
             suppress(trio.BrokenResourceError, trio.ClosedResourceError),
--- a/dunlinlug/fleet/membership/suspicions.py
+++ b/dunlinlug/fleet/membership/suspicions.py
@@ -1,8 +1,8 @@
-"""How long a suspicion lasts before the member counts as failed.
+"""The timeout of a suspicion, after which the member counts as failed.
 
 SWIM lets a suspected member refute for a fixed time (Das, Gupta, Motivala, "SWIM: Scalable
 Weakly-consistent Infection-style Process Group Membership Protocol", 2002, section 4.2). Lifeguard
-starts with a long time, which each independent confirmation shortens by the logarithm of their
+starts with a long timeout, which each independent confirmation shortens by the logarithm of their
 number (Dadgar, Phillips, Currey 2018, "LHA-Suspicion").
 """
 
@@ -11,18 +11,18 @@
 from dunlinlug.fleet.membership.local_member import LocalMember
 from dunlinlug.fleet.membership.messages import MemberState
 
-# The paper's K: confirmations by others after which a suspicion is as short as it gets.
+# The paper's K: confirmations by others with which the timeout reaches its minimum.
 MAX_CONFIRMATIONS = 3
-# Probe intervals that a suspicion lasts, with all confirmations and with none, for each tenfold
-# size of the cluster.
+# Timeout in probe intervals, with all confirmations and with none, for each tenfold size of the
+# cluster.
 MIN_SUSPICION_INTERVALS = 2.0
 MAX_SUSPICION_INTERVALS = 12.0
 
 
 def deadline(member: LocalMember, name: str) -> float:
-    """Protocol time at which this suspicion becomes a failure.
+    """Protocol time at which this suspicion times out.
 
-    A cluster of few members has few that could confirm, so fewer confirmations are enough there.
+    A small cluster has few members that could confirm, so fewer confirmations suffice there.
     """
     suspicion = member.suspicions[name]
     size = len(member.table.live_members())
@@ -36,7 +36,7 @@
 
 
 def _confirmed_fraction(reporters: int, cluster_size: int) -> float:
-    """How far the timeout has shrunk, 0 to 1; the first reporter confirms nothing."""
+    """Fraction of the range by which the timeout has shrunk; the first reporter does not count."""
     max_confirmations = min(MAX_CONFIRMATIONS, cluster_size - 2)
     if max_confirmations <= 0 or not reporters:
         return 0.0
@@ -44,7 +44,7 @@
 
 
 def confirm(member: LocalMember, item: MemberState) -> None:
-    """Count a suspicion that we have already; a new reporter's is gossiped on, up to the bound."""
+    """Record another report of a suspicion; that of a new reporter is gossiped, up to the bound."""
     suspicion = member.suspicions[item.name]
     if item.reporter in suspicion.confirmed_by:
         return
@@ -55,7 +55,7 @@
 
 
 def is_known(member: LocalMember, item: MemberState) -> bool:
-    """Whether this is the very suspicion that we have: another report of it may confirm it."""
+    """Whether the item reports the current suspicion of its subject, and so may confirm it."""
     known = member.table.members.get(item.name)
     return (
         known is not None
--- a/dunlinlug/fleet/membership/transport.py
+++ b/dunlinlug/fleet/membership/transport.py
@@ -1,4 +1,4 @@
-"""Moves a member's datagrams and frames over trio, and calls the membership's protocol in time."""
+"""Sends and receives a member's datagrams and frames over trio, and runs its protocol's timers."""
 
 import secrets
 import socket
@@ -26,19 +26,20 @@
 from dunlinlug.fleet.sealing import AuthenticationError, RejectReason
 
 SESSION_ID_BYTES = 8
-MAX_DATAGRAMS_PER_BATCH = 256  # datagrams read before timers are looked at
-# datagrams that are read in a second: twenty times what a thousand members send one
+MAX_DATAGRAMS_PER_BATCH = 256  # datagrams read before timers are checked
+# Datagrams accepted per second: twenty times what a thousand members send to one.
 MAX_DATAGRAMS_PER_SECOND = 4000
 
 
 class MembershipTransport:
-    """One member's sockets, and the loop that feeds its protocol.
+    """One member's sockets, and the loop that drives its protocol.
 
-    `on_broadcast` gets what others broadcast, `on_change` each change of a member's state after it
-    was logged. `bind_address` is where to listen, if not at the member's own address.
+    `on_broadcast` is called with the broadcasts of others, `on_change` with each change of a
+    member's state after it was logged. `bind_address` is where to listen, if not at the member's
+    own address.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 - one parameter a collaborator
+    def __init__(  # noqa: PLR0913, PLR0917 - one parameter per collaborator
         self,
         protocol: MembershipProtocol,
         keys: list[bytes],
@@ -61,20 +62,20 @@
         self.rejection_log = RateLimitedLog("membership.datagrams_rejected", log_event, clock)
         self.rate_limit = RateLimit(MAX_DATAGRAMS_PER_SECOND)
         self.streams = MembershipStreams(self._handle_frame, self.rejections, self.counts)
-        # Addresses to which nothing is sent: for tests.
+        # Whether messages to an address are dropped; set by tests.
         self.is_blocked: Callable[[tuple[str, int]], bool] = lambda _address: False
         self.udp_socket: socket.socket | None = None
         self.wake = trio.Event()
 
     def register_connection_handler(self, first_byte: bytes, handler: ConnectionHandler) -> None:
-        """Gives TCP connections that begin with this byte, and what was read, to the handler.
+        """Pass TCP connections that begin with this byte, and the data read so far, to the handler.
 
-        No frame of the membership begins with a byte that another part uses.
+        No frame of the membership begins with a byte that another component uses.
         """
         self.streams.handlers[first_byte] = handler
 
     def open_streams(self) -> dict[str, int]:
-        """TCP connections that are open now, by kind."""
+        """Number of open TCP connections by kind."""
         return {
             "in": self.streams.incoming.open,
             "out": self.streams.outgoing.open,
@@ -82,7 +83,7 @@
         }
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Listens, sends and calls the protocol until cancelled.
+        """Listen, send and run the protocol until cancelled.
 
         Raises:
             OSError: The address is taken.
@@ -108,7 +109,8 @@
             self.wake = trio.Event()
             with trio.move_on_after(max(self.protocol.next_deadline() - self.clock(), 0.0)):
                 await self.wake.wait()
-            # Without this, timers would condemn members whose answers wait unread.
+            # Read waiting datagrams first: a probe whose ack waits unread would time out, and cause
+            # a suspicion.
             self._drain_socket(udp_socket)
             if self.protocol.next_deadline() <= self.clock():
                 self._execute(self.protocol.tick(self.clock()))
@@ -121,13 +123,13 @@
             await trio.sleep(0)
 
     def _drain_socket(self, udp_socket: socket.socket) -> None:
-        """Handles the datagrams that wait, up to a batch."""
+        """Handle the datagrams that wait, up to a batch."""
         for _ in range(MAX_DATAGRAMS_PER_BATCH):
             try:
                 data = udp_socket.recv(codec.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError:  # that an earlier datagram was refused, reported by the next call
+            except OSError:  # reports that an earlier datagram was refused
                 self.counts["unread"] += 1
                 continue
             if self.rate_limit.allows(self.clock()):
@@ -150,10 +152,10 @@
         self._execute(self.protocol.receive(self.clock(), message))
 
     def perform(self, action: Callable[[float], list[Order]]) -> None:
-        """Carries out what the service or an operator asks of the protocol, at the present time.
+        """Execute an operation of the protocol for the service or an operator, at the current time.
 
         Raises:
-            ValueError: The protocol refuses it.
+            ValueError: The protocol rejects it.
         """
         self._execute(action(self.clock()))
         self.wake.set()
@@ -199,4 +201,4 @@
         try:
             self.udp_socket.sendto(data, address)
         except OSError:
-            self.counts["unsent"] += 1  # lost, as on a network
+            self.counts["unsent"] += 1  # counts as lost in the network
--- a/tests/fleet/membership/test_list_digests.py
+++ b/tests/fleet/membership/test_list_digests.py
@@ -1,4 +1,4 @@
-"""Digests of endpoint lists: long differences are reported once, with the workers to look at."""
+"""Digests of endpoint lists: a lasting divergence is reported once, with the workers to check."""
 
 from dunlinlug.decision.events import Endpoint
 from dunlinlug.fleet.membership.list_digests import DIVERGENCE_TOLERANCE, ListDigests
@@ -20,7 +20,7 @@
     }
 
 
-def test_lists_that_differ_for_long_are_reported_once_with_the_workers_to_look_at() -> None:
+def test_lists_that_differ_for_long_are_reported_once_with_the_workers_to_check() -> None:
     local, remote = ListDigests("a", 1), ListDigests("b", 1)
     local_list = endpoints(*range(40))
     remote_list = endpoints(*reversed(range(40)))
@@ -39,12 +39,12 @@
         assert local.due_broadcast(now, local_list) is not None
         assert broadcast is not None
         assert local.merge(now, broadcast)
-        assert not local.merge(now, broadcast), "a copy is no news"
+        assert not local.merge(now, broadcast), "a duplicate is not newer"
         for change in local.divergence_changes(now, local_list):
             reported.append((now, change.manager))
             descriptions.append(change.description)
     assert reported == [(20.0 + DIVERGENCE_TOLERANCE, "b"), (45.0, "b")]
-    assert "told of 39 workers, we of 40; 1 of 16 parts differ" in descriptions[0]
+    assert "lists 39 workers, this manager 40; 1 of 16 buckets differ" in descriptions[0]
     assert "w39" in descriptions[0]
     assert local.due_broadcast(100.0, None) is None
     assert local.divergent(100.0) == {}, "a manager without a list compares nothing"
--- a/tests/fleet/membership/test_load.py
+++ b/tests/fleet/membership/test_load.py
@@ -25,17 +25,24 @@
         broadcasts.append(broadcast)
         changes = sender.overload_changes(now)
         descriptions.append("".join(change.description for change in changes))
-    assert [text.split(":")[0] for text in descriptions] == ["", "over", "", "", "back", ""]
+    assert [text.split(":")[0] for text in descriptions] == [
+        "",
+        "overloaded",
+        "",
+        "",
+        "recovered",
+        "",
+    ]
     for seed in range(20):
         receiver, rng = ManagerLoads("b", 1), Random(seed)
         for broadcast in rng.sample(broadcasts, 6) + rng.choices(broadcasts, k=4):
             receiver.merge(1.0, broadcast)
-        assert receiver.present(1.0) == {"a": ManagerLoad(5, 5.0, 0.0, 0.1)}
+        assert receiver.current_loads(1.0) == {"a": ManagerLoad(5, 5.0, 0.0, 0.1)}
         assert not receiver.merge(2.0, broadcasts[0])
-        assert receiver.present(1.0 + STALE_AFTER) == {}
+        assert receiver.current_loads(1.0 + STALE_AFTER) == {}
     restarted = ManagerLoads("a", 3).due_broadcast(0.0, ManagerLoad(1, 1.0, 0.0, 0.0))
     assert restarted is not None
-    assert receiver.merge(2.0, restarted), "the first load of a later start is news"
+    assert receiver.merge(2.0, restarted), "the first load of a later start is newer"
     for invalid in (
         Broadcast("burden/a", b"\xff"),
         Broadcast("burden/b", broadcasts[0].payload),
@@ -60,4 +67,9 @@
         (change.manager, change.description)
         for change in receiver.overload_changes(3.0 + STALE_AFTER)
     ]
-    assert changes == [("a", "over"), ("a", "back"), ("a", "over"), ("a", "back: it tells no more")]
+    assert changes == [
+        ("a", "overloaded"),
+        ("a", "recovered"),
+        ("a", "overloaded"),
+        ("a", "recovered: no current load"),
+    ]
--- a/tests/fleet/membership/test_member_table.py
+++ b/tests/fleet/membership/test_member_table.py
@@ -1,4 +1,4 @@
-"""The membership table: merging beside a plain model, the digest, the bounds of gossip."""
+"""The membership table: merging compared with a reference model, the digest, bounds of gossip."""
 
 from itertools import permutations
 from random import Random
@@ -39,8 +39,8 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_merging_does_not_depend_on_order_copies_or_grouping(seed: int) -> None:
     rng, table = Random(seed), MembershipTable()
-    # Of one precedence there is one content, as each is said by one reporter; reporters of a
-    # suspicion count apart.
+    # Items of equal precedence or version are identical, since each has one reporter; several reports
+    # of a suspicion are counted outside of the table.
     unique = {
         (
             type(item),
@@ -102,4 +102,4 @@
         assert sum(len(msgspec.msgpack.encode(item)) for item in items) <= MAX_GOSSIP_BYTES
         sent += len(items)
         items = table.take_gossip()
-    assert sent == 300 * 27  # three times the log of the size
+    assert sent == 300 * 27  # RETRANSMIT_MULTIPLIER times log2 of the size, rounded up
--- a/tests/fleet/membership/test_partition.py
+++ b/tests/fleet/membership/test_partition.py
@@ -1,4 +1,4 @@
-"""Partition status, its limits, and what is between two members."""
+"""Partition status, its limits, and the connection between two members."""
 
 import pytest
 
@@ -21,13 +21,13 @@
         (3, 1, "alone"),
     ],
 )
-def test_the_status_goes_by_the_voters_last_agreed(size: int, reached: int, status: str) -> None:
+def test_the_status_depends_on_the_last_agreed_voters(size: int, reached: int, status: str) -> None:
     voters = [f"m{n}" for n in range(size)]
-    assert partition.partition_status(voters, [*voters[:reached], "a-stranger"]) == status
+    assert partition.partition_status(voters, [*voters[:reached], "not-a-voter"]) == status
 
 
-def test_a_status_counts_once_it_has_held_and_a_lost_answer_changes_nothing() -> None:
-    debounced = partition.Debounced(PartitionStatus.ALL, 0.0, 0.2)
+def test_a_status_takes_effect_once_it_has_held_and_a_lost_ack_changes_nothing() -> None:
+    debounced = partition.DebouncedStatus(PartitionStatus.ALL, 0.0, 0.2)
     changes: list[float] = []
     observed = ["most", "all", "most", "most", "few"] + ["few"] * 7 + ["all"] * 2 + ["few"]
     for n, status in enumerate(observed):
@@ -43,10 +43,10 @@
     for larger, smaller in zip(order, order[1:], strict=False):
         for name in ("max_ejected_fraction", "may_start_changes", "may_ramp_up", "may_plan_fleet"):
             assert getattr(larger, name) >= getattr(smaller, name)
-    assert not order[2].may_plan_fleet, "of two halves, both would plan"
+    assert not order[2].may_plan_fleet, "both of two halves would plan"
 
 
-def test_what_is_between_two_members_is_named() -> None:
+def test_the_connection_between_two_members_is_described() -> None:
     reports = {
         "a": ReachabilityReport("a", (1, 1), ("b",), ("b",)),
         "b": ReachabilityReport("b", (1, 1), ("a",), ("a",)),
@@ -56,9 +56,15 @@
     live_members = ("a", "b", "c", "d")
     assert (
         partition.connection_summary("a", "b", reports, live_members)
-        == "cut from each other, and alive to others"
+        == "disconnected from each other, both alive to others"
+    )
+    assert (
+        partition.connection_summary("c", "d", reports, live_members)
+        == "d receives no messages from c"
+    )
+    assert (
+        partition.connection_summary("d", "c", reports, live_members)
+        == "d receives no messages from c"
     )
-    assert partition.connection_summary("c", "d", reports, live_members) == "c is not heard by d"
-    assert partition.connection_summary("d", "c", reports, live_members) == "c is not heard by d"
     assert partition.connection_summary("a", "c", reports, live_members) == "in touch"
     assert partition.connection_summary("a", "x", reports, live_members) == "x has failed"
--- a/tests/fleet/membership/test_protocol.py
+++ b/tests/fleet/membership/test_protocol.py
@@ -25,14 +25,14 @@
 
 
 def latest_states(net: SimulatedNetwork, by: str) -> dict[str, str]:
-    """The states of the other members by one member's own changes."""
+    """The latest states of the other members, by one member's own changes."""
     return {
         change.subject: change.after for change in net.observed_changes if change.observer == by
     }
 
 
 @pytest.mark.parametrize("size", [2, 3, 5, 16])
-def test_a_death_is_detected_by_all_soon_and_no_other_failure(size: int) -> None:
+def test_a_failure_is_detected_by_all_members_soon_and_no_other_is_reported(size: int) -> None:
     for seed in range(4):
         net = stable_cluster(seed, size, loss=0.05)
         net.kill("m1")
@@ -51,12 +51,12 @@
 def test_a_restart_is_a_new_start_epoch_and_a_leave_is_no_failure() -> None:
     net = stable_cluster(1, 5)
     net.kill("m3")
-    net.start("m3", start_epoch=2, seeds=("m0", "m1"))  # at once, at the same place
+    net.start("m3", start_epoch=2, seeds=("m0", "m1"))  # at once, at the same address
     net.run(12.0)
     assert not net.changes_to() and net.views_agree()
     assert all(node.protocol.table.members["m3"].incarnation[0] == 2 for node in net.nodes.values())
     assert any(
-        change.reason.startswith("started again")
+        change.reason.startswith("restarted")
         for change in net.observed_changes
         if change.subject == "m3"
     )
@@ -68,7 +68,7 @@
     } and not net.changes_to()
 
 
-def test_a_restart_with_a_lost_start_epoch_goes_on_above_the_failed_one() -> None:
+def test_a_restart_with_a_lost_start_epoch_continues_above_the_failed_one() -> None:
     net = stable_cluster(2, 4)
     net.kill("m3")
     net.run(12.0)
@@ -81,18 +81,18 @@
 
 
 @pytest.mark.parametrize("first_epoch", [3, 4])
-def test_of_two_processes_under_one_name_the_later_start_stays(first_epoch: int) -> None:
+def test_of_two_processes_under_one_name_the_later_start_wins(first_epoch: int) -> None:
     net = stable_cluster(3, 4)
     net.start("m9", start_epoch=first_epoch, seeds=("m0",), address=("m9", 1))
     net.run(12.0)
     net.start("m9", start_epoch=7 - first_epoch, seeds=("m1",), address=("elsewhere", 1))
     net.run(20.0)
     assert net.superseded == ["m9"]
-    [stayed] = [
+    [winner] = [
         node for node in net.nodes.values() if node.name == "m9" and node.protocol.state == "alive"
     ]
-    assert stayed.protocol.local_state.incarnation[0] == 4 and net.views_agree()
-    assert net.node("m0").protocol.table.members["m9"].address == stayed.address
+    assert winner.protocol.local_state.incarnation[0] == 4 and net.views_agree()
+    assert net.node("m0").protocol.table.members["m9"].address == winner.address
 
 
 def test_a_member_that_restarts_at_another_address_is_found_there() -> None:
@@ -139,7 +139,7 @@
     net.run(20.0)
     assert {latest_states(net, by)["m4"] for by in others} == {"failed"}
     assert not any(net.node("m4").protocol.is_reachable(other) for other in others), (
-        "it reports that it reaches nobody"
+        "it reports no member as reachable"
     )
     net.heal()
     net.run(30.0)
@@ -147,16 +147,16 @@
     net.blocked_links |= {(other, "m4") for other in others}
     before = len(net.observed_changes)
     net.run(60.0)
-    false = [
+    false_failures = [
         change
         for change in net.observed_changes[before:]
         if change.after == "failed" and change.observer != "m4" and change.subject != "m4"
     ]
-    assert not false, "a member that hears nobody makes others fail nobody"
+    assert not false_failures, "a member that receives no messages causes no failures of others"
     assert not any(net.node("m4").protocol.is_reachable(other) for other in others)
 
 
-def test_in_a_chain_all_stay_alive_and_report_whom_they_do_not_reach() -> None:
+def test_in_a_chain_all_stay_alive_and_report_unreachable_members() -> None:
     net = stable_cluster(7, 3)
     net.partition(("m0",), ("m2",))
     net.run(30.0)
@@ -180,7 +180,7 @@
 
 def test_views_agree_after_a_member_has_flapped() -> None:
     net = stable_cluster(8, 5)
-    for number in range(40):  # away for about as long as a suspicion lasts, then back
+    for number in range(40):  # paused for about as long as a suspicion lasts, then resumed
         net.schedule(8.0 + number * 2.0, lambda: net.freeze("m2"))
         net.schedule(8.0 + number * 2.0 + 0.9, lambda: net.freeze("m2", False))
     net.run(100.0)
@@ -199,7 +199,7 @@
     )
 
 
-def test_a_member_paused_for_ten_seconds_fails_nobody_when_it_resumes() -> None:
+def test_a_member_paused_for_ten_seconds_causes_no_failures_when_it_resumes() -> None:
     for seed in range(6):
         net = stable_cluster(seed, 5)
         net.freeze("m1")
@@ -228,11 +228,11 @@
     probed = node.protocol.sequence
     node.clock_origin += 3600.0 / (
         node.clock_rate - 1.0
-    )  # its clock goes back by an hour in this instant
+    )  # sets its clock back by an hour at this instant
     net._arm_timer(node)
     net.run(20.0)
-    assert node.protocol.sequence >= probed + 40, "it goes on at once"
-    node.clock_origin -= 7200.0 / (node.clock_rate - 1.0)  # and on by two
+    assert node.protocol.sequence >= probed + 40, "probing continues at once"
+    node.clock_origin -= 7200.0 / (node.clock_rate - 1.0)  # and forward by two hours
     net._arm_timer(node)
     net.run(30.0)
     assert not net.changes_to() and net.views_agree()
@@ -296,7 +296,7 @@
     assert all("m3" not in node.protocol.table.live_members() for node in net.nodes.values())
     assert net.node("m3").protocol.state == "barred" and net.views_agree()
     with pytest.raises(ValueError, match="no member known here"):
-        net.node("m0").protocol.set_banned(net.now, "nobody", True)
+        net.node("m0").protocol.set_banned(net.now, "unknown", True)
     net.perform("m1", lambda protocol, now: protocol.set_banned(now, "m3", False))
     net.run(20.0)
     assert all(len(node.protocol.table.live_members()) == 4 for node in net.nodes.values())
@@ -326,7 +326,7 @@
         if change.before == "unknown"
         and change.after in ("failed", "left")
         and change.at > net.now - 30.0
-    ], "what one member has forgotten is not learnt again from another"
+    ], "a forgotten member is not added again through another member"
     table = MembershipTable()
     for number in range(100_000):
         table.merge(MemberState("m", (number, 0), number % 4, ("h", 1), "m"))
@@ -339,7 +339,7 @@
     moved = MemberState("m1", peer.incarnation, ALIVE, ("elsewhere", 9), "m1")
     orders = protocol.receive(net.now, StateSync(moved, "m0", True, ()))
     assert [order.address for order in orders] == [("elsewhere", 9)]
-    assert protocol.table.members["m1"].address == peer.address, "same precedence: no news"
+    assert protocol.table.members["m1"].address == peer.address, "equal precedence: no change"
 
 
 def test_a_message_for_another_member_or_of_an_earlier_start_has_no_effect() -> None:
--- a/tests/fleet/membership/test_rules.py
+++ b/tests/fleet/membership/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule of the protocol is missed once it is taken out: by a test, or by the model checker."""
+"""Mutation tests: replacing a rule of the protocol fails a test, or is found by the model checker."""
 
 from collections.abc import Callable
 from types import ModuleType
@@ -27,7 +27,7 @@
             clock,
             "detect_pause",
             lambda member: [],
-            test_protocol.test_a_member_paused_for_ten_seconds_fails_nobody_when_it_resumes,
+            test_protocol.test_a_member_paused_for_ten_seconds_causes_no_failures_when_it_resumes,
         ),
         (
             claims,
@@ -45,7 +45,7 @@
             merging,
             "refute",
             lambda member, item: [],
-            lambda: test_protocol.test_of_two_processes_under_one_name_the_later_start_stays(3),
+            lambda: test_protocol.test_of_two_processes_under_one_name_the_later_start_wins(3),
         ),
         (
             reconnects,
@@ -63,17 +63,17 @@
             reachability,
             "update_report",
             lambda member: None,
-            test_protocol.test_in_a_chain_all_stay_alive_and_report_whom_they_do_not_reach,
+            test_protocol.test_in_a_chain_all_stay_alive_and_report_unreachable_members,
         ),
         (
             failure_detection,
             "request_indirect_probes",
             lambda member, sequence: setattr(member.probes[sequence], "indirect_at", 1e18) or [],
-            test_protocol.test_in_a_chain_all_stay_alive_and_report_whom_they_do_not_reach,
+            test_protocol.test_in_a_chain_all_stay_alive_and_report_unreachable_members,
         ),
     ],
 )
-def test_each_rule_is_missed_once_it_is_taken_out(
+def test_replacing_a_rule_fails_its_test(
     module: ModuleType,
     rule: str,
     replacement: Callable[..., Any],
@@ -94,7 +94,7 @@
         (failure_detection, "handle_probe_timeout", lambda member, probe: []),
     ],
 )
-def test_the_model_checker_finds_a_rule_that_is_taken_out(
+def test_the_model_checker_finds_a_replaced_rule(
     module: ModuleType,
     rule: str,
     replacement: Callable[..., Any],
--- a/tests/fleet/membership/test_shared_observations.py
+++ b/tests/fleet/membership/test_shared_observations.py
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_broadcasts_repeated_late_or_lost_end_in_the_same_counts(seed: int) -> None:
-    """The plain model: of each sender the largest count; each attempt is evidence at most once."""
+    """Reference model: the largest count of each sender; each attempt is evidence at most once."""
     rng, receiver = Random(seed), SharedObservations("b", 1)
     senders = [SharedObservations(f"a{n}", 1) for n in range(3)]
     sent: list[Broadcast] = []
@@ -61,7 +61,7 @@
     }
 
 
-def test_evidence_weighs_by_its_age_and_nothing_when_old() -> None:
+def test_evidence_is_weighted_by_its_age_and_ignored_when_old() -> None:
     sender, receiver = SharedObservations("a", 1), SharedObservations("b", 1)
     sender.record_reports(0.0, [report(1, 10, 10)])
     [fresh] = receiver.merge(0.0, *sender.due_broadcasts(0.0))
@@ -73,7 +73,7 @@
     sender.record_reports(1.0, [report(1, 8, 8)])
     [later] = receiver.merge(
         2.6, *sender.due_broadcasts(1.8)
-    )  # 0.8 s old when sent, met within the 2.6 s since the last
+    )  # 0.8 s old when sent, plus half of the 2.6 s since the last copy
     assert isinstance(later, EndpointReported) and later.attempts == pytest.approx(
         8 * 0.5 ** (2.1 / 0.8)
     )
@@ -81,7 +81,7 @@
     assert receiver.merge(30.0, *sender.due_broadcasts(10.9)) == []
 
 
-def test_a_manager_with_enough_evidence_of_its_own_takes_none() -> None:
+def test_a_manager_with_enough_local_evidence_ignores_remote_counts() -> None:
     for attempts, accepted in ((7, 1), (8, 0)):
         sender, receiver = SharedObservations("a", 1), SharedObservations("b", 1)
         sender.record_reports(0.0, [report(1, 5, 5)])
@@ -98,7 +98,7 @@
         and keys[0] == "met/a/1/w10"
         and "met/a/1/w99" not in keys
     )
-    assert sender.due_broadcasts(0.1) == [], "not before the next time"
+    assert sender.due_broadcasts(0.1) == [], "not before the broadcast interval has passed"
     sender.due_broadcasts(0.3)
     sender.due_broadcasts(0.6)
     sender.record_reports(2.0, [report(10, 10, 0)])
@@ -107,7 +107,7 @@
     assert sender.due_broadcasts(20.0) == []
 
 
-def test_invalid_counts_and_our_own_are_ignored_and_memory_is_bounded() -> None:
+def test_invalid_counts_and_local_ones_are_ignored_and_memory_is_bounded() -> None:
     receiver = SharedObservations("b", 1)
     valid = b"\x94\x01\x00\x00\x00"
     for broadcast in (
--- a/tests/fleet/membership/test_transport.py
+++ b/tests/fleet/membership/test_transport.py
@@ -1,6 +1,4 @@
-"""The membership's wire and sockets: sealed datagrams, fuzzed ones, several members on loopback,
-the command.
-"""
+"""The membership's codec and sockets: signed and fuzzed datagrams, several members on loopback."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -33,83 +31,86 @@
 from dunlinlug.fleet.shared_keys import key_id
 from tests.fixtures.ports import free_ports
 
-KEY, NEW = bytes(range(32)), bytes(32)
-OWN = MemberState("a", (3, 1), ALIVE, ("127.0.0.1", 9), "a")
+KEY, NEW_KEY = bytes(range(32)), bytes(32)
+SENDER = MemberState("a", (3, 1), ALIVE, ("127.0.0.1", 9), "a")
 PING = Ping(
-    OWN, "b", 7, b"12345678", (ReachabilityReport("a", (3, 1), ("c",)), Broadcast("k", b"x"))
+    SENDER, "b", 7, b"12345678", (ReachabilityReport("a", (3, 1), ("c",)), Broadcast("k", b"x"))
 )
 
 
-def test_words_come_back_and_each_damage_is_refused() -> None:
-    sealer, opener = codec.DatagramSealer(KEY, b"boot-one"), codec.DatagramOpener([NEW, KEY])
+def test_datagrams_round_trip_and_each_damaged_one_is_rejected() -> None:
+    sealer, opener = codec.DatagramSealer(KEY, b"boot-one"), codec.DatagramOpener([NEW_KEY, KEY])
     data = sealer.seal(PING)
     assert opener.open(data) == PING
-    for bad, why in (
+    for damaged, reason in (
         (data, "replay"),
         (data[:20], "size"),
         (b"\2" + data[1:], "version"),
         (codec.DatagramSealer(b"k" * 32, b"boot-two").seal(PING), "key"),
         (data[:-1] + b"?", "seal"),
     ):
-        with pytest.raises(AuthenticationError, match=why):
-            opener.open(bad)
+        with pytest.raises(AuthenticationError, match=reason):
+            opener.open(damaged)
 
 
-def test_a_later_format_s_further_fields_are_left_out() -> None:
-    """Old and new side by side: what a later version adds at the end, an earlier one reads without."""
+def test_fields_added_by_a_later_version_are_ignored() -> None:
+    """Members of two versions run side by side: an earlier version must decode a later one's messages."""
 
-    class Later(msgspec.Struct, array_like=True, tag="a"):
-        own: MemberState
-        to: str
-        seq: int
-        of: str
-        lived: int
+    class LaterAck(msgspec.Struct, array_like=True, tag="a"):
+        sender: MemberState
+        target: str
+        sequence: int
+        subject: str
+        subject_start_epoch: int
         digest: bytes
         gossip: tuple[Broadcast, ...]
         load: float
 
     sealer = codec.DatagramSealer(KEY, b"boot-one")
-    data = sealer.seal(Later(OWN, "b", 1, "a", 3, b"", (), 0.5))  # type: ignore[arg-type]
-    assert codec.DatagramOpener([KEY]).open(data) == Ack(OWN, "b", 1, "a", 3, b"")
+    data = sealer.seal(LaterAck(SENDER, "b", 1, "a", 3, b"", (), 0.5))  # type: ignore[arg-type]
+    assert codec.DatagramOpener([KEY]).open(data) == Ack(SENDER, "b", 1, "a", 3, b"")
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_window_takes_each_number_once_in_any_order(seed: int) -> None:
-    chance, window, seen, highest = Random(seed), ReplayWindow(), set[int](), 0
+def test_a_replay_window_accepts_each_number_once_in_any_order(seed: int) -> None:
+    rng, window, seen, highest = Random(seed), ReplayWindow(), set[int](), 0
     for _ in range(3000):
-        number = max(1, highest + chance.choice([1, 1, 2, -1, -3, -50, -1030, 400]))
-        plain = number not in seen and (number > highest or highest - number < REPLAY_WINDOW)
-        assert window.accept(number) == plain, (number, highest)
+        number = max(1, highest + rng.choice([1, 1, 2, -1, -3, -50, -1030, 400]))
+        expected = number not in seen and (number > highest or highest - number < REPLAY_WINDOW)
+        assert window.accept(number) == expected, (number, highest)
         seen.add(number)
         highest = max(highest, number)
 
 
-def test_fuzzed_datagrams_raise_nothing_but_refusals() -> None:
-    """Signed by a key of ours, so that the words themselves are read."""
-    chance, opener = Random(5), codec.DatagramOpener([KEY])
-    whole, refused = msgspec.msgpack.encode(StateSync(OWN, "b", True, (OWN, PING.gossip[0]))), 0
+def test_fuzzed_datagrams_raise_only_authentication_errors() -> None:
+    """They are signed by a valid key, so that their bodies are decoded."""
+    rng, opener = Random(5), codec.DatagramOpener([KEY])
+    sync_body, rejected = (
+        msgspec.msgpack.encode(StateSync(SENDER, "b", True, (SENDER, PING.gossip[0]))),
+        0,
+    )
     for n in range(4000):
-        body = bytearray(msgspec.msgpack.encode(PING) if n % 2 else whole)
-        for _ in range(chance.randrange(1, 4)):
-            at = chance.randrange(len(body))
-            match chance.randrange(3):
+        body = bytearray(msgspec.msgpack.encode(PING) if n % 2 else sync_body)
+        for _ in range(rng.randrange(1, 4)):
+            position = rng.randrange(len(body))
+            match rng.randrange(3):
                 case 0:
-                    body[at] = chance.randrange(256)
+                    body[position] = rng.randrange(256)
                 case 1:
-                    del body[at:]
+                    del body[position:]
                     body += b"\x00"
                 case 2:
-                    body[at:at] = bytes(chance.choices(range(256), k=3))
-        head = codec.HEADER.pack(codec.FORMAT_VERSION, key_id(KEY), b"boot-one", n + 1)
-        mac = blake2b(head + body, key=KEY, digest_size=DATAGRAM_SEAL.mac_bytes).digest()
+                    body[position:position] = bytes(rng.choices(range(256), k=3))
+        header = codec.HEADER.pack(codec.FORMAT_VERSION, key_id(KEY), b"boot-one", n + 1)
+        mac = blake2b(header + body, key=KEY, digest_size=DATAGRAM_SEAL.mac_bytes).digest()
         try:
-            opener.open(head + mac + bytes(body))
+            opener.open(header + mac + bytes(body))
         except AuthenticationError:
-            refused += 1
-    assert refused > 2000
+            rejected += 1
+    assert rejected > 2000
 
 
-class Members:
+class LoopbackCluster:
     """Some members on loopback, each with its sockets, in one process."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
@@ -117,204 +118,221 @@
         self.members: dict[str, Membership] = {}
         self.scopes: dict[str, trio.CancelScope] = {}
         self.ended: dict[str, trio.Event] = {}
-        self.places = dict(
+        self.addresses = dict(
             zip("abcde", [("127.0.0.1", port) for port in free_ports(5)], strict=True)
         )
 
-    async def start(self, name: str, born: int = 1, keys: list[bytes] | None = None) -> Membership:
-        made = Membership(
+    async def start(
+        self, name: str, start_epoch: int = 1, keys: list[bytes] | None = None
+    ) -> Membership:
+        membership = Membership(
             name,
-            born,
-            self.places,
+            start_epoch,
+            self.addresses,
             keys or [KEY],
             0.05,
             Random(name),
-            lambda event, **said: self.log.append((name, event, said)),
-            lambda: tuple(self.places),
+            lambda event, **fields: self.log.append((name, event, fields)),
+            lambda: tuple(self.addresses),
         )
         self.ended[name] = trio.Event()
-        self.scopes[name] = await self.nursery.start(self._run, made)
-        self.members[name] = made
-        return made
+        self.scopes[name] = await self.nursery.start(self._run, membership)
+        self.members[name] = membership
+        return membership
 
-    async def _run(self, made: Membership, task_status: trio.TaskStatus[trio.CancelScope]) -> None:
+    async def _run(
+        self, membership: Membership, task_status: trio.TaskStatus[trio.CancelScope]
+    ) -> None:
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
-                await nursery.start(made.run)
+                await nursery.start(membership.run)
                 task_status.started(scope)
-        self.ended[made.self_id].set()
+        self.ended[membership.self_id].set()
 
     async def stop(self, name: str) -> None:
-        """As by SIGKILL: without a goodbye."""
+        """Stop a member as by SIGKILL, without announcing its departure."""
         self.scopes[name].cancel()
         await self.ended[name].wait()
         del self.members[name]
 
-    async def until(self, seen: Callable[[], bool], within: float = 6.0) -> None:
-        with trio.fail_after(within):
-            while not seen():
+    async def wait_until(self, condition: Callable[[], bool], timeout: float = 6.0) -> None:
+        with trio.fail_after(timeout):
+            while not condition():
                 await trio.sleep(0.01)
 
-    def stand(self, name: str) -> bool:
-        return all(member.partition_status == name for member in self.members.values())
+    def all_have_status(self, status: str) -> bool:
+        return all(member.partition_status == status for member in self.members.values())
 
 
 @asynccontextmanager
-async def members(names: str = "abcde") -> AsyncIterator[Members]:
+async def running_cluster(names: str = "abcde") -> AsyncIterator[LoopbackCluster]:
     async with trio.open_nursery() as nursery:
-        made = Members(nursery)
+        cluster = LoopbackCluster(nursery)
         for name in names:
-            await made.start(name)
-        await made.until(lambda: made.stand("all" if len(names) == 5 else "most"))
-        yield made
+            await cluster.start(name)
+        await cluster.wait_until(
+            lambda: cluster.all_have_status("all" if len(names) == 5 else "most")
+        )
+        yield cluster
         nursery.cancel_scope.cancel()
 
 
-async def test_five_on_loopback_know_a_death_a_goodbye_and_a_return() -> None:
-    async with members() as run:
-        await run.stop("e")
-        await run.until(lambda: run.stand("most"))
+async def test_five_members_detect_a_failure_a_leave_and_a_restart() -> None:
+    async with running_cluster() as cluster:
+        await cluster.stop("e")
+        await cluster.wait_until(lambda: cluster.all_have_status("most"))
         failed = [
-            said
-            for _, event, said in run.log
-            if event == "membership.member_changed" and said["now"] == "failed"
+            fields
+            for _, event, fields in cluster.log
+            if event == "membership.member_changed" and fields["now"] == "failed"
         ]
-        assert {said["member"] for said in failed} == {"e"} and all(
-            "witnesses" in s["why"] or "says so" in s["why"] for s in failed
+        assert {fields["member"] for fields in failed} == {"e"} and all(
+            "confirmed by" in fields["why"] or "reported by" in fields["why"] for fields in failed
         )
-        run.members["d"].leave()
-        await run.stop("d")
-        await run.until(
+        cluster.members["d"].leave()
+        await cluster.stop("d")
+        await cluster.wait_until(
             lambda: all(
                 {row["member"]: row["state"] for row in m.describe()["members"]}["d"] == "left"
-                for m in run.members.values()
+                for m in cluster.members.values()
             )
         )
-        await run.start("e", born=2)
-        await run.start("d", born=2)
-        await run.until(lambda: run.stand("all"))
-        state = run.members["a"].describe()
+        await cluster.start("e", start_epoch=2)
+        await cluster.start("d", start_epoch=2)
+        await cluster.wait_until(lambda: cluster.all_have_status("all"))
+        state = cluster.members["a"].describe()
         assert {row["start"] for row in state["members"]} == {1, 2} and state["standing"] == "all"
-        assert len({member.protocol.table.digest() for member in run.members.values()}) == 1
+        assert len({member.protocol.table.digest() for member in cluster.members.values()}) == 1
 
 
-async def test_two_cut_sides_know_where_they_stand_and_come_together() -> None:
-    async with members() as run:
-        few = {run.places[name] for name in "de"}
-        for name, member in run.members.items():
-            member.transport.is_blocked = lambda place, few=few, own=name in "de": (
-                (place in few) != own
+async def test_the_sides_of_a_partition_know_their_status_and_rejoin() -> None:
+    async with running_cluster() as cluster:
+        minority = {cluster.addresses[name] for name in "de"}
+        for name, member in cluster.members.items():
+            member.transport.is_blocked = (
+                lambda address, minority=minority, in_minority=name in "de": (
+                    (address in minority) != in_minority
+                )
             )  # type: ignore[misc]
-        await run.until(
+        await cluster.wait_until(
             lambda: (
-                {name: m.partition_status for name, m in run.members.items()}
+                {name: m.partition_status for name, m in cluster.members.items()}
                 == dict(a="most", b="most", c="most", d="few", e="few")
             ),
             15.0,
         )
         assert (
-            not run.members["d"].partition_limits.may_plan_fleet
-            and run.members["a"].partition_limits.may_plan_fleet
+            not cluster.members["d"].partition_limits.may_plan_fleet
+            and cluster.members["a"].partition_limits.may_plan_fleet
         )
-        for member in run.members.values():
-            member.transport.is_blocked = lambda place: False
-        await run.until(lambda: run.stand("all"), 15.0)
+        for member in cluster.members.values():
+            member.transport.is_blocked = lambda address: False
+        await cluster.wait_until(lambda: cluster.all_have_status("all"), 15.0)
 
 
-async def test_a_key_is_changed_member_by_member_and_a_stranger_says_nothing() -> None:
-    async with members("abc") as run:
-        stranger = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
+async def test_a_key_is_rotated_member_by_member_and_invalid_datagrams_are_rejected() -> None:
+    async with running_cluster("abc") as cluster:
+        outsider = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
         for data in (
             b"hello",
             codec.DatagramSealer(b"k" * 32, b"stranger").seal(PING),
             bytes(1400),
         ):
-            await stranger.sendto(data, run.places["a"])
-        await run.until(lambda: sum(run.members["a"].transport.rejections.values()) == 3)
-        for born, step in enumerate(([KEY, NEW], [NEW, KEY], [NEW]), 2):
+            await outsider.sendto(data, cluster.addresses["a"])
+        await cluster.wait_until(
+            lambda: sum(cluster.members["a"].transport.rejections.values()) == 3
+        )
+        for start_epoch, keys in enumerate(([KEY, NEW_KEY], [NEW_KEY, KEY], [NEW_KEY]), 2):
             for name in "abc":
-                await run.stop(name)
-                await run.start(name, born, step)
-                await run.until(lambda: run.stand("most"))
-        stranger.close()
+                await cluster.stop(name)
+                await cluster.start(name, start_epoch, keys)
+                await cluster.wait_until(lambda: cluster.all_have_status("most"))
+        outsider.close()
 
 
-async def test_a_member_that_is_barred_is_out_until_it_is_let_in() -> None:
-    async with members("abc") as run:
+async def test_a_banned_member_is_excluded_until_its_ban_ends() -> None:
+    async with running_cluster("abc") as cluster:
         with pytest.raises(ValueError, match="no member known here"):
-            run.members["a"].set_banned("nobody", True)
-        run.members["a"].set_banned("c", True)
-        await run.until(
+            cluster.members["a"].set_banned("unknown", True)
+        cluster.members["a"].set_banned("c", True)
+        await cluster.wait_until(
             lambda: (
-                run.members["b"].partition_status == "few"
-                and run.members["c"].protocol.state == "barred"
+                cluster.members["b"].partition_status == "few"
+                and cluster.members["c"].protocol.state == "barred"
             )
         )
-        run.members["b"].set_banned("c", False)
-        await run.until(lambda: run.stand("most"))
-
-
-async def test_a_key_changed_in_the_middle_of_a_cut_leaves_out_who_has_the_old_one_alone() -> None:
-    async with members("abc") as run:
-
-        def apart(on: bool) -> None:
-            for name, member in run.members.items():
-                other = {run.places["c"]} if name != "c" else {run.places["a"], run.places["b"]}
-                member.transport.is_blocked = lambda place, other=other: on and place in other  # type: ignore[misc]
-
-        apart(True)
-        await run.until(
+        cluster.members["b"].set_banned("c", False)
+        await cluster.wait_until(lambda: cluster.all_have_status("most"))
+
+
+async def test_a_key_rotated_during_a_partition_excludes_the_member_with_only_the_old_key() -> None:
+    async with running_cluster("abc") as cluster:
+
+        def set_partition(active: bool) -> None:
+            for name, member in cluster.members.items():
+                far_side = (
+                    {cluster.addresses["c"]}
+                    if name != "c"
+                    else {cluster.addresses["a"], cluster.addresses["b"]}
+                )
+                member.transport.is_blocked = lambda address, far_side=far_side: (
+                    active and address in far_side
+                )  # type: ignore[misc]
+
+        set_partition(True)
+        await cluster.wait_until(
             lambda: (
-                run.members["c"].partition_status == "alone"
-                and run.members["a"].partition_status == "few"
+                cluster.members["c"].partition_status == "alone"
+                and cluster.members["a"].partition_status == "few"
             ),
             15.0,
         )
-        for born, keys in ((5, [KEY, NEW]), (6, [NEW, KEY])):
+        for start_epoch, keys in ((5, [KEY, NEW_KEY]), (6, [NEW_KEY, KEY])):
             for name in "ab":
-                await run.stop(name)
-                await run.start(name, born, keys)
-                apart(True)
-        apart(False)
-        await run.until(lambda: run.members["c"].transport.rejections["key"] > 5)
-        await run.until(lambda: run.members["a"].partition_status == "few")
-        assert run.members["c"].partition_status == "alone", (
-            "it hears nobody with a key that it knows"
+                await cluster.stop(name)
+                await cluster.start(name, start_epoch, keys)
+                set_partition(True)
+        set_partition(False)
+        await cluster.wait_until(lambda: cluster.members["c"].transport.rejections["key"] > 5)
+        await cluster.wait_until(lambda: cluster.members["a"].partition_status == "few")
+        assert cluster.members["c"].partition_status == "alone", (
+            "it receives no message signed with a key that it has"
         )
         assert not any(
-            said["now"] == "failed" and said["member"] in "ab"
-            for name, event, said in run.log
+            fields["now"] == "failed" and fields["member"] in "ab"
+            for name, event, fields in cluster.log
             if event == "membership.member_changed" and name in "ab"
-        ), "nobody condemns the others with its old key"
-        await run.stop("c")
-        await run.start("c", 2, [KEY, NEW])
-        await run.until(lambda: run.stand("most"), 15.0)
+        ), "neither a nor b counts the other as failed"
+        await cluster.stop("c")
+        await cluster.start("c", 2, [KEY, NEW_KEY])
+        await cluster.wait_until(lambda: cluster.all_have_status("most"), 15.0)
 
 
-async def test_calls_of_other_parts_come_by_the_same_door_bounded_and_frames_as_before() -> None:
+async def test_connections_of_other_components_are_delegated_up_to_a_limit_beside_frames() -> None:
     async with trio.open_nursery() as nursery:
-        run, got = Members(nursery), list[bytes]()
-        a = await run.start("a")
+        cluster, received = LoopbackCluster(nursery), list[bytes]()
+        a = await cluster.start("a")
 
-        async def take(stream: trio.SocketStream, data: bytes) -> None:
-            got.append(data)
+        async def handle(stream: trio.SocketStream, data: bytes) -> None:
+            received.append(data)
             await trio.sleep_forever()
 
-        a.transport.register_connection_handler(b"S", take)
-        calls = list[trio.SocketStream]()
+        a.transport.register_connection_handler(b"S", handle)
+        connections = list[trio.SocketStream]()
         with trio.fail_after(8.0):
             for n in range(MAX_DELEGATED_CONNECTIONS + 1):
-                calls.append(await trio.open_tcp_stream(*run.places["a"]))
-                await calls[-1].send_all(b"S\x01b")
-                while len(got) < min(n + 1, MAX_DELEGATED_CONNECTIONS):
+                connections.append(await trio.open_tcp_stream(*cluster.addresses["a"]))
+                await connections[-1].send_all(b"S\x01b")
+                while len(received) < min(n + 1, MAX_DELEGATED_CONNECTIONS):
                     await trio.sleep(0.001)
-            assert await calls[-1].receive_some(1) == b"", "over the bound: closed"
+            assert await connections[-1].receive_some(1) == b"", "closed, since over the limit"
             while not a.transport.rejections["calls"]:
                 await trio.sleep(0.001)
         assert (
-            a.transport.streams.delegated.open == MAX_DELEGATED_CONNECTIONS and got[0][:1] == b"S"
+            a.transport.streams.delegated.open == MAX_DELEGATED_CONNECTIONS
+            and received[0][:1] == b"S"
         )
-        b = await run.start("b")  # joins by a frame at that very door
+        b = await cluster.start("b")  # joins by a frame on the same port
         with trio.fail_after(5.0):
             while not (a.protocol.is_reachable("b") and b.protocol.is_reachable("a")):
                 await trio.sleep(0.01)
