--- a/dunlinlug/fleet/membership/__init__.py
+++ b/dunlinlug/fleet/membership/__init__.py
@@ -1,4 +1,4 @@
 """Cluster membership: which managers exist, which have failed, and the side of a partition.
 
-SWIM with Lifeguard's extensions. The entry point is `protocol`, an overview `docs/membership.md`.
+SWIM with Lifeguard's extensions. The entry point is `protocol`; `docs/membership.md` describes it.
 """
--- a/dunlinlug/fleet/membership/failure_detection.py
+++ b/dunlinlug/fleet/membership/failure_detection.py
@@ -119,7 +119,7 @@
         return []
     isolated = member.last_received_at < probe.started_at
     if probe.nacks < probe.indirect_count or isolated:
-        # Helpers are silent as well, so this member itself may not receive messages.
+        # Helpers are silent as well, so messages to this member may be lost.
         local_health.degrade(member)
     if isolated and member.local_health <= local_health.ISOLATED_LOCAL_HEALTH:
         return []
@@ -131,7 +131,7 @@
 
 
 def handle_ack(member: LocalMember, ack: Ack) -> None:
-    """Handle an ack for an open probe, direct or forwarded by the member that probed for us."""
+    """Handle an ack for an open probe of this member, direct or forwarded by a helper."""
     probe = member.probes.get(ack.sequence)
     if probe is None or probe.name != ack.subject:
         return
--- a/dunlinlug/fleet/membership/local_health.py
+++ b/dunlinlug/fleet/membership/local_health.py
@@ -9,8 +9,8 @@
 
 # The paper's bound S: probe intervals grow to at most S + 1 times their length.
 MAX_LOCAL_HEALTH = 8
-# A member that receives no messages starts no suspicion up to this score: three probe intervals,
-# each longer than the one before, which take about two seconds.
+# Highest score at which a member that receives no messages starts no suspicion. It is exceeded
+# after three probe intervals of increasing length, which take about two seconds.
 ISOLATED_LOCAL_HEALTH = 3
 
 
--- a/dunlinlug/fleet/membership/local_member.py
+++ b/dunlinlug/fleet/membership/local_member.py
@@ -108,7 +108,7 @@
     """The state of one member.
 
     Times are protocol time in seconds, which is monotonic (see `clock`). Each group of fields is
-    written by the modules named beside it.
+    written by the modules named above it.
 
     Args:
         self_id: This member's name.
--- a/dunlinlug/fleet/membership/member_table.py
+++ b/dunlinlug/fleet/membership/member_table.py
@@ -32,7 +32,7 @@
 # Bytes of items in one datagram: with header and signature, it stays below the 1,280 bytes that
 # every network path carries.
 MAX_GOSSIP_BYTES = 1000
-MAX_GOSSIP_ITEMS = 48  # items in one datagram, below the limit of the receiver
+MAX_GOSSIP_ITEMS = 48  # items in one datagram, fewer than the receiver accepts
 MAX_TOMBSTONES = 256  # forgotten names that are kept: as many as fail in a retention time
 LOWEST_PRECEDENCE: tuple[Incarnation, int] = ((-1, 0), 0)  # below that of every state
 
--- a/dunlinlug/fleet/membership/partition.py
+++ b/dunlinlug/fleet/membership/partition.py
@@ -1,9 +1,9 @@
 """A manager's side of a network partition, and what it may do there.
 
 The side is determined by the last agreed voters and not by the members that answer now: a member
-whose messages do not arrive may be disconnected and healthy. A smaller side may not do what depends
-on a view of the whole fleet. The safety rules apply to assigned proxies on any side: drains,
-endpoint lists and tables for proxies without one are never held up. Free of I/O and time.
+whose messages do not arrive may be disconnected and healthy. A smaller side must not act on a view
+of the whole fleet. The safety rules apply to assigned proxies on any side: drains, endpoint lists
+and tables for proxies without one are never held up. Free of I/O and time.
 """
 
 import enum
@@ -78,7 +78,7 @@
 
 
 class DebouncedStatus:
-    """A status that changes only once another has held for a while: one lost ack changes nothing.
+    """A status that changes only after another has held for a while: one lost ack changes nothing.
 
     Args:
         initial: The first status.
--- a/dunlinlug/fleet/membership/shared_observations.py
+++ b/dunlinlug/fleet/membership/shared_observations.py
@@ -176,7 +176,7 @@
         self._store_remote(broadcast.key, ReceivedCounts(counts, now))
         if previous is None and attempts > MAX_FIRST_ATTEMPTS:
             return []
-        # A later copy covers at most the time since the previous one; that of the first is unknown.
+        # A later copy covers at most the time since the previous one; the first an unknown time.
         since_last = now - previous.received_at if previous is not None else 0.0
         age = counts.age + since_last / 2
         if age > MAX_OBSERVATION_AGE or self._has_sufficient_evidence(worker):
--- a/dunlinlug/fleet/membership/simulated_network.py
+++ b/dunlinlug/fleet/membership/simulated_network.py
@@ -48,7 +48,7 @@
         frozen: Whether the process is paused; messages are queued meanwhile.
         dead: Whether it was killed.
         queue: Messages queued for a frozen process.
-        clock_origin: Simulated time at which its clock shows the same.
+        clock_origin: Simulated time at which its clock shows the same time.
     """
 
     name: str
--- a/dunlinlug/fleet/membership/suspicions.py
+++ b/dunlinlug/fleet/membership/suspicions.py
@@ -13,8 +13,8 @@
 
 # The paper's K: confirmations by others with which the timeout reaches its minimum.
 MAX_CONFIRMATIONS = 3
-# Timeout in probe intervals, with all confirmations and with none, for each tenfold size of the
-# cluster.
+# Timeout in probe intervals, with all confirmations and with none; multiplied by the decimal
+# logarithm of the cluster's size.
 MIN_SUSPICION_INTERVALS = 2.0
 MAX_SUSPICION_INTERVALS = 12.0
 
