--- a/dunlinlug/config/__init__.py
+++ b/dunlinlug/config/__init__.py
@@ -1,4 +1,5 @@
-"""Configuration: INI files with units, a manager's sections, and a module's settings as JSON.
+"""Configuration: INI files with units, a manager's sections, and decision settings as JSON.
 
-Each module is imported by itself: `settings_json` needs the standard library alone.
+Import the modules directly, not from this package: `settings_json` depends only on the standard
+library and the decision module.
 """
--- a/dunlinlug/config/manager_config.py
+++ b/dunlinlug/config/manager_config.py
@@ -1,6 +1,6 @@
-"""A manager's INI file: read, checked as a whole, and made into the decision module's settings.
+"""Reads and validates a manager's INI file, and converts it to the decision module's settings.
 
-The records of its sections are those of `manager_sections`; callers find them here.
+Re-exports the section classes of `manager_sections` for callers.
 """
 
 from pathlib import Path
@@ -62,10 +62,10 @@
 
 
 def load_manager_config(path: Path) -> ConfigFile:
-    """Read a manager's file.
+    """Read and validate a manager's file.
 
     Raises:
-        ConfigError: It cannot be used, also if its sections do not fit each other.
+        ConfigError: The file is unusable, or its sections contradict each other.
     """
     config = load_config(path, SECTIONS, NAMED_SECTIONS, optional_sections=OPTIONAL_SECTIONS)
     for find_mistake in (
@@ -98,7 +98,9 @@
     members = config.sections(MemberConfig)
     if member not in members:
         return f"[succession] member: no [member {member}] section says where it is"
-    without_address = [name for name, one in members.items() if not one.peers[1]]
+    without_address = [
+        name for name, member_config in members.items() if not member_config.peers[1]
+    ]
     if without_address and not config.section(MembershipConfig).me:
         return (
             f"[member {without_address[0]}] peers: "
@@ -114,7 +116,9 @@
     members = config.sections(MemberConfig)
     if self_id not in members:
         return f"[members] me: no [member {self_id}] section says where it is"
-    without_address = [name for name, one in members.items() if not one.knows[1]]
+    without_address = [
+        name for name, member_config in members.items() if not member_config.knows[1]
+    ]
     if without_address:
         return (
             f"[member {without_address[0]}] knows: [members] needs an address of its own for that"
@@ -143,15 +147,15 @@
 
 
 def member_key_file(config: ConfigFile) -> str:
-    """The file of the key by which managers know each other; empty if there is none.
+    """Return the file of the key that authenticates managers to each other; empty if there is none.
 
-    There is one for all that goes between them, unless [members] has its own.
+    Membership uses the election's key unless [members] has its own.
     """
     return config.section(MembershipConfig).key_file or config.section(ElectionConfig).key_file
 
 
 def manager_settings(config: ConfigFile) -> ManagerSettings:
-    """What the decision module is given at its start."""
+    """Return the decision module's settings."""
     server = config.section(ServerConfig)
     reports = config.section(ReportConfig)
     return ManagerSettings(
--- a/dunlinlug/config/manager_sections.py
+++ b/dunlinlug/config/manager_sections.py
@@ -1,7 +1,7 @@
-"""The sections of a manager's INI file, a record for each.
+"""The sections of a manager's INI file, one class for each.
 
-The field names are the keys of the file, so they stay as they are; the docstrings say what each
-stands for in the terms of the code.
+Field names are the keys of the file and therefore must not change; the docstrings explain them in
+the terms of the code.
 """
 
 from typing import Literal
@@ -13,21 +13,21 @@
 
 @attrs.frozen
 class ServerConfig:
-    """[manager]: the process and what it serves.
+    """[manager]: the process and its service to proxies.
 
     Attributes:
-        listen: Where proxies connect.
+        listen: Address to which proxies connect.
         store: Folder of the store.
         zone: The manager's own zone.
-        seed: Of the decision module's random choices.
+        seed: Seed of the decision module's random choices.
         hello_within: Seconds within which a new connection must start a call.
-        quiet_most: Seconds without a byte after which a connection is closed.
-        log: Form of the log; `auto` is for people on a terminal, else JSON.
-        usual_retry: Retry policy (0 to 3) of a table that sets none.
-        standing: Endpoints that a proxy's table has at its start.
-        admits: Whether the decision module may shed requests, by admitted fractions.
-        try_aims: Time limit of an attempt that may be retried after any failure, as a multiple of
-            the latency objective; 0 for none.
+        quiet_most: Seconds without received data after which a connection is closed.
+        log: Log format; `auto` selects `console` on a terminal and `json` otherwise.
+        usual_retry: Default retry policy (0 to 3) of a table.
+        standing: Initial number of endpoints in a proxy's table.
+        admits: Whether the decision module may shed requests by setting admitted fractions.
+        try_aims: Timeout of an attempt that may be retried after any failure, as a multiple of the
+            latency objective; 0 for none.
     """
 
     listen: Address
@@ -45,17 +45,18 @@
 
 @attrs.frozen
 class ChannelConfig:
-    """[channel]: what the channel to the proxies carries.
+    """[channel]: the capacity of the channel to the proxies.
 
     Attributes:
-        lines_per_s: Table entries a second.
-        message_lines: Entries that a message costs in itself.
-        waiting_most: Entries that may be queued.
-        transit: Seconds that a message usually takes.
-        transit_most: Seconds that it takes at most.
-        messages_most: Messages to one proxy within `messages_span` seconds; 0 for any number.
-        messages_span: The window of `messages_most`, in seconds.
-        pace: Entries a second that are really sent, if not `lines_per_s`; can be reloaded.
+        lines_per_s: Table entries per second.
+        message_lines: Fixed cost of a message, in entries.
+        waiting_most: Maximum number of queued entries.
+        transit: Usual transit time of a message in seconds.
+        transit_most: Maximum transit time in seconds.
+        messages_most: Maximum number of messages to one proxy within `messages_span`; 0 for no
+            limit.
+        messages_span: Window of `messages_most` in seconds.
+        pace: Entries per second that are actually sent, if not `lines_per_s`; can be reloaded.
     """
 
     lines_per_s: PerSecond
@@ -65,20 +66,20 @@
     transit_most: Seconds
     messages_most: Count = Count(0)
     messages_span: Seconds = Seconds(10.0)
-    pace: PerSecond = PerSecond(0.0)  # 0: lines_per_s
+    pace: PerSecond = PerSecond(0.0)  # 0 means lines_per_s
 
 
 @attrs.frozen
 class SafetyConfig:
-    """[duties]: the limits that a manager keeps.
+    """[duties]: the safety limits that a manager observes.
 
     Attributes:
-        bare: Seconds that a proxy may be without an available endpoint.
-        drain_grace: Seconds within which no proxy sends to a draining endpoint any more.
-        warm_after: Seconds until an endpoint has warmed up.
-        cold_share: Fraction of its capacity that it has at its start.
-        fall_multiple: Load over capacity beyond which a warming endpoint overloads.
-        fall_after: Seconds of such load after which it does.
+        bare: Maximum seconds for which a proxy may have no available endpoint.
+        drain_grace: Seconds within which proxies must stop sending to a draining endpoint.
+        warm_after: Warm-up time of an endpoint in seconds.
+        cold_share: Fraction of its capacity that an endpoint has at its start.
+        fall_multiple: Ratio of load to capacity above which a warming endpoint becomes overloaded.
+        fall_after: Seconds of such load after which the endpoint fails.
         ask_every: Seconds between polls of the endpoint list.
     """
 
@@ -93,14 +94,15 @@
 
 @attrs.frozen
 class DiscoveryConfig:
-    """[roster]: the service discovery that gives the endpoint list.
+    """[roster]: the service discovery that provides the endpoint list.
 
     Attributes:
-        address: Where it answers.
+        address: Address of service discovery.
         service: The service whose endpoints are listed.
-        mode: Whether its updates are followed, or the decision module polls the list.
+        mode: `pushed` if discovery's updates are watched, `asked` if the decision module polls the
+            list.
         wait: Seconds that a blocking query may wait for an update.
-        within: Seconds beyond that until an answer counts as failed.
+        within: Seconds beyond `wait` after which a query without a response counts as failed.
     """
 
     address: Address
@@ -115,10 +117,10 @@
     """[probes]: active health checks.
 
     Attributes:
-        allowed: Whether the decision module may order them.
-        path: The path that is requested.
-        within: Seconds for an answer.
-        at_once: How many may be under way.
+        allowed: Whether the decision module may request them.
+        path: Path of the HTTP request.
+        within: Timeout in seconds.
+        at_once: Maximum number of concurrent checks.
     """
 
     allowed: bool = False
@@ -129,12 +131,12 @@
 
 @attrs.frozen
 class ReportConfig:
-    """[reports]: what proxies report.
+    """[reports]: the reports of proxies.
 
     Attributes:
         cycle: Seconds between reports of a proxy.
-        lines_per_s: Aggregated reports a second that the decision module is given.
-        fields: Names of the load figures that endpoints give with their answers.
+        lines_per_s: Aggregated reports per second passed to the decision module.
+        fields: Names of the load metrics that endpoints return in their responses.
     """
 
     cycle: Seconds = Seconds(0.5)
@@ -147,8 +149,8 @@
     """[guard]: the validation of orders.
 
     Attributes:
-        mode: `on` holds rejected orders back, `watch` only records them, `off` validates nothing.
-        remember: Rejections that the store keeps.
+        mode: `on` withholds rejected orders, `watch` only records them, `off` disables validation.
+        remember: Number of rejections kept in the store.
     """
 
     mode: Literal["on", "watch", "off"] = "on"
@@ -160,10 +162,10 @@
     """[operators]: the administration endpoint.
 
     Attributes:
-        token_file: File with the operators' token; without it the endpoint is not opened.
-        listen: Where it listens.
-        longest: Seconds that an operator override may last.
-        quiet_most: Seconds without a byte after which a connection is closed.
+        token_file: File with the operators' token; without it the endpoint is disabled.
+        listen: Address on which it listens.
+        longest: Maximum duration of an operator override in seconds.
+        quiet_most: Seconds without received data after which a connection is closed.
     """
 
     token_file: str = ""
@@ -173,7 +175,7 @@
 
 
 def validate_lease_timing(lease: float, heartbeat_interval: float, max_clock_drift: float) -> None:
-    """Raises ValueError if a lease could end although no more than one heartbeat was lost."""
+    """Raise ValueError if the loss of a single heartbeat could end a lease."""
     if not 0 < 3 * heartbeat_interval <= lease or max_clock_drift > 0.2:
         raise ValueError(
             "beat is to be at most a third of lease, so that one may be lost; drift at most 20%"
@@ -186,12 +188,12 @@
 
     Attributes:
         member: This manager's name; without it the manager runs alone.
-        key_file: File of the key that signs what managers send each other.
-        lease: Seconds for which a leader may act without hearing from the others.
+        key_file: File of the key that authenticates messages between managers.
+        lease: Seconds for which a leader may act without acknowledgements from the other voters.
         beat: Heartbeat interval in seconds.
-        drift: By how much clocks are at most faster or slower than true time.
+        drift: Maximum rate error of a clock, fast or slow.
         forgets: Seconds after which a voter that lost its store votes again.
-        first: The voters at the first start; all members if empty.
+        first: The initial voters; all members if empty.
     """
 
     member: str = ""
@@ -213,10 +215,12 @@
     """[members]: membership and failure detection among managers.
 
     Attributes:
-        me: This manager's name; without it the manager knows no others.
-        key_file: File of the key that signs what members send; that of [succession] if empty.
+        me: This manager's name; without it the manager does not take part in membership.
+        key_file: File of the key that authenticates members' messages; that of [succession] if
+            empty.
         beat: Probe interval in seconds.
-        binds: Where this manager listens, if not where the others reach it.
+        binds: Address on which this manager listens, if it differs from the one that the others
+            connect to.
     """
 
     me: str = ""
@@ -236,8 +240,8 @@
     Attributes:
         on: Whether this manager takes part.
         lease, beat, drift, forgets: As in [succession].
-        exercise: Tasks without consequence that are worked on in each heartbeat interval, as an
-            exercise; their effects are logged.
+        exercise: Number of test tasks executed in each heartbeat interval; their effects are only
+            logged.
     """
 
     on: bool = False
@@ -253,13 +257,13 @@
 
 @attrs.frozen
 class TlsConfig:
-    """[tls]: certificates of the ADS and LRS port; without them it is plain text on loopback.
+    """[tls]: certificates of the ADS and LRS port; without them it serves plain text on loopback.
 
     Attributes:
         cert: File of the manager's certificate.
         key: File of its private key.
-        clients: File of the authority whose certificates clients need; the name in one is the
-            client's identity.
+        clients: File of the authority that must have issued the clients' certificates; the name in
+            a certificate is the client's identity.
     """
 
     cert: str = ""
@@ -273,12 +277,12 @@
 
 @attrs.frozen
 class MemberConfig:
-    """[member NAME]: where a manager among others is reached.
+    """[member NAME]: the addresses of one of several managers.
 
     Attributes:
-        serves: Where proxies connect.
-        peers: Where other managers reach it, if there is no [members] section.
-        knows: Where other members reach it, by UDP and TCP.
+        serves: Address to which proxies connect.
+        peers: Address to which other managers connect, if there is no [members] section.
+        knows: Address for membership messages from other members, by UDP and TCP.
     """
 
     serves: Address
@@ -294,10 +298,11 @@
         sla: Latency objective in seconds.
         deadline: Seconds after which a client gives up.
         revenue: Priority weight.
-        repeats: Idempotency of its requests; `referenced` ones bear an idempotency key.
-        late_share: What an answer after the latency objective counts, as a fraction.
-        group: Which endpoints share idempotency keys: all, those of a zone, or of a cell.
-        window: Seconds for which they remember a key.
+        repeats: Idempotency of its requests; `referenced` ones have an idempotency key.
+        late_share: Value of a response after the latency objective, as a fraction of an on-time
+            one.
+        group: Which endpoints share idempotency keys: all, those of a zone, or those of a cell.
+        window: Seconds for which endpoints remember an idempotency key.
     """
 
     sla: Seconds
--- a/dunlinlug/config/reader.py
+++ b/dunlinlug/config/reader.py
@@ -1,7 +1,7 @@
 """Reads an INI file into attrs classes, one for each section.
 
-Every mistake is an error that names the file, the line, the key, and what would be right. A field's
-INI key is its name, or what `ini_key` gives it.
+Each error names the file, the line, the key and what is expected. A field's INI key is its name,
+unless `ini_key` sets another.
 """
 
 import configparser
@@ -24,41 +24,41 @@
 
 
 def ini_key(key: str) -> dict[str, str]:
-    """Metadata of an attrs field whose key in the file is not its name."""
+    """Return the metadata of an attrs field whose key in the file is not its name."""
     return {INI_KEY: key}
 
 
 class ConfigError(DunlinlugError):
-    """A file that cannot be used; the text is one line, ready to print."""
+    """An unusable configuration file; the text is one line that can be printed."""
 
 
 class ConfigFile:
-    """The records of one file, by their classes."""
+    """The records of one file, by class."""
 
     def __init__(self, records: dict[type, dict[str, object]]) -> None:
-        """Have records by class, and by the name of a `[prefix NAME]` section or empty."""
+        """Hold records by class and name: NAME of a `[prefix NAME]` section, else empty."""
         self._records = records
 
     def section(self, section_type: type[Section]) -> Section:
-        """The record of a section that stands once; with its defaults if the file has none."""
+        """Return the record of a single section; it has the defaults if the file omits it."""
         return cast("Section", self._records[section_type][""])
 
     def sections(self, section_type: type[Section]) -> dict[str, Section]:
-        """The records of the `[prefix NAME]` sections of a kind, by name, in the file's order."""
+        """Return the records of the `[prefix NAME]` sections of a class by name, in file order."""
         return cast("dict[str, Section]", dict(self._records.get(section_type, {})))
 
 
 class _IniFile:
-    """The parsed text, with the line of each section and key for messages."""
+    """A parsed file, with the line number of each section and key for error messages."""
 
     def __init__(self, path: Path) -> None:
-        """Read and parse a file. Raises ConfigError."""
+        """Parse a file. Raises ConfigError."""
         self.path = path
         try:
             text = path.read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
             raise ConfigError(f"{path}: cannot be read: {error}") from None
-        self.parser = CaseKeepingParser(
+        self.parser = CaseSensitiveParser(
             interpolation=None,
             strict=True,
             comment_prefixes=("#", ";"),
@@ -73,7 +73,7 @@
 
     @staticmethod
     def _find_line_numbers(text: str) -> dict[tuple[str, str], int]:
-        """By section and key; the section itself has an empty key."""
+        """Return the line numbers by section and key; a section itself has an empty key."""
         line_numbers = {}
         section = ""
         for number, line in enumerate(text.splitlines(), 1):
@@ -86,27 +86,27 @@
                 line_numbers.setdefault((section, key_match[1]), number)
         return line_numbers
 
-    def texts(self, section: str) -> dict[str, str]:
-        """The values of a section by key; empty if the file has no such section."""
+    def raw_values(self, section: str) -> dict[str, str]:
+        """Return the unparsed values of a section by key; empty if the file has no such section."""
         return dict(self.parser[section]) if section in self.parser else {}
 
     def error(self, section: str, key: str, reason: str) -> ConfigError:
-        """An error that names the line of a key, or of its section where that has no such key."""
+        """Return an error at the line of a key, or of its section if the key is not in the file."""
         line = self.line_numbers.get((section, key), self.line_numbers.get((section, ""), 1))
         location = f"[{section}] {key}".rstrip()
         return ConfigError(f"{self.path}:{line}: {location}: {reason}")
 
 
-class CaseKeepingParser(configparser.ConfigParser):
-    """An INI parser that leaves keys as they are written."""
+class CaseSensitiveParser(configparser.ConfigParser):
+    """An INI parser with case-sensitive keys."""
 
     def optionxform(self, optionstr: str) -> str:
-        """The key itself; `configparser` would write it in small letters."""
+        """Return the key unchanged; `configparser` would convert it to lower case."""
         return optionstr
 
 
 def _line_number(error: configparser.Error) -> int:
-    """The line that an error names; 1 if it names none."""
+    """Return the line number of an error; 1 if it has none."""
     line: int | None = getattr(error, "lineno", None)
     if line:
         return line
@@ -132,14 +132,14 @@
 
     Args:
         path: The file.
-        single_types: The class of each section that stands once, by the section's name.
-        named_types: The class of each kind of `[prefix NAME]` sections, by their prefix.
-        optional_sections: Those of `single_types` that may be missing; all their fields have
+        single_types: The class of each single section, by the section's name.
+        named_types: The class of each kind of `[prefix NAME]` sections, by prefix.
+        optional_sections: The sections in `single_types` that may be missing; all their fields have
             defaults.
 
     Raises:
-        ConfigError: At the first mistake: an unknown section or key, a missing one, a value that
-            cannot be read.
+        ConfigError: The file contains an unknown section or key, lacks a required one, or has a
+            value that cannot be parsed; reports the first error.
     """
     ini_file = _IniFile(path)
     named_types = named_types or {}
@@ -167,13 +167,13 @@
 
 
 def _read_section(ini_file: _IniFile, section: str, section_type: type) -> object:
-    """The record of a section. Raises ConfigError."""
+    """Return the record of a section. Raises ConfigError."""
     fields = {
         field.metadata.get(INI_KEY, field.name): field for field in attrs.fields(section_type)
     }
     converter = make_converter()
     values = dict[str, object]()
-    for key, text in ini_file.texts(section).items():
+    for key, text in ini_file.raw_values(section).items():
         if key not in fields:
             raise ini_file.error(section, key, f"unknown key{_suggest(key, fields)}")
         try:
@@ -191,9 +191,9 @@
 
 
 def _read_value(converter: cattrs.Converter, text: str, value_type: Any) -> object:
-    """A value of a field's type; raises InvalidValueError.
+    """Parse a value of a field's type; raises InvalidValueError.
 
-    The type is whatever stands in the annotation: a class, a NewType or a Literal.
+    The type is the field's annotation: a class, a NewType or a Literal.
     """
     if get_origin(value_type) is Literal and text not in get_args(value_type):
         raise InvalidValueError(f"{text!r} is not one of {', '.join(get_args(value_type))}")
--- a/dunlinlug/config/settings_json.py
+++ b/dunlinlug/config/settings_json.py
@@ -1,7 +1,8 @@
-"""The decision module's settings as JSON of the simulator and of the platform's configuration.
+"""Reads the decision module's settings from JSON of the simulator or the platform's configuration.
 
-Both have one reader, so that the module gets the same settings from either. Standard library alone.
-The keys, and the values in the tables below, are the other side's.
+Both use this reader, so that the module gets the same settings from either. Depends only on the
+standard library and the decision module. The simulator and the platform define the JSON keys, and
+the values that are keys of the mappings below.
 """
 
 from collections.abc import Mapping
@@ -35,18 +36,18 @@
     "err_ps": "voided_per_s",
 }
 MILLISECOND_FIELDS = frozenset({"service_s"})
-MIN_POSITIVE = 1e-6  # the least value of what has to be above 0
+MIN_POSITIVE = 1e-6  # minimum of settings that must be above 0
 
 
 def seconds(microseconds: float) -> float:
-    """Microseconds as seconds."""
+    """Convert microseconds to seconds."""
     return microseconds / MICROSECONDS_PER_SECOND
 
 
 def _read_number(
     settings: Mapping[str, Any], name: str, minimum: float = 0.0, maximum: float = inf
 ) -> float:
-    """A number from `minimum` to `maximum`. Raises KeyError, or ValueError that names it."""
+    """Read a number in a range. Raises KeyError, or ValueError that names the setting."""
     try:
         value = float(settings[name])
     except (TypeError, ValueError):
@@ -58,10 +59,10 @@
 
 
 def unsupported_settings(info: Mapping[str, Any]) -> list[str]:
-    """What these settings ask for and this manager does not support, as texts.
+    """Return a text for each requested setting that this manager does not support.
 
     Raises:
-        KeyError, TypeError, AttributeError: As `read_settings` does.
+        KeyError, TypeError, AttributeError: As in `read_settings`.
     """
     specifics = info["specifics"]
     reporting = info.get("reporting") or {}
@@ -83,10 +84,10 @@
 
 
 def read_settings(seed: int, info: Mapping[str, Any]) -> ManagerSettings:
-    """The settings of parsed JSON, whose times are microseconds.
+    """Read the settings from decoded JSON, in which times are microseconds.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError: Something is missing, of another kind or
+        KeyError, TypeError, ValueError, AttributeError: A setting is missing, of the wrong type or
             out of range.
     """
     specifics = info["specifics"]
@@ -115,7 +116,7 @@
 
 
 def _read_traffic_classes(lanes: list[Any], home_only: list[Any]) -> tuple[TrafficClass, ...]:
-    """The traffic classes; `home_only` says by index whether one is served in its zone alone."""
+    """Read the traffic classes; `home_only` holds for each whether it is same-zone only."""
     for lane in lanes:
         if lane["effect"] not in IDEMPOTENCY_BY_EFFECT:
             raise ValueError(
--- a/dunlinlug/config/units.py
+++ b/dunlinlug/config/units.py
@@ -1,6 +1,6 @@
-"""Values as an operator writes them, `250ms` or `1200/s`, and as the program has them.
+"""Parses values with units as written in INI files, such as `250ms` or `1200/s`.
 
-A field's type says how its text is read: each NewType here has a parser.
+A field's type selects the parser: each NewType here has one.
 """
 
 import re
@@ -25,7 +25,7 @@
 
 
 class InvalidValueError(DunlinlugError, ValueError):
-    """A value that cannot be read; the text says what would be right."""
+    """A value that cannot be parsed; the text states what is expected."""
 
 
 def _match_or_raise(pattern: str, text: str, expected: str) -> re.Match[str]:
@@ -36,7 +36,7 @@
 
 
 def parse_seconds(text: str) -> Seconds:
-    """Read a duration. Raises InvalidValueError without a unit, as that would be a guess."""
+    """Parse a duration. Raises InvalidValueError, also if the unit is missing."""
     found = _match_or_raise(
         NUMBER_PATTERN + r"\s*(us|ms|s|min|h)",
         text,
@@ -46,7 +46,7 @@
 
 
 def parse_rate(text: str) -> PerSecond:
-    """Read a rate by the second or minute. Raises InvalidValueError."""
+    """Parse a rate per second or per minute. Raises InvalidValueError."""
     found = _match_or_raise(
         NUMBER_PATTERN + r"\s*/\s*(s|min)", text, "a rate, such as 1200/s or 30/min"
     )
@@ -54,7 +54,7 @@
 
 
 def parse_fraction(text: str) -> Fraction:
-    """Read a part of one, `20%` or `0.2`. Raises InvalidValueError, also if it is over one."""
+    """Parse a fraction, `20%` or `0.2`. Raises InvalidValueError, also if it exceeds 1."""
     found = _match_or_raise(NUMBER_PATTERN + r"\s*(%?)", text, "a share, such as 20% or 0.2")
     value = float(found[1]) / (100 if found[2] else 1)
     if value > 1:
@@ -63,24 +63,24 @@
 
 
 def parse_count(text: str) -> Count:
-    """Read a whole number. Raises InvalidValueError."""
+    """Parse a non-negative integer. Raises InvalidValueError."""
     return Count(int(_match_or_raise(r"(\d+)", text, "a whole number, such as 30")[1]))
 
 
 def parse_number(text: str) -> float:
-    """Read a number without a sign. Raises InvalidValueError."""
+    """Parse a non-negative decimal number. Raises InvalidValueError."""
     return float(_match_or_raise(NUMBER_PATTERN, text, "a number, such as 3 or 1.5")[1])
 
 
 def parse_switch(text: str) -> bool:
-    """Read `yes` or `no`. Raises InvalidValueError."""
+    """Parse `yes` or `no`. Raises InvalidValueError."""
     return _match_or_raise("(yes|no)", text, "yes or no")[1] == "yes"
 
 
 def parse_address(text: str) -> Address:
-    """Read host and port. Raises InvalidValueError.
+    """Parse a host and port. Raises InvalidValueError.
 
-    Only loopback is taken, as the program is to be reached from its own machine alone.
+    Only loopback addresses are allowed, so that no other machine can reach the program.
     """
     expected = "a loopback address and port, such as 127.0.0.1:18000"
     found = _match_or_raise(r"(127(?:\.\d{1,3}){3}):(\d{1,5})", text, expected)
@@ -91,12 +91,12 @@
 
 
 def parse_names(text: str) -> NameList:
-    """Read names with commas or blanks between them."""
+    """Parse names separated by commas or whitespace."""
     return NameList(tuple(name for name in re.split(r"[,\s]+", text.strip()) if name))
 
 
 def make_converter() -> cattrs.Converter:
-    """A converter that reads one value's text by the type of its field."""
+    """Return a converter that parses a value's text by the type of its field."""
     parsers: list[tuple[object, Callable[[str], object]]] = [
         (Seconds, parse_seconds),
         (PerSecond, parse_rate),
@@ -115,5 +115,5 @@
 
 
 def _as_hook(parse: Callable[[str], object]) -> Callable[[str, object], object]:
-    """A hook of cattrs, which gives the type as well."""
+    """Adapt a parser to cattrs, which also passes the type to its hooks."""
     return lambda text, _type: parse(text)
--- a/dunlinlug/drill/__init__.py
+++ b/dunlinlug/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's adapter, under the name that the deploy page spells out; see `simulator`."""
+"""Runs the adapter of `simulator` under the module name that the deployment requires."""
--- a/dunlinlug/drill/__main__.py
+++ b/dunlinlug/drill/__main__.py
@@ -1,4 +1,4 @@
-"""Run the adapter until the end of input; a line that is not understood ends it with status 1."""
+"""Runs the simulator's adapter until the end of input; an invalid line ends it with status 1."""
 
 import sys
 
--- a/dunlinlug/platform/connections.py
+++ b/dunlinlug/platform/connections.py
@@ -230,9 +230,7 @@
         response_time = ack.response_time_ms / 1000.0
         # A single wrong response time would make the channel look slow for a long time.
         if response_time > now - requested_at + MAX_CLOCK_DIFFERENCE_S:
-            raise InvalidMessageError(
-                "the response time exceeds the time since the acknowledgement was requested"
-            )
+            raise InvalidMessageError("the response time exceeds the time since the request")
         for ack_number in list(peer.pending_acks):
             del peer.pending_acks[ack_number]
             if ack_number == ack.ack_number:
--- a/dunlinlug/scenarios/schema.py
+++ b/dunlinlug/scenarios/schema.py
@@ -11,7 +11,7 @@
 import attrs
 
 from dunlinlug.config import manager_config
-from dunlinlug.config.reader import CaseKeepingParser, ConfigFile, ini_key, load_config
+from dunlinlug.config.reader import CaseSensitiveParser, ConfigFile, ini_key, load_config
 from dunlinlug.config.units import Address, Count, Fraction, NameList, PerSecond, Seconds
 
 FaultKind = Literal[
@@ -242,7 +242,7 @@
         section_types: First words of the sections to copy; all if None.
         target: The file to write; a reader sees the whole file or the one before.
     """
-    parser = CaseKeepingParser(interpolation=None, inline_comment_prefixes=("#", ";"))
+    parser = CaseSensitiveParser(interpolation=None, inline_comment_prefixes=("#", ";"))
     parser.read(source, encoding="utf-8")
     for section in parser.sections():
         if section_types is not None and section.partition(" ")[0] not in section_types:
--- a/dunlinlug/simulator/__init__.py
+++ b/dunlinlug/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: decision modules hosted on JSON lines."""
+"""The simulator's adapter: runs decision modules on batches of events in JSON lines."""
--- a/dunlinlug/simulator/codec.py
+++ b/dunlinlug/simulator/codec.py
@@ -1,7 +1,7 @@
-"""The simulator's JSON lines to the decision module's records and back.
+"""Converts the simulator's JSON lines to the decision module's records and back.
 
-Units and names change here and nowhere else: the simulator has microseconds and names of its own.
-A body is a JSON object as read; `WireError` tells what of it is not as the wire's page has it.
+The simulator uses microseconds and its own names; all conversion of units and names is done here.
+A body is a JSON object as decoded. `WireError` states how a line violates the wire protocol.
 """
 
 import json
@@ -64,17 +64,17 @@
 }
 
 
-# A JSON object as read or to be written: values are of any JSON type.
+# A decoded or encodable JSON object, with values of any JSON type.
 JsonObject = dict[str, Any]
 
 
 class WireError(DunlinlugError):
-    """A line that is not what the wire's page allows."""
+    """A line that violates the wire protocol."""
 
 
 @dataclass(frozen=True)
 class RawEvent:
-    """One event of a batch: the manager that it is for, what it is, and its JSON object."""
+    """One event of a batch: the manager it is addressed to, its kind and its JSON object."""
 
     manager: str
     verb: str
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True)
 class EventBatch:
-    """One line of the simulator: the clock in seconds, its number if it has one, and the events."""
+    """One line of the simulator: the time in seconds, the optional batch number and the events."""
 
     now: float
     number: int | None
@@ -91,7 +91,7 @@
 
 
 def read_batch(line: bytes) -> EventBatch:
-    """Read one line; events that this version does not know are left out. Raises WireError."""
+    """Decode one line without its events of unknown kinds. Raises WireError."""
     try:
         message = json.loads(line)
     except (ValueError, RecursionError) as error:
@@ -112,7 +112,7 @@
 
 
 def _read_raw_event(body: Any) -> RawEvent | None:
-    """Read what every event has; None for one that this version does not know."""
+    """Decode the fields common to all events; return None for an unknown kind of event."""
     if not isinstance(body, dict):
         raise WireError("an event is an object")
     verb = body.get("verb")
@@ -126,11 +126,11 @@
     return RawEvent(manager, verb, body)
 
 
-Read = TypeVar("Read")
+Record = TypeVar("Record")
 
 
-def _read_guarded(verb: str, read: Callable[[], Read]) -> Read:
-    """Read a body; raises WireError, which names the event, for a field that is wrong."""
+def _read_guarded(verb: str, read: Callable[[], Record]) -> Record:
+    """Call `read`; raises WireError, which names the event, for a missing or invalid field."""
     try:
         return read()
     except KeyError as error:
@@ -140,7 +140,7 @@
 
 
 def read_event(verb: str, body: JsonObject, load_fields: tuple[str, ...]) -> Event:
-    """Return the event as a record; `load_fields` names the values of the load reports.
+    """Decode an event; `load_fields` are the names of the values in load reports.
 
     Raises WireError.
     """
@@ -150,7 +150,7 @@
 
 
 def _read_load(body: JsonObject, field_names: tuple[str, ...]) -> dict[str, float]:
-    """Return a load report's values by name, times in seconds."""
+    """Return a load report's values by name, with times in seconds."""
     values = zip(field_names, body.get("usage") or (), strict=False)
     return {
         name: float(value) / (MILLISECONDS_PER_SECOND if name in MILLISECOND_FIELDS else 1.0)
@@ -159,12 +159,12 @@
 
 
 def read_settings_event(body: JsonObject) -> ManagerSettings:
-    """Return the settings of a manager that starts. Raises WireError."""
+    """Decode the settings of a manager that starts. Raises WireError."""
     return _read_guarded("NewInstance", lambda: read_settings(body["nonce64"], body["info"]))
 
 
 def _read_endpoint(entry: JsonObject) -> Endpoint:
-    """Return an entry of the endpoint list."""
+    """Decode an entry of the endpoint list."""
     weight = entry.get("weight")
     started_at = entry.get("sinceUs")
     return Endpoint(
@@ -179,7 +179,7 @@
 
 
 def _read_endpoints_updated(body: JsonObject) -> EndpointsUpdated:
-    """Return the endpoint list, or what changed of it."""
+    """Decode the endpoint list or changes of it."""
     return EndpointsUpdated(
         UPDATE_TYPES[body["form"]],
         tuple(_read_endpoint(row) for row in body.get("membersList") or ()),
@@ -258,5 +258,5 @@
 
 
 def write_order(manager: str, order: Order) -> JsonObject:
-    """Return the simulator's JSON object for a manager's order."""
+    """Encode a manager's order as a JSON object."""
     return {**ORDER_WRITERS[type(order)](order), "manager": manager}
--- a/dunlinlug/simulator/host.py
+++ b/dunlinlug/simulator/host.py
@@ -1,4 +1,4 @@
-"""Hosts one decision module for each manager on the simulator's wire; they share nothing."""
+"""Runs an independent decision module for each of the simulator's managers."""
 
 import json
 from dataclasses import dataclass
@@ -15,16 +15,16 @@
 
 @dataclass(frozen=True)
 class HostedModule:
-    """A manager's module, and the names of the values in its load reports."""
+    """A manager's decision module, and the names of the values in its load reports."""
 
     module: Balancer
     load_fields: tuple[str, ...]
 
 
 def serve(input_stream: BinaryIO, output_stream: BinaryIO) -> None:
-    """Answer each batch with one flushed line until the input ends.
+    """Answer each batch with one line, flushed immediately, until the input ends.
 
-    Raises WireError, which names the line, for a line that is not as the wire's page has it.
+    Raises WireError, which gives the line's number, for a line that violates the wire protocol.
     """
     instances: dict[str, HostedModule] = {}
     for line_number, line in enumerate(input_stream, 1):
@@ -42,7 +42,7 @@
 def _decide_batch(
     instances: dict[str, HostedModule], batch: codec.EventBatch
 ) -> list[codec.JsonObject]:
-    """Give each manager its events, start and stop managers, and return what they order."""
+    """Start and stop managers, pass each its events, and return their encoded orders."""
     events_by_manager: dict[str, list[Event]] = {}
     for event in batch.events:
         manager = event.manager
@@ -65,9 +65,9 @@
 def _decide(
     manager: str, module: Balancer, now: float, events: list[Event]
 ) -> list[codec.JsonObject]:
-    """Return a manager's orders; a module that raises is told to the simulator as broken.
+    """Return a manager's encoded orders; a module that raises is reported as broken.
 
-    Any error counts: one manager's must not end the play of the others.
+    All exceptions are caught, as one manager's error must not end the simulation of the others.
     """
     try:
         return [codec.write_order(manager, order) for order in module.decide(now, events)]
--- a/dunlinlug/storage/__init__.py
+++ b/dunlinlug/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a manager keeps on disk, so that it outlives its process."""
+"""The persistent state of a manager, kept on disk across restarts."""
--- a/dunlinlug/storage/records.py
+++ b/dunlinlug/storage/records.py
@@ -1,4 +1,4 @@
-"""The records of the store; the outside keys stand beside the fields."""
+"""The records of the store; `rename` maps fields to their stored keys."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,10 @@
 
 
 class StoredVote(NamedTuple):
-    """A voter's state as in Raft: written before anything that depends on it is sent.
+    """A voter's persistent state as in Raft, written before any message that depends on it is sent.
 
     It is stored as a JSON array in the order of the fields. `voters` are the members of the voter
-    set with that version.
+    set with the version `voter_set_version`.
     """
 
     term: int
@@ -26,10 +26,10 @@
     """An active operator override.
 
     Attributes:
-        traffic_class: Its name.
-        weights: By endpoint id; 0 for not to be used, None for the listed weight.
-        keep_unlisted: Whether endpoints that `weights` does not name keep their listed weights.
-        expires_at: Seconds on the wall clock.
+        traffic_class: Name of the traffic class that it applies to.
+        weights: Weight by endpoint id; 0 excludes the endpoint, None keeps its listed weight.
+        keep_unlisted: Whether endpoints not in `weights` keep their listed weights.
+        expires_at: Time in seconds on the wall clock.
     """
 
     traffic_class: str
@@ -39,11 +39,11 @@
 
     @classmethod
     def from_plain(cls, plain: dict[str, object]) -> "StoredOverride":
-        """Read the plain form. Raises `msgspec.ValidationError` if it is not one."""
+        """Convert from a dict with the stored keys. Raises `msgspec.ValidationError`."""
         return msgspec.convert(plain, cls)
 
     def to_plain(self) -> dict[str, object]:
-        """The plain form for JSON, with the outside keys."""
+        """Convert to a dict for JSON, with the stored keys."""
         plain: dict[str, object] = msgspec.to_builtins(self)
         return plain
 
@@ -62,15 +62,15 @@
     """A rejected order.
 
     Attributes:
-        number: Its place in the order of all rejections that were ever stored, from 0.
-        rejected_at: Seconds on the wall clock.
+        number: Sequence number among all rejections ever stored, from 0.
+        rejected_at: Time in seconds on the wall clock.
         order: The order as text.
-        rule: The rule that it breaks.
-        reason: What was measured against which limit.
-        remedy: What would be accepted in its place.
-        proxies: Ids of the proxies concerned.
+        rule: The rule that it violates.
+        reason: The measured value and the limit that it violates.
+        remedy: What would be accepted instead.
+        proxies: Ids of the affected proxies.
         outcome: What was done with the order.
-        source: Whose order it was.
+        source: The origin of the order.
     """
 
     number: int
--- a/dunlinlug/storage/store.py
+++ b/dunlinlug/storage/store.py
@@ -1,8 +1,8 @@
 """A manager's store in lmdb: its start epoch, endpoint list, votes, overrides and rejections.
 
-Keys and values are read by other versions too, so they stay as they are: `epoch` and `refusals` are
-decimal numbers, `list` is a body of service discovery, `vote` and the votes of other logs are JSON
-arrays, `pins` and each `refusal NNNNNNNN` are JSON.
+Keys and values must not change, as other versions of the program read them too: `epoch` and
+`refusals` are decimal numbers, `list` is a response body of service discovery, `vote` and the votes
+of other logs are JSON arrays, `pins` and each `refusal NNNNNNNN` are JSON.
 """
 
 import fcntl
@@ -17,7 +17,7 @@
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.storage.records import StoredOverride, StoredRejection, StoredVote
 
-MAP_SIZE_BYTES = 2**26  # a list of ten thousand endpoints takes some three million bytes
+MAP_SIZE_BYTES = 2**26  # a list of 10 000 endpoints takes about 3 MB
 EPOCH_KEY = b"epoch"
 LIST_KEY = b"list"
 OVERRIDES_KEY = b"pins"
@@ -27,17 +27,17 @@
 
 
 class StoreError(DunlinlugError):
-    """The store cannot be used; the text names the folder and says why."""
+    """The store is unusable; the text names its folder and the reason."""
 
 
 class Store:
-    """The store in a folder, open for one process alone.
+    """A store in a folder, which only one process can have open.
 
-    Every write is on disk when its method returns.
+    Every write is durable when its method returns.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Open the store, or make it.
+        """Open the store; create it if it does not exist.
 
         Raises:
             StoreError: Another process has it open, or lmdb cannot open it.
@@ -64,22 +64,25 @@
             transaction.put(key, value)
 
     def next_epoch(self) -> int:
-        """Count one more start of the process, and give its number; the first is 1."""
+        """Increment the start epoch and return it; the first start has epoch 1."""
         with self.environment.begin(write=True) as transaction:
             epoch = int(transaction.get(EPOCH_KEY) or b"0") + 1
             transaction.put(EPOCH_KEY, str(epoch).encode())
         return epoch
 
     def endpoint_list(self) -> bytes | None:
-        """The body of service discovery that was put last; None if there was none."""
+        """Return the last stored response body of service discovery; None if there is none."""
         return self._get(LIST_KEY)
 
     def put_endpoint_list(self, body: bytes) -> None:
-        """Store a body of service discovery in place of the one before."""
+        """Store a response body of service discovery, replacing the previous one."""
         self._put(LIST_KEY, body)
 
     def put_rejections(self, rejections: Sequence[Mapping[str, Any]], max_rejections: int) -> None:
-        """Add rejections, with the keys of `StoredRejection`; the oldest beyond the limit go."""
+        """Add rejections, given with the stored keys of `StoredRejection`.
+
+        Beyond `max_rejections`, the oldest are overwritten.
+        """
         with self.environment.begin(write=True) as transaction:
             count = int(transaction.get(REJECTION_COUNT_KEY) or b"0")
             for rejection in rejections:
@@ -89,7 +92,7 @@
             transaction.put(REJECTION_COUNT_KEY, str(count).encode())
 
     def vote(self, key: str = ELECTION_VOTE_KEY) -> StoredVote | None:
-        """The vote that was put last under a key, the election's or another log's; None if none."""
+        """Return the last vote stored under the key of the election or of another log, or None."""
         found = json.loads(self._get(key.encode()) or b"null")
         return StoredVote(*found) if found else None
 
@@ -101,15 +104,15 @@
         members: list[str],
         key: str = ELECTION_VOTE_KEY,
     ) -> None:
-        """Store a vote in place of the one before, as a `StoredVote`."""
+        """Store a `StoredVote`, replacing the previous one under the same key."""
         vote = StoredVote(term, voted_for, version, members)
         self._put(key.encode(), json.dumps(vote).encode())
 
     def overrides(self) -> list[StoredOverride]:
-        """The overrides that were put last.
+        """Return the last stored overrides.
 
         Raises:
-            StoreError: The value is not a list of overrides.
+            StoreError: The stored value is not a list of overrides.
         """
         try:
             plain_overrides = json.loads(self._get(OVERRIDES_KEY) or b"[]")
@@ -118,24 +121,24 @@
             raise StoreError(f"{self.folder}: pins: not a list of overrides: {error}") from None
 
     def put_overrides(self, overrides: Sequence[StoredOverride]) -> None:
-        """Store all active overrides in place of those before."""
+        """Store all active overrides, replacing the previous ones."""
         plain_overrides = [override.to_plain() for override in overrides]
         self._put(OVERRIDES_KEY, json.dumps(plain_overrides).encode())
 
     def close(self) -> None:
-        """Let another process open the store."""
+        """Close the store, so that another process can open it."""
         self.environment.close()
         self.lock_file.close()
 
 
 def read_rejections(folder: Path) -> list[StoredRejection]:
-    """The rejections in a store, oldest first; a manager may have it open meanwhile.
+    """Return the rejections in a store, oldest first; a manager may have the store open.
 
     Raises:
-        StoreError: There is no store, or it cannot be read.
+        StoreError: There is no store, or it is unreadable.
     """
     if not (folder / "data.mdb").exists():
-        raise StoreError(f"{folder}: no store here")
+        raise StoreError(f"{folder}: there is no store in this folder")
     try:
         with (
             lmdb.open(str(folder), map_size=MAP_SIZE_BYTES, readonly=True) as environment,
