--- a/dunlinlug/config/manager_sections.py
+++ b/dunlinlug/config/manager_sections.py
@@ -165,7 +165,7 @@
         token_file: File with the operators' token; without it the endpoint is disabled.
         listen: Address on which it listens.
         longest: Maximum duration of an operator override in seconds.
-        quiet_most: Seconds without received data after which a connection is closed.
+        quiet_most: Seconds that a client may take to send a request; then its connection is closed.
     """
 
     token_file: str = ""
@@ -240,8 +240,8 @@
     Attributes:
         on: Whether this manager takes part.
         lease, beat, drift, forgets: As in [succession].
-        exercise: Number of test tasks executed in each heartbeat interval; their effects are only
-            logged.
+        exercise: Number of test tasks that the fleet works on in each heartbeat interval; their
+            effects are only logged.
     """
 
     on: bool = False
--- a/dunlinlug/platform/connections.py
+++ b/dunlinlug/platform/connections.py
@@ -92,16 +92,16 @@
         self.peer_by_proxy: dict[int, Peer] = {}
         self.collectors: dict[str, list[Peer]] = {zone: [] for zone in zones}
         self.counts: Counter[str] = Counter()
-        self.error_samples: dict[str, str] = {}  # one sample for each kind of error
+        self.error_samples: dict[str, str] = {}  # one for each kind since the last summary
 
     def receive(self, peer: Peer, data: bytes, now: float) -> bytes:
         """Handle bytes received from a peer and return the reply to write.
 
         Raises ConnectionRejectedError if the connection must be closed.
         """
-        # An ended connection may become readable in the same turn of the event loop. If its data
-        # were handled, messages on a proxy's replaced connection would be attributed to the new
-        # one, and a rejected peer could join.
+        # An ended connection may become readable in the same iteration of the event loop. If its
+        # data were handled, messages on a proxy's replaced connection would be attributed to the
+        # new one, and a rejected peer could join.
         if peer.ended:
             return b""
         answer = b""
--- a/dunlinlug/platform/discovery.py
+++ b/dunlinlug/platform/discovery.py
@@ -76,8 +76,8 @@
             except http.HttpError as error:
                 raise discovery_state.DiscoveryError(str(error)) from None
         if client is not self.client:
-            # The address changed in the same turn of the event loop in which the response arrived:
-            # it must not be taken for the new address's.
+            # The address changed in the same iteration of the event loop in which the response
+            # arrived: it must not be handled as a response from the new address.
             return
         if reply is None:
             raise discovery_state.DiscoveryError("no answer in time")
--- a/dunlinlug/platform/reload.py
+++ b/dunlinlug/platform/reload.py
@@ -34,7 +34,7 @@
     """Reads the configuration again at each SIGHUP and applies a changed address of discovery.
 
     An unusable file changes nothing and is read again several times: it may have been read while it
-    was being written, and the address in it must not be lost.
+    was being written, and the address in it would otherwise never be queried.
     """
 
     def __init__(
--- a/dunlinlug/platform/server.py
+++ b/dunlinlug/platform/server.py
@@ -18,7 +18,8 @@
 
 # The protocol allows closing connections that have not joined after this many seconds.
 JOIN_TIMEOUT_S = 1.0
-# With too many unjoined connections, one that has sent something is kept at least this long.
+# Seconds for which a connection that has sent something but not joined is kept at least, when there
+# are too many unjoined connections.
 JOINING_GRACE_S = 0.25
 # The same for one that has sent nothing; a hello follows the connect immediately, and arrives while
 # the connection waits to be accepted.
@@ -49,7 +50,7 @@
         self.log_event = log_event
         self.unjoined: dict[Connection, None] = {}  # oldest first
         self.connections: dict[Peer, Connection] = {}
-        self.unjoined_left = trio.Event()  # set when one has joined or ended
+        self.unjoined_removed = trio.Event()  # set when one has joined or ended
         self.connection_ended = trio.Event()  # set when a connection ends, then replaced
         self.accept_scope = trio.CancelScope()
         self.accepted_count = 0
@@ -81,19 +82,21 @@
         Returns once the proxies' connections have ended, or after `SHUTDOWN_GRACE_S`.
         """
         self.accept_scope.cancel()
-        streams = {self.connections[peer]: None for peer in self.registry.peer_by_proxy.values()}
+        proxy_connections = {
+            self.connections[peer]: None for peer in self.registry.peer_by_proxy.values()
+        }
         for connection in list(self.connections.values()):
-            if connection not in streams:
+            if connection not in proxy_connections:
                 connection.end("we stop")
         with trio.move_on_after(SHUTDOWN_GRACE_S):
             async with trio.open_nursery() as nursery:
-                for connection in streams:
+                for connection in proxy_connections:
                     nursery.start_soon(connection.finish)
-            while any(connection.peer in self.connections for connection in streams):
+            while any(connection.peer in self.connections for connection in proxy_connections):
                 await self.connection_ended.wait()
 
     async def _accept(self, listener: socket.socket, nursery: trio.Nursery) -> None:
-        # The listener may become readable in the same turn of the event loop as the stop.
+        # The listener may become readable in the same iteration of the event loop as the stop.
         if self.accept_scope.cancel_called:
             return
         try:
@@ -128,11 +131,11 @@
                 if not connection.peer.line_splitter.buffer
             )
             oldest = next(silent, next(iter(self.unjoined)))
-            has_begun = bool(oldest.peer.line_splitter.buffer)
-            grace = JOINING_GRACE_S if has_begun else SILENT_GRACE_S
-            self.unjoined_left = trio.Event()
+            has_sent_data = bool(oldest.peer.line_splitter.buffer)
+            grace = JOINING_GRACE_S if has_sent_data else SILENT_GRACE_S
+            self.unjoined_removed = trio.Event()
             with trio.move_on_at(oldest.accepted_at + grace):
-                await self.unjoined_left.wait()
+                await self.unjoined_removed.wait()
             # If the process was not scheduled for a while, the hello may have arrived in time.
             if oldest.has_unread_input():
                 await trio.lowlevel.checkpoint()
@@ -140,13 +143,13 @@
             if len(self.unjoined) >= self.max_unjoined and oldest in self.unjoined:
                 oldest.end("there are too many that have not joined")
                 with trio.move_on_after(DESCRIPTOR_PAUSE_S):
-                    await self.unjoined_left.wait()
+                    await self.unjoined_removed.wait()
 
     def _remove_unjoined(self, connection: Connection) -> None:
         """Remove a connection that has joined or ended from the unjoined ones."""
         if connection in self.unjoined:
             del self.unjoined[connection]
-            self.unjoined_left.set()
+            self.unjoined_removed.set()
 
     async def _serve_connection(self, connection: Connection) -> None:
         """Serve one connection until it ends."""
--- a/dunlinlug/simulator/codec.py
+++ b/dunlinlug/simulator/codec.py
@@ -91,7 +91,7 @@
 
 
 def read_batch(line: bytes) -> EventBatch:
-    """Decode one line without its events of unknown kinds. Raises WireError."""
+    """Decode one line, leaving out events of unknown kinds. Raises WireError."""
     try:
         message = json.loads(line)
     except (ValueError, RecursionError) as error:
--- a/tests/config/test_manager_config.py
+++ b/tests/config/test_manager_config.py
@@ -1,4 +1,4 @@
-"""INI files: every mistake names file, line, key and what would be right."""
+"""Errors in INI files name the file, the line, the key and what is expected."""
 
 from pathlib import Path
 
@@ -14,7 +14,7 @@
 
 
 def manager_file(tmp_path: Path, *changes: tuple[str, str]) -> Path:
-    """A manager's file: a scenario's sections for managers, with texts replaced by others."""
+    """Write a manager's file: a scenario's sections for managers, with texts replaced."""
     blocks = [block for block in SCENARIO_TEXT.split("\n\n") if block.strip("# \n").startswith("[")]
     text = "\n\n".join(
         block
@@ -30,7 +30,7 @@
 
 
 def error_of(path: Path) -> str:
-    """The text of the error that a file causes, which must be one line."""
+    """Return the text of the error that a file causes, which must be one line."""
     with pytest.raises(ConfigError) as caught:
         manager_config.load_manager_config(path)
     text = str(caught.value)
@@ -68,7 +68,7 @@
         ("[reports]", "[report]", "[report]", "did you mean 'reports'?"),
     ],
 )
-def test_a_mistake_is_named_with_its_line_and_key(
+def test_an_error_names_the_line_and_key(
     tmp_path: Path, old: str, new: str, key: str, message: str
 ) -> None:
     path = manager_file(tmp_path, (old, new))
@@ -121,7 +121,7 @@
         ),
     ],
 )
-def test_each_mistake_among_members_has_a_message_of_its_own(
+def test_each_membership_error_has_its_own_message(
     tmp_path: Path, membership: str, other_sections: str, message: str
 ) -> None:
     sections = f"[members]\n{membership}\n\n{other_sections}\n\n[roster]"
@@ -170,12 +170,12 @@
 
 @attrs.frozen
 class TimerConfig:
-    """A section one of whose fields has another name than its key."""
+    """A section with a field whose name differs from its key."""
 
     interval: Seconds = attrs.field(metadata=ini_key("every"))
 
 
-def test_a_field_may_have_another_name_than_its_key(tmp_path: Path) -> None:
+def test_a_field_s_name_may_differ_from_its_key(tmp_path: Path) -> None:
     path = tmp_path / "timer.ini"
     path.write_text("[timer]\nevery = 2s\n")
     config = load_config(path, {"timer": TimerConfig})
@@ -190,7 +190,7 @@
         ("every = 2", r"every: '2' is not a time"),
     ],
 )
-def test_a_mistake_names_the_key_and_not_the_field(tmp_path: Path, text: str, message: str) -> None:
+def test_an_error_names_the_key_and_not_the_field(tmp_path: Path, text: str, message: str) -> None:
     path = tmp_path / "timer.ini"
     path.write_text(f"[timer]\n{text}\n")
     with pytest.raises(ConfigError, match=message):
--- a/tests/platform/test_connections.py
+++ b/tests/platform/test_connections.py
@@ -1,4 +1,4 @@
-"""The peers' registry: events out of bytes in pieces, joins, replacements, and what is invalid."""
+"""The peer registry: events from split streams, joins, replaced connections, invalid messages."""
 
 import contextlib
 import json
@@ -33,7 +33,7 @@
 
 
 class RegistryHarness:
-    """A registry, the events that it submitted and the peers that it ended."""
+    """A registry, with the events that it submits and the peers that it ends."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -58,7 +58,7 @@
         return peer
 
     def send(self, peer: Peer, *lines: bytes, now: float = 1.0) -> bytes:
-        """Have a peer send lines, and return the answer to them."""
+        """Send lines as a peer, and return the reply."""
         return self.registry.receive(peer, b"".join(line + b"\n" for line in lines), now)
 
 
@@ -176,7 +176,7 @@
         ),
     ],
 )
-def test_an_invalid_message_is_dropped_and_those_around_it_count(
+def test_an_invalid_message_is_dropped_and_those_around_it_are_handled(
     hello: bytes, valid: bytes, invalid: dict, harness: RegistryHarness
 ) -> None:
     peer = harness.join(hello)
@@ -190,7 +190,7 @@
     assert set(peer.pending_acks) == {3, 5}
 
 
-def test_an_acknowledgement_counts_once_and_for_earlier_requests_too(
+def test_an_acknowledgement_is_handled_once_and_covers_earlier_requests(
     harness: RegistryHarness,
 ) -> None:
     peer = harness.join()
@@ -226,7 +226,7 @@
     assert not harness.registry.peer_by_proxy and harness.events[3:] == [ProxyDisconnected(17)]
 
 
-def test_the_collector_that_brings_reports_is_not_replaced_by_newcomers(
+def test_a_reporting_collector_is_not_replaced_by_new_collectors(
     harness: RegistryHarness,
 ) -> None:
     reporting = harness.join(COLLECTOR_HELLO)
@@ -243,7 +243,7 @@
     peer = harness.join()
     with pytest.raises(ConnectionRejectedError):
         harness.registry.receive(peer, DEMAND_REPORT + b"\n\x8f\x00garbage", 1.0)
-    assert len(harness.events) == 2  # what came before it counts
+    assert len(harness.events) == 2  # messages before the malformed bytes are handled
 
 
 def test_fuzzed_peers_do_not_disturb_valid_ones(harness: RegistryHarness) -> None:
--- a/tests/platform/test_discovery_state.py
+++ b/tests/platform/test_discovery_state.py
@@ -1,4 +1,4 @@
-"""Service discovery's answers, and the queries that follow from them."""
+"""Decoding of service discovery's responses, and the queries that follow from them."""
 
 from random import Random
 
@@ -72,7 +72,7 @@
         SNAPSHOT.replace(b"1.0", b"-1.0"),
     ],
 )
-def test_an_answer_that_is_no_list_is_an_error(body: bytes) -> None:
+def test_an_invalid_response_is_an_error(body: bytes) -> None:
     with pytest.raises(discovery_state.DiscoveryError):
         discovery_state.decode_response(body)
 
--- a/tests/platform/test_load_metrics.py
+++ b/tests/platform/test_load_metrics.py
@@ -1,11 +1,11 @@
-"""Load reports in their TEXT form."""
+"""Parsing of load reports in TEXT format."""
 
 import pytest
 
 from dunlinlug.platform import load_metrics
 
 
-def test_text_reports_are_read_into_the_module_s_metrics() -> None:
+def test_text_reports_are_converted_to_the_module_s_metrics() -> None:
     assert load_metrics.parse_text_report(b"TEXT inflight=7, queue=2, util=0.61") == {
         "held": 7.0,
         "queue": 2.0,
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -1,4 +1,4 @@
-"""The platform's messages as lines: what is encoded, and what cannot be decoded."""
+"""Encoding and decoding of the platform's messages."""
 
 import json
 
@@ -14,7 +14,7 @@
 from tests.platform.examples import PROXY_HELLO
 
 
-def test_updates_are_encoded_as_the_protocol_has_them() -> None:
+def test_updates_are_encoded_as_the_protocol_requires() -> None:
     assert json.loads(
         encode(
             TableUpdate(
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -1,4 +1,4 @@
-"""Replies as messages to proxies, against a reference proxy that applies what it reads."""
+"""Messages to proxies, checked against a reference proxy that applies them."""
 
 import json
 from collections.abc import Iterator
@@ -31,7 +31,7 @@
 
 
 class ReferenceProxy:
-    """A proxy as the protocol describes it; it starts with tables that somebody else wrote."""
+    """A proxy that follows the protocol; it starts with tables of an earlier connection."""
 
     def __init__(self) -> None:
         self.tables: dict[str, dict[str, float]] = {name: {"elsewhere:1": 1.0} for name in NAMES}
@@ -70,10 +70,10 @@
 
 
 class ModelWithMessages(Model):
-    """The reference model of the rules, whose replies are sent to reference proxies as well."""
+    """The reference model of the rules, which also sends its replies to reference proxies."""
 
-    def __init__(self, what: ManagerSettings) -> None:
-        super().__init__(what)
+    def __init__(self, settings: ManagerSettings) -> None:
+        super().__init__(settings)
         self.pending_events: list[Event] = []
         self.message_count = 0
         self.overrun_count = 0
@@ -92,7 +92,7 @@
             proxy = self.reference_proxies.setdefault(event.proxy, ReferenceProxy())
             if event.first_connection:
                 self.reference_proxies[event.proxy] = ReferenceProxy()
-            else:  # another manager had it, and readmitted nobody
+            else:  # it was connected to another manager, which left workers ejected
                 proxy.ejected |= {endpoint(n).id for n in range(9) if n % 3 == event.proxy % 3}
 
     def _apply_orders(self) -> None:
@@ -113,7 +113,7 @@
             assert [ack_number] == requested or not requested
             assert message.entry_count == entry_count + self.settings.channel.message_overhead
             expected = self.installer.entries_by_proxy[proxy] + (ack_number is not None)
-            # Only a proxy that may have workers ejected from before costs more, at its first table.
+            # Only the first table of a proxy may cost more, as workers may be ejected there already.
             self.overrun_count += entry_count > expected and proxy not in proxies_without_table
         self.message_count += len(messages)
         self._compare()
@@ -140,9 +140,9 @@
         admission = reference.admissions[name] or (1.0, default_retry)
         retry_policy, fraction = table.admissions.get(class_index, (default_retry, 1.0))
         assert admission == (fraction, retry_policy)
-        assert ejected & table.weights.keys() <= reference.ejected, "used though ejected"
+        assert ejected & table.weights.keys() <= reference.ejected, "an ejected worker is used"
         surely_usable = table.weights.keys() - ejected - possibly_ejected
-        assert not reference.ejected & surely_usable, "ejected for good"
+        assert not reference.ejected & surely_usable, "a worker stays ejected"
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -168,7 +168,7 @@
     return map(json.loads, data.splitlines())
 
 
-def test_classes_with_the_same_table_share_an_update_that_may_bear_an_admission() -> None:
+def test_classes_with_the_same_table_share_an_update_that_may_contain_an_admission() -> None:
     installer = create_installer(ProxyConnected(3, "north", 5.0, True))
     weights = {endpoint(0).id: 1.5, endpoint(1).id: 0.25}
     message = installer.apply_orders(
@@ -245,12 +245,14 @@
         installer.apply_orders([SetEjected(endpoint(1).id, True)], 0.0)[3].data
     )
     assert update == {"@type": "push", "eject": [endpoint(1).id]}
-    assert not installer.apply_orders([SetEjected(endpoint(1).id, True)], 0.0), "sent once"
+    assert not installer.apply_orders([SetEjected(endpoint(1).id, True)], 0.0), (
+        "an ejection is sent once"
+    )
     installer.handle_events([ProxyDisconnected(3)])
     installer.apply_orders([SetEjected(endpoint(1).id, False)], 0.0)
     installer.handle_events([ProxyConnected(3, "north", 5.0, False)])
     (update,) = decode_updates(installer.apply_orders([AssignTable(3, (0, 1), 1)], 0.0)[3].data)
-    assert update["restore"][0] == endpoint(1).id, "those known to be ejected come first"
+    assert update["restore"][0] == endpoint(1).id, "workers known to be ejected come first"
 
 
 def test_workers_that_another_manager_may_have_ejected_are_readmitted_within_the_entries() -> None:
@@ -262,7 +264,9 @@
     second = installer.apply_orders([AssignTable(3, (0, 1), 2)], 0.0)[3]
     assert list(decode_updates(second.data)) == [{"@type": "push", "restore": sorted(weights)}]
     installer.apply_orders(set_weights(weights, 3), 0.0)
-    assert not installer.apply_orders([AssignTable(3, (0, 1), 3)], 0.0), "once, and nothing differs"
+    assert not installer.apply_orders([AssignTable(3, (0, 1), 3)], 0.0), (
+        "readmitted once, and nothing else differs"
+    )
 
 
 def test_state_by_worker_is_bounded() -> None:
@@ -349,9 +353,9 @@
         model.step(0.05, events)
         messages = installer.apply_orders(model.orders, model.now)
         expected = sum(
-            budget.pending_replies[p.ack_number].entries_by_proxy[proxy]
-            for proxy, p in messages.items()
-            if p.ack_number in budget.pending_replies
+            budget.pending_replies[message.ack_number].entries_by_proxy[proxy]
+            for proxy, message in messages.items()
+            if message.ack_number in budget.pending_replies
         )
         written += sum(message.entry_count for message in messages.values())
         assert sum(message.entry_count for message in messages.values()) <= expected
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -1,4 +1,4 @@
-"""The manager on the platform as a process on loopback, with plain clients."""
+"""The platform's manager as a process on loopback, with simple clients."""
 
 import json
 import os
@@ -28,7 +28,7 @@
 
 
 async def test_run_is_one_process_that_starts_no_other_program(tmp_path: Path) -> None:
-    """By the deploy file's own line: it ends in the manager itself, on TCP over IPv4 alone."""
+    """The deploy file's run command becomes the manager, whose sockets are all TCP over IPv4."""
     record = tmp_path / "child_processes"
     (tmp_path / "sitecustomize.py").write_text(
         f"RECORD_PATH = {str(record)!r}{RECORD_CHILD_PROCESSES}"
@@ -38,11 +38,13 @@
         await running.join_proxy()
         proc = Path("/proc") / str(running.process.pid)
         assert b"dunlinlug.platform" in proc.joinpath("cmdline").read_bytes(), (
-            "the shell has made way"
+            "the shell was not replaced by the manager"
         )
         assert not proc.joinpath("task", str(running.process.pid), "children").read_text().split()
         libraries = proc.joinpath("maps").read_text()
-        assert "/libc.so" in libraries, "linked dynamically against the C library"
+        assert "/libc.so" in libraries, (
+            "the interpreter is not linked dynamically against the C library"
+        )
         own_files = {os.readlink(name) for name in proc.joinpath("fd").iterdir()}
         numbers = {
             name.removeprefix("socket:[").rstrip("]")
@@ -53,12 +55,14 @@
             line.split()[6]
             for line in proc.joinpath("net", "unix").read_text().splitlines()[1:]
             if len(line.split()) > 7
-        }  # those with a name, which somebody could dial
+        }  # sockets with a path, to which other processes could connect
         assert not numbers & unix
         datagrams = {
             line.split()[9] for line in proc.joinpath("net", "udp").read_text().splitlines()[1:]
         }
-        assert not numbers & datagrams, "members have no place here: no socket of theirs is open"
+        assert not numbers & datagrams, (
+            "a UDP socket is open, although the platform has no membership"
+        )
     assert record.read_text() == ""
 
 
@@ -90,7 +94,7 @@
             assert len(await proxy.wait_for_table()) >= 3
             running.discovery.unresponsive = False
             running.discovery.instances = [instance(n) for n in (0, 1, 7)]
-            running.discovery.generation = 0  # put back
+            running.discovery.generation = 0  # the version goes back
             await proxy.wait_for_table("s-2", "s-3", **{"s-7": 1.0})
 
 
@@ -207,7 +211,7 @@
         async def proxy(n: int) -> None:
             while (
                 n not in joined
-            ):  # on a busy machine its hello may come too late; then it dials again, as proxies do
+            ):  # on a busy machine the hello may arrive too late; then the proxy reconnects
                 with suppress(ConnectionError, trio.BrokenResourceError):
                     client = await running.connect()
                     await client.join(n, ZONES[n % 2])
@@ -226,7 +230,7 @@
         nursery.cancel_scope.cancel()
         assert (
             0 < max_open_files < 128 - 3 * len(ZONES)
-        )  # room is kept for every proxy and collector
+        )  # descriptors remain for every proxy and collector
     assert not running.logged("connection.internal_error")
 
 
@@ -255,7 +259,7 @@
 
 
 def test_the_platform_imports_nothing_of_the_other_front_ends() -> None:
-    heavy = [
+    excluded = [
         "google.protobuf",
         "h2",
         "lmdb",
@@ -270,7 +274,7 @@
         "dunlinlug.storage",
         "dunlinlug.xds",
     ]
-    code = f"import sys, dunlinlug.platform.main; print([name for name in {heavy} if name in sys.modules])"
+    code = f"import sys, dunlinlug.platform.main; print([name for name in {excluded} if name in sys.modules])"
     ended = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=20
     )
--- a/tests/platform/test_socket_connection.py
+++ b/tests/platform/test_socket_connection.py
@@ -1,4 +1,4 @@
-"""A connection's buffer of bytes that are not yet written."""
+"""The output buffer of a connection."""
 
 import socket
 
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire, from the outside."""
+"""The simulator's adapter, tested by its input and output lines."""
 
 import io
 import json
@@ -97,7 +97,7 @@
     assert replies[2] == {"n": 2, "decisions": []}
 
 
-def test_instances_share_nothing_and_a_detached_one_is_silent() -> None:
+def test_instances_are_independent_and_a_detached_one_gives_no_orders() -> None:
     alone = exchange(start("manager/0"), [JOIN])
     both = exchange([*start("manager/1"), *start("manager/0")], [JOIN])
     assert [d for d in both[1]["decisions"] if d["manager"] == "manager/0"] == alone[1]["decisions"]
@@ -107,7 +107,7 @@
 
 
 def test_unknown_verbs_and_departed_proxies_are_disregarded() -> None:
-    odd = [
+    ignored_events = [
         {"verb": "Comet", "tail": 1},
         {"verb": "Left", "manager": "manager/0", "proxy": 77, "new": 2},
         {"verb": "Receipt", "manager": "manager/0", "proxy": 77, "gen": 9, "costTimeUs": 1},
@@ -123,7 +123,7 @@
             "usage": None,
         },
     ]
-    assert exchange(start("manager/0"), odd)[1]["decisions"] == []
+    assert exchange(start("manager/0"), ignored_events)[1]["decisions"] == []
 
 
 def test_sites_with_shards_get_one_log_line_and_no_order() -> None:
@@ -172,12 +172,12 @@
         (b'{"nowUs":1,"happened":[{"verb":"NewInstance","manager":"m"}]}', "NewInstance"),
     ],
 )
-def test_a_malformed_line_is_named_without_a_traceback(line: bytes, problem: str) -> None:
-    done = subprocess.run(
+def test_a_malformed_line_is_reported_without_a_traceback(line: bytes, problem: str) -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "dunlinlug.drill"], input=line + b"\n", capture_output=True
     )
     assert (
-        done.returncode
-        and problem in done.stderr.decode()
-        and "Traceback" not in done.stderr.decode()
+        completed.returncode
+        and problem in completed.stderr.decode()
+        and "Traceback" not in completed.stderr.decode()
     )
