--- a/dunlinlug/ads/__init__.py
+++ b/dunlinlug/ads/__init__.py
@@ -1,1 +1,1 @@
-"""The xDS manager: proxies' streams over gRPC, what each proxy holds and is sent, the process."""
+"""The xDS manager: gRPC streams of proxies, the resources sent to each proxy, and the process."""
--- a/dunlinlug/ads/admin_server.py
+++ b/dunlinlug/ads/admin_server.py
@@ -1,4 +1,4 @@
-"""The admin API of a manager: built from its components, and served to operators over HTTP."""
+"""Builds the admin API from a manager's components and serves it over HTTP."""
 
 from pathlib import Path
 from typing import TypedDict
@@ -14,12 +14,15 @@
 from dunlinlug.manager.order_validation import RecordingOrderValidation
 from dunlinlug.net import http
 
-# Seconds that requests under way get when the manager stops; most take a few milliseconds.
+# Seconds allowed for requests in progress when the manager stops; most take a few milliseconds.
 SHUTDOWN_GRACE_S = 1.0
 
 
 class HealthDescription(TypedDict):
-    """Counts that anyone may see; `waiting` is in table entries. The keys are the JSON's."""
+    """Body of `GET /health`, which needs no token; `waiting` is the queue size in table entries.
+
+    The field names are the keys of the JSON object.
+    """
 
     epoch: int
     proxies: int
@@ -29,7 +32,7 @@
 
 
 class ManagerStatus:
-    """What the admin API shows of a manager: the tables in use, and figures for `GET /health`."""
+    """Reports the tables in use and the figures of `GET /health` to the admin API."""
 
     def __init__(
         self,
@@ -42,7 +45,7 @@
         self.overrides = overrides
 
     def tables(self) -> list[table_view.ClassDescription]:
-        """Tables in use by traffic class, as `table_view.describe_tables` gives them."""
+        """Describe the tables in use by traffic class; see `table_view.describe_tables`."""
         return table_view.describe_tables(
             trio.current_time(),
             self.components.settings.traffic_classes,
@@ -52,7 +55,7 @@
         )
 
     def health(self) -> HealthDescription:
-        """Counts of what this manager serves, without anything that needs a token."""
+        """Return the counts that are public, as `GET /health` needs no token."""
         return HealthDescription(
             epoch=self.components.epoch,
             proxies=len(self.components.installer.proxies),
@@ -63,7 +66,7 @@
 
 
 def create_admin_api(components: ManagerComponents) -> AdminApi | None:
-    """Build the API; None without a token file or with the guard off.
+    """Build the admin API; returns None if no token file is configured or the guard is off.
 
     Raises:
         TokenFileError: The token file cannot be used.
@@ -98,17 +101,17 @@
     restore_overrides: bool,
     nursery: trio.Nursery,
 ) -> tuple[str, int]:
-    """Serve the API in the nursery; gives the address that it listens on.
+    """Serve the API in the nursery and return the address that it listens on.
 
     Args:
         admin_api: The API to serve.
         components: The components of its manager.
-        restore_overrides: Whether the store's overrides take effect now; a member of a set that
-            elects leaders restores them only once it leads.
-        nursery: Where the server runs.
+        restore_overrides: Whether to apply the stored overrides now; with leader election, a
+            member restores them only when it becomes leader.
+        nursery: Runs the server's tasks.
 
     Raises:
-        OSError: The port is taken.
+        OSError: The port is in use.
     """
     config = components.config.section(manager_config.AdminConfig)
     host, port = config.listen
--- a/dunlinlug/ads/aggregated_stream.py
+++ b/dunlinlug/ads/aggregated_stream.py
@@ -1,4 +1,4 @@
-"""Serves one ADS stream, delta or state of the world: one call carries all types of one proxy."""
+"""Serves one ADS stream, delta or state of the world: one call for all types of one proxy."""
 
 import trio
 
@@ -12,7 +12,7 @@
 
 
 class AggregatedStream:
-    """One call and, once the proxy has asked for all that it needs, its session."""
+    """One call and, once the proxy has subscribed to all types that it needs, its session."""
 
     def __init__(
         self, host: StreamHost, call: Call, stream: DeltaStream | StateOfTheWorldStream
@@ -23,8 +23,9 @@
         self.session: DeltaSession | StateOfTheWorldSession | None = None
 
     async def serve(self) -> None:
-        """Serve the call to its end."""
-        # The response headers tell a proxy that this manager leads, so they wait until it does.
+        """Serve the call until it ends."""
+        # A proxy takes the response headers as a sign that this manager is the leader, so they are
+        # sent only once it is.
         await self.host.leading.wait()
         self.stream.control_plane_id = self.host.control_plane_id
         self.call.accept()
@@ -57,7 +58,7 @@
             self.session = self._open_session()
             nursery.start_soon(self.session.run_sender)
         elif isinstance(self.session, StateOfTheWorldSession):
-            self.session.send_pending()  # what the client asks for may have changed
+            self.session.send_pending()  # the subscription may have changed
 
     def _open_session(self) -> DeltaSession | StateOfTheWorldSession:
         if isinstance(self.stream, StateOfTheWorldStream):
--- a/dunlinlug/ads/composition.py
+++ b/dunlinlug/ads/composition.py
@@ -1,7 +1,7 @@
-"""Builds the components of a manager from its configuration, before anything runs.
+"""Builds the components of a manager from its configuration, before the event loop runs.
 
-No component is started here and no socket is opened: only the store is, as its epoch goes into
-the names of tables. What needs the running event loop is built in `fleet_composition`.
+No component is started and no socket is opened. The store is opened, as its epoch is part of table
+names. Components that need the running event loop are built in `fleet_composition`.
 """
 
 import time
@@ -36,15 +36,15 @@
 
 @dataclass(frozen=True)
 class ManagerComponents:
-    """What every manager is made of, alone or among others.
+    """The components that every manager has, in a fleet or alone.
 
     Attributes:
-        config: The configuration as read at the start.
-        settings: The decision module's settings, made from it.
+        config: The configuration that was read at startup.
+        settings: The decision module's settings, made from the configuration.
         log_event: Writes one structured log line: event name and fields.
-        make_validator: Builds a validator from the settings and whether it is enforced.
+        make_validator: Builds a validator from the settings and whether rejections are enforced.
         epoch: Number of this start of the process, counted in the store.
-        validation: None where the guard is off.
+        validation: None if the guard is off.
     """
 
     config: ConfigFile
@@ -65,7 +65,7 @@
 
 
 def module_clock_offset() -> float:
-    """Seconds to add to a wall-clock time to get the same moment on the event loop's clock."""
+    """Return the seconds to add to a wall-clock time to convert it to the event loop's clock."""
     return trio.current_time() - time.time()
 
 
@@ -78,7 +78,7 @@
     """Open the store and build all components.
 
     Raises:
-        ConfigError: The configuration's values do not make settings.
+        ConfigError: The configuration's values do not form valid settings.
         StoreError: The store cannot be used.
     """
     settings = manager_config.manager_settings(config)
@@ -129,7 +129,7 @@
 
 
 def channel_rate(config: ConfigFile) -> float:
-    """The rate of the channel in entries a second: `pace`, or `lines_per_s` where it is not set."""
+    """Return the channel's rate in entries per second: `pace`, or `lines_per_s` if it is unset."""
     channel = config.section(manager_config.ChannelConfig)
     return channel.pace or channel.lines_per_s
 
--- a/dunlinlug/ads/delivery.py
+++ b/dunlinlug/ads/delivery.py
@@ -1,7 +1,7 @@
-"""Hands messages that leave the paced channel to the sessions of the proxies they are for.
+"""Delivers batches from the paced channel to the sessions of the proxies they are for.
 
-Owns the open sessions by proxy number. It stands between the decision loop, which delivers
-through it, and the xDS service, which opens and closes sessions in it.
+Owns the open sessions by proxy number: the decision loop delivers batches to them, and the xDS
+service adds and removes them.
 """
 
 import trio
@@ -17,7 +17,7 @@
 
 
 class ResponseDelivery:
-    """The open sessions, by proxy number, and the last check before a batch reaches one."""
+    """The open sessions by proxy number, and the lease check right before a batch is sent."""
 
     def __init__(self, installer: XdsTableInstaller) -> None:
         self.installer = installer
@@ -25,13 +25,13 @@
         self.leadership: ReplicatedLeadership | None = None
 
     def require_lease(self, leadership: ReplicatedLeadership) -> None:
-        """Deliver only while this gate says that we hold the leader's lease."""
+        """Deliver only while this manager holds the leader's lease according to `leadership`."""
         self.leadership = leadership
 
     def deliver(self, proxy: int, batch: ResponseBatch) -> None:
-        """Enqueue a batch at the proxy's session; one meant for an earlier stream is dropped."""
-        # Without this check at the last moment, a process that was stopped between the decision
-        # and the delivery would still send what it decided while its lease held.
+        """Enqueue a batch in the proxy's session; drop one ordered for an earlier stream."""
+        # The lease is checked right before sending: a process that was suspended between decision
+        # and delivery could otherwise send orders after its lease has expired.
         if self.leadership is not None and not self.leadership.holds_lease(trio.current_time()):
             return
         session = self.sessions.get(proxy)
--- a/dunlinlug/ads/fleet_composition.py
+++ b/dunlinlug/ads/fleet_composition.py
@@ -1,7 +1,7 @@
-"""Builds what a manager has among others: leadership, membership, ownership of shards.
+"""Builds the fleet components of a manager: leadership, membership, ownership of shards.
 
-Unlike the components in `composition` these read the event loop's clock as they are made, so they
-are built once it runs.
+Unlike the components in `composition`, these read the event loop's clock when they are created, so
+they are built once the event loop runs.
 """
 
 import time
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class FleetKeys:
-    """Keys that members seal messages with, newest first; empty for a part that is not used."""
+    """Keys that members seal messages with, newest first; empty for a component that is unused."""
 
     election: list[bytes]
     membership: list[bytes]
@@ -37,14 +37,11 @@
 
 @dataclass(frozen=True)
 class FleetComponents:
-    """A manager's components for its fleet.
-
-    Each is None where the configuration has no section for
-    it.
+    """A manager's fleet components; each is None if the configuration has no section for it.
 
     Attributes:
-        shared_health_checks: There is one exactly where there is an `ownership`.
-        shared_overrides: Not with a `leadership`, which replicates overrides by itself.
+        shared_health_checks: Present exactly if `ownership` is.
+        shared_overrides: None if there is a `leadership`, which replicates overrides itself.
     """
 
     leadership: Leadership | None = None
@@ -69,7 +66,7 @@
 
 
 class FleetBuilder:
-    """Builds a manager's components among others and registers them with each other."""
+    """Builds a manager's fleet components and registers them with each other."""
 
     def __init__(
         self,
@@ -91,7 +88,7 @@
         self.seed = components.config.section(manager_config.ServerConfig).seed
 
     def build(self) -> FleetComponents:
-        """Build what the configuration asks for; nothing is started yet."""
+        """Build the configured components without starting them."""
         leadership = None
         if self.components.config.section(manager_config.ElectionConfig).member:
             leadership = self._create_leadership()
@@ -117,7 +114,7 @@
         )
 
     def _create_leadership(self) -> Leadership:
-        """The part in electing a leader; its clocks begin now."""
+        """Create the leader election component; its timeouts start now."""
         config = self.components.config
         election = config.section(manager_config.ElectionConfig)
         members = config.sections(manager_config.MemberConfig)
@@ -146,9 +143,9 @@
         return leadership
 
     def _create_membership(self, leadership: Leadership | None) -> Membership:
-        """The part among managers that know each other.
+        """Create the membership component.
 
-        Its voters are those of the election where there is one, else all configured members.
+        Its voters are those of the election if there is one, else all configured members.
         """
         config = self.components.config.section(manager_config.MembershipConfig)
         addresses = self._membership_addresses()
@@ -178,7 +175,7 @@
         return {name: member.knows for name, member in members.items()}
 
     def _create_ownership(self) -> Ownership | None:
-        """The part in owning fleet-wide work; None where the configuration leaves it off."""
+        """Create the ownership component for fleet-wide work; returns None if it is disabled."""
         config = self.components.config.section(manager_config.LeaseConfig)
         if not config.on:
             return None
@@ -195,7 +192,7 @@
     def _share_port(
         membership: Membership, leadership: Leadership | None, ownership: Ownership | None
     ) -> None:
-        """Let the others' connections come by the membership's port and go to its addresses."""
+        """Make leadership and ownership use the membership's port and its member addresses."""
         for service in (leadership, ownership):
             if service is None:
                 continue
@@ -218,7 +215,7 @@
         return coordinator
 
     def _create_shared_overrides(self, ownership: Ownership) -> SharedOverrides | None:
-        """One set of operator overrides for all members; None without an admin API."""
+        """Create the overrides that all members share; returns None without an admin API."""
         if self.overrides is None:
             return None
         return SharedOverrides(
--- a/dunlinlug/ads/leadership_callbacks.py
+++ b/dunlinlug/ads/leadership_callbacks.py
@@ -1,6 +1,6 @@
-"""What this manager does when it becomes leader or steps down, and the overrides it replicates.
+"""Callbacks of the leader election: becoming leader, stepping down, replicating overrides.
 
-Owns the tasks that run only while it leads.
+Owns the tasks that run only while this manager is the leader.
 """
 
 from collections.abc import Awaitable, Callable
@@ -21,20 +21,20 @@
 
 
 class LeaderTasks:
-    """Tasks that end when this manager steps down."""
+    """Tasks that are cancelled when this manager steps down."""
 
     def __init__(self) -> None:
         self._scopes = set[trio.CancelScope]()
 
     async def run(self, task: Callable[..., Awaitable[None]], *arguments: object) -> None:
-        """Run one task until it ends, or until `cancel_all`."""
+        """Run one task until it ends or `cancel_all` is called."""
         with trio.CancelScope() as scope:
             self._scopes.add(scope)
             await task(*arguments)
         self._scopes.discard(scope)
 
     def cancel_all(self) -> None:
-        """End all tasks that run."""
+        """Cancel all running tasks."""
         for scope in self._scopes:
             scope.cancel()
 
@@ -57,14 +57,14 @@
         self.discovery_mode = components.config.section(manager_config.DiscoveryConfig).mode
 
     def register_membership(self, membership: Membership) -> None:
-        """Submit the partition limits of this membership whenever we become leader."""
+        """Submit the partition limits of this membership whenever this manager becomes leader."""
         self.membership = membership
 
     def on_become_leader(self, starts_empty: bool) -> None:
-        """Validate anew by what is installed, watch discovery, and go on from the replica's state.
+        """Reset the validator, watch service discovery, and continue with the replicated state.
 
         Args:
-            starts_empty: Whether no state was inherited; then it is restored from the store.
+            starts_empty: Whether no state was replicated; it is then restored from the store.
         """
         if self.components.validation is not None:
             self._restore_validator(self.components.validation)
@@ -73,17 +73,17 @@
             if self.overrides is not None:
                 self.overrides.restore(trio.current_time(), self.components.store.overrides())
         if self.membership is not None:
-            # Without this, the module would go by the limits of the previous leader.
+            # The module's state may still have the partition limits of the previous leader.
             submit_partition_limits(self.components.loop, self.membership.partition_limits)
         self.components.endpoint_watcher.forget_list()
         if self.discovery_mode == "pushed":
             self.start_task(self.leader_tasks.run, self.components.endpoint_watcher.watch, True)
         elif not starts_empty:
-            # The answer to what the previous leader's module asked for does not come to us.
+            # The previous leader's discovery query will not be answered here, so report it failed.
             self.components.loop.submit(EndpointsUpdated(UpdateType.FAILED))
 
     def _restore_validator(self, validation: RecordingOrderValidation) -> None:
-        """Replace the validator by one that knows the installed tables and the module's list."""
+        """Replace the validator by one with the installed tables and the module's endpoint list."""
         components = self.components
         validator = components.make_validator(components.settings, validation.enforced)
         workers: list[Endpoint] = []
@@ -103,16 +103,16 @@
             self.overrides.replace_validator(validator)
 
     def on_step_down(self) -> None:
-        """End what only the leader does."""
+        """Cancel the tasks that only the leader runs."""
         self.leader_tasks.cancel_all()
 
     def current_overrides(self) -> list[dict[str, Any]]:
-        """Operator overrides in force, as plain records; none without an admin API."""
+        """Return the active operator overrides as plain records; empty without an admin API."""
         if self.overrides is None:
             return []
         return self.overrides.to_plain()
 
     def replace_overrides(self, overrides: list[dict[str, Any]]) -> None:
-        """Take the leader's overrides in place of ours."""
+        """Replace this manager's overrides with those of the leader."""
         if self.overrides is not None:
             self.overrides.replace_all(overrides)
--- a/dunlinlug/ads/load_meter.py
+++ b/dunlinlug/ads/load_meter.py
@@ -1,4 +1,4 @@
-"""Measures the load of this manager, which it broadcasts to the other members."""
+"""Measures this manager's load, which it broadcasts to the other members."""
 
 import time
 
@@ -11,7 +11,7 @@
 
 
 class LoadMeter:
-    """Owns the last reading of the processor's time, from which the next load is reckoned."""
+    """Measures load; owns the last CPU time sample, which the next CPU fraction is based on."""
 
     def __init__(self, components: ManagerComponents) -> None:
         self.components = components
@@ -22,9 +22,9 @@
         self.last_cpu_time = 0.0
 
     def measure(self) -> ManagerLoad:
-        """The load now: proxies, requests a second, queue and processor as fractions.
+        """Return the current load: proxies, requests per second, queue fraction and CPU fraction.
 
-        The processor's fraction is of one core, since the last call.
+        The CPU fraction is that of one core since the previous call.
         """
         now = trio.current_time()
         cpu_time = time.process_time()
--- a/dunlinlug/ads/main.py
+++ b/dunlinlug/ads/main.py
@@ -1,4 +1,4 @@
-"""The manager as a process: entry point, start order, nursery, signals."""
+"""The manager process: entry point, startup order, nursery and signals."""
 
 import sys
 import traceback
@@ -38,8 +38,8 @@
 class Manager:
     """One manager: builds its components, starts them in order, and serves until it is stopped.
 
-    `make_module` and `make_validator` build its decision module and the guard's validator;
-    `log_event` takes the place of the structured log.
+    `make_module` and `make_validator` build the decision module and the guard's validator;
+    `log_event` replaces the structured log.
     """
 
     def __init__(
@@ -53,8 +53,8 @@
         """Build the components that every manager has.
 
         Raises:
-            ConfigError, StoreError, TokenFileError, TlsConfigError, KeyFileError: The file, the
-                store, or a file that it names cannot be used.
+            ConfigError, StoreError, TokenFileError, TlsConfigError, KeyFileError: The configuration
+                file, the store, or a file named in the configuration cannot be used.
         """
         self.config = config
         self.log_event = log_event or structured_logging.get_logger("manager").info
@@ -67,7 +67,7 @@
         self.admin_address: tuple[str, int] | None = None
 
     def create_fleet(self, start_task: Callable[..., None]) -> FleetComponents:
-        """Build the components among other managers and show them to operators."""
+        """Build the fleet components and register them with the admin API."""
         self.fleet = FleetBuilder(
             self.components, self.fleet_keys, self.admin_api, self.leader_tasks, start_task
         ).build()
@@ -82,17 +82,17 @@
 
     @property
     def leadership(self) -> Leadership | None:
-        """The part in electing a leader; None without one, and before the manager runs."""
+        """The leader election component; None if not configured, and until the manager runs."""
         return self.fleet.leadership
 
     @property
     def membership(self) -> Membership | None:
-        """The part among managers that know each other; None as for `leadership`."""
+        """The membership component; None as for `leadership`."""
         return self.fleet.membership
 
     @property
     def ownership(self) -> Ownership | None:
-        """The part in owning fleet-wide work; None as for `leadership`."""
+        """The ownership component for fleet-wide work; None as for `leadership`."""
         return self.fleet.ownership
 
     async def run(
@@ -103,7 +103,7 @@
         """Serve until SIGTERM or SIGINT, or until cancelled.
 
         Raises:
-            OSError: A port is taken.
+            OSError: A port is in use.
         """
         host, port = self.config.section(manager_config.ServerConfig).listen
         listeners = await trio.open_tcp_listeners(port, host=host)
@@ -125,7 +125,7 @@
         shutdown.finish_shutdown(self.components)
 
     async def _start_membership(self, nursery: trio.Nursery) -> None:
-        """Join the other managers, then own work. Raises OSError if the port is taken."""
+        """Join the other managers, then start ownership. Raises OSError if the port is in use."""
         fleet = self.fleet
         if fleet.membership is None:
             return
@@ -140,20 +140,20 @@
         nursery.start_soon(run_exercise, fleet.ownership, lease_config.exercise)
 
     async def _start_admin_api(self, nursery: trio.Nursery) -> None:
-        """Serve operators, where there is an admin API. Raises OSError if the port is taken."""
+        """Serve the admin API if there is one. Raises OSError if the port is in use."""
         if self.admin_api is not None:
             self.admin_address = await start_admin_api(
                 self.admin_api, self.components, self.leadership is None, nursery
             )
 
     async def _start_leadership(self, leadership: Leadership, nursery: trio.Nursery) -> None:
-        """Take part in elections, on a port of its own or (port 0) by that of the membership."""
+        """Take part in elections, on a separate port or, with port 0, on that of the membership."""
         host, port = leadership.transport.addresses[leadership.self_id]
         listeners = await trio.open_tcp_listeners(port, host=host) if port else []
         nursery.start_soon(leadership.run, listeners)
 
     def _start_decisions(self, nursery: trio.Nursery) -> None:
-        """Start the decision loop and what feeds it."""
+        """Start the decision loop and the sources of its events."""
         components = self.components
         handlers = OrderHandlers(
             components, self.fleet.shared_health_checks, self.leader_tasks, nursery.start_soon
@@ -168,7 +168,7 @@
     def _start_xds_server(
         self, listeners: list[trio.SocketListener], nursery: trio.Nursery
     ) -> None:
-        """Serve proxies: ADS and LRS over gRPC."""
+        """Serve ADS and LRS to proxies over gRPC."""
         server = self.config.section(manager_config.ServerConfig)
         options = grpc_server.ServerOptions(
             first_call_timeout=server.hello_within,
@@ -185,7 +185,7 @@
         )
 
     def _log_connection_error(self, error: Exception) -> None:
-        """Log an internal error that one connection met; the others go on."""
+        """Log an internal error of one connection; the others are not affected."""
         text = "".join(traceback.format_exception(error))
         self.log_event("connection.internal_error", why=text[-MAX_TRACEBACK_LENGTH:])
 
@@ -199,17 +199,17 @@
     clock_rate: float = 1.0,
     make_validator: ValidatorFactory = OrderValidator,
 ) -> int:
-    """Run a manager by its file until it is stopped.
+    """Run a manager from its configuration file until it is stopped.
 
     Args:
         path: The manager's INI file.
         make_module: Builds the decision module from its settings.
-        clock_rate: Seconds on this process's clock for each second; scenarios use it to let
-            clocks drift apart.
+        clock_rate: Rate of this process's clock relative to real time; scenarios use it to
+            simulate clock drift.
         make_validator: Builds the guard's validator.
 
     Returns:
-        The exit status: 0 after a stop, 1 if a port is taken, 2 for a file or store that cannot
+        The exit status: 0 after a stop, 1 if a port is in use, 2 for a file or store that cannot
         be used.
     """
     signals = SignalReceiver()
--- a/dunlinlug/ads/membership_callbacks.py
+++ b/dunlinlug/ads/membership_callbacks.py
@@ -1,4 +1,4 @@
-"""What this manager provides to its membership, and what it does when members change."""
+"""Callbacks of the membership: this manager's load and list, and reactions to member changes."""
 
 from collections.abc import Mapping
 
@@ -15,7 +15,7 @@
 
 
 def submit_partition_limits(loop: DecisionLoop, limits: PartitionLimits) -> None:
-    """Notify the decision module of what it may do on this side of a partition."""
+    """Notify the decision module of its limits on this side of a network partition."""
     loop.submit(
         PartitionLimitsChanged(
             limits.max_ejected_fraction, limits.may_start_changes, limits.may_ramp_up
@@ -40,27 +40,27 @@
         self.load_meter = LoadMeter(components)
 
     def submit_event(self, event: Event) -> None:
-        """Take an event for the decision module."""
+        """Submit an event to the decision module."""
         self.components.loop.submit(event)
 
     def listed_workers(self) -> Mapping[str, Endpoint] | None:
-        """The endpoint list as service discovery gave it here; None before the first."""
+        """Return the last endpoint list from service discovery; None before the first."""
         return self.components.endpoint_watcher.last_list
 
     def current_load(self) -> ManagerLoad:
-        """The load of this manager, with the processor's fraction since the last call."""
+        """Return this manager's load, with the CPU fraction since the previous call."""
         return self.load_meter.measure()
 
     def on_partition_change(
         self,
-        status: PartitionStatus,  # noqa: ARG002 - the module needs the limits alone
+        status: PartitionStatus,  # noqa: ARG002 - the module needs only the limits
         limits: PartitionLimits,
     ) -> None:
-        """Notify the decision module of its new limits."""
+        """Notify the decision module of the new limits."""
         submit_partition_limits(self.components.loop, limits)
 
     def on_member_change(self, change: MemberStateChanged) -> None:
-        """Let the election and the ownership of shards react to a member's new state."""
+        """Notify the leader election and the shard ownership of a member's new state."""
         has_failed = change.after == "failed"
         reachable = self.membership.reachable_voters()
         if self.leadership is not None and has_failed:
--- a/dunlinlug/ads/order_handlers.py
+++ b/dunlinlug/ads/order_handlers.py
@@ -1,4 +1,4 @@
-"""Who carries out the decision module's orders that are not for proxies."""
+"""Carries out the decision module's orders that are not for proxies."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 
 
 class OrderHandlers:
-    """Starts a task for each order: a health check, a watch or a query of service discovery."""
+    """Starts a task for each order: a health check, or a watch or query of service discovery."""
 
     def __init__(
         self,
@@ -25,13 +25,13 @@
         self.start_task = start_task
 
     def register(self, loop: DecisionLoop) -> None:
-        """Carry out this loop's orders from now on."""
+        """Register the handlers with the decision loop."""
         loop.handle_orders(CheckHealth, self._check_health)
         loop.handle_orders(WatchEndpoints, self._watch_endpoints)
         loop.handle_orders(ListEndpoints, self._list_endpoints)
 
     def _check_health(self, order: CheckHealth) -> None:
-        """Check once for all members where they share health checks, else by ourselves."""
+        """Request one check for all members if they share health checks, else check here."""
         if self.shared_health_checks is not None:
             self.shared_health_checks.request(order.worker)
         else:
--- a/dunlinlug/ads/proxy_state.py
+++ b/dunlinlug/ads/proxy_state.py
@@ -1,8 +1,8 @@
-"""What each proxy holds and what changed for it, as resources on the wire.
+"""Tracks the resources that each proxy holds, and builds batches of those that changed.
 
 `XdsTableInstaller.apply_orders` carries out the orders of one reply of the decision module and
-gives a batch of responses for each proxy concerned. Table entries are counted as the module counts
-them. It uses no socket and no clock, and decides nothing.
+returns a batch of responses for each proxy concerned. Table entries are counted in the same way as
+in the decision module. No sockets, no clock, and no decisions of its own.
 """
 
 from collections.abc import Iterable
@@ -20,17 +20,17 @@
 
 @dataclass(eq=False)
 class XdsProxyState(ProxyAssignment):
-    """A connected proxy: its table by traffic class, and what it was sent.
+    """A connected proxy: its table by traffic class, and the resources it was sent.
 
     Attributes:
-        supports_ejection_overlay: It applies the ejections resource over its tables by itself; for
-            other proxies, ejected workers are taken out of the tables they are sent.
-        uses_state_of_the_world: It takes all resources of the state-of-the-world form.
-        sent_tables: Names of the tables it was sent.
-        stale_tables: Names of tables to be removed with a later batch.
+        supports_ejection_overlay: The proxy applies the ejections resource to all its tables; for
+            other proxies, ejected workers are marked in the tables they are sent.
+        uses_state_of_the_world: The proxy uses the state-of-the-world form of xDS.
+        sent_tables: Names of the tables that the proxy was sent.
+        stale_tables: Names of tables to remove with a later batch.
         sent_ejections_version: Version of the ejections resource last sent on this stream.
-        previous_assignments: Traffic class and table, of every table assigned so far that still
-            is installed; for the state-of-the-world form.
+        previous_assignments: Traffic class and table of every assignment so far whose table is
+            still installed; for the state-of-the-world form.
     """
 
     supports_ejection_overlay: bool = False
@@ -42,13 +42,13 @@
 
 
 class XdsTableInstaller(TableInstaller[XdsProxyState]):
-    """Installed tables, connected proxies, and the batches that one reply makes for them.
+    """Installed tables, connected proxies, and the batches that result from one reply.
 
-    `epoch` is in the names of tables and is that of the manager that first led with this state.
+    `epoch` is part of table names and is that of the manager that first led with this state.
     `default_retry` is the retry policy (0 to 3) of a class for which a table sets none.
-    `message_overhead` is what a message counts for on the channel, in entries, without its content.
+    `message_overhead` is the cost of a message on the channel without its content, in entries.
     `attempt_timeout_factor` times a class's latency objective is the time limit of an attempt that
-    may be followed by another; 0 for no limit.
+    may be retried; 0 for no limit.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self.default_retry = default_retry
         self.encoder = ResourceEncoder(traffic_classes, default_retry, attempt_timeout_factor)
         self.message_overhead = message_overhead
-        self.zones: dict[str, str] = {}  # by worker, of all ever listed
+        self.zones: dict[str, str] = {}  # by worker, for all workers ever listed
         self._reset_reply_state()
 
     def restore(
@@ -85,14 +85,14 @@
         self._reset_reply_state()
 
     def _reset_reply_state(self) -> None:
-        """Forget what the last reply changed."""
+        """Reset the record of changes made by the last reply."""
         self.entries_by_proxy = {}
         self.changed_tables: dict[int, set[int]] = {}  # table ids to send, by proxy
         self.proxies_with_new_routes: set[int] = set()
         self.proxies_with_new_ejections: set[int] = set()
 
     def handle_events(self, events: Iterable[Event]) -> None:
-        """Learn workers' zones from events that the module is about to get.
+        """Record workers' zones from events before the decision module receives them.
 
         Proxies are added and removed by the xDS service, not by events.
         """
@@ -107,7 +107,7 @@
         held_tables: Iterable[str],
         uses_state_of_the_world: bool = False,
     ) -> None:
-        """A proxy has connected; `held_tables` names those it has from earlier streams."""
+        """Add a connected proxy; `held_tables` names the tables it has from earlier streams."""
         self.remove_proxy(proxy)
         self.proxies[proxy] = XdsProxyState(
             supports_ejection_overlay=supports_ejection_overlay,
@@ -123,30 +123,31 @@
         Args:
             orders: The reply's orders, in order.
             now: When they were decided (event loop's clock, seconds).
-            awaited_proxies: Proxies that get the reply's acknowledgement request whatever else
-                they get, as the module awaits their answers for orders that were rejected.
+            awaited_proxies: Proxies that get the reply's acknowledgement request even if nothing
+                else is sent to them, as the module awaits their acknowledgement for orders that
+                were rejected.
 
         Returns:
-            A batch by proxy number, in the order in which the orders reached the proxies.
+            A batch by proxy number, in the order in which the orders concern the proxies.
         """
         self._reset_reply_state()
         return self._build_batches(self.install_orders(orders, awaited_proxies), now)
 
     def table_name(self, table_id: int) -> str:
-        """The table's resource name, with the epoch."""
+        """Return the table's resource name, which contains the epoch."""
         return names.table_name(self.epoch, table_id)
 
     def on_table_updated(
         self, order: SetWeight | DeleteTable | SetAdmission, table: InstalledTable
     ) -> None:
-        """Let proxies that were sent a deleted table remove it."""
+        """Mark a deleted table as stale for the proxies that were sent it."""
         if isinstance(order, DeleteTable):
             for proxy_state in self.proxies.values():
                 if table.name in proxy_state.sent_tables:
                     proxy_state.stale_tables.add(table.name)
 
     def on_proxy_table_changed(self, proxy: int, table_id: int, admission_changed: bool) -> None:
-        """Send the table, and with a changed admission the routes, which name the retry policy."""
+        """Send the table and, if its admission changed, the routes with the retry policy."""
         self.changed_tables.setdefault(proxy, set()).add(table_id)
         if admission_changed:
             self.proxies_with_new_routes.add(proxy)
@@ -154,7 +155,7 @@
     def on_table_assigned(
         self, proxy: int, traffic_classes: tuple[int, ...], table_id: int
     ) -> None:
-        """Send the table with its routes, and the ejections."""
+        """Send the table, the routes to it, and the ejections."""
         self.proxies[proxy].previous_assignments.update(
             (traffic_class, table_id) for traffic_class in traffic_classes
         )
@@ -163,7 +164,7 @@
         self.proxies_with_new_ejections.add(proxy)
 
     def on_proxy_ejections_changed(self, proxy: int, affected_tables: set[int]) -> None:
-        """Send the ejections, or the tables without the ejected where there is no overlay."""
+        """Send the ejections; to a proxy without the overlay, send the affected tables instead."""
         self.proxies_with_new_ejections.add(proxy)
         if not self.proxies[proxy].supports_ejection_overlay:
             self.changed_tables.setdefault(proxy, set()).update(affected_tables)
@@ -201,7 +202,7 @@
     def _add_ejections(
         batch: ResponseBatch, proxy_state: XdsProxyState, ejections: EncodedResource
     ) -> None:
-        """Add the ejections resource, if the proxy uses it and does not have this version."""
+        """Add the ejections resource if the proxy supports it and was not sent this version."""
         if not proxy_state.supports_ejection_overlay:
             return
         if proxy_state.sent_ejections_version != ejections.version:
@@ -231,7 +232,7 @@
             proxy_state.sent_tables.add(resource.name)
 
     def _drop_deleted_assignments(self, proxy_state: XdsProxyState) -> set[tuple[int, int]]:
-        """The proxy's previous assignments, after those of deleted tables are forgotten."""
+        """Drop assignments of deleted tables and return the remaining previous assignments."""
         proxy_state.previous_assignments = {
             (traffic_class, table_id)
             for traffic_class, table_id in proxy_state.previous_assignments
@@ -240,9 +241,10 @@
         return proxy_state.previous_assignments
 
     def _take_unused_tables(self, proxy_state: XdsProxyState) -> set[str]:
-        """Names of tables for the proxy to remove, none of which it uses.
+        """Return and forget the names of stale tables that the proxy no longer uses.
 
-        There are none before every traffic class has a table of ours.
+        None are returned until every traffic class has a table of this manager, as a
+        class without one may still use a table of an earlier stream.
         """
         if len(proxy_state.table_by_class) < len(self.traffic_classes):
             return set()
--- a/dunlinlug/ads/reload.py
+++ b/dunlinlug/ads/reload.py
@@ -1,6 +1,6 @@
-"""What a SIGHUP may change in a running manager: the channel's rate, the log, TLS keys, the token.
+"""Reloads a running manager's configuration: channel rate, log settings, TLS files, admin token.
 
-A file that cannot be read, or one with any other change, is logged and changes nothing.
+A file that cannot be read, or that changes any other setting, is rejected as a whole and logged.
 """
 
 import ssl
@@ -18,7 +18,7 @@
 from dunlinlug.net import tls
 from dunlinlug.net.tls import TlsConfigError
 
-# Keys, by section, that may change without a restart.
+# Keys, by section, that can change without a restart.
 RELOADABLE_KEYS: dict[type, frozenset[str]] = {
     manager_config.ChannelConfig: frozenset({"pace"}),
     manager_config.ServerConfig: frozenset({"log"}),
@@ -26,7 +26,7 @@
 
 
 def load_tls_context(config: ConfigFile) -> ssl.SSLContext | None:
-    """The TLS context for new connections; None where ADS and LRS are plain text.
+    """Return the TLS context for new connections; None if ADS and LRS are in plain text.
 
     Raises:
         TlsConfigError: A certificate or key cannot be used.
@@ -38,7 +38,7 @@
 
 
 def sections_needing_restart(current: ConfigFile, new_config: ConfigFile) -> list[str]:
-    """The sections, in brackets, with a change that only a restart can take up."""
+    """Return the sections, in brackets, with a change that requires a restart."""
     changed = []
     for name, kind in manager_config.SECTIONS.items():
         old_section: Any = current.section(kind)
@@ -54,7 +54,7 @@
 
 
 class ConfigReloader:
-    """Owns the configuration in force, and the TLS context that new connections get."""
+    """Owns the current configuration and the TLS context of new connections."""
 
     def __init__(
         self, path: Path, components: ManagerComponents, admin_api: AdminApi | None
@@ -73,11 +73,11 @@
         self.tls_context = load_tls_context(components.config)
 
     def get_tls_context(self) -> ssl.SSLContext | None:
-        """The context for a connection that is accepted now; None for plain text."""
+        """Return the context for a connection accepted now; None for plain text."""
         return self.tls_context
 
     def reload(self) -> None:
-        """Read the file again and take up what may change, all of it or nothing."""
+        """Read the file again and apply all changes, or none if any of them is rejected."""
         try:
             new_config = manager_config.load_manager_config(self.path)
         except ConfigError as error:
@@ -87,7 +87,7 @@
         if restart_sections:
             self.log_event(
                 "reload.rejected",
-                why=f"a restart is needed for what changed in {', '.join(restart_sections)}",
+                why=f"a restart is needed to apply the changes in {', '.join(restart_sections)}",
             )
             return
         try:
@@ -102,7 +102,7 @@
         self.log_event("reload.done", pace=self.channel.entries_per_s)
 
     def _reload_credentials(self) -> None:
-        """Read certificates and token anew; open streams keep the keys that they began with."""
+        """Read the certificates and the token again; open streams keep their existing keys."""
         context = load_tls_context(self.config)
         if self.admin_api is not None:
             token_file = self.config.section(manager_config.AdminConfig).token_file
--- a/dunlinlug/ads/resource_encoding.py
+++ b/dunlinlug/ads/resource_encoding.py
@@ -1,6 +1,6 @@
 """Encodes installed tables as xDS resources, in the delta and the state-of-the-world form.
 
-Holds only what is fixed by the settings; tables, zones and ejections are arguments.
+The encoder holds only settings; tables, zones and ejections are arguments.
 """
 
 from collections.abc import Collection, Mapping
@@ -8,9 +8,9 @@
 from dunlinlug.decision.settings import TrafficClass
 from dunlinlug.manager.installed_tables import InstalledTable
 from dunlinlug.xds import encoding, names
-from dunlinlug.xds import state_of_the_world as full
+from dunlinlug.xds import state_of_the_world as sotw
 
-MIN_POLICY_WITH_TIMEOUT = 2  # least retry policy after which a failure of any kind may be retried
+MIN_POLICY_WITH_TIMEOUT = 2  # lowest retry policy that retries a failure of any kind
 
 
 class ResourceEncoder:
@@ -27,13 +27,13 @@
         self.attempt_timeout_factor = attempt_timeout_factor
 
     def ejections(self, ejected: Collection[str]) -> encoding.EncodedResource:
-        """The ejections resource, which proxies lay over all of their tables."""
+        """Encode the ejections resource, which proxies apply to all of their tables."""
         return encoding.encode_ejections(ejected)
 
     def table(
         self, table: InstalledTable, zones: Mapping[str, str], ejected: Collection[str]
     ) -> encoding.EncodedResource:
-        """A table with its admitted fractions; `ejected` workers are marked as such in it."""
+        """Encode a table with its admitted fractions; `ejected` workers are marked as draining."""
         admitted_fractions = {
             self.traffic_classes[traffic_class].name: admitted_fraction
             for traffic_class, (_, admitted_fraction) in sorted(table.admissions.items())
@@ -43,7 +43,7 @@
     def routes(
         self, table_by_class: Mapping[int, int], tables: Mapping[int, InstalledTable]
     ) -> encoding.EncodedResource:
-        """Routes from each traffic class to its table, with the class's retry policy."""
+        """Encode the route from each traffic class to its table, with the class's retry policy."""
         return encoding.encode_routes(
             tuple(
                 encoding.Route(
@@ -70,27 +70,27 @@
         tables: Mapping[int, InstalledTable],
         zones: Mapping[str, str],
         ejected: Collection[str],
-    ) -> full.ResourcesByType:
-        """All resources of the four types for one client; each class's table has its own name.
+    ) -> sotw.ResourcesByType:
+        """Encode all resources of the four types for one client, with a cluster for each class.
 
-        `assignments` are the class and table of all tables assigned so far. Without those before
-        the current ones, a cluster would be removed before the client has gone over to the next,
-        and all requests sent meanwhile would fail.
+        `assignments` are the class and table of all assignments so far. Earlier ones are included
+        so that a cluster is not removed before the client has switched to the next one; requests
+        sent in between would fail.
         """
-        resources: full.ResourcesByType = {kind: {} for kind in full.TYPE_ORDER}
+        resources: sotw.ResourcesByType = {type_url: {} for type_url in sotw.TYPE_ORDER}
         for traffic_class, table_id in sorted(assignments):
             class_name = self.traffic_classes[traffic_class].name
             table = tables[table_id]
             cluster_name = names.cluster_name(table.name, class_name)
             admitted_fraction = table.admissions.get(traffic_class, (self.default_retry, 1.0))[1]
             if table_by_class.get(traffic_class) == table_id:
-                listener = full.encode_listener(class_name)
+                listener = sotw.encode_listener(class_name)
                 resources[names.LISTENERS_TYPE][class_name] = listener
-                routes = full.encode_routes(class_name, cluster_name)
+                routes = sotw.encode_routes(class_name, cluster_name)
                 resources[names.ROUTES_TYPE][class_name] = routes
-            cluster = full.encode_cluster(cluster_name)
+            cluster = sotw.encode_cluster(cluster_name)
             resources[names.CLUSTERS_TYPE][cluster_name] = cluster
-            resources[names.ENDPOINTS_TYPE][cluster_name] = full.encode_endpoints(
+            resources[names.ENDPOINTS_TYPE][cluster_name] = sotw.encode_endpoints(
                 cluster_name, table.weights, zones, admitted_fraction, ejected
             )
         return resources
--- a/dunlinlug/ads/response_batch.py
+++ b/dunlinlug/ads/response_batch.py
@@ -1,4 +1,4 @@
-"""What one reply of the decision module sends to one proxy, with acknowledgement requests."""
+"""A batch: the resources and acknowledgement requests that are sent to one proxy together."""
 
 from dataclasses import dataclass, field
 
@@ -10,18 +10,19 @@
 class ResponseBatch:
     """Resources for one proxy, sent in this order: tables, then routes, then removals.
 
-    In that order a proxy never routes to a table that it does not have.
+    With this order a proxy never routes to a table that it does not have.
 
     Attributes:
         tables: New or changed tables (and the ejection overlay) by resource name, oldest first.
         routes: The routes, if they changed.
-        removed_tables: Names of tables that the proxy is to drop.
-        state_of_the_world: All that a state-of-the-world client should hold; None for a delta one.
-        ack_requests: Number of each acknowledgement requested, and when it was (event loop's
-            clock, seconds).
-        entry_count: Table entries that this batch counts for on the channel.
-        ordered_at: When the first part of it was ordered (event loop's clock, seconds).
-        reply_count: How many replies of the module were merged into it.
+        removed_tables: Names of tables that the proxy should drop.
+        state_of_the_world: All resources that a state-of-the-world client should hold; None for a
+            delta client.
+        ack_requests: Number of each acknowledgement request, and the time of the request (event
+            loop's clock, seconds).
+        entry_count: Cost of this batch on the channel, in table entries.
+        ordered_at: When the oldest part of the batch was ordered (event loop's clock, seconds).
+        reply_count: Number of replies of the decision module that were merged into the batch.
     """
 
     tables: dict[str, EncodedResource] = field(default_factory=dict)
@@ -36,7 +37,7 @@
     def merge(self, later: "ResponseBatch") -> None:
         """Add a later batch for the same proxy.
 
-        The newest version of each resource stays, and no acknowledgement request is lost.
+        The newest version of each resource is kept, and so are all acknowledgement requests.
         """
         for name, resource in later.tables.items():
             self.tables.pop(name, None)
--- a/dunlinlug/ads/service.py
+++ b/dunlinlug/ads/service.py
@@ -1,6 +1,7 @@
-"""The manager's gRPC service: ADS streams become sessions, load reports go to the aggregator.
+"""The manager's gRPC service: opens sessions for ADS streams and aggregates load reports.
 
-Owns the proxies' numbers and whether calls are served or wait. Open sessions are in `delivery`.
+Owns the proxy numbers and the event that holds calls back until this manager leads. The open
+sessions belong to `delivery`.
 """
 
 from collections.abc import Callable
@@ -23,20 +24,20 @@
 from dunlinlug.xds.state_of_the_world import StateOfTheWorldStream
 from dunlinlug.xds.stream import DeltaStream, StreamProtocolError
 
-# Nodes that a manager ever numbers: the decision module's proxy ids are below this.
+# Maximum number of node names over a manager's lifetime; the decision module's proxy ids are lower.
 MAX_PROXIES = 65535
 Stream = DeltaStream | StateOfTheWorldStream
 
 
 class XdsService:
-    """Serves proxies' calls and numbers proxies by their node's name, for as long as it lives.
+    """Serves proxies' calls; a node name keeps its proxy number for the process's lifetime.
 
     Attributes:
-        proxy_numbers: Proxy number by node name, of all nodes that ever connected.
-        new_proxy_numbers: Those given since they were last replicated to followers.
+        proxy_numbers: Proxy number by node name, for all nodes that ever connected.
+        new_proxy_numbers: Numbers assigned since the last replication to followers.
         sessions: The open sessions by proxy number.
         leading: Not set while another manager leads; calls wait for it.
-        term: The leader's term; 0 for a manager that elects none.
+        term: The leader's term; 0 without leader election.
     """
 
     def __init__(
@@ -64,22 +65,22 @@
         self._on_higher_term: Callable[[int], None] | None = None
 
     def register_report_observer(self, on_reports: Callable[[list[Event]], None]) -> None:
-        """Call this with the events made of proxies' reports, before the module gets them."""
+        """Call this with the events made from load reports, before they are submitted."""
         self._on_reports = on_reports
 
     def register_term_observer(self, on_higher_term: Callable[[int], None]) -> None:
-        """Call this with a term that a proxy knows and that is higher than ours."""
+        """Call this with a term seen by a proxy that is higher than this manager's."""
         self._on_higher_term = on_higher_term
 
     def close_streams(self, reason: str) -> None:
-        """End every stream, and let new calls wait: another manager leads."""
+        """End every stream and hold new calls back, as another manager leads."""
         self.leading = trio.Event()
         for session in list(self.sessions.values()):
             self.close_session(session)
             session.end(Status.UNAVAILABLE, reason)
 
     async def handle_call(self, call: Call) -> None:
-        """Serve one call to its end, by its method."""
+        """Serve one call until it ends, according to its method."""
         if call.path == names.STATE_OF_THE_WORLD_ADS_METHOD:
             await AggregatedStream(self, call, StateOfTheWorldStream()).serve()
         elif call.path == names.DELTA_ADS_METHOD:
@@ -100,11 +101,11 @@
             call.finish(Status.UNIMPLEMENTED, f"{call.path} is not served; served are {served}")
 
     def register_node(self, stream: Stream, identity: str) -> None:
-        """Check who a stream's first request says it is, and number the node.
+        """Check the node name in a stream's first request, and assign the node a number.
 
         Raises:
-            IdentityConflictError: `identity`, from its certificate, is another.
-            StreamProtocolError: There is no room for another node.
+            IdentityConflictError: `identity`, from the peer's certificate, is another name.
+            StreamProtocolError: The maximum number of nodes is reached.
         """
         require_identity(stream.node_id, identity)
         seen_term = stream.metadata.get("term", 0)
@@ -120,13 +121,13 @@
         if node_id in self.proxy_numbers:
             return
         if len(self.proxy_numbers) >= MAX_PROXIES:
-            raise StreamProtocolError("no room for more proxies")
+            raise StreamProtocolError("the maximum number of proxies is reached")
         number = len(self.proxy_numbers)
         self.proxy_numbers[node_id] = number
         self.new_proxy_numbers[node_id] = number
 
     def open_delta_session(self, call: Call, stream: DeltaStream) -> DeltaSession:
-        """Begin a proxy's session, in place of an earlier one of its node."""
+        """Open a proxy's session, replacing an earlier session of the same node."""
         proxy = self.proxy_numbers[stream.node_id]
         now = trio.current_time()
         self._end_previous_session(proxy)
@@ -140,7 +141,7 @@
         stream: StateOfTheWorldStream,
         calls_by_type: dict[str, Call] | None = None,
     ) -> StateOfTheWorldSession:
-        """As `open_delta_session`; `calls_by_type` for a client with a stream for each type."""
+        """As `open_delta_session`; `calls_by_type` is for clients with a stream for each type."""
         proxy = self.proxy_numbers[stream.node_id]
         now = trio.current_time()
         self._end_previous_session(proxy)
@@ -154,14 +155,14 @@
         return SessionCallbacks(self.loop.submit, self.log_event, self._notify_higher_term)
 
     def _end_previous_session(self, proxy: int) -> None:
-        """A new stream of the same node: the old one is dead, or about to be."""
+        """Close a session that an earlier stream of the same node left open."""
         previous = self.sessions.get(proxy)
         if previous is not None:
             self.close_session(previous)
-            previous.end(Status.CANCELLED, "another stream of this node has come")
+            previous.end(Status.CANCELLED, "replaced by a newer stream of the same node")
 
     def _add_session(self, session: Session, supports_ejection_overlay: bool) -> None:
-        """Make a session its proxy's, and notify the decision module of the proxy."""
+        """Register a proxy's session, and notify the decision module of the proxy."""
         stream = session.stream
         held_tables = stream.acked_versions[names.ENDPOINTS_TYPE]
         self.sessions[session.proxy] = session
@@ -191,7 +192,7 @@
         )
 
     def close_session(self, session: Session) -> None:
-        """End a session, if it is still its proxy's, and notify the decision module."""
+        """Remove a session if it is its proxy's current one, and notify the decision module."""
         if self.sessions.get(session.proxy) is not session:
             return
         del self.sessions[session.proxy]
@@ -202,7 +203,7 @@
         self.log_event("proxy.disconnected", proxy=session.stream.node_id, number=session.proxy)
 
     async def _serve_load_reports(self, call: Call) -> None:
-        """Serve one LRS stream: its first report is answered with the reporting interval."""
+        """Serve one LRS stream; the response to its first report has the reporting interval."""
         await self.leading.wait()
         call.accept()
         node_id = ""
@@ -217,15 +218,18 @@
                 node_id = report.node_id
                 identity = call.connection.identity
                 if identity not in ("", node_id):
-                    call.finish(Status.PERMISSION_DENIED, f"{node_id} is not {identity}")
+                    call.finish(
+                        Status.PERMISSION_DENIED,
+                        f"{node_id} does not match the identity in the certificate, {identity}",
+                    )
                     return
                 call.send(load_reports.encode_response(self.report_interval))
             self._add_report(node_id, report)
 
     def _add_report(self, node_id: str, report: load_reports.LoadReport) -> None:
-        """Aggregate a report of a connected proxy, as far as it is about listed workers."""
-        # Without this, a peer could make up workers, and fill with them the aggregator and the
-        # rate at which the module takes reports.
+        """Aggregate a connected proxy's report, without workers that were never listed."""
+        # A peer could otherwise report invented workers, filling the aggregator and using up the
+        # rate at which the decision module receives reports.
         report.workers = {
             worker: statistics
             for worker, statistics in report.workers.items()
@@ -238,7 +242,7 @@
         self.report_aggregator.add_report(trio.current_time(), proxy, zone, report)
 
     async def submit_reports(self) -> None:
-        """Every reporting interval, submit what the aggregator lets through, until cancelled."""
+        """Submit the aggregator's events once per reporting interval, until cancelled."""
         while True:
             await trio.sleep(self.report_interval)
             events = self.report_aggregator.take_events(trio.current_time())
--- a/dunlinlug/ads/session.py
+++ b/dunlinlug/ads/session.py
@@ -1,4 +1,4 @@
-"""One proxy's delta ADS stream: what waits to be sent, what is in flight, what it rejected."""
+"""One proxy's delta ADS stream: its pending batch, responses in flight, and rejections."""
 
 import time
 from dataclasses import dataclass
@@ -14,17 +14,17 @@
 from dunlinlug.xds.encoding import EncodedResource
 from dunlinlug.xds.stream import DeltaStream, ResponseAcknowledged, ResponseRejected
 
-# Batches sent and not yet answered. Later ones are merged while they wait, so that a proxy that
-# never answers costs a bounded amount of memory.
+# Maximum number of sent batches that are not yet acknowledged. Later batches are merged while they
+# wait, so that a proxy that never answers uses a bounded amount of memory.
 MAX_IN_FLIGHT = 8
 
 
 @dataclass
 class InFlightResponses:
-    """A batch on its way.
+    """A batch that was sent and is not fully acknowledged.
 
     Attributes:
-        nonces: Those of its responses that were not answered yet.
+        nonces: Nonces of its responses that are not yet answered.
         ack_requests: As in `ResponseBatch`.
         rejected: Whether the proxy rejected any of the responses.
     """
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class SentResources:
-    """What went out under one nonce, and the batch that it was part of."""
+    """The resources sent with one nonce, and the batch they belong to."""
 
     batch: InFlightResponses
     resources: tuple[EncodedResource, ...]
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class PlannedResponse:
-    """One response to be sent: resources of one type, or names of removed ones."""
+    """One response to be sent: resources of one type, or names of removed resources."""
 
     type_url: str
     resources: tuple[EncodedResource, ...] = ()
@@ -52,10 +52,10 @@
 
 
 class DeltaSession:
-    """Sends batches over one stream and reports what the proxy acknowledges.
+    """Sends batches over one stream and reports the proxy's acknowledgements.
 
-    Call `enqueue` with batches and `handle_answer` with the stream's answers; run `run_sender` for
-    as long as the stream is open.
+    Call `enqueue` with batches and `handle_answer` with ACKs and NACKs; run `run_sender` while the
+    stream is open.
     """
 
     def __init__(
@@ -74,11 +74,11 @@
         self.pending_batch: ResponseBatch | None = None
         self.in_flight: list[InFlightResponses] = []
         self.sent_by_nonce: dict[str, SentResources] = {}
-        self.rejected_versions: dict[str, str] = {}  # by resource, the version last rejected
+        self.rejected_versions: dict[str, str] = {}  # version last rejected, by resource name
         self.send_blocked = trio.Event()
 
     def enqueue(self, batch: ResponseBatch) -> None:
-        """Send a batch, or merge it with the one that still waits."""
+        """Send a batch, or merge it with the pending one."""
         if self.pending_batch is None:
             self.pending_batch = batch
         else:
@@ -86,7 +86,7 @@
         self._send_pending()
 
     def _send_pending(self) -> None:
-        """Send what waits, unless the peer has not taken what was sent before."""
+        """Send the pending batch, unless too many are in flight or earlier data is unsent."""
         if self.pending_batch is None or len(self.in_flight) >= MAX_IN_FLIGHT:
             return
         if self.call.unsent_bytes:
@@ -97,7 +97,7 @@
         self._send_batch(batch)
 
     async def run_sender(self) -> None:
-        """Send again whenever the peer has taken what was held back, until cancelled."""
+        """Send the pending batch whenever the unsent data has been written, until cancelled."""
         while True:
             await self.send_blocked.wait()
             self.send_blocked = trio.Event()
@@ -107,9 +107,9 @@
     def _send_batch(self, batch: ResponseBatch) -> None:
         in_flight = InFlightResponses(set(), batch.ack_requests)
         responses = self._plan_responses(batch)
-        # The first response's tag tells a proxy's record when the batch was first ordered (on the
-        # monotonic clock, which all processes of a machine share), how many entries it counts
-        # for, and how many replies it merges.
+        # The tag of the first response is for the proxy's own record: the time at which the batch
+        # was first ordered (on the monotonic clock, which all processes of a machine share), its
+        # entry count, and the number of replies merged into it.
         ordered_at = batch.ordered_at - trio.current_time() + time.monotonic()
         tag = f"{ordered_at:.6f} {batch.entry_count:g} {batch.reply_count}"
         last = len(responses) - 1
@@ -124,7 +124,7 @@
         self.in_flight.append(in_flight)
 
     def _plan_responses(self, batch: ResponseBatch) -> list[PlannedResponse]:
-        """The responses of a batch in order; an empty one if there is nothing but a request."""
+        """Return a batch's responses in order, or one empty response if it has no resources."""
         accepted = [
             resource for resource in batch.tables.values() if not self._was_rejected(resource)
         ]
@@ -135,8 +135,8 @@
             resource for resource in accepted if resource.name != names.EJECTIONS_RESOURCE
         )
         responses = []
-        # A proxy rejects a response as a whole: without a response of their own, ejections would
-        # be lost with a table that is rejected.
+        # A proxy rejects a response as a whole, so ejections have a separate response: they must
+        # not be lost when a table is rejected.
         if ejections:
             responses.append(PlannedResponse(names.ENDPOINTS_TYPE, ejections))
         if tables:
@@ -152,7 +152,7 @@
         return self.rejected_versions.get(resource.name) == resource.version
 
     def handle_answer(self, answer: ResponseAcknowledged | ResponseRejected, now: float) -> None:
-        """Take the answer to one response; report a batch once all of it is acknowledged."""
+        """Handle the ACK or NACK of one response; report a batch once all of it is acknowledged."""
         sent = self.sent_by_nonce.pop(answer.nonce)
         sent.batch.nonces.discard(answer.nonce)
         if isinstance(answer, ResponseRejected):
@@ -169,7 +169,7 @@
         self._send_pending()
 
     def _record_rejection(self, resources: tuple[EncodedResource, ...], reason: str) -> None:
-        """Remember the versions, so as not to send them again; log what was not known yet."""
+        """Record rejected versions so they are not sent again; log those not yet recorded."""
         is_new = not all(self._was_rejected(resource) for resource in resources)
         rejected = {resource.name: resource.version for resource in resources}
         if is_new:
@@ -182,18 +182,18 @@
         self.rejected_versions.update(rejected)
 
     def _report_acknowledgements(self, now: float) -> None:
-        """Report the batches that are answered, in the order in which they were sent."""
+        """Report fully answered batches in the order in which they were sent."""
         while self.in_flight and not self.in_flight[0].nonces:
             completed = self.in_flight.pop(0)
-            # Without this, a later acknowledgement would stand for a table that the proxy has
-            # rejected and still does not hold.
+            # A later acknowledgement must not cover a table that the proxy has rejected and still
+            # does not hold.
             if completed.rejected or self.rejected_versions:
                 continue
             for number, ordered_at in completed.ack_requests:
                 self.callbacks.submit(Acknowledged(self.proxy, number, now - ordered_at))
 
     def end(self, status: Status, reason: str) -> None:
-        """Finish the call with this status, and cancel what serves it."""
+        """Finish the call with this status, and cancel the task that serves it."""
         self.call.finish(status, reason)
         self.call.scope.cancel()
 
--- a/dunlinlug/ads/session_callbacks.py
+++ b/dunlinlug/ads/session_callbacks.py
@@ -1,4 +1,4 @@
-"""What a proxy's session needs of the manager that serves it."""
+"""Callbacks from a proxy's session to the manager that serves it."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,17 +7,18 @@
 
 
 def _ignore_term(_term: int) -> None:
-    """A manager that elects no leader has no terms."""
+    """Ignore a higher term, as there are no terms without leader election."""
 
 
 @dataclass(frozen=True)
 class SessionCallbacks:
-    """Where a session reports to.
+    """Callbacks of a session.
 
     Attributes:
-        submit: Takes events for the decision module.
+        submit: Submits an event to the decision module.
         log_event: Writes one structured log line: event name and fields.
-        on_higher_term: Takes a leader's term that a proxy knows and that is higher than ours.
+        on_higher_term: Called with a leader's term that a proxy has seen and that is higher than
+            this manager's.
     """
 
     submit: Callable[[Event], None]
--- a/dunlinlug/ads/shutdown.py
+++ b/dunlinlug/ads/shutdown.py
@@ -1,4 +1,4 @@
-"""How a manager stops: it waits for a signal, decides no more, leaves, closes its store."""
+"""Stops a manager: waits for a signal, stops decisions, leaves the fleet, closes the store."""
 
 from collections.abc import Callable
 
@@ -14,14 +14,14 @@
 
 
 def begin_shutdown(components: ManagerComponents, membership: Membership | None) -> None:
-    """Decide nothing more, and tell the other members, before the tasks are cancelled."""
+    """Stop the decision loop and leave the membership, before the tasks are cancelled."""
     components.loop.stop()
     if membership is not None:
         membership.leave()
 
 
 def finish_shutdown(components: ManagerComponents) -> None:
-    """Log the figures of this run and close the store, once all tasks have ended."""
+    """Log this run's totals and close the store, after all tasks have ended."""
     components.log_event(
         "manager.stopped",
         batches=components.loop.batch_count,
--- a/dunlinlug/ads/split_streams.py
+++ b/dunlinlug/ads/split_streams.py
@@ -1,7 +1,7 @@
 """Serves clients that open one state-of-the-world stream for each type (LDS, RDS, CDS, EDS).
 
-All streams of one node share one state and one session: together they are one proxy, for as long
-as its stream of listeners is open. Owns these clients by node name.
+All streams of one node share one state and one session and count as one proxy while the node's LDS
+stream is open. Owns these clients by node name.
 """
 
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 @dataclass
 class SplitStreamClient:
-    """A client's shared state, its session once it asks for listeners, and its calls by type."""
+    """A client's shared state, its session (once it subscribes to listeners) and calls by type."""
 
     stream: StateOfTheWorldStream
     session: StateOfTheWorldSession | None = None
@@ -27,14 +27,14 @@
 
 
 class SplitStreams:
-    """All clients with a stream for each type."""
+    """Serves all clients that have a stream for each type."""
 
     def __init__(self, host: StreamHost) -> None:
         self.host = host
         self.clients: dict[str, SplitStreamClient] = {}  # by node name
 
     async def serve(self, call: Call, type_url: str) -> None:
-        """Serve one type's call to its end."""
+        """Serve the call for one type until it ends."""
         await self.host.leading.wait()
         call.accept()
         client: SplitStreamClient | None = None
@@ -78,11 +78,12 @@
             nursery.start_soon(client.session.run_sender)
 
     def _join_client(self, data: bytes, call: Call, type_url: str) -> SplitStreamClient:
-        """Add this call to the client whose node the first request names.
+        """Add this call to the client whose node is named in the first request.
 
         Raises:
             IdentityConflictError: The call's certificate names another node.
-            StreamProtocolError: It is not a request of this type, or no node fits in any more.
+            StreamProtocolError: `data` is not a valid first request of this type, or the maximum
+                number of nodes is reached.
         """
         first_stream = StateOfTheWorldStream()
         first_stream.receive(data, type_url)
@@ -99,7 +100,7 @@
         return client
 
     def _shared_stream(self, first_stream: StateOfTheWorldStream) -> StateOfTheWorldStream:
-        """A stream state for all types of the node that the first request of any type names."""
+        """Create the state shared by all streams of a node, from its first request of any type."""
         shared_stream = StateOfTheWorldStream()
         shared_stream.node_id = first_stream.node_id
         shared_stream.zone = first_stream.zone
@@ -108,7 +109,7 @@
         return shared_stream
 
     def _remove_stream(self, client: SplitStreamClient, type_url: str) -> None:
-        """Drop a stream that has ended; without the listeners' one the proxy has left."""
+        """Remove an ended stream; the end of the LDS stream disconnects the proxy."""
         del client.calls[type_url]
         client.stream.close_type(type_url)
         if client.session is not None and type_url == names.LISTENERS_TYPE:
--- a/dunlinlug/ads/state_of_the_world_session.py
+++ b/dunlinlug/ads/state_of_the_world_session.py
@@ -1,4 +1,4 @@
-"""One client's state-of-the-world stream: what it should hold, was sent, and has acknowledged."""
+"""One client's state-of-the-world session: sends resources and reports acknowledgements."""
 
 import trio
 
@@ -15,14 +15,14 @@
 class StateOfTheWorldSession:
     """As `DeltaSession`, for the state-of-the-world form.
 
-    An acknowledgement is reported once the client holds all resources that were offered with it,
-    down to the endpoints of each traffic class that it asks for.
+    An acknowledgement is reported once the client holds all resources offered with it, including
+    the endpoints of each traffic class that it subscribes to.
 
-    `calls_by_type` has the calls of a client with a stream for each type; the dictionary belongs to
-    whoever serves those streams, and changes as they come and go.
+    `calls_by_type` has the calls of a client with a stream for each type; `SplitStreams` owns the
+    dictionary and updates it as streams are opened and closed.
     """
 
-    def __init__(  # noqa: PLR0913 - those of DeltaSession, and the calls
+    def __init__(  # noqa: PLR0913 - the arguments of DeltaSession and the calls
         self,
         proxy: int,
         call: Call,
@@ -43,22 +43,22 @@
         self.send_blocked = trio.Event()
 
     def enqueue(self, batch: ResponseBatch) -> None:
-        """Offer a batch, which takes the place of all before it."""
+        """Offer a batch's resources, which replace those of all earlier batches."""
         self.ack_requests += batch.ack_requests
         if batch.state_of_the_world is not None:
             self.stream.resources = batch.state_of_the_world
         self.send_pending()
 
     def send_pending(self) -> None:
-        """Send what differs from what was sent, unless the peer has not taken that yet."""
+        """Send the resources that changed, unless earlier data is still unsent."""
         if any(call.unsent_bytes for call in self._calls()):
             self.send_blocked.set()
             return
         for response in self.stream.pending_responses():
             self.resources_by_nonce[response.nonce] = response.names
             self.calls_by_type.get(response.type_url, self.call).send(response.data)
-        # Answers to any but the newest response are ignored: without this, the nonces of those
-        # that never get an answer would pile up.
+        # Answers to any but the newest response are ignored. The nonces of responses that are
+        # never answered are dropped here, as they would otherwise accumulate.
         newest_nonces = set(self.stream.pending_nonces.values())
         self.resources_by_nonce = {
             nonce: resource_names
@@ -71,7 +71,7 @@
         return (self.call, *self.calls_by_type.values())
 
     async def run_sender(self) -> None:
-        """Send again whenever the peer has taken what was held back, until cancelled."""
+        """Send pending resources whenever the unsent data has been written, until cancelled."""
         while True:
             await self.send_blocked.wait()
             self.send_blocked = trio.Event()
@@ -80,7 +80,7 @@
             self.send_pending()
 
     def end(self, status: Status, reason: str) -> None:
-        """Finish all calls of the client with this status, and cancel what serves them."""
+        """Finish all calls of the client with this status, and cancel the tasks that serve them."""
         for call in self._calls():
             call.finish(status, reason)
             call.scope.cancel()
@@ -88,9 +88,9 @@
     def handle_answer(
         self,
         answer: ResponseAcknowledged | ResponseRejected,
-        now: float,  # noqa: ARG002 - as in DeltaSession; here sending reports acknowledgements
+        now: float,  # noqa: ARG002 - as in DeltaSession; send_pending reports acknowledgements
     ) -> None:
-        """Take the answer to one response, and send what is due after it."""
+        """Handle the ACK or NACK of one response, and send the responses that are now due."""
         resource_names = self.resources_by_nonce.pop(answer.nonce, ())
         if isinstance(answer, ResponseRejected):
             term = fencing_term.superseding_term(answer.reason)
@@ -112,4 +112,4 @@
                 self.callbacks.submit(Acknowledged(self.proxy, number, now - ordered_at))
 
     def forget_unused_rejections(self, used_tables: set[str]) -> None:
-        """Do nothing: this form keeps no rejections by table."""
+        """Do nothing, as this form records no rejections by table."""
--- a/dunlinlug/ads/stored_endpoint_list.py
+++ b/dunlinlug/ads/stored_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list that the store has from before, as the decision module's first event."""
+"""Restores the endpoint list of an earlier run from the store."""
 
 from dunlinlug.ads.composition import ManagerComponents, module_clock_offset
 from dunlinlug.decision.events import Endpoint, EndpointsUpdated, UpdateType
@@ -6,7 +6,10 @@
 
 
 def submit_stored_list(components: ManagerComponents) -> None:
-    """Submit the stored list, an empty one too; one that cannot be read is logged and is empty."""
+    """Submit the stored list to the decision module.
+
+    An empty list is submitted if there is none, or if it is invalid, which is logged.
+    """
     workers: list[Endpoint] = []
     body = components.store.endpoint_list()
     if body is not None:
--- a/dunlinlug/ads/stream_host.py
+++ b/dunlinlug/ads/stream_host.py
@@ -1,4 +1,4 @@
-"""What the code that serves one xDS stream needs of the service around it."""
+"""The interface of the xDS service that is used by the code serving one stream."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -14,15 +14,15 @@
 
 
 class IdentityConflictError(DunlinlugError):
-    """A peer claims a node name that its certificate does not have."""
+    """A peer's node name does not match the identity in its certificate."""
 
 
 class StreamHost(Protocol):
-    """The xDS service, as its streams see it.
+    """The part of the xDS service that its streams use.
 
     Attributes:
         leading: Not set while another manager leads; calls wait for it.
-        control_plane_id: This manager's name in responses, with its term if it has one.
+        control_plane_id: This manager's identifier in responses, with its term if it has one.
         log_event: Writes one structured log line: event name and fields.
     """
 
@@ -31,15 +31,15 @@
     log_event: Callable[..., None]
 
     def register_node(self, stream: DeltaStream | StateOfTheWorldStream, identity: str) -> None:
-        """Check who a stream's first request says it is, and number the node.
+        """Check the node name in a stream's first request, and assign the node a number.
 
         Raises:
-            IdentityConflictError: `identity`, from its certificate, is another.
-            StreamProtocolError: There is no room for another node.
+            IdentityConflictError: `identity`, from the peer's certificate, is another name.
+            StreamProtocolError: The maximum number of nodes is reached.
         """
 
     def open_delta_session(self, call: Call, stream: DeltaStream) -> DeltaSession:
-        """Begin a proxy's session, in place of an earlier one of its node."""
+        """Open a proxy's session, replacing an earlier session of the same node."""
 
     def open_state_of_the_world_session(
         self,
@@ -47,17 +47,19 @@
         stream: StateOfTheWorldStream,
         calls_by_type: dict[str, Call] | None = None,
     ) -> StateOfTheWorldSession:
-        """Begin a proxy's session, in place of an earlier one of its node."""
+        """Open a proxy's session, replacing an earlier session of the same node."""
 
     def close_session(self, session: DeltaSession | StateOfTheWorldSession) -> None:
-        """End a session, if it is still its proxy's."""
+        """Remove a session if it is still its proxy's current one."""
 
 
 def require_identity(node_id: str, identity: str) -> None:
-    """Check a node's name by its certificate; an empty identity (no TLS) proves any.
+    """Check a node's name against its certificate; an empty identity (no TLS) matches any name.
 
     Raises:
-        IdentityConflictError: The certificate names another.
+        IdentityConflictError: The certificate names another node.
     """
     if identity not in ("", node_id):
-        raise IdentityConflictError(f"{node_id} is not who its certificate names: {identity}")
+        raise IdentityConflictError(
+            f"{node_id} does not match the identity in the certificate, {identity}"
+        )
--- a/dunlinlug/ads/table_view.py
+++ b/dunlinlug/ads/table_view.py
@@ -1,6 +1,6 @@
-"""The tables in use, by traffic class, as plain values for people and programs.
+"""Describes the tables in use, by traffic class, for the admin API.
 
-The field names are the keys of the admin API's JSON.
+The field names are the keys of the API's JSON.
 """
 
 from collections import Counter
@@ -35,8 +35,8 @@
 class ClassDescription(TypedDict):
     """A traffic class: its tables, most used first, and its operator override.
 
-    `without_table` counts proxies with no table yet, `in_change` those that may use either of
-    several.
+    `without_table` counts proxies that have no table yet, `in_change` those that may be using any
+    of several tables, as a change is not yet acknowledged.
     """
 
     product: str
@@ -80,14 +80,14 @@
 
 
 class _TableView:
-    """Describes tables by what is installed and what the validator knows of proxies and workers."""
+    """Describes tables from the state of the installer and that of the validator."""
 
     def __init__(self, installer: XdsTableInstaller, validator: OrderValidator) -> None:
         self.installer = installer
         self.validator = validator
 
     def proxies_by_table(self, class_index: int) -> Counter[int]:
-        """How many proxies use each table for this class."""
+        """Count the proxies that use each table for this class."""
         return Counter(
             proxy_state.table_by_class[class_index]
             for proxy_state in self.installer.proxies.values()
@@ -95,7 +95,7 @@
         )
 
     def proxies_in_change(self, class_index: int) -> int:
-        """How many proxies may use either of several tables for this class."""
+        """Count the proxies that may be using any of several tables for this class."""
         return sum(
             len(self.validator.usage.possible_tables(proxy, class_index)) > 1
             for proxy in self.installer.proxies
--- a/dunlinlug/discovery/__init__.py
+++ b/dunlinlug/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol of service discovery: Consul's health list by blocking queries; free of I/O."""
+"""Service discovery protocol: Consul's health endpoint with blocking queries, without I/O."""
--- a/dunlinlug/discovery/blocking_query.py
+++ b/dunlinlug/discovery/blocking_query.py
@@ -1,32 +1,32 @@
-"""The state of Consul's blocking queries: the index to ask from, and the delay after a failure.
+"""The state of Consul's blocking queries: the index of the next query, and the retry backoff.
 
 Source: Consul's HTTP API, "Blocking Queries".
 """
 
 from collections.abc import Callable
 
-# Seconds after a first failure, doubled with each further one up to the maximum; the range that
-# Consul's own clients use.
+# Seconds of backoff after the first failure, doubled with each further failure up to the maximum;
+# the range is that of Consul's clients.
 INITIAL_BACKOFF = 0.25
 MAX_BACKOFF = 10.0
-# Seconds from an answer to the next query at least, so that a server that does not block is not
-# flooded.
+# Minimum seconds from a response to the next query, to limit the query rate at a server that does
+# not block.
 MIN_QUERY_INTERVAL = 0.05
 INDEX_HEADER = "x-consul-index"
 
 
 class BlockingQuery:
-    """The queries of one client for one service."""
+    """The state of one client's queries for one service."""
 
     def __init__(
         self, service: str, wait: float, random_uniform: Callable[[float, float], float]
     ) -> None:
-        """Follow a service.
+        """Start without an index, so that the first query returns at once.
 
         Args:
-            service: Its name.
-            wait: Seconds that the server may block a query.
-            random_uniform: Gives a random number between two others, for the backoff.
+            service: The name of the service.
+            wait: Seconds for which the server may block a query.
+            random_uniform: Returns a random number between two bounds, for the backoff.
         """
         self.service = service
         self.wait = wait
@@ -35,7 +35,7 @@
         self.failure_count = 0
 
     def request_path(self) -> str:
-        """The path of the next query; the server blocks it once an index is known."""
+        """Return the path of the next query; the server blocks a query that contains an index."""
         path = f"/v1/health/service/{self.service}"
         if not self.index:
             return path
@@ -43,24 +43,24 @@
         return f"{path}?index={self.index}&wait={wait_ms}ms"
 
     def record_index(self, index: str | None) -> bool:
-        """Take the index of an answer; says whether the answer may differ from the one before.
+        """Record a response's index; returns whether the response may differ from the last one.
 
         Raises:
-            ValueError: The index is not a whole number above 0, so that nothing could be waited
-                for.
+            ValueError: The index is not an integer above 0, so that it cannot be used for a
+                blocking query.
         """
         if index is None or not index.isdigit() or not int(index):
             raise ValueError(f"the index is {index!r}, not a whole number above 0")
         number = int(index)
         previous = self.index
         self.failure_count = 0
-        # Without this, a server whose state was restored from a copy, and whose index is therefore
-        # lower, would be waited on for ever.
+        # A lower index means that the server's state was restored from a snapshot; a query with the
+        # old index would block until the server reaches it again.
         self.index = number if number >= previous else 0
         return number != previous
 
     def next_backoff(self) -> float:
-        """Seconds to wait before the next query; random, so that clients do not come together."""
+        """Return the seconds until the next query, with jitter to spread the clients' retries."""
         self.failure_count += 1
         max_delay = min(INITIAL_BACKOFF * 2.0 ** (self.failure_count - 1), MAX_BACKOFF)
         return self.random_uniform(max_delay / 2, max_delay)
--- a/dunlinlug/discovery/entries.py
+++ b/dunlinlug/discovery/entries.py
@@ -1,8 +1,7 @@
-"""Entries of `GET /v1/health/service/NAME` to endpoints and back.
+"""Decodes entries of `GET /v1/health/service/NAME` as endpoints, and encodes them.
 
 Source: Consul's HTTP API, "List Service Instances for Service". An endpoint is ready while all its
-checks pass, and draining while any is in maintenance or critical; one that is not in the list is
-gone.
+checks pass, draining while any check has another status, and gone if it is not in the list.
 """
 
 import json
@@ -12,26 +11,26 @@
 from dunlinlug.decision.events import Endpoint, EndpointState
 from dunlinlug.errors import DunlinlugError
 
-WEIGHT_SCALE = 100  # Consul's weights are whole numbers; ours are parts of a usual endpoint
+WEIGHT_SCALE = 100  # Consul's weights are integers; a weight of 1 is that of a usual endpoint
 
 
 class DiscoveryResponseError(DunlinlugError):
-    """An answer that is not a list of entries; the text says what is wrong with it."""
+    """A response that is not a list of valid entries; the text is the reason."""
 
 
 def decode_workers(body: bytes, clock_offset: float) -> tuple[list[Endpoint], list[str]]:
-    """The endpoints of one answer, sorted by id, and the ids that stand in it more than once.
+    """Decode the endpoints of a response, sorted by id, and the ids that occur more than once.
 
-    Of several entries with the same address the one that started last is taken, as it is that of
-    the process that holds the address now.
+    Of several entries with the same address, the one that started last is used, as its process is
+    the one using the address now.
 
     Args:
-        body: The answer.
-        clock_offset: What to add to the wall-clock seconds of the wire to have the decision
-            module's.
+        body: The response body.
+        clock_offset: Seconds to add to wall-clock times in the response to convert them to the
+            decision module's clock.
 
     Raises:
-        DiscoveryResponseError: The answer is not a list of entries.
+        DiscoveryResponseError: The response is not a list of valid entries.
     """
     try:
         entries = json.loads(body)
@@ -52,7 +51,7 @@
 
 
 def _decode_entry(entry: Any, clock_offset: float) -> Endpoint:
-    """An endpoint; the entry may be any JSON value. Raises DiscoveryResponseError."""
+    """Decode an entry, which may be any JSON value. Raises DiscoveryResponseError."""
     try:
         service = entry["Service"]
         metadata = entry["Service"].get("Meta") or {}
@@ -76,7 +75,7 @@
 
 
 def encode_workers(workers: Iterable[Endpoint]) -> bytes:
-    """The body of an answer, with wall-clock starts; endpoints that are gone are left out."""
+    """Encode a response body, with wall-clock start times; endpoints that are gone are omitted."""
     entries = [_encode_entry(worker) for worker in workers if worker.state != "gone"]
     return json.dumps(entries).encode()
 
--- a/dunlinlug/net/__init__.py
+++ b/dunlinlug/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets over trio for the protocol packages: gRPC, HTTP/1.1 and TLS; nothing is decided here."""
+"""Network I/O on trio for gRPC, HTTP/1.1 and TLS, without application logic."""
--- a/dunlinlug/net/grpc.py
+++ b/dunlinlug/net/grpc.py
@@ -1,6 +1,6 @@
-"""gRPC over trio streams: moves the bytes of `dunlinlug.rpc`, and connects clients.
+"""gRPC over trio streams: transfers the bytes of `dunlinlug.rpc`, and connects clients.
 
-Each connection's tasks live in the nursery of its `run`.
+Each connection's tasks run in the nursery of its `run` method.
 """
 
 import os
@@ -14,17 +14,17 @@
 from dunlinlug import rpc
 from dunlinlug.errors import DunlinlugError
 
-READ_SIZE = 2**16  # bytes asked of a socket at a time
-# Messages that a peer may send ahead of their handling before its call is ended.
+READ_SIZE = 2**16  # maximum bytes of one read
+# Maximum received messages of a call that are not yet handled; a call that exceeds it is ended.
 MAX_PENDING_MESSAGES = 256
-# Seconds at the end for what is being written and for GOAWAY; a peer that takes nothing gets none.
+# Seconds for finishing a write and sending GOAWAY on close; a peer that does not read gets neither.
 CLOSE_TIMEOUT = 0.5
-# Bytes left to write above which nothing more is read, as the peer must take its answers first.
+# Unwritten bytes above which reading pauses, until the peer has read its responses.
 MAX_UNWRITTEN_BYTES = 2**22
 
 
 class CallEndedError(DunlinlugError):
-    """The call is over: its status (None if it ended without one) and the reason."""
+    """The call has ended: its status (None if it ended without one) and the reason."""
 
     def __init__(self, status: int | None, reason: str) -> None:
         super().__init__(reason)
@@ -37,8 +37,8 @@
 
     Attributes:
         ended: How it ended, or None.
-        headers_received: Set once the server's first headers have come (client side), or it ended.
-        scope: Cancel it to stop what serves the call.
+        headers_received: Set once the response headers are received (client side) or the call ends.
+        scope: Cancel it to stop the task that serves the call.
     """
 
     def __init__(self, connection: "GrpcConnection", stream_id: int, path: str) -> None:
@@ -53,10 +53,10 @@
         self.scope = trio.CancelScope()
 
     async def receive(self) -> bytes:
-        """The next message.
+        """Return the next message.
 
         Raises:
-            CallEndedError: There is none after the last.
+            CallEndedError: The call has ended and there are no more messages.
         """
         try:
             return await self.message_receiver.receive()
@@ -64,9 +64,9 @@
             raise self.ended or CallEndedError(None, "the peer ended the call") from None
 
     def send(self, message: bytes, buffered: bool = False) -> None:
-        """Queue a message; look at `unsent_bytes` before queueing many.
+        """Queue a message; check `unsent_bytes` before queueing many.
 
-        With `buffered`, it is written together with the next one.
+        With `buffered`, the message is written together with the next one.
         """
         self.connection.protocol.send(self.stream_id, message)
         if not buffered:
@@ -79,18 +79,18 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that flow control or the socket holds back."""
+        """Bytes held back by flow control or by the socket."""
         return (
             self.connection.protocol.unsent_bytes(self.stream_id) + self.connection.unwritten_bytes
         )
 
     async def wait_sent(self) -> None:
-        """Wait until nothing is held back any more (or the call has ended)."""
+        """Wait until no bytes are held back or the call has ended."""
         while self.unsent_bytes and self.ended is None:
             await self.connection.write_completed.wait()
 
     def finish(self, status: rpc.Status, text: str = "") -> None:
-        """End the call with a status (server side), after what is queued."""
+        """End the call with a status (server side), after the queued data."""
         self.connection.protocol.finish(self.stream_id, status, text)
         self.connection.flush()
 
@@ -100,20 +100,20 @@
         self.connection.flush()
 
     def end(self, status: int | None, reason: str) -> None:
-        """The call has ended; only the first end counts."""
+        """Mark the call as ended; only the first status and reason are kept."""
         self.ended = self.ended or CallEndedError(status, reason)
         self.headers_received.set()
         self.message_sender.close()
 
 
 class GrpcConnection:
-    """A socket with its protocol state and its calls by stream number.
+    """A socket with its protocol state and its calls by stream id.
 
     Attributes:
-        identity: The peer's name by its certificate; empty without TLS.
-        outgoing: Bytes taken from the protocol and not yet written, `unwritten_bytes` in all.
-        last_received_at: When the last byte came (trio's clock).
-        resume_reading: Nothing is read until this event is set; None to read.
+        identity: The peer's name in its certificate; empty without TLS.
+        outgoing: Bytes taken from the protocol and not yet written, `unwritten_bytes` in total.
+        last_received_at: When the last byte was received (trio's clock).
+        resume_reading: Reading is paused until this event is set; None to read.
     """
 
     def __init__(
@@ -134,7 +134,7 @@
         self.close_deadline = inf
 
     def flush(self) -> None:
-        """Write what the protocol has to send; the writer gets what does not leave at once."""
+        """Write the protocol's pending bytes; the writer task writes the rest later."""
         data = self.protocol.data_to_send()
         if data and not self.unwritten_bytes:
             data = data[self._write_now(data) :]
@@ -144,10 +144,10 @@
             self.write_requested.set()
 
     def _write_now(self, data: bytes) -> int:
-        """Write what the socket takes without waiting; gives the number of bytes.
+        """Write as much as the socket accepts without blocking; returns the number of bytes.
 
-        It saves a switch to the writer task for nearly every message. An error is left to the
-        writer, which meets it again.
+        This saves a switch to the writer task for nearly every message. An error is ignored here,
+        as the writer task gets it again.
         """
         if not isinstance(self.socket, trio.SocketStream):
             return 0
@@ -169,11 +169,12 @@
         first_call_timeout: float = 10.0,
         idle_timeout: float = 60.0,
     ) -> None:
-        """Move bytes until either side closes.
+        """Transfer bytes until either side closes the connection.
 
         Args:
-            handler: Serves each call of the peer's; None on the client side.
-            first_call_timeout: Seconds until the peer must have opened a call, with a handler.
+            handler: Serves each call opened by the peer; None on the client side.
+            first_call_timeout: Seconds within which the peer must open a call, if there is a
+                handler.
             idle_timeout: Seconds without a byte after which the connection is closed; the peer is
                 pinged after a third of that.
         """
@@ -190,15 +191,15 @@
                 nursery.cancel_scope.cancel()
         finally:
             for call in list(self.calls.values()):
-                call.end(None, "the link broke")
+                call.end(None, "the connection was lost")
             await self._close()
 
     async def _close(self) -> None:
-        """Say goodbye, as far as the peer takes it in time, and close the socket."""
+        """Send pending bytes and GOAWAY, within the close timeout, and close the socket."""
         with trio.move_on_at(self.close_deadline) as scope:
             scope.shield = True
             self.protocol.close()
-            # Behind half a frame, GOAWAY would be read as the rest of that frame.
+            # After a partially written frame, the peer would read GOAWAY as the rest of that frame.
             if not self.write_interrupted:
                 self.flush()
                 with suppress(
@@ -255,9 +256,9 @@
         try:
             call.message_sender.send_nowait(data)
         except trio.WouldBlock:
-            # Without this limit, a peer that sends without pause would fill our memory.
-            call.finish(rpc.Status.RESOURCE_EXHAUSTED, "messages come too fast")
-            self._end_call(call.stream_id, None, "flooded")
+            # Limits the memory used by a peer that sends faster than its messages are handled.
+            call.finish(rpc.Status.RESOURCE_EXHAUSTED, "too many unhandled messages")
+            self._end_call(call.stream_id, None, "too many unhandled messages")
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
 
@@ -269,7 +270,7 @@
         with call.scope, suppress(CallEndedError):
             await handler(call)
         self.protocol.finish(call.stream_id, rpc.Status.OK if call.ended else rpc.Status.CANCELLED)
-        self._end_call(call.stream_id, None, "answered")
+        self._end_call(call.stream_id, None, "the handler returned")
         self.flush()
 
     async def _write(self) -> None:
@@ -279,8 +280,8 @@
             data = b"".join(self.outgoing)
             self.outgoing = []
             try:
-                # Without the shield, nobody would know after a cancellation how much of a frame
-                # was written.
+                # Shielded, as after a cancellation it would be unknown how much of a frame was
+                # written.
                 with trio.CancelScope(
                     shield=True, deadline=self.close_deadline
                 ) as self.write_scope:
@@ -297,9 +298,9 @@
     async def _close_when_idle(
         self, scope: trio.CancelScope, first_call_timeout: float | None, idle_timeout: float
     ) -> None:
-        """Cancel `scope` once the connection is idle; after that, limit the time of writing.
+        """Cancel `scope` once the connection is idle, then set the deadline for closing.
 
-        The limit is set however the connection ends, as this task ends with it.
+        The deadline is set for every way in which the connection ends, as this task ends with it.
         """
         try:
             await self._cancel_when_idle(scope, first_call_timeout, idle_timeout)
@@ -318,7 +319,7 @@
                 and not self.calls
                 and now >= started + first_call_timeout
             ):
-                scope.cancel()  # a client that opens no call takes up no connection
+                scope.cancel()  # closes connections of clients that open no call
             if now >= self.last_received_at + idle_timeout:
                 scope.cancel()
             if now >= self.last_received_at + idle_timeout / 3:
@@ -327,7 +328,7 @@
 
 
 @asynccontextmanager
-async def connect(  # noqa: PLR0913 - where to, and how
+async def connect(  # noqa: PLR0913 - address and options
     host: str,
     port: int,
     connect_timeout: float = 2.0,
@@ -336,18 +337,18 @@
     tls_context: ssl.SSLContext | None = None,
     server_name: str = "",
 ) -> AsyncIterator[GrpcConnection]:
-    """A client's connection, for the time of the block.
+    """Open a client connection for the duration of the block.
 
     Args:
         host: The server's host.
         port: Its port.
-        connect_timeout: Seconds for connecting, with TLS.
+        connect_timeout: Seconds for connecting, including the TLS handshake.
         idle_timeout: As in `GrpcConnection.run`.
         tls_context: None for plain text.
-        server_name: The name that the server's certificate must have; by default the host's.
+        server_name: The name required in the server's certificate; the host by default.
 
     Raises:
-        OSError: Nobody answers in time, or TLS fails.
+        OSError: The connection or the TLS handshake failed or timed out.
     """
     socket: trio.abc.Stream
     with trio.move_on_after(connect_timeout) as scope:
@@ -368,10 +369,10 @@
 async def _start_tls(
     socket: trio.SocketStream, context: ssl.SSLContext, server_name: str, address: str
 ) -> trio.abc.Stream:
-    """A client's side of the handshake. Raises OSError if it fails."""
+    """Do the client's side of the TLS handshake. Raises OSError if it fails."""
     stream = trio.SSLStream(socket, context, server_hostname=server_name, https_compatible=True)
     try:
         await stream.do_handshake()
     except trio.BrokenResourceError as error:
-        raise OSError(f"no TLS with {address}: {error.__cause__}") from None
+        raise OSError(f"TLS handshake with {address} failed: {error.__cause__}") from None
     return stream
--- a/dunlinlug/net/grpc_server.py
+++ b/dunlinlug/net/grpc_server.py
@@ -1,4 +1,4 @@
-"""Serves gRPC calls on listeners, plain or by TLS; each connection's errors end it alone."""
+"""Serves gRPC calls on listeners, in plain text or TLS; an error ends only its own connection."""
 
 import ssl
 from collections.abc import Awaitable, Callable
@@ -13,17 +13,17 @@
 
 @dataclass(frozen=True)
 class ServerOptions:
-    """How a server treats its connections.
+    """Timeouts and callbacks of a server's connections.
 
     Attributes:
-        first_call_timeout: Seconds until a peer must have opened a call, and finished TLS.
+        first_call_timeout: Seconds for the TLS handshake, and then for the peer to open a call.
         idle_timeout: Seconds without a byte after which a connection is closed; the peer is pinged
             after a third of that.
-        on_error: Takes an error of the handler's, which then ends that connection alone; without
-            it, the error ends the server.
-        get_tls_context: The context for a connection accepted now, so that keys may change while
-            streams are open; None for plain text.
-        on_unauthenticated: Takes the reason why a peer was refused by TLS.
+        on_error: Called with an exception of the handler, which then ends only that connection; if
+            None, the exception ends the server.
+        get_tls_context: Returns the context for a connection accepted now, so that keys can change
+            while streams are open; None for plain text.
+        on_unauthenticated: Called with the reason why TLS rejected a peer.
     """
 
     first_call_timeout: float = 10.0
@@ -38,27 +38,27 @@
     handler: Callable[[Call], Awaitable[None]],
     options: ServerOptions | None = None,
 ) -> None:
-    """Serve calls on these listeners until cancelled; `handler` serves each to its end."""
+    """Serve calls on these listeners until cancelled; `handler` serves each call until it ends."""
     server = _Server(handler, options or ServerOptions())
     await trio.serve_listeners(server.serve_socket, listeners)
 
 
 class _Server:
-    """Serves accepted sockets, plain or by TLS."""
+    """Serves accepted sockets, in plain text or TLS."""
 
     def __init__(self, handler: Callable[[Call], Awaitable[None]], options: ServerOptions) -> None:
         self.handler = handler
         self.options = options
 
     async def serve_socket(self, socket: trio.SocketStream) -> None:
-        """Serve one connection to its end."""
+        """Serve one connection until it ends."""
         try:
             context = self.options.get_tls_context()
             if context is None:
                 await self._serve_connection(socket)
             else:
                 await self._serve_tls(socket, context)
-        except Exception as error:  # of any kind: one connection's error must not end the others
+        except Exception as error:  # any kind: an error of one connection must not end the others
             if self.options.on_error is None:
                 raise
             self.options.on_error(error)
@@ -75,16 +75,16 @@
             with trio.fail_after(self.options.first_call_timeout):
                 await stream.do_handshake()
         except (trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError) as error:
-            self._report_unauthenticated(str(error.__cause__ or "no handshake in time"))
+            self._report_unauthenticated(str(error.__cause__ or "TLS handshake timed out"))
             await trio.aclose_forcefully(stream)
             return
         identity = tls.peer_identity(stream)
-        # Without this limit, an expired certificate would be accepted for as long as its stream
-        # stays open.
+        # TLS checks the expiry only at the handshake, but streams stay open for long, so the
+        # connection is closed when the certificate expires.
         with trio.move_on_after(max(tls.remaining_validity(stream), 0.0)) as scope:
             await self._serve_connection(stream, identity)
         if scope.cancelled_caught:
-            self._report_unauthenticated(f"the certificate of {identity} has run out")
+            self._report_unauthenticated(f"the certificate of {identity} has expired")
 
     def _report_unauthenticated(self, reason: str) -> None:
         if self.options.on_unauthenticated is not None:
--- a/dunlinlug/net/http.py
+++ b/dunlinlug/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over trio by h11: a small server, and a client that reuses its connections."""
+"""HTTP/1.1 on trio and h11: a small server, and a client that reuses connections."""
 
 import json
 from collections import deque
@@ -13,19 +13,19 @@
 from dunlinlug.errors import DunlinlugError
 
 READ_SIZE = 2**16
-# Bytes of the largest body accepted; a list of ten thousand workers is a third of it.
+# Maximum bytes of a body; a list of ten thousand workers takes a third of it.
 MAX_BODY_SIZE = 8 * 2**20
-MAX_HEADER_SIZE = 2**16  # bytes of a request's head
-# Methods for which two requests have the effect of one (RFC 9110, 9.2.2).
-IDEMPOTENT = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
+MAX_HEADER_SIZE = 2**16  # bytes of a request's start line and headers
+# Methods that may be repeated, as two requests have the same effect as one (RFC 9110, 9.2.2).
+IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 
 
 class HttpError(DunlinlugError):
     """An exchange failed.
 
     Attributes:
-        request_sent: Whether the peer may have begun to act on the request.
-        response_started: Whether anything of a response came.
+        request_sent: Whether the peer may have started to process the request.
+        response_started: Whether any part of a response was received.
     """
 
     def __init__(self, message: str, request_sent: bool, response_started: bool = False) -> None:
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Request:
-    """A request as the server received it; header names are in lower case."""
+    """A request received by the server; header names are in lower case."""
 
     method: str
     path: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Response:
-    """A response, on either side."""
+    """A response, on the server or the client."""
 
     status: int
     headers: Mapping[str, str] = field(default_factory=dict)
@@ -55,7 +55,7 @@
 
     @classmethod
     def json(cls, value: Any, status: int = 200, **headers: str) -> "Response":
-        """A response with a JSON body; in the names of headers `_` stands for `-`."""
+        """Create a response with a JSON body; `_` in header argument names is replaced by `-`."""
         extra_headers = {name.replace("_", "-"): text for name, text in headers.items()}
         return cls(
             status,
@@ -95,10 +95,10 @@
         if isinstance(event, h11.EndOfMessage):
             return bytes(body)
         if not isinstance(event, h11.Data):
-            raise h11.RemoteProtocolError("the body broke off")
+            raise h11.RemoteProtocolError("the body is incomplete")
         body += event.data
         if len(body) > max_size:
-            raise h11.RemoteProtocolError("the body is over the bound", error_status_hint=413)
+            raise h11.RemoteProtocolError("the body is too large", error_status_hint=413)
 
 
 Handler = Callable[[Request], Awaitable[Response]]
@@ -114,7 +114,7 @@
 
 
 class _GracefulShutdown:
-    """Requests under way when serving is to end: each has `grace_period` seconds to be answered."""
+    """Gives requests in progress at shutdown `grace_period` seconds to be answered."""
 
     def __init__(self, grace_period: float) -> None:
         self.grace_period = grace_period
@@ -122,16 +122,16 @@
         self.active_scopes = set[trio.CancelScope]()
 
     def begin(self) -> None:
-        """Set the deadline of all requests under way."""
+        """Set the deadline of all requests in progress."""
         self.deadline = trio.current_time() + self.grace_period
         for scope in self.active_scopes:
             scope.deadline = self.deadline
 
     async def shield(self, exchange: Callable[[], Awaitable[None]]) -> None:
-        """Run an exchange that a cancellation from outside does not interrupt.
+        """Run an exchange shielded from cancellation until the deadline.
 
-        Without this, one cancelled between a request's effect and its response would leave the
-        caller not knowing what was done.
+        A cancellation between a request's effect and its response would leave the caller unsure
+        whether the request was executed.
         """
         if not self.grace_period:
             await exchange()
@@ -183,7 +183,7 @@
 def _encode_response(
     connection: h11.Connection, response: Response, headers_only: bool = False
 ) -> bytes:
-    """The response's bytes; with `headers_only`, for HEAD, its length without its body."""
+    """Encode a response; with `headers_only` (for HEAD), the content length without the body."""
     headers = [*response.headers.items(), ("content-length", str(len(response.body)))]
     data = connection.send(h11.Response(status_code=response.status, headers=headers)) or b""
     if response.body and not headers_only:
@@ -202,8 +202,9 @@
     Args:
         handler: Answers each request.
         listeners: Where connections are accepted.
-        idle_timeout: Seconds that a peer may take to send a request.
-        grace_period: Seconds after a cancellation for requests under way; none are accepted then.
+        idle_timeout: Seconds within which a peer must send a request.
+        grace_period: Seconds for requests in progress after a cancellation, when no new connections
+            are accepted.
     """
     shutdown = _GracefulShutdown(grace_period)
 
@@ -231,8 +232,8 @@
 class Client:
     """Sends requests to one address.
 
-    Up to `max_idle_connections` stay open between requests; a response's body may have
-    `max_body_size` bytes.
+    Up to `max_idle_connections` connections stay open between requests; a response body is limited
+    to `max_body_size` bytes.
     """
 
     def __init__(
@@ -251,10 +252,10 @@
     async def request(
         self, method: str, path: str, headers: Mapping[str, str] | None = None, body: bytes = b""
     ) -> Response:
-        """One exchange; put a cancel scope around it to limit its time.
+        """Send a request and return its response; use a cancel scope to limit the time.
 
         Raises:
-            HttpError: It failed, and was not or must not be repeated.
+            HttpError: The request failed, and could not be retried.
         """
         reused = await self._take_idle_connection()
         stream, connection = reused or await self._connect()
@@ -264,10 +265,10 @@
             response = await self._exchange(stream, connection, request)
             completed = True
         except HttpError as error:
-            # The server may have closed an idle connection as we wrote. Without this condition, a
-            # request with an effect could be repeated after it was sent, or after the peer began
-            # to answer.
-            is_repeatable = method in IDEMPOTENT and not error.response_started
+            # The server may have closed an idle connection at the same time. The request is retried
+            # only if it was not sent, or is idempotent and no part of a response was received:
+            # any other retry could repeat a side effect.
+            is_repeatable = method in IDEMPOTENT_METHODS and not error.response_started
             if reused and (not error.request_sent or is_repeatable):
                 return await self.request(method, path, headers, body)
             raise
@@ -275,8 +276,8 @@
             if not completed:
                 await trio.aclose_forcefully(stream)
         if connection.our_state is h11.DONE and connection.their_state is h11.DONE:
-            # Without this check, bytes behind a whole response would be taken for the response to
-            # the next request.
+            # A connection with bytes after the response is not reused: they would be read as the
+            # response to the next request.
             unread_bytes, _ = connection.trailing_data
             connection.start_next_cycle()
             if not unread_bytes and len(self.idle_connections) < self.max_idle_connections:
@@ -286,9 +287,9 @@
         return response
 
     async def _take_idle_connection(self) -> tuple[trio.SocketStream, h11.Connection] | None:
-        """An open connection with nothing to read, if there is one.
+        """Return an idle connection with no data to read, or None.
 
-        One that is readable between requests was closed, or holds what nobody asked for.
+        A connection that is readable between requests was closed, or has unexpected data.
         """
         while self.idle_connections:
             stream, connection = self.idle_connections.pop()
@@ -300,7 +301,7 @@
     async def _connect(self) -> tuple[trio.SocketStream, h11.Connection]:
         try:
             stream = await trio.open_tcp_stream(self.host, self.port)
-        except (OSError, ValueError) as error:  # the second: no text that can name a host
+        except (OSError, ValueError) as error:  # ValueError: not a valid host name
             raise HttpError(
                 f"no connection to {self.host}:{self.port}: {error}", request_sent=False
             ) from None
@@ -334,9 +335,9 @@
             data += connection.send(h11.EndOfMessage()) or b""
             await stream.send_all(data)
         except (h11.LocalProtocolError, ValueError) as error:
-            raise HttpError(f"this can't be asked: {error}", request_sent=False) from None
+            raise HttpError(f"invalid request: {error}", request_sent=False) from None
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise HttpError(f"the connection broke: {error}", request_sent=False) from None
+            raise HttpError(f"the connection was lost: {error}", request_sent=False) from None
 
     async def _receive_response(
         self, stream: trio.SocketStream, connection: h11.Connection
@@ -345,7 +346,7 @@
         try:
             event = await _next_event(connection, stream)
             if not isinstance(event, h11.Response):
-                raise HttpError("the connection closed before an answer", request_sent=True)
+                raise HttpError("the connection was closed before a response", request_sent=True)
             return Response(
                 event.status_code,
                 _decoded_headers(event.headers),
@@ -358,7 +359,7 @@
         ) as error:
             response_started = event is not None or bool(connection.trailing_data[0])
             raise HttpError(
-                f"the answer broke off: {error}",
+                f"the response is incomplete: {error}",
                 request_sent=True,
                 response_started=response_started,
             ) from None
--- a/dunlinlug/net/tls.py
+++ b/dunlinlug/net/tls.py
@@ -1,4 +1,4 @@
-"""TLS by the standard library's ssl: contexts from files, peers' identities and their expiry."""
+"""TLS with the standard library's ssl: contexts from files, peer identity, certificate expiry."""
 
 import ssl
 import time
@@ -12,13 +12,13 @@
 
 
 class TlsConfigError(DunlinlugError, ValueError):
-    """A certificate or key file that cannot be used; the text says which and why."""
+    """A certificate or key file cannot be used; the text names the file and the reason."""
 
 
 def _configure(context: ssl.SSLContext, cert: Path, key: Path, authority: Path) -> ssl.SSLContext:
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.set_alpn_protocols(ALPN_PROTOCOLS)
-    for path, description in ((cert, "certificate"), (key, "key"), (authority, "authority")):
+    for path, description in ((cert, "certificate"), (key, "key"), (authority, "CA certificate")):
         if not path.is_file():
             raise TlsConfigError(f"{path}: no such {description} file")
     try:
@@ -28,12 +28,12 @@
     try:
         context.load_verify_locations(authority)
     except (ssl.SSLError, OSError) as error:
-        raise TlsConfigError(f"{authority}: no certificates of an authority: {error}") from None
+        raise TlsConfigError(f"{authority}: not a file of CA certificates: {error}") from None
     return context
 
 
 def server_context(cert: Path, key: Path, clients: Path) -> ssl.SSLContext:
-    """A context for a server; each client must have a certificate of the authority in `clients`.
+    """Create a server context; each client must have a certificate of a CA in `clients`.
 
     Raises:
         TlsConfigError: A file cannot be used.
@@ -44,7 +44,7 @@
 
 
 def client_context(cert: Path, key: Path, servers: Path) -> ssl.SSLContext:
-    """A context for a client with a certificate of its own.
+    """Create a client context with a client certificate.
 
     Raises:
         TlsConfigError: A file cannot be used.
@@ -58,7 +58,7 @@
 
 
 def peer_identity(stream: trio.SSLStream[trio.SocketStream]) -> str:
-    """The peer's name: the first DNS name or URI of its certificate, or its common name, or ""."""
+    """Return the first DNS name or URI of the peer's certificate, else its common name, else ""."""
     certificate = _peer_certificate(stream)
     alternatives = certificate.get("subjectAltName", ())
     for kind, value in alternatives:  # type: ignore[attr-defined]
@@ -73,5 +73,5 @@
 
 
 def remaining_validity(stream: trio.SSLStream[trio.SocketStream]) -> float:
-    """Seconds until the peer's certificate expires, by the wall clock; negative after that."""
+    """Return the seconds until the peer's certificate expires; negative if it has expired."""
     return ssl.cert_time_to_seconds(str(_peer_certificate(stream)["notAfter"])) - time.time()
--- a/dunlinlug/rpc/__init__.py
+++ b/dunlinlug/rpc/__init__.py
@@ -1,6 +1,6 @@
-"""gRPC over HTTP/2 as bytes in, events out, in the manner of h11 and h2.
+"""Sans-I/O gRPC over HTTP/2: bytes in, events out, in the style of h11 and h2.
 
-No sockets and no event loop; `dunlinlug.net.grpc` moves the bytes.
+No sockets and no event loop; `dunlinlug.net.grpc` transfers the bytes.
 """
 
 from dunlinlug.rpc.connection import Connection
--- a/dunlinlug/rpc/connection.py
+++ b/dunlinlug/rpc/connection.py
@@ -1,8 +1,8 @@
-"""One HTTP/2 connection that carries gRPC calls, for either side.
+"""One HTTP/2 connection that carries gRPC calls, for client and server.
 
-`receive` takes bytes and gives events; `data_to_send` gives bytes. What flow control holds back
-waits here, call by call, so that a peer that reads nothing delays its own calls alone;
-`unsent_bytes` says how much that is.
+`receive` takes bytes and returns events; `data_to_send` returns bytes. Data held back by flow
+control is queued per call, so that a call whose data is not read delays no other call;
+`unsent_bytes` is the size of a call's queue.
 """
 
 from collections import deque
@@ -30,26 +30,26 @@
 from dunlinlug.rpc.framing import Deframer, FramingError, frame
 from dunlinlug.rpc.status import Status
 
-# Bytes of one message: about ten times the largest table of a fleet of a thousand workers.
+# Maximum bytes of one message: about ten times the largest table of a fleet of a thousand workers.
 MAX_MESSAGE_SIZE = 16 * 2**20
-INITIAL_WINDOW_SIZE = 2**20  # bytes that a peer may send ahead for each call
-PING_PAYLOAD = b"dunlinlu"  # HTTP/2 wants eight bytes
+INITIAL_WINDOW_SIZE = 2**20  # bytes; the receive window of each call
+PING_PAYLOAD = b"dunlinlu"  # HTTP/2 requires eight bytes
 
 
 def _decoded_headers(headers: Any) -> dict[str, str]:
-    """Headers by name; h2 gives text as configured, though its types allow for bytes as well."""
+    """Return headers by name; h2 is configured to decode them, though its types allow bytes too."""
     return dict(headers or ())
 
 
 class _CallState:
-    """One call: what was received of a message, and what waits to be sent.
+    """One call: the partially received message, and the queue of data to send.
 
     Attributes:
         queued_bytes: Bytes in the queue.
-        trailers: What ends the call once the queue is empty: [] ends it without trailers, as a
-            client does; None while it goes on.
-        headers_sent: Whether our first headers were sent.
-        finished: Whether our end of the call was sent.
+        trailers: Sent to end the call once the queue is empty; [] ends it without trailers, as a
+            client does; None if it is not to be ended yet.
+        headers_sent: Whether the response headers were sent (server side).
+        finished: Whether this side has ended the call.
     """
 
     def __init__(self, max_message_size: int) -> None:
@@ -62,7 +62,7 @@
 
 
 class Connection:
-    """The state of one connection and of its calls, by HTTP/2 stream number."""
+    """The state of one connection and of its calls, by HTTP/2 stream id."""
 
     def __init__(self, is_client: bool, max_message_size: int = MAX_MESSAGE_SIZE) -> None:
         self.is_client = is_client
@@ -82,11 +82,11 @@
     # Sending.
 
     def data_to_send(self) -> bytes:
-        """The bytes to be written to the peer, each given once."""
+        """Return the bytes to write to the peer; each byte is returned once."""
         return self.h2.data_to_send()
 
     def start_call(self, path: str, authority: str) -> int:
-        """Open a call (client side); gives its stream number."""
+        """Open a call (client side); returns its stream id."""
         stream_id = self.h2.get_next_available_stream_id()
         self.calls[stream_id] = _CallState(self.max_message_size)
         self.h2.send_headers(
@@ -104,7 +104,7 @@
         return stream_id
 
     def accept(self, stream_id: int) -> None:
-        """Send a call's first headers (server side)."""
+        """Send a call's response headers (server side)."""
         call = self.calls.get(stream_id)
         if call is not None and not call.headers_sent:
             call.headers_sent = True
@@ -113,10 +113,10 @@
                     stream_id, [(":status", "200"), ("content-type", "application/grpc")]
                 )
             except h2.exceptions.ProtocolError:
-                self.calls.pop(stream_id)  # it ended in the same moment
+                self.calls.pop(stream_id)  # the call has already ended
 
     def send(self, stream_id: int, message: bytes) -> None:
-        """Queue one message; it leaves as far as the peer's windows allow."""
+        """Queue one message, and send as much as the peer's flow-control windows allow."""
         call = self.calls.get(stream_id)
         if call is None or call.trailers is not None:
             return
@@ -126,14 +126,14 @@
         self._send_available(stream_id)
 
     def unsent_bytes(self, stream_id: int) -> int:
-        """Bytes of this call that the peer's flow control holds back."""
+        """Return the bytes of this call that flow control holds back."""
         call = self.calls.get(stream_id)
         if call is None:
             return 0
         return call.queued_bytes
 
     def finish(self, stream_id: int, status: Status, text: str = "") -> None:
-        """End a call with a status (server side), after what is queued."""
+        """End a call with a status (server side), after the queued data."""
         call = self.calls.get(stream_id)
         if call is None or call.trailers is not None:
             return
@@ -147,34 +147,34 @@
         self._send_available(stream_id)
 
     def half_close(self, stream_id: int) -> None:
-        """End the client's half of a call, after what is queued."""
+        """End the client's half of a call, after the queued data."""
         call = self.calls.get(stream_id)
         if call is not None and call.trailers is None:
             call.trailers = []
             self._send_available(stream_id)
 
     def cancel(self, stream_id: int) -> None:
-        """Reset a call, without a status; what is queued is lost."""
+        """Reset a call without a status; queued data is dropped."""
         if self.calls.pop(stream_id, None) is not None and not self.closed:
             try:
                 self.h2.reset_stream(stream_id, h2.errors.ErrorCodes.CANCEL)
             except h2.exceptions.ProtocolError:
-                return  # it ended in the same moment
+                return  # the call has already ended
 
     def ping(self) -> None:
-        """Ask the peer for a sign of life."""
+        """Send a PING frame to the peer."""
         if not self.closed:
             self.h2.ping(PING_PAYLOAD)
 
     def close(self) -> None:
-        """Tell the peer that the connection ends (GOAWAY)."""
+        """Close the connection, with a GOAWAY frame to the peer."""
         if not self.closed:
             self.closed = True
             self.h2.close_connection()
 
     def _send_available(self, stream_id: int) -> None:
-        # The call or the whole connection may have ended in this same moment. What is unsent is
-        # then lost; without the except clause, the caller would get the error of a peer's doing.
+        # The peer may have ended the call or the connection meanwhile. The unsent data is then
+        # dropped, as the error is not one of the caller.
         try:
             self._send_queued(stream_id, self.calls[stream_id])
         except h2.exceptions.ProtocolError:
@@ -185,7 +185,7 @@
             self._send_available(stream_id)
 
     def _send_queued(self, stream_id: int, call: _CallState) -> None:
-        """Send as much of the queue as the windows allow, and the end of the call after it."""
+        """Send as much of the queue as the windows allow, then the end of the call if it is due."""
         while call.queue:
             window = min(
                 self.h2.local_flow_control_window(stream_id), self.h2.max_outbound_frame_size
@@ -210,9 +210,9 @@
     # Receiving.
 
     def receive(self, data: bytes) -> list[Event]:
-        """Take bytes and give the events they stand for.
+        """Handle received bytes and return the resulting events.
 
-        An error in one call ends that call; an error of the connection ends all of them.
+        An error in one call ends that call; a connection error ends all of them.
         """
         if self.closed:
             return []
@@ -222,22 +222,24 @@
         except h2.exceptions.ProtocolError as error:
             self.closed = True
             self.calls.clear()
-            return [ConnectionClosed(f"not HTTP/2 as agreed: {type(error).__name__}: {error}")]
+            return [ConnectionClosed(f"HTTP/2 protocol error: {type(error).__name__}: {error}")]
         events: list[Event] = []
         for event in h2_events:
             events += self._handle(event)
         return events
 
     def _check_frame_lengths(self, data: bytes) -> None:
-        """Refuse a frame by its head; raises FrameTooLargeError.
+        """Reject an oversized frame by its header; raises FrameTooLargeError.
 
-        Without this, the library would hold the frame, up to 16 MiB, before it refused it.
+        The library checks a frame's length only after buffering the frame, up to 16 MiB.
         """
         max_length = self.h2.max_inbound_frame_size
         length = self.frame_lengths.longest(data)
         if length > max_length:
             self.h2.close_connection(h2.errors.ErrorCodes.FRAME_SIZE_ERROR)
-            raise h2.exceptions.FrameTooLargeError(f"{length} bytes, where {max_length} may be")
+            raise h2.exceptions.FrameTooLargeError(
+                f"frame of {length} bytes, over the limit of {max_length}"
+            )
 
     def _handle(self, event: h2.events.Event) -> list[Event]:
         events: list[Event] = []
@@ -286,7 +288,7 @@
             self.h2.send_headers(stream_id, [(":status", "415"), ("content-type", "text/plain")])
             self.h2.send_data(
                 stream_id,
-                f"this port speaks gRPC, not {content_type or 'plain requests'}\n".encode(),
+                f"this port serves gRPC, not {content_type or 'plain requests'}\n".encode(),
                 end_stream=True,
             )
             return []
--- a/dunlinlug/rpc/events.py
+++ b/dunlinlug/rpc/events.py
@@ -1,4 +1,4 @@
-"""Events of a gRPC connection; `stream_id` is the number of a call's HTTP/2 stream."""
+"""Events of a gRPC connection; `stream_id` is the id of a call's HTTP/2 stream."""
 
 from dataclasses import dataclass
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class HeadersReceived:
-    """The server has accepted the call by its response headers (client side)."""
+    """The server accepted the call and sent its response headers (client side)."""
 
     stream_id: int
 
 
 @dataclass(frozen=True)
 class MessageReceived:
-    """One whole message, without its length prefix."""
+    """A complete message, without its length prefix."""
 
     stream_id: int
     data: bytes
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class HalfClosed:
-    """The peer will send nothing more on this call."""
+    """The peer will send no more messages on this call."""
 
     stream_id: int
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class CallReset:
-    """The call ended without a status, by the peer or for an error in what the peer sent."""
+    """The call ended without a status: reset by the peer, or after an error in received data."""
 
     stream_id: int
     reason: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class ConnectionClosed:
-    """The connection cannot be used any more, and all its calls have ended."""
+    """The connection is no longer usable, and all its calls have ended."""
 
     reason: str
 
--- a/dunlinlug/rpc/framing.py
+++ b/dunlinlug/rpc/framing.py
@@ -1,4 +1,4 @@
-"""gRPC's length-prefixed messages: one byte of compression flag, four of length, then the message.
+"""gRPC's length-prefixed messages: a compression flag byte, four length bytes, then the message.
 
 Source: PROTOCOL-HTTP2.md of gRPC, "Length-Prefixed-Message".
 """
@@ -12,7 +12,7 @@
 
 
 class FramingError(DunlinlugError):
-    """A message that this side does not accept; `status` is what its call is to end with."""
+    """A message that is not accepted; `status` is the status that its call ends with."""
 
     def __init__(self, status: Status, message: str) -> None:
         super().__init__(message)
@@ -20,19 +20,19 @@
 
 
 def frame(message: bytes) -> bytes:
-    """The message with its prefix, uncompressed."""
+    """Return the message with its prefix, uncompressed."""
     return PREFIX.pack(0, len(message)) + message
 
 
 class Deframer:
-    """Gathers a call's bytes into whole messages; never holds more than the largest and a read."""
+    """Assembles a call's bytes into messages; buffers at most one message and one read."""
 
     def __init__(self, max_message_size: int) -> None:
         self.max_message_size = max_message_size
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes; gives the messages that are complete with them.
+        """Add bytes and return the messages that they complete.
 
         Raises:
             FramingError: A message is compressed or over the size limit.
@@ -43,7 +43,7 @@
             compressed, length = PREFIX.unpack_from(self.buffer)
             if compressed:
                 raise FramingError(Status.UNIMPLEMENTED, "compressed messages are not taken here")
-            # Without this limit, a peer could make us hold any amount.
+            # Limits the memory that a peer can make this process use.
             if length > self.max_message_size:
                 raise FramingError(
                     Status.RESOURCE_EXHAUSTED,
--- a/dunlinlug/rpc/status.py
+++ b/dunlinlug/rpc/status.py
@@ -4,7 +4,7 @@
 
 
 class Status(IntEnum):
-    """The status codes that are used here, as gRPC numbers them."""
+    """The gRPC status codes in use."""
 
     OK = 0
     CANCELLED = 1
--- a/dunlinlug/xds/__init__.py
+++ b/dunlinlug/xds/__init__.py
@@ -1,4 +1,4 @@
-"""xDS messages and plain records: encoding, decoding, and both sides' state of a stream.
+"""Encodes and decodes xDS messages, and keeps the state of a stream for both client and server.
 
-No sockets and no clock. The protocol is Envoy's xDS v3; `docs/protocol.md` has its extensions.
+No sockets and no clock. The protocol is Envoy's xDS v3; `docs/protocol.md` documents extensions.
 """
--- a/dunlinlug/xds/decoding.py
+++ b/dunlinlug/xds/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes xDS resources, with every check that a proxy makes before it applies one."""
+"""Decodes xDS resources, with all validation that a proxy does before it applies one."""
 
 from dataclasses import dataclass, field
 
@@ -13,7 +13,7 @@
 
 
 class DecodingError(DunlinlugError):
-    """A resource that cannot be applied; the text says why, for the NACK to its sender."""
+    """A resource that cannot be applied; the text is the reason for the NACK."""
 
 
 @dataclass(frozen=True)
@@ -21,11 +21,11 @@
     """A table as a proxy holds it.
 
     Attributes:
-        name: Its resource name.
+        name: The table's resource name.
         weights: Weight by worker (`host:port`).
         zones: Zone by worker.
-        admitted_fractions: By traffic class; a class that is missing is admitted whole.
-        unhealthy: Workers that this table alone marks as not to be used.
+        admitted_fractions: Admitted fraction by traffic class; 1 for a class that is missing.
+        unhealthy: Workers that are marked unusable in this table only.
     """
 
     name: str
@@ -39,7 +39,8 @@
     """Decode a table, or the ejections resource.
 
     Raises:
-        DecodingError: It is no `ClusterLoadAssignment`, or names a worker twice or without weight.
+        DecodingError: `value` is not a `ClusterLoadAssignment`, or has a worker twice or without
+            weight.
     """
     assignment = endpoint_pb2.ClusterLoadAssignment()
     try:
@@ -72,17 +73,18 @@
 
 
 def _decode_fraction(percentage: percent_pb2.FractionalPercent) -> float:
-    """A fraction from 0 to 1; the denominator is an enum: hundred, ten thousand, million."""
+    """Return a fraction from 0 to 1; the denominator enum is hundred, ten thousand, million."""
     denominator = (100, 10_000, encoding.MILLION)[percentage.denominator]
     fraction: float = percentage.numerator / denominator
     return fraction
 
 
 def decode_routes(value: bytes) -> dict[str, tuple[str, encoding.RetryPolicy]]:
-    """Decode the routes: the table's name and the retry policy by traffic class.
+    """Decode the routes: table name and retry policy by traffic class.
 
     Raises:
-        DecodingError: It is no `RouteConfiguration`, or a virtual host has not exactly one route.
+        DecodingError: `value` is not a `RouteConfiguration`, or a virtual host does not have
+            exactly one route.
     """
     route_configuration = route_pb2.RouteConfiguration()
     try:
@@ -92,7 +94,7 @@
     routes_by_class: dict[str, tuple[str, encoding.RetryPolicy]] = {}
     for host in route_configuration.virtual_hosts:
         if len(host.routes) != 1 or not host.routes[0].route.cluster:
-            raise DecodingError(f"virtual host {host.name}: not exactly one route to a table")
+            raise DecodingError(f"virtual host {host.name} must have exactly one route to a table")
         route = host.routes[0].route
         routes_by_class[host.name] = (route.cluster, _decode_retry_policy(route.retry_policy))
     return routes_by_class
@@ -105,7 +107,7 @@
 
 
 def _decode_retry_mode(policy: route_components_pb2.RetryPolicy) -> int:
-    """The mode as in `encoding.RetryPolicy`."""
+    """Return the mode as defined in `encoding.RetryPolicy`."""
     retry_count: int = policy.num_retries.value
     if not retry_count:
         return 0
--- a/dunlinlug/xds/encoding.py
+++ b/dunlinlug/xds/encoding.py
@@ -1,7 +1,7 @@
 """Encodes tables, ejections and routes as xDS resources.
 
-A resource's version is the hash of its content, so that equal content has one version at every
-manager. Bytes are made once and shared by all proxies that get them.
+A resource's version is the hash of its content, so that equal content has the same version at every
+manager. Each resource is serialized once for all proxies that receive it.
 """
 
 from collections.abc import Iterable, Mapping
@@ -19,10 +19,11 @@
 
 from dunlinlug.xds import names
 
-# An xDS weight for a weight of 1: those of xDS are whole numbers, ours fractions of listed weights.
+# The xDS weight for a weight of 1: xDS weights are integers, those in tables are fractions of the
+# listed weight.
 WEIGHT_SCALE = 1000
 MILLION = 1_000_000
-# Retries beyond the first attempt, by the mode of the retry policy.
+# Retries after the first attempt, by retry policy mode.
 RETRIES_BY_MODE = (0, 1, 1, 2)
 
 
@@ -40,9 +41,9 @@
     """How requests of a traffic class are retried.
 
     Attributes:
-        mode: 0 never, 1 once if the first attempt surely was not executed, 2 once and 3 twice after
-            any failure.
-        attempt_timeout: Seconds for an attempt that may be followed by another; 0 for no limit.
+        mode: 0 never; 1 once, if the first attempt was certainly not executed; 2 once and 3 twice,
+            after any failure.
+        attempt_timeout: Time limit in seconds of an attempt that may be retried; 0 for no limit.
     """
 
     mode: int
@@ -50,7 +51,7 @@
 
 
 class Route(NamedTuple):
-    """Where a traffic class's requests go: the name of a table (cluster), and how to retry them."""
+    """The route of a traffic class: the name of its table (cluster), and its retry policy."""
 
     traffic_class: str
     table: str
@@ -79,14 +80,14 @@
 
 
 def encode_endpoint(worker: str) -> endpoint_components_pb2.LbEndpoint:
-    """A healthy worker, without a weight."""
+    """Encode a healthy worker without a weight."""
     return _encode_endpoint(worker, 0, False)
 
 
 def add_drop_policy(
     assignment: endpoint_pb2.ClusterLoadAssignment, category: str, admitted_fraction: float
 ) -> None:
-    """Admit no more than this fraction of the requests of a category (a traffic class)."""
+    """Limit the admitted fraction of the requests of a category (a traffic class)."""
     overload = assignment.policy.drop_overloads.add(category=category)
     overload.drop_percentage.numerator = round((1.0 - admitted_fraction) * MILLION)
     overload.drop_percentage.denominator = percent_pb2.FractionalPercent.MILLION
@@ -105,8 +106,7 @@
         name: The table's resource name.
         weights: Weight by worker (`host:port`), as a fraction of a listed weight.
         zones: Zone by worker.
-        admitted_fractions: Admitted fraction by traffic class; a class that is missing is admitted
-            whole.
+        admitted_fractions: Admitted fraction by traffic class; 1 for a class that is missing.
         ejected: Workers to mark as draining.
     """
     ejected_workers = set(ejected)
@@ -130,7 +130,7 @@
 
 
 def encode_ejections(workers: Iterable[str]) -> EncodedResource:
-    """Encode the workers that are ejected from every table, whichever manager wrote it."""
+    """Encode the workers ejected from all tables of a proxy, including those of other managers."""
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=names.EJECTIONS_RESOURCE)
     sorted_workers = sorted(workers)
     if sorted_workers:
@@ -174,8 +174,8 @@
     type_url: str, resources: tuple[EncodedResource, ...], removed: tuple[str, ...]
 ) -> bytes:
     response = discovery_pb2.DeltaDiscoveryResponse(type_url=type_url, removed_resources=removed)
-    # Each resource is serialized already, and a protobuf message may be joined from pieces: so
-    # field 2 (resources) is written by hand.
+    # Resources are already serialized, and protobuf messages can be concatenated, so field 2
+    # (resources) is written directly.
     encoded_resources = [
         b"\x12" + _encode_varint(len(resource.encoded)) + resource.encoded for resource in resources
     ]
@@ -200,15 +200,15 @@
     tag: str,
     control_plane_id: str = "dunlinlug",
 ) -> bytes:
-    """Encode a `DeltaDiscoveryResponse`; type and resources are encoded once for all proxies.
+    """Encode a `DeltaDiscoveryResponse`; the part without the nonce is cached for all proxies.
 
     Args:
         type_url: The type of the resources.
         resources: New or changed resources.
-        removed: Names of resources to be removed.
-        nonce: What the answer refers to.
-        tag: Travels as `system_version_info`.
-        control_plane_id: The manager's identifier, as `fencing_term.format_identifier` makes it.
+        removed: Names of removed resources.
+        nonce: Identifies the response in its ACK or NACK.
+        tag: Sent as `system_version_info`.
+        control_plane_id: The manager's identifier; see `fencing_term.format_identifier`.
     """
     proxy_part = discovery_pb2.DeltaDiscoveryResponse(nonce=nonce, system_version_info=tag)
     proxy_part.control_plane.identifier = control_plane_id
--- a/dunlinlug/xds/fencing_term.py
+++ b/dunlinlug/xds/fencing_term.py
@@ -1,6 +1,6 @@
-"""Fencing at each proxy: responses of a leader's term below the highest one seen are rejected.
+"""Fencing by term: a proxy rejects responses with a term below the highest that it has seen.
 
-A proxy tells why in its NACK, from which a leader that was superseded learns the newer term.
+The NACK contains the newer term, which a superseded leader learns from it.
 """
 
 import re
@@ -9,12 +9,12 @@
 
 
 def format_identifier(term: int, member: str) -> str:
-    """The control plane's identifier on the wire, of a member that leads in this term."""
+    """Format the control plane identifier of the member that is leader in this term."""
     return f"term {term} of {member}"
 
 
 def parse_identifier(identifier: str) -> tuple[int, str]:
-    """The term and member in an identifier; term 0 for a manager that elects no leader."""
+    """Return the term and member in an identifier; term 0 if there is no leader election."""
     match = IDENTIFIER_PATTERN.fullmatch(identifier)
     if match is None:
         return 0, ""
@@ -22,14 +22,17 @@
 
 
 class FencingTerm:
-    """The highest term that a proxy has seen, and the member that leads in it."""
+    """The highest term that a proxy has seen, and the leader of that term."""
 
     def __init__(self) -> None:
         self.term = 0
         self.member = ""
 
     def rejection_reason(self, term: int, member: str) -> str:
-        """Why responses of this term are rejected; empty if not, and then lower terms will be."""
+        """Check the term of a response; returns why it is rejected, empty if it is accepted.
+
+        Once a term is accepted, lower terms are rejected.
+        """
         if term < self.term:
             sender = member or "a manager without terms"
             return f"term {term} of {sender} is over; term {self.term} has been seen"
@@ -41,7 +44,7 @@
 
 
 def superseding_term(reason: str) -> int:
-    """The higher term in a proxy's reason for rejection; 0 if that is about something else."""
+    """Return the newer term from a rejection reason; 0 if it was rejected for something else."""
     match = re.fullmatch(r"term \d+ of .+ is over; term (\d{1,15}) has been seen", reason)
     if match is None:
         return 0
--- a/dunlinlug/xds/load_reports.py
+++ b/dunlinlug/xds/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports (LRS): what a proxy observed, as `LoadStatsRequest` and as plain records."""
+"""Encodes and decodes load reports (LRS), which contain the attempts observed by a proxy."""
 
 from dataclasses import dataclass, field
 
@@ -9,11 +9,11 @@
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.xds import names
 
-MIN_REPORT_INTERVAL = 0.05  # seconds; a shorter interval asked for is taken as this
+MIN_REPORT_INTERVAL = 0.05  # seconds; used in place of a shorter requested interval
 
 
 class LoadReportError(DunlinlugError):
-    """A message that is not what LRS has in its place."""
+    """A message that is not valid in LRS."""
 
 
 @dataclass
@@ -21,11 +21,11 @@
     """A proxy's attempts at one worker over the window of a report.
 
     Attributes:
-        attempts: All of them.
-        failed: Those that did not succeed.
-        total_latency: Seconds, summed over the successful ones except `untimed_successes`.
-        load_metrics: The worker's own load, by metric.
-        untimed_successes: Successful ones of a client that reports no latency.
+        attempts: Number of all attempts.
+        failed: Number of attempts that did not succeed.
+        total_latency: Seconds, summed over successful attempts except `untimed_successes`.
+        load_metrics: Load reported by the worker itself, by metric.
+        untimed_successes: Number of successful attempts of clients that report no latency.
     """
 
     attempts: int = 0
@@ -37,14 +37,14 @@
 
 @dataclass
 class LoadReport:
-    """What a proxy observed over `window` seconds.
+    """The attempts and requests observed by a proxy during `window` seconds.
 
     Attributes:
         node_id: The proxy's name.
         zone: The proxy's zone.
         window: Seconds since the last report.
         workers: Statistics by worker (`host:port`).
-        traffic_classes: Requests, and those of them that failed, by traffic class.
+        traffic_classes: Number of requests and of failed requests, by traffic class.
     """
 
     node_id: str
@@ -55,7 +55,7 @@
 
 
 def encode_report(report: LoadReport, is_first: bool) -> bytes:
-    """Encode one report; the first of a stream says which program sends it."""
+    """Encode one report; the first of a stream contains the user agent name."""
     request = lrs_pb2.LoadStatsRequest()
     request.node.id = report.node_id
     request.node.locality.zone = report.zone
@@ -103,10 +103,10 @@
 
 
 def decode_report(data: bytes) -> LoadReport:
-    """Decode a report, of our own client or of a plain gRPC client.
+    """Decode a report of a dunlinlug client or of a plain gRPC client.
 
     Raises:
-        LoadReportError: It is no `LoadStatsRequest`.
+        LoadReportError: `data` is not a `LoadStatsRequest`.
     """
     request = lrs_pb2.LoadStatsRequest()
     try:
@@ -123,14 +123,14 @@
             _decode_locality_statistics(report, traffic_class, cluster_statistics)
             continue
         for locality in cluster_statistics.upstream_locality_stats:
-            _decode_own_statistics(report, cluster_statistics.cluster_name, locality)
+            _decode_endpoint_statistics(report, cluster_statistics.cluster_name, locality)
     return report
 
 
-def _decode_own_statistics(
+def _decode_endpoint_statistics(
     report: LoadReport, cluster_name: str, locality: load_report_pb2.UpstreamLocalityStats
 ) -> None:
-    """Add what our own client reports: workers as endpoints, requests of a class as metrics."""
+    """Add a dunlinlug client's report: workers as endpoints, requests of a class as metrics."""
     for entry in locality.upstream_endpoint_stats:
         _decode_worker_statistics(report, entry)
     metrics = {
@@ -147,7 +147,7 @@
 def _decode_locality_statistics(
     report: LoadReport, traffic_class: str, cluster_statistics: load_report_pb2.ClusterStats
 ) -> None:
-    """Add what a plain gRPC client reports: a locality is a worker, and there is no latency."""
+    """Add a plain gRPC client's report: each locality is a worker, and there is no latency."""
     requests = cluster_statistics.total_dropped_requests
     total_failures = 0
     for locality in cluster_statistics.upstream_locality_stats:
@@ -185,7 +185,7 @@
 
 
 def encode_response(interval: float) -> bytes:
-    """Encode the server's response: report everything, every `interval` seconds."""
+    """Encode the server's response, which requests a full report every `interval` seconds."""
     response = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
     response.load_reporting_interval.FromNanoseconds(round(interval * 1e9))
     encoded: bytes = response.SerializeToString()
@@ -193,10 +193,10 @@
 
 
 def decode_response(data: bytes) -> float:
-    """Decode the server's response: seconds between reports.
+    """Decode the server's response; returns the seconds between reports.
 
     Raises:
-        LoadReportError: It is no `LoadStatsResponse`.
+        LoadReportError: `data` is not a `LoadStatsResponse`.
     """
     response = lrs_pb2.LoadStatsResponse()
     try:
--- a/dunlinlug/xds/state_of_the_world.py
+++ b/dunlinlug/xds/state_of_the_world.py
@@ -1,12 +1,13 @@
 """The state-of-the-world form of xDS: four types of resources, and the state of a stream.
 
-A gRPC client asks for a traffic class's listener, and is led to its routes, its cluster and that
-cluster's endpoints. The table of a class is a cluster with a name of its own, and each worker a
-locality of its own: so a plain client spreads requests by our weights, and its load reports, which
-are by locality, are by worker.
-
-Ejected workers are left out, as such a client knows no overlay. Retry policies are left out too:
-such a client sends no idempotency key, so that a retry that we allow could repeat an effect.
+A gRPC client subscribes to a traffic class's listener, which refers to its routes, these to its
+cluster, and that to its endpoints. The table of a class is a separate cluster, and each worker a
+separate locality: a plain client thus distributes requests by the table's weights, and its load
+reports, which are by locality, are by worker.
+
+Ejected workers are omitted, as such a client does not support the ejections resource. Retry
+policies are omitted too: such a client sends no idempotency key, so a retry could repeat a side
+effect.
 """
 
 from collections.abc import Iterable, Mapping
@@ -35,8 +36,8 @@
     StreamProtocolError,
 )
 
-# The order in which a client needs them, so that nothing refers to what it does not hold yet
-# ("make before break" in the xDS protocol).
+# The order in which responses are sent, so that no resource refers to one that the client does not
+# hold yet ("make before break" in the xDS protocol).
 TYPE_ORDER = (
     names.CLUSTERS_TYPE,
     names.ENDPOINTS_TYPE,
@@ -46,7 +47,7 @@
 
 
 class VersionedResource(NamedTuple):
-    """One resource: its version, its serialized message, and, of routes, the cluster they name."""
+    """One resource: version, serialized message, and for routes the cluster they refer to."""
 
     version: str
     body: bytes
@@ -54,7 +55,7 @@
 
 
 class PendingResponse(NamedTuple):
-    """One response to be sent: its type, nonce, resource names, and serialized message."""
+    """One response to be sent: type, nonce, resource names, and serialized message."""
 
     type_url: str
     nonce: str
@@ -72,7 +73,7 @@
 
 @lru_cache(maxsize=1024)
 def encode_listener(traffic_class: str) -> VersionedResource:
-    """Encode the listener of a traffic class, with which its resolution begins."""
+    """Encode the listener of a traffic class, the first resource that a client resolves."""
     manager = http_connection_manager_pb2.HttpConnectionManager()
     manager.rds.route_config_name = traffic_class
     manager.rds.config_source.ads.SetInParent()
@@ -96,7 +97,7 @@
 
 @lru_cache(maxsize=4096)
 def encode_cluster(name: str) -> VersionedResource:
-    """Encode a cluster whose endpoints come by EDS, and whose load is reported to us."""
+    """Encode a cluster with endpoints from EDS and load reporting to this manager."""
     resource = cluster_pb2.Cluster(
         name=name, type=cluster_pb2.Cluster.EDS, lb_policy=cluster_pb2.Cluster.ROUND_ROBIN
     )
@@ -119,7 +120,7 @@
         name: The cluster's name.
         weights: Weight by worker, as a fraction of a listed weight.
         zones: Zone by worker.
-        admitted_fraction: Of the cluster's requests; less than 1 becomes a drop policy.
+        admitted_fraction: Admitted fraction of the cluster's requests; a drop policy if below 1.
         ejected: Workers to leave out.
     """
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
@@ -137,17 +138,17 @@
 
 
 class StateOfTheWorldStream:
-    """The server's state of one stream of this form, for one of the four types or all of them.
+    """The server's state of one state-of-the-world stream, for one of the four types or all.
 
-    Set `resources` to all that the client should hold; `pending_responses` gives what differs, of
-    what it subscribes to, from what was sent.
+    Set `resources` to all that the client should hold; `pending_responses` returns the responses
+    for subscribed resources that differ from those sent.
 
     Attributes:
         node_id: The node's name, empty before the first request; `zone` and `metadata` are the
             node's as well. `features` and `acked_versions` are always empty in this form.
         control_plane_id: This manager's identifier, with its term if it elects a leader.
-        subscribed: Resource names that the client asks for, by type.
-        sent_versions: Version by name as last sent, by type.
+        subscribed: Resource names that the client subscribes to, by type.
+        sent_versions: Version by name of the last response, by type.
         pending_nonces: Nonce of the newest response by type, empty once it is answered.
         rejected_versions: Version by name of the response last rejected, by type.
     """
@@ -169,18 +170,18 @@
         self.last_nonce = 0
 
     def is_ready(self) -> bool:
-        """Whether the client has asked for listeners, with which resolution begins."""
+        """Whether the client has subscribed to listeners, with which resolution begins."""
         return bool(self.subscribed.get(names.LISTENERS_TYPE))
 
     def receive(self, data: bytes, only_type: str = "") -> list[StreamEvent]:
-        """Take one request and give the events that it stands for.
+        """Handle one request and return the resulting events.
 
         Args:
             data: The serialized request.
             only_type: The one type that this stream serves; empty for all four.
 
         Raises:
-            StreamProtocolError: It is not a request of this protocol, or names too many resources.
+            StreamProtocolError: `data` is not a valid request, or names too many resources.
         """
         request = discovery_pb2.DiscoveryRequest()
         try:
@@ -219,7 +220,7 @@
         return ResponseRejected(nonce, request.error_detail.message)
 
     def close_type(self, type_url: str) -> None:
-        """Forget what the stream of one type asked for and was sent, as it has ended."""
+        """Drop the subscription and sent versions of one type, as its stream has ended."""
         for state_by_type in (
             self.subscribed,
             self.sent_versions,
@@ -229,13 +230,13 @@
             state_by_type.pop(type_url, None)
 
     def pending_responses(self) -> list[PendingResponse]:
-        """The responses that are due, in the order to send them; they count as sent from now on."""
+        """Return the responses that are due, in sending order, and record them as sent."""
         responses = []
         for type_url in TYPE_ORDER:
             selected = self._subscribed_resources(type_url)
             versions = {name: resource.version for name, resource in selected.items()}
             if self._is_up_to_date(type_url, versions):
-                # A name that is merely no longer subscribed to needs no response.
+                # A resource that is only no longer subscribed to needs no response.
                 self.sent_versions[type_url] = versions
                 continue
             self.last_nonce += 1
@@ -247,7 +248,7 @@
         return responses
 
     def _subscribed_resources(self, type_url: str) -> dict[str, VersionedResource]:
-        """The resources of one type that there are of those subscribed to, by name, sorted."""
+        """Return the available resources of one type that are subscribed to, sorted by name."""
         available = self.resources.get(type_url, {})
         return {
             name: available[name]
@@ -256,7 +257,7 @@
         }
 
     def _is_up_to_date(self, type_url: str, versions: dict[str, str]) -> bool:
-        """Whether these versions are all that was sent, of what is still subscribed to."""
+        """Whether `versions` equal those sent, apart from resources no longer subscribed to."""
         previous_versions = self.sent_versions.get(type_url, {})
         still_subscribed = {
             name: version
@@ -279,7 +280,7 @@
         return encoded
 
     def is_converged(self) -> bool:
-        """Whether the client holds all that is offered, down to the endpoints of each route."""
+        """Whether the client holds all resources offered, including the endpoints of each route."""
         required_clusters = self._routed_clusters()
         return (
             bool(self.subscribed.get(names.LISTENERS_TYPE))
@@ -290,7 +291,7 @@
         )
 
     def has_sent_all(self) -> bool:
-        """Whether all resources that are subscribed to were sent in their present version."""
+        """Whether the current version of each subscribed resource was sent."""
         return all(
             self.sent_versions.get(type_url, {}).get(name) == self.resources[type_url][name].version
             for type_url in self.resources
@@ -299,7 +300,7 @@
         )
 
     def _routed_clusters(self) -> set[str]:
-        """The clusters that the routes of the subscribed traffic classes lead to."""
+        """Return the clusters that the routes of the subscribed traffic classes refer to."""
         traffic_classes = self.subscribed.get(names.LISTENERS_TYPE, set())
         routes = self.resources.get(names.ROUTES_TYPE, {})
         return {
@@ -310,11 +311,11 @@
 
 
 def _check_request(request: discovery_pb2.DiscoveryRequest, only_type: str) -> None:
-    """Check type and size of a request. Raises StreamProtocolError."""
+    """Check the type and the size of a request. Raises StreamProtocolError."""
     type_url = request.type_url
     if type_url not in TYPE_ORDER or (only_type and type_url != only_type):
         served = only_type or ", ".join(TYPE_ORDER)
         raise StreamProtocolError(f"type {type_url!r} is not served; served are {served}")
-    # Without this limit, a peer could fill our memory.
+    # Limits the memory that a peer can make this process use.
     if len(request.resource_names) > MAX_RESOURCE_NAMES:
         raise StreamProtocolError(f"more than {MAX_RESOURCE_NAMES} resource names")
--- a/dunlinlug/xds/stream.py
+++ b/dunlinlug/xds/stream.py
@@ -1,4 +1,4 @@
-"""The server's state of one delta ADS stream: what was sent by nonce, and what is acked."""
+"""The server's state of one delta ADS stream: responses by nonce, and acknowledged versions."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -10,12 +10,13 @@
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.xds import encoding, names
 
-# Resource names that one stream may subscribe to or hold: a thousand times a proxy's need.
+# Maximum number of resource names that one stream may subscribe to or hold; a proxy needs about a
+# thousandth of it.
 MAX_RESOURCE_NAMES = 10_000
 
 
 class StreamProtocolError(DunlinlugError):
-    """The peer does not follow the protocol; its stream is to be ended with this text."""
+    """The peer violated the protocol; its stream is ended with this text."""
 
 
 @dataclass(frozen=True)
@@ -44,7 +45,7 @@
 
 
 class UnacknowledgedResponse(NamedTuple):
-    """A response that was sent and not yet answered: its type, resources, and removed names."""
+    """A response that was sent and not yet answered: type, resources, and removed names."""
 
     type_url: str
     resources: tuple[encoding.EncodedResource, ...]
@@ -52,12 +53,12 @@
 
 
 class DeltaStream:
-    """Takes serialized requests and gives what they say; makes responses with nonces of its own.
+    """Decodes requests into events, and encodes responses with their nonces.
 
     Attributes:
         node_id: The node's name, empty before the first request; `zone`, `metadata` and `features`
             are the node's as well.
-        acked_versions: Version by resource name that the peer holds, by type.
+        acked_versions: Version of each resource that the peer holds, by resource name, by type.
         subscribed: Resource names that the peer subscribes to, by type.
         unacknowledged: Responses not yet answered, by nonce.
         control_plane_id: This manager's identifier, with its term if it elects a leader.
@@ -85,10 +86,10 @@
         return set(self.subscribed) == {names.ENDPOINTS_TYPE, names.ROUTES_TYPE}
 
     def receive(self, data: bytes) -> list[StreamEvent]:
-        """Take one request and give the events that it stands for.
+        """Handle one request and return the resulting events.
 
         Raises:
-            StreamProtocolError: It is not a request of this protocol, or names too many resources.
+            StreamProtocolError: `data` is not a valid request, or names too many resources.
         """
         request = discovery_pb2.DeltaDiscoveryRequest()
         try:
@@ -115,7 +116,7 @@
         subscribed_names = self.subscribed.setdefault(request.type_url, set())
         subscribed_names |= set(request.resource_names_subscribe)
         subscribed_names -= set(request.resource_names_unsubscribe)
-        # Without this limit, a peer could fill our memory.
+        # Limits the memory that a peer can make this process use.
         if max(len(subscribed_names), len(acked)) > MAX_RESOURCE_NAMES:
             raise StreamProtocolError(f"more than {MAX_RESOURCE_NAMES} resource names")
 
@@ -134,7 +135,7 @@
         nonce = request.response_nonce
         response = self.unacknowledged.pop(nonce, None)
         if response is None:
-            return []  # a nonce of an earlier stream, or one that was answered before
+            return []  # nonce of an earlier stream, or already answered
         if request.HasField("error_detail"):
             return [ResponseRejected(nonce, request.error_detail.message)]
         acked = self.acked_versions[response.type_url]
@@ -150,7 +151,7 @@
         removed: tuple[str, ...],
         tag: str,
     ) -> tuple[str, bytes]:
-        """Make a response, as `encoding.encode_response` does; gives its nonce and bytes."""
+        """Encode a response as `encoding.encode_response` does; returns its nonce and bytes."""
         self.last_nonce += 1
         nonce = str(self.last_nonce)
         self.unacknowledged[nonce] = UnacknowledgedResponse(type_url, resources, removed)
--- a/dunlinlug/xds/subscriber.py
+++ b/dunlinlug/xds/subscriber.py
@@ -1,6 +1,6 @@
-"""A proxy's side of delta ADS: applies a response whole or not at all, and answers it.
+"""The proxy's side of delta ADS: applies a response completely or not at all, and answers it.
 
-The proxy's state outlives streams; a new stream tells the manager which versions it holds.
+The proxy's state outlives streams; a new stream sends the versions held to the manager.
 """
 
 from dataclasses import dataclass, field
@@ -12,18 +12,18 @@
 from dunlinlug.xds import fencing_term as xds_fencing_term
 from dunlinlug.xds.fencing_term import FencingTerm
 
-INVALID_ARGUMENT = 3  # google.rpc.Code of a NACK
+INVALID_ARGUMENT = 3  # google.rpc.Code used in a NACK
 
 
 @dataclass(frozen=True)
 class AppliedResponse:
-    """What became of one response.
+    """The result of applying or rejecting one response.
 
     Attributes:
-        type_url: Its type.
-        tag: Its `system_version_info`, from the manager's session.
-        entry_count: Table entries in it; 0 if it was rejected.
-        rejection_reason: Empty if it was applied.
+        type_url: Type of its resources.
+        tag: `system_version_info` of the response, set by the manager's session.
+        entry_count: Number of table entries in the response; 0 if it was rejected.
+        rejection_reason: Empty if the response was applied.
         control_plane: Term and member of the manager that sent it.
     """
 
@@ -36,11 +36,11 @@
 
 @dataclass
 class ProxyState:
-    """All that a proxy dispatches requests by; it outlives streams.
+    """The state by which a proxy routes requests; it outlives streams.
 
     Attributes:
-        tables: By resource name.
-        routes: The table's name and the retry policy, by traffic class.
+        tables: Table by resource name.
+        routes: Table name and retry policy by traffic class.
         ejected: Workers ejected from every table.
         versions: Version by resource name, by type.
         fencing_term: The highest term seen.
@@ -55,7 +55,7 @@
     fencing_term: FencingTerm = field(default_factory=FencingTerm)
 
     def usable_weights(self, traffic_class: str) -> dict[str, float]:
-        """Weight by worker that may be picked for this class now; ejected ones are left out."""
+        """Return the weight of each worker usable for this class; ejected workers are omitted."""
         table = self._table_of(traffic_class)
         if table is None:
             return {}
@@ -66,7 +66,7 @@
         }
 
     def admitted_fraction(self, traffic_class: str) -> float:
-        """The fraction of this class's requests that are admitted; 1 if no table limits it."""
+        """Return the admitted fraction of this class's requests; 1 if no table limits it."""
         table = self._table_of(traffic_class)
         if table is None:
             return 1.0
@@ -80,9 +80,9 @@
 
 
 class DeltaSubscriber:
-    """One stream of a proxy: requests out, responses in.
+    """The proxy's side of one stream: encodes requests and applies responses.
 
-    Make a new one for each stream, on the same state.
+    Create a new one for each stream, with the same state.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         self.metadata = metadata
 
     def initial_requests(self) -> list[bytes]:
-        """The first requests, one for each type: all tables, and the one route configuration."""
+        """Return the first request for each type: all tables, and the only route configuration."""
         requests = []
         for type_url, resource_name in (
             (names.ENDPOINTS_TYPE, "*"),
@@ -113,10 +113,10 @@
         return requests
 
     def receive(self, data: bytes) -> tuple[bytes, AppliedResponse]:
-        """Apply one response; gives the answer (ACK or NACK) to send, and what became of it.
+        """Apply one response; returns the ACK or NACK to send, and the result.
 
         Raises:
-            DecodingError: It is no `DeltaDiscoveryResponse`, so there is nothing to answer.
+            DecodingError: `data` is not a `DeltaDiscoveryResponse`, so it cannot be answered.
         """
         response = discovery_pb2.DeltaDiscoveryResponse()
         try:
@@ -126,8 +126,8 @@
         request = discovery_pb2.DeltaDiscoveryRequest(
             type_url=response.type_url, response_nonce=response.nonce
         )
-        # Without this, a late response of an earlier leader, or of one whose process was stopped,
-        # would undo what its successor has sent.
+        # Fencing: a late response of an earlier leader, or of one whose process was suspended, must
+        # not undo the changes sent by its successor.
         control_plane = xds_fencing_term.parse_identifier(response.control_plane.identifier)
         rejection_reason = self.state.fencing_term.rejection_reason(*control_plane)
         entry_count = 0
@@ -148,14 +148,14 @@
         )
 
     def _apply(self, response: discovery_pb2.DeltaDiscoveryResponse) -> int:
-        """Apply a response whole; gives how many table entries it had. Raises DecodingError."""
+        """Apply a response; returns the number of its table entries. Raises DecodingError."""
         entry_count = 0
         if response.type_url == names.ENDPOINTS_TYPE:
             entry_count = self._apply_tables(response)
         elif response.type_url == names.ROUTES_TYPE:
             self._apply_routes(response)
         else:
-            raise decoding.DecodingError(f"type {response.type_url!r} was not asked for")
+            raise decoding.DecodingError(f"type {response.type_url!r} was not subscribed to")
         versions = self.state.versions[response.type_url]
         versions.update((resource.name, resource.version) for resource in response.resources)
         for name in response.removed_resources:
@@ -187,8 +187,8 @@
         for resource in response.resources:
             routes = decoding.decode_routes(resource.resource.value)
         for traffic_class, (name, _) in routes.items():
-            # Without this check, a route to a table that is not held would leave the class
-            # without any endpoint.
+            # A route to a table that is not held would leave the traffic class without any
+            # endpoint.
             if name not in self.state.tables:
                 raise decoding.DecodingError(
                     f"{traffic_class} is routed to table {name}, which is not held"
--- a/tests/ads/test_tls.py
+++ b/tests/ads/test_tls.py
@@ -149,6 +149,6 @@
             assert (await call_end(short.call)).status is None
         await until(
             lambda: any(
-                "run out" in said["why"] for said in run.said("proxy.authentication_failed")
+                "has expired" in said["why"] for said in run.said("proxy.authentication_failed")
             )
         )
