--- a/tests/ads/test_grpc_clients.py
+++ b/tests/ads/test_grpc_clients.py
@@ -1,4 +1,4 @@
-"""An unmodified gRPC client, and one with a stream for each type, served by a manager."""
+"""A manager serves an unmodified gRPC client, and a client with a stream for each type."""
 
 import json
 import os
@@ -23,7 +23,7 @@
 from tests.fixtures.discovery_requests import encode_request
 from tests.fixtures.manager_process import running, until
 
-CLIENT = """
+CLIENT_PROGRAM = """
 import json, sys, threading, time
 import grpc
 channel = grpc.insecure_channel("xds:///press-book")
@@ -71,7 +71,7 @@
 
 
 class GrpcClient:
-    """A process with grpcio alone, which finds the manager by its bootstrap file."""
+    """A process that uses only grpcio, with the manager's address in its xDS bootstrap file."""
 
     def __init__(self, manager: tuple[str, int], folder: Path) -> None:
         bootstrap = {
@@ -86,7 +86,7 @@
         }
         (folder / "bootstrap.json").write_text(json.dumps(bootstrap))
         self.process = subprocess.Popen(
-            [sys.executable, "-c", CLIENT],
+            [sys.executable, "-c", CLIENT_PROGRAM],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
@@ -112,7 +112,9 @@
         self.process.communicate()
 
 
-async def test_an_unmodified_grpc_client_sends_requests_by_our_tables(tmp_path: Path) -> None:
+async def test_an_unmodified_grpc_client_follows_table_weights_and_ejections(
+    tmp_path: Path,
+) -> None:
     workers = GrpcWorkers(4)
     listed = [
         Endpoint(name, "north", "", 0, "ready", weight, None)
@@ -135,7 +137,7 @@
             )  # type: ignore[attr-defined]
             client = GrpcClient(run.address, tmp_path)
             counts = await client.send_requests(800)
-            assert set(counts) == set(workers.ids), "all workers, and no failure"
+            assert set(counts) == set(workers.ids), "every worker got requests and none failed"
             assert (
                 0.4 < counts[workers.ids[3]] / 800 < 0.6
                 and 0.07 < counts[workers.ids[0]] / 800 < 0.18
--- a/tests/ads/test_proxy_state.py
+++ b/tests/ads/test_proxy_state.py
@@ -1,6 +1,6 @@
-"""Installed tables, batches and the proxy's side against a plain model.
+"""Compares installed tables, batches and the proxy's state with a reference model.
 
-Whatever is merged on the way, a proxy ends up with just what the orders say, and never routes to a
+However batches are merged, a proxy ends up with the state that was ordered, and never routes to a
 table that it does not hold.
 """
 
@@ -31,8 +31,8 @@
 ACK_REQUEST = 1  # entries that an acknowledgement request counts for
 
 
-class PlainModel:
-    """What the orders mean, one by one."""
+class ReferenceModel:
+    """The state that results from applying the orders one by one, without batches."""
 
     def __init__(self) -> None:
         self.tables: dict[int, dict[str, float]] = {}
@@ -59,8 +59,8 @@
         return {worker: weight for worker, weight in table.items() if worker not in self.ejected}
 
 
-def random_orders(rng: Random, model: PlainModel, ack_number: int) -> list[Order]:
-    """Orders as a module may give them: weights, admissions, ejections, assignments to the table."""
+def random_orders(rng: Random, model: ReferenceModel, ack_number: int) -> list[Order]:
+    """Random orders of one reply: weights, admissions, ejections and assignments of one table."""
     table_id = rng.randint(1, 6)
     orders = list[Order]()
     for worker in rng.sample(WORKERS, 4):
@@ -78,8 +78,8 @@
     return [*orders, RequestAcknowledgement(ack_number, rng.random() < 0.3)]
 
 
-def delete_an_unused_table(model: PlainModel, orders: list[Order]) -> None:
-    """Add the deletion of one unused table, if there is any, before the acknowledgement request."""
+def delete_an_unused_table(model: ReferenceModel, orders: list[Order]) -> None:
+    """Insert the deletion of an unused table, if any, before the acknowledgement request."""
     used = {table_id for assigned in model.assignments.values() for table_id in assigned.values()}
     unused = [table_id for table_id in model.tables if table_id not in used]
     if unused:
@@ -95,9 +95,9 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_what_a_proxy_holds_is_what_was_ordered(seed: int) -> None:
+def test_a_proxy_ends_up_with_the_ordered_state(seed: int) -> None:
     rng = Random(seed)
-    model = PlainModel()
+    model = ReferenceModel()
     installer = XdsTableInstaller(3, TRAFFIC_CLASSES, 1, MESSAGE_OVERHEAD)
     proxies = {number: StreamedProxy(number) for number in range(3)}
     for number in proxies:
@@ -131,7 +131,7 @@
         assert used <= proxy.state.tables.keys()
 
 
-def test_entries_are_counted_as_the_module_counts_them(installer: XdsTableInstaller) -> None:
+def test_entries_are_counted_as_in_the_decision_module(installer: XdsTableInstaller) -> None:
     installer.add_proxy(0, True, ())
     weights: list[Order] = [SetWeight(1, worker, 1.0) for worker in WORKERS[:3]]
     ejection = SetEjected(WORKERS[0], True)
@@ -142,14 +142,16 @@
     # The assignment, the table's three entries, and the ejected one of them.
     assert batch.entry_count == MESSAGE_OVERHEAD + ACK_REQUEST + (1 + 3 + 1)
     ejection_elsewhere = SetEjected(WORKERS[5], True)
-    assert installer.apply_orders([ejection_elsewhere], 2.0) == {}, "in no table of the proxy"
+    assert installer.apply_orders([ejection_elsewhere], 2.0) == {}, (
+        "the ejected worker is in no table of the proxy"
+    )
     weight = SetWeight(1, WORKERS[3], 0.5)
     batch = installer.apply_orders([weight, RequestAcknowledgement(2, True)], 3.0)[0]
     assert batch.entry_count == MESSAGE_OVERHEAD + ACK_REQUEST + 1
 
 
-def test_a_reconnected_proxy_loses_old_tables_once_it_is_assigned_new_ones() -> None:
-    """Old tables may name workers that this manager never heard of."""
+def test_a_reconnected_proxy_removes_old_tables_once_it_is_assigned_new_ones() -> None:
+    """Old tables may contain workers that are not in this manager's endpoint list."""
     proxy = StreamedProxy(0)
     old = encoding.encode_table("9/1", {"127.0.0.1:1": 1.0}, {}, {})
     old_routes = encoding.encode_routes(
@@ -174,13 +176,13 @@
     )
     proxy.enqueue(installer.apply_orders([AssignTable(0, (0,), 1)], 1.0)[0])
     proxy.apply_pending()
-    assert "9/1" in proxy.state.tables, "still in use for the other class"
+    assert "9/1" in proxy.state.tables, "the old table is still in use for the other class"
     proxy.enqueue(installer.apply_orders([AssignTable(0, (1,), 1)], 2.0)[0])
     proxy.apply_pending()
     assert set(proxy.state.tables) == {"10/1"}
 
 
-def test_a_client_without_the_overlay_sees_ejections_in_each_table(
+def test_ejections_are_marked_in_the_tables_of_a_client_without_the_overlay(
     installer: XdsTableInstaller,
 ) -> None:
     installer.add_proxy(0, False, ())
--- a/tests/ads/test_tls.py
+++ b/tests/ads/test_tls.py
@@ -1,6 +1,4 @@
-"""TLS on ADS and LRS: identities, invalid certificates, certificates reloaded, an expired
-certificate.
-"""
+"""TLS on ADS and LRS: identities, and invalid, reloaded and expired certificates."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -18,7 +16,7 @@
 
 
 class Certificates:
-    """Certificates of a test's own authority, in files."""
+    """Certificate files issued by a test CA."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.authority = folder, trustme.CA()
@@ -63,7 +61,7 @@
     return error.value
 
 
-async def test_a_proxy_is_who_its_certificate_names(tmp_path: Path) -> None:
+async def test_a_node_name_must_match_its_certificate(tmp_path: Path) -> None:
     certificates = Certificates(tmp_path)
     async with running(tmp_path, certificates.section) as run:
         context = certificates.client("p0.proxies")
@@ -84,7 +82,7 @@
         assert len(run.said("proxy.connected")) == 1
 
 
-async def test_a_peer_without_a_valid_certificate_is_not_served_and_harms_no_other(
+async def test_a_peer_without_a_valid_certificate_is_rejected_and_others_are_still_served(
     tmp_path: Path,
 ) -> None:
     certificates = Certificates(tmp_path)
@@ -108,10 +106,10 @@
         await until(lambda: len(run.said("proxy.authentication_failed")) >= 3)
         assert len(run.said("proxy.connected")) == 1
         run.roster.tell(w1="draining")
-        await good.until(lambda h: len(h.usable_weights("press-book")) == 5)
+        await good.until(lambda state: len(state.usable_weights("press-book")) == 5)
 
 
-async def test_a_reload_changes_keys_while_streams_stay_open(tmp_path: Path) -> None:
+async def test_a_reload_replaces_certificates_while_streams_stay_open(tmp_path: Path) -> None:
     certificates = Certificates(tmp_path)
     async with (
         running(tmp_path, certificates.section) as run,
@@ -136,7 +134,7 @@
                     raise await call_end(late.call)
             run.roster.tell(w1="draining")
             for proxy in (old, new):
-                await proxy.until(lambda h: len(h.usable_weights("press-book")) == 5)
+                await proxy.until(lambda state: len(state.usable_weights("press-book")) == 5)
 
 
 async def test_an_expired_certificate_ends_its_streams(tmp_path: Path) -> None:
--- a/tests/rpc/test_connection.py
+++ b/tests/rpc/test_connection.py
@@ -1,4 +1,4 @@
-"""gRPC over HTTP/2 without sockets: two connections exchange byte strings."""
+"""gRPC over HTTP/2 without sockets: two connections exchange bytes."""
 
 import h2.config
 import h2.connection
@@ -20,7 +20,7 @@
 
 
 def transfer(source: rpc.Connection, target: rpc.Connection, step: int = 10**9) -> list[rpc.Event]:
-    """Give all that one side has to send to the other, so many bytes at a time."""
+    """Pass all pending bytes of `source` to `target`, `step` bytes at a time."""
     data = source.data_to_send()
     return [
         event
@@ -32,7 +32,7 @@
 def exchange_all(
     client: rpc.Connection, server: rpc.Connection
 ) -> tuple[list[rpc.Event], list[rpc.Event]]:
-    """Transfer both ways, fifty times; the events at the client and at the server."""
+    """Transfer in both directions fifty times; returns the client's and the server's events."""
     at_client: list[rpc.Event] = []
     at_server: list[rpc.Event] = []
     for _ in range(50):
@@ -130,32 +130,32 @@
 
 
 @pytest.mark.parametrize("step", [1, 9, 4096])
-def test_an_oversized_frame_is_refused_by_its_head_alone(
+def test_an_oversized_frame_is_rejected_by_its_header(
     client: rpc.Connection, server: rpc.Connection, step: int
 ) -> None:
-    """Guards against up to 16 MiB of a bad frame being held for each connection."""
+    """Guards against buffering up to 16 MiB of an invalid frame for each connection."""
     exchange_all(client, server)
-    largest = server.h2.max_inbound_frame_size
+    max_length = server.h2.max_inbound_frame_size
     empty_settings = bytes([0, 0, 0, 4, 0, 0, 0, 0, 0])
-    head = (largest + 1).to_bytes(3, "big") + bytes([0, 0, 0, 0, 0, 1])
-    data = empty_settings + head + bytes(largest + 1)
-    taken = 0
+    header = (max_length + 1).to_bytes(3, "big") + bytes([0, 0, 0, 0, 0, 1])
+    data = empty_settings + header + bytes(max_length + 1)
+    position = 0
     while not server.closed:
-        events = server.receive(data[taken : taken + step])
-        taken += step
-    assert taken - step < len(empty_settings + head)
+        events = server.receive(data[position : position + step])
+        position += step
+    assert position - step < len(empty_settings + header)
     assert isinstance(events[0], rpc.ConnectionClosed) and "FrameTooLarge" in events[0].reason
-    goaway = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
-    goaway.initiate_connection()
-    (ended,) = [
+    peer = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
+    peer.initiate_connection()
+    (termination,) = [
         event
-        for event in goaway.receive_data(server.data_to_send())
+        for event in peer.receive_data(server.data_to_send())
         if isinstance(event, h2.events.ConnectionTerminated)
     ]
-    assert ended.error_code == h2.errors.ErrorCodes.FRAME_SIZE_ERROR
+    assert termination.error_code == h2.errors.ErrorCodes.FRAME_SIZE_ERROR
 
 
-def test_an_answer_after_goaway_is_dropped(client: rpc.Connection, server: rpc.Connection) -> None:
+def test_a_response_after_goaway_is_dropped(client: rpc.Connection, server: rpc.Connection) -> None:
     streams = [client.start_call("/a/b", "h") for _ in range(3)]
     exchange_all(client, server)
     server.accept(streams[0])
@@ -168,7 +168,7 @@
     assert server.data_to_send() == b"" and not server.calls
 
 
-def test_a_cancelled_call_is_reported_and_forgotten(
+def test_a_cancelled_call_is_reported_and_removed(
     client: rpc.Connection, server: rpc.Connection
 ) -> None:
     stream = client.start_call("/a/b", "h")
--- a/tests/xds/test_state_of_the_world.py
+++ b/tests/xds/test_state_of_the_world.py
@@ -38,7 +38,7 @@
 
 
 def converged_stream() -> state_of_the_world.StateOfTheWorldStream:
-    """A stream whose client holds all of table 1/1."""
+    """A stream whose client holds all resources of table 1/1."""
     stream = state_of_the_world.StateOfTheWorldStream()
     stream.resources = resources_of("1/1")
     for type_url, subscribed in (
@@ -56,12 +56,12 @@
     return stream
 
 
-def test_a_change_converges_only_with_the_endpoints_of_its_new_cluster() -> None:
+def test_a_change_converges_only_once_the_endpoints_of_the_new_cluster_are_acknowledged() -> None:
     stream = converged_stream()
     stream.resources = resources_of("1/2", "1/1")
     due = pending(stream)
     assert set(due) == {names.ROUTES_TYPE} and not stream.is_converged(), (
-        "the client has yet to ask for the new cluster"
+        "the client has not yet subscribed to the new cluster"
     )
     stream.receive(encode_request(names.ROUTES_TYPE, ["book"], due[names.ROUTES_TYPE][0]))
     for type_url in (names.CLUSTERS_TYPE, names.ENDPOINTS_TYPE):
@@ -72,7 +72,7 @@
     assert stream.is_converged()
 
 
-def test_a_rejection_followed_by_an_earlier_answer_is_still_a_rejection() -> None:
+def test_an_answer_to_an_earlier_response_does_not_clear_a_rejection() -> None:
     stream = converged_stream()
     stream.resources = resources_of("1/1", weight=2.0)
     first = pending(stream)[names.ENDPOINTS_TYPE][0]
@@ -85,7 +85,7 @@
         stream.receive(encode_request(names.ENDPOINTS_TYPE, ["1/1/book"], first)) == []
         and not stream.is_converged()
     )
-    assert not pending(stream), "what was rejected is not sent again"
+    assert not pending(stream), "rejected resources are not sent again"
     stream.resources = resources_of("1/1", weight=4.0)
     third = pending(stream)[names.ENDPOINTS_TYPE][0]
     assert (
@@ -103,7 +103,7 @@
     new = pending(stream)[names.ENDPOINTS_TYPE][0]
     stream.receive(encode_request(names.ENDPOINTS_TYPE, [], old))
     assert stream.subscribed[names.ENDPOINTS_TYPE] == {"1/1/book"}, (
-        "crossed by a change: the newest answer counts"
+        "an answer to a superseded response is ignored"
     )
     stream.receive(encode_request(names.ENDPOINTS_TYPE, ["1/1/book"], new))
     assert stream.is_converged()
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -1,4 +1,4 @@
-"""The server's side of delta ADS: requests that end a stream, each with its reason."""
+"""The server's side of delta ADS: an invalid request ends its stream with the reason."""
 
 import pytest
 from envoy.service.discovery.v3 import discovery_pb2
--- a/tests/xds/test_subscriber.py
+++ b/tests/xds/test_subscriber.py
@@ -1,4 +1,4 @@
-"""The proxy's side of delta ADS: what it cannot apply it rejects, and keeps what it holds."""
+"""The proxy's side of delta ADS: an invalid response is rejected and changes nothing."""
 
 import pytest
 from envoy.config.endpoint.v3 import endpoint_pb2
@@ -44,9 +44,7 @@
         ("table in use", "in use and cannot be taken away"),
     ],
 )
-def test_a_proxy_rejects_what_it_cannot_apply_and_keeps_what_it_has(
-    defect: str, reason: str
-) -> None:
+def test_a_proxy_rejects_an_invalid_response_and_keeps_its_state(defect: str, reason: str) -> None:
     proxy = StreamedProxy(0)
     table = encoding.encode_table("1/1", {WORKERS[0]: 1.0, WORKERS[1]: 0.5}, {}, {"read": 0.5})
     route = encoding.Route("read", "1/1", encoding.RetryPolicy(1))
