--- a/dunlinlug/ads/reload.py
+++ b/dunlinlug/ads/reload.py
@@ -40,10 +40,10 @@
 def sections_needing_restart(current: ConfigFile, new_config: ConfigFile) -> list[str]:
     """Return the sections, in brackets, with a change that requires a restart."""
     changed = []
-    for name, kind in manager_config.SECTIONS.items():
-        old_section: Any = current.section(kind)
-        new_section: Any = new_config.section(kind)
-        reloadable = RELOADABLE_KEYS.get(kind, frozenset())
+    for name, section_type in manager_config.SECTIONS.items():
+        old_section: Any = current.section(section_type)
+        new_section: Any = new_config.section(section_type)
+        reloadable = RELOADABLE_KEYS.get(section_type, frozenset())
         unchanged_values = {key: getattr(old_section, key) for key in reloadable}
         if attrs.evolve(new_section, **unchanged_values) != old_section:
             changed.append(f"[{name}]")
--- a/dunlinlug/net/grpc.py
+++ b/dunlinlug/net/grpc.py
@@ -36,7 +36,7 @@
     """One call in progress; messages are bytes.
 
     Attributes:
-        ended: How it ended, or None.
+        ended: Status and reason once the call has ended, else None.
         headers_received: Set once the response headers are received (client side) or the call ends.
         scope: Cancel it to stop the task that serves the call.
     """
--- a/dunlinlug/rpc/connection.py
+++ b/dunlinlug/rpc/connection.py
@@ -1,7 +1,7 @@
 """One HTTP/2 connection that carries gRPC calls, for client and server.
 
 `receive` takes bytes and returns events; `data_to_send` returns bytes. Data held back by flow
-control is queued per call, so that a call whose data is not read delays no other call;
+control is queued per call, so that a peer that does not read one call's data delays only that call;
 `unsent_bytes` is the size of a call's queue.
 """
 
--- a/tests/ads/test_proxy_state.py
+++ b/tests/ads/test_proxy_state.py
@@ -28,7 +28,7 @@
 TRAFFIC_CLASSES = (TrafficClass("read", 0.8, 2.0, 1.0), TrafficClass("book", 0.8, 2.0, 5.0))
 WORKERS = [f"127.0.0.1:{port}" for port in range(7000, 7008)]
 MESSAGE_OVERHEAD = 4.0  # entries
-ACK_REQUEST = 1  # entries that an acknowledgement request counts for
+ACK_REQUEST = 1  # entries counted for an acknowledgement request
 
 
 class ReferenceModel:
@@ -139,7 +139,7 @@
     assert batch.entry_count == MESSAGE_OVERHEAD + 1, "a proxy without a table gets all ejections"
     assignment = AssignTable(0, (0, 1), 1)
     batch = installer.apply_orders([assignment, RequestAcknowledgement(1, False)], 1.0)[0]
-    # The assignment, the table's three entries, and the ejected one of them.
+    # One entry for the assignment, three for the table, and one for the ejected worker.
     assert batch.entry_count == MESSAGE_OVERHEAD + ACK_REQUEST + (1 + 3 + 1)
     ejection_elsewhere = SetEjected(WORKERS[5], True)
     assert installer.apply_orders([ejection_elsewhere], 2.0) == {}, (
