--- a/dunlinlug/net/http.py
+++ b/dunlinlug/net/http.py
@@ -289,7 +289,7 @@
     async def _take_idle_connection(self) -> tuple[trio.SocketStream, h11.Connection] | None:
         """Return an idle connection with no data to read, or None.
 
-        A connection that is readable between requests was closed by the server or received unexpected data.
+        A connection that is readable between requests was closed, or received unexpected data.
         """
         while self.idle_connections:
             stream, connection = self.idle_connections.pop()
