--- a/dunlinlug/ads/service.py
+++ b/dunlinlug/ads/service.py
@@ -121,7 +121,7 @@
         if node_id in self.proxy_numbers:
             return
         if len(self.proxy_numbers) >= MAX_PROXIES:
-            raise StreamProtocolError("the maximum number of proxies is reached")
+            raise StreamProtocolError("no room for more proxies")
         number = len(self.proxy_numbers)
         self.proxy_numbers[node_id] = number
         self.new_proxy_numbers[node_id] = number
@@ -159,7 +159,7 @@
         previous = self.sessions.get(proxy)
         if previous is not None:
             self.close_session(previous)
-            previous.end(Status.CANCELLED, "replaced by a newer stream of the same node")
+            previous.end(Status.CANCELLED, "another stream of this node has come")
 
     def _add_session(self, session: Session, supports_ejection_overlay: bool) -> None:
         """Register a proxy's session, and notify the decision module of the proxy."""
@@ -218,10 +218,7 @@
                 node_id = report.node_id
                 identity = call.connection.identity
                 if identity not in ("", node_id):
-                    call.finish(
-                        Status.PERMISSION_DENIED,
-                        f"{node_id} does not match the identity in the certificate, {identity}",
-                    )
+                    call.finish(Status.PERMISSION_DENIED, f"{node_id} is not {identity}")
                     return
                 call.send(load_reports.encode_response(self.report_interval))
             self._add_report(node_id, report)
--- a/dunlinlug/ads/stream_host.py
+++ b/dunlinlug/ads/stream_host.py
@@ -60,6 +60,4 @@
         IdentityConflictError: The certificate names another node.
     """
     if identity not in ("", node_id):
-        raise IdentityConflictError(
-            f"{node_id} does not match the identity in the certificate, {identity}"
-        )
+        raise IdentityConflictError(f"{node_id} is not who its certificate names: {identity}")
--- a/dunlinlug/net/grpc.py
+++ b/dunlinlug/net/grpc.py
@@ -257,7 +257,7 @@
             call.message_sender.send_nowait(data)
         except trio.WouldBlock:
             # Limits the memory used by a peer that sends faster than its messages are handled.
-            call.finish(rpc.Status.RESOURCE_EXHAUSTED, "too many unhandled messages")
+            call.finish(rpc.Status.RESOURCE_EXHAUSTED, "messages come too fast")
             self._end_call(call.stream_id, None, "too many unhandled messages")
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
--- a/dunlinlug/net/http.py
+++ b/dunlinlug/net/http.py
@@ -95,10 +95,10 @@
         if isinstance(event, h11.EndOfMessage):
             return bytes(body)
         if not isinstance(event, h11.Data):
-            raise h11.RemoteProtocolError("the body is incomplete")
+            raise h11.RemoteProtocolError("the body broke off")
         body += event.data
         if len(body) > max_size:
-            raise h11.RemoteProtocolError("the body is too large", error_status_hint=413)
+            raise h11.RemoteProtocolError("the body is over the bound", error_status_hint=413)
 
 
 Handler = Callable[[Request], Awaitable[Response]]
--- a/dunlinlug/rpc/connection.py
+++ b/dunlinlug/rpc/connection.py
@@ -288,7 +288,7 @@
             self.h2.send_headers(stream_id, [(":status", "415"), ("content-type", "text/plain")])
             self.h2.send_data(
                 stream_id,
-                f"this port serves gRPC, not {content_type or 'plain requests'}\n".encode(),
+                f"this port speaks gRPC, not {content_type or 'plain requests'}\n".encode(),
                 end_stream=True,
             )
             return []
--- a/dunlinlug/xds/decoding.py
+++ b/dunlinlug/xds/decoding.py
@@ -94,7 +94,7 @@
     routes_by_class: dict[str, tuple[str, encoding.RetryPolicy]] = {}
     for host in route_configuration.virtual_hosts:
         if len(host.routes) != 1 or not host.routes[0].route.cluster:
-            raise DecodingError(f"virtual host {host.name} must have exactly one route to a table")
+            raise DecodingError(f"virtual host {host.name}: not exactly one route to a table")
         route = host.routes[0].route
         routes_by_class[host.name] = (route.cluster, _decode_retry_policy(route.retry_policy))
     return routes_by_class
--- a/dunlinlug/xds/subscriber.py
+++ b/dunlinlug/xds/subscriber.py
@@ -155,7 +155,7 @@
         elif response.type_url == names.ROUTES_TYPE:
             self._apply_routes(response)
         else:
-            raise decoding.DecodingError(f"type {response.type_url!r} was not subscribed to")
+            raise decoding.DecodingError(f"type {response.type_url!r} was not asked for")
         versions = self.state.versions[response.type_url]
         versions.update((resource.name, resource.version) for resource in response.resources)
         for name in response.removed_resources:
