--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -1,4 +1,4 @@
-"""The administration endpoint of a running manager, over HTTP and by the commands."""
+"""The administration endpoint of a running manager, through HTTP and through the commands."""
 
 import json
 import time
@@ -26,7 +26,7 @@
 
 
 class AdminClient:
-    """Sends requests with a token to a manager's administration endpoint."""
+    """Sends requests with a bearer token to a manager's administration endpoint."""
 
     def __init__(self, client: http.Client) -> None:
         self.client = client
@@ -34,7 +34,7 @@
     async def send(
         self, method: str, path: str, payload: object = None, token: str = TOKEN
     ) -> tuple[int, Any]:
-        """The status and the decoded answer; a payload of bytes is sent as it is."""
+        """Return the status and the decoded answer; a payload of bytes is sent unchanged."""
         body = b""
         if isinstance(payload, bytes):
             body = payload
@@ -54,7 +54,7 @@
 async def running_with_admin_api(
     tmp_path: Path, *changes: tuple[str, str]
 ) -> AsyncIterator[tuple[Running, AdminClient]]:
-    """A manager whose administration endpoint is open, and a client of it."""
+    """Run a manager with an administration endpoint, and connect a client to it."""
     token = tmp_path / "token"
     token.write_text(TOKEN + "\n")
     token.chmod(0o600)
@@ -65,7 +65,7 @@
         yield run, AdminClient(http.Client(*run.manager.admin_address))
 
 
-async def test_an_override_is_applied_shown_and_ends_by_request_or_by_time(
+async def test_an_override_is_applied_and_shown_and_ends_on_request_or_expiry(
     tmp_path: Path,
 ) -> None:
     async with running_with_admin_api(tmp_path) as (run, client), peer(run, "p0") as proxy:
@@ -102,7 +102,7 @@
         assert reasons == ["an operator's word", "its time is up"]
 
 
-async def test_malformed_requests_are_answered_and_change_nothing(tmp_path: Path) -> None:
+async def test_invalid_requests_get_an_error_answer_and_change_nothing(tmp_path: Path) -> None:
     async with running_with_admin_api(tmp_path) as (run, client), peer(run, "p0") as proxy:
         await proxy.until(bound)
         valid = {"product": BOOK, "lasts": 9, "only": FIRST_TWO}
@@ -168,7 +168,7 @@
         assert status == 409
         assert answer["refusals"][0]["rule"] == "pushed"
         status, _ = await client.activate(only=[worker.id for worker in WORKERS[3:]])
-        assert status == 200, "what keeps the rules is not held back"
+        assert status == 200, "an override that keeps the rules is accepted"
     newest = read_rejections(tmp_path / "store")[-1]
     assert newest.source == "operator"
     assert "txns a second by all proxies" in newest.reason
@@ -191,7 +191,7 @@
     assert read_rejections(tmp_path / "store")[-1].source == "guard, lifting a pin"
 
 
-async def test_an_override_outlives_its_manager_and_still_expires(tmp_path: Path) -> None:
+async def test_an_override_survives_a_manager_restart_and_still_expires(tmp_path: Path) -> None:
     async with running_with_admin_api(tmp_path) as (run, client), peer(run, "p0") as proxy:
         await proxy.until(bound)
         status, _ = await client.activate(lasts=4.0, only=FIRST_TWO)
@@ -213,7 +213,7 @@
         (None, 0, "cannot be read"),
     ],
 )
-def test_a_token_that_others_may_read_or_guess_is_rejected(
+def test_a_token_that_others_can_read_or_guess_is_rejected(
     tmp_path: Path, text: str | None, mode: int, message: str
 ) -> None:
     path = tmp_path / "token"
--- a/tests/audit/test_failure_verdicts.py
+++ b/tests/audit/test_failure_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts of failure in managers' logs, beside the faults that a scenario has injected."""
+"""Failure verdicts in the managers' logs, compared with the injected faults of a scenario."""
 
 import json
 from datetime import UTC, datetime
@@ -25,7 +25,7 @@
 
 
 def write_folder(folder: Path, lines: list[dict[str, Any]], log: list[dict[str, Any]]) -> None:
-    """A scenario that began at 100 s, with the log of the manager `a`."""
+    """Write the records of a scenario that began at 100 s, and the log of the manager `a`."""
     begin = {"at": 100.0, "e": "begin", "wall": BEGAN_AT}
     end = {"at": 160.0, "e": "end"}
     (folder / "day.jsonl").write_text(
--- a/tests/audit/test_rules.py
+++ b/tests/audit/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule on hand-made records: kept just inside its limit, broken just beyond it."""
+"""Each rule on synthetic records: kept just within its limit, broken just beyond it."""
 
 import json
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 def broken_rules(tmp_path: Path, *lines: dict[str, Any]) -> list[str]:
-    """The rules broken in 60 s that begin at 100 s, with one proxy connected at 101 s."""
+    """The rules broken in a scenario of 60 s from 100 s on, with one proxy connected at 101 s."""
     (tmp_path / "run.ini").write_text(SCENARIO + WORKER_SECTIONS)
     base = [
         {"at": 100.0, "e": "begin", "lead": 1.0, "length": 60},
@@ -120,7 +120,7 @@
         ),
     ],
 )
-def test_nothing_is_sent_to_a_draining_endpoint_after_the_grace_period(
+def test_no_request_is_sent_to_a_draining_endpoint_after_the_grace_period(
     tmp_path: Path, lines: list[dict[str, Any]], broken: list[str]
 ) -> None:
     assert broken_rules(tmp_path, DRAINING, *lines) == broken
@@ -221,20 +221,20 @@
         ),
     ],
 )
-def test_no_warming_endpoint_is_overloaded_by_proxies_that_knew(
+def test_no_warming_endpoint_is_overloaded_by_informed_proxies(
     tmp_path: Path, lines: list[dict[str, Any]], broken: list[str]
 ) -> None:
     assert broken_rules(tmp_path, RESTARTED, *lines) == broken
 
 
 def arrived(
-    ordered: float, at: float, lines: float, proxy: str = "p0", replies: int = 1
+    ordered: float, at: float, lines: float, proxy: str = "p0", messages: int = 1
 ) -> dict[str, Any]:
     return {
         "at": at,
         "e": "applied",
         "proxy": proxy,
-        "tag": f"{ordered} {lines} {replies}",
+        "tag": f"{ordered} {lines} {messages}",
         "lines": 1,
         "refused": "",
     }
@@ -249,12 +249,15 @@
         ([arrived(110.0, 110.01 + number / 1000, 100) for number in range(10)], ["queue"] * 3),
         ([arrived(110.0 + number / 4, 110.1 + number / 4, 6) for number in range(30)], []),
         (
-            [arrived(110.0 + number / 4, 110.1 + number / 4, 6, replies=2) for number in range(16)],
+            [
+                arrived(110.0 + number / 4, 110.1 + number / 4, 6, messages=2)
+                for number in range(16)
+            ],
             ["queue"],
         ),
     ],
 )
-def test_queue_rate_and_messages_keep_to_the_channels_limits(
+def test_queue_rate_and_messages_stay_within_the_channels_limits(
     tmp_path: Path, lines: list[dict[str, Any]], broken: list[str]
 ) -> None:
     assert broken_rules(tmp_path, *lines) == broken
@@ -268,7 +271,9 @@
     assert "all.jsonl:9" in text
 
 
-def test_served_is_priority_weight_in_time_over_that_of_all_requests(tmp_path: Path) -> None:
+def test_served_fraction_is_priority_weight_in_time_over_that_of_all_requests(
+    tmp_path: Path,
+) -> None:
     requests = [
         {
             "at": 110.0,
@@ -294,7 +299,7 @@
     assert summary.outcomes == {"settled": 2, "late": 1, "voided": 1}
 
 
-def test_a_last_line_that_is_cut_off_is_ignored_and_a_broken_one_is_an_error(
+def test_an_incomplete_last_line_is_ignored_and_another_invalid_line_is_an_error(
     tmp_path: Path,
 ) -> None:
     broken_rules(tmp_path)
--- a/tests/client/test_request_dispatcher.py
+++ b/tests/client/test_request_dispatcher.py
@@ -1,4 +1,4 @@
-"""One request by the tables held: retries, the deadline, and what is not even attempted."""
+"""Dispatching one request: retries, the deadline, and requests that are not attempted."""
 
 from collections.abc import Callable
 from random import Random
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def make_dispatcher() -> MakeDispatcher:
-    """Builds a dispatcher with one table for the class "book"."""
+    """A function that builds a dispatcher with one table for the traffic class "book"."""
 
     def make(
         retry_mode: int,
@@ -46,7 +46,7 @@
         (3, True, 3),
     ],
 )
-async def test_retries_follow_the_policy_each_at_another_worker(
+async def test_retries_follow_the_policy_and_each_uses_another_worker(
     make_dispatcher: MakeDispatcher, retry_mode: int, may_have_run: bool, attempts: int
 ) -> None:
     attempted = list[str]()
@@ -65,7 +65,7 @@
     assert sum(statistics.failed for statistics in report.workers.values()) == attempts
 
 
-async def test_a_request_given_up_at_its_deadline_may_have_been_executed(
+async def test_a_request_abandoned_at_its_deadline_may_have_been_executed(
     make_dispatcher: MakeDispatcher,
 ) -> None:
     async def attempt(worker: str, remaining: float, attempt_number: int) -> AttemptResult:
@@ -80,14 +80,14 @@
     dispatcher = make_dispatcher(2, attempt_timeout=0.05)
     result = await dispatcher.dispatch("book", started + 5.0, attempt)
     assert not result.not_executed
-    assert trio.current_time() - started < 1.0, "two attempts, each with a time limit of its own"
+    assert trio.current_time() - started < 1.0, "two attempts, each limited by the attempt timeout"
 
 
-async def test_a_request_not_admitted_or_without_endpoint_is_surely_not_executed(
+async def test_a_request_not_admitted_or_without_endpoint_is_certainly_not_executed(
     make_dispatcher: MakeDispatcher,
 ) -> None:
     async def attempt(worker: str, remaining: float, attempt_number: int) -> AttemptResult:
-        raise AssertionError("not to be attempted")
+        raise AssertionError("the request must not be attempted")
 
     deadline = trio.current_time() + 5.0
     all_ejected = make_dispatcher(0, workers=1)
--- a/tests/client/test_table_subscriber.py
+++ b/tests/client/test_table_subscriber.py
@@ -1,11 +1,11 @@
-"""The subscription to the leader: how long nothing has been received."""
+"""The subscription to the leader: the time since anything was received."""
 
 import trio
 
 from dunlinlug.client import ProxyState, ReportAccumulator, TableSubscriber
 
 
-async def test_without_a_manager_in_reach_the_silence_is_measured() -> None:
+async def test_silence_is_measured_while_no_manager_is_reachable() -> None:
     subscriber = TableSubscriber(
         "p",
         "north",
--- a/tests/command_line/test_answer_text.py
+++ b/tests/command_line/test_answer_text.py
@@ -1,4 +1,4 @@
-"""Answers of a manager as the commands print them."""
+"""The text that commands print for a manager's answers."""
 
 from dunlinlug.admin import schemas
 from dunlinlug.admin.client import parse_answer
@@ -59,7 +59,7 @@
     ]
 
 
-def test_a_follower_is_shown_with_what_it_lacks() -> None:
+def test_a_follower_is_shown_with_its_missing_entries() -> None:
     follower = {**LEADERSHIP, "leads": False, "lags": None, "master": None}
     for missing, text in ((None, "all"), (0, "0"), (4, "4")):
         status = parse_answer({**follower, "behind": missing}, schemas.LeadershipStatus)
--- a/tests/command_line/test_command_line.py
+++ b/tests/command_line/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line and the manager as a process."""
+"""The command line, and a manager run as a process."""
 
 import json
 import signal
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("command", [["manager", "FILE"], ["day", "play", "FILE"], ["audit", "."]])
-def test_a_file_that_cannot_be_used_is_one_line_and_status_2(
+def test_a_file_that_cannot_be_used_gives_one_line_and_status_2(
     command: list[str], tmp_path: Path
 ) -> None:
     path = manager_file(tmp_path, ("bare = 4s", "bare = soon"))
@@ -75,7 +75,7 @@
 
 
 def test_a_stand_in_does_not_import_what_only_a_manager_needs() -> None:
-    """Scenarios start many of them, and importing the xDS messages takes long."""
+    """A scenario starts many stand-ins, and importing the xDS messages is slow."""
     program = (
         "import sys; from dunlinlug.cli import main\n"
         "try: main(['stand-in', 'worker', '--help'])\n"
@@ -85,8 +85,8 @@
     subprocess.run([sys.executable, "-c", program], check=True, cwd=ROOT, timeout=30)
 
 
-class Process:
-    """A manager process whose log lines can be waited for."""
+class ManagerProcess:
+    """A manager process; `until` waits for a log line."""
 
     def __init__(self, path: Path) -> None:
         self.process = subprocess.Popen(
@@ -103,7 +103,7 @@
             self.lines.put(json.loads(line) if line.startswith("{") else {"event": line})
 
     def until(self, event: str) -> dict[str, Any]:
-        """The next line whose event contains this text."""
+        """Wait for the next line whose event contains this text, and return it."""
         while True:
             line = self.lines.get(timeout=15.0)
             if event in line["event"]:
@@ -112,7 +112,7 @@
 
 @pytest.fixture
 def path(tmp_path: Path) -> Path:
-    """The INI file of a manager that serves on a port of its choice."""
+    """The INI file of a manager that serves on a port assigned by the system."""
     return manager_file(
         tmp_path,
         ("127.0.0.1:18000", "127.0.0.1:0"),
@@ -121,9 +121,9 @@
 
 
 @pytest.fixture
-def manager(path: Path) -> Iterator[Process]:
-    """A manager that is ready."""
-    started = Process(path)
+def manager(path: Path) -> Iterator[ManagerProcess]:
+    """A manager process that is ready."""
+    started = ManagerProcess(path)
     try:
         assert started.until("manager.ready")["epoch"] == 1
         yield started
@@ -132,7 +132,9 @@
         started.process.wait()
 
 
-def test_sighup_reloads_and_rejects_what_needs_a_restart(path: Path, manager: Process) -> None:
+def test_sighup_reloads_and_rejects_what_needs_a_restart(
+    path: Path, manager: ManagerProcess
+) -> None:
     text = path.read_text()
     faster = text.replace("lines_per_s = 1200/s", "lines_per_s = 1200/s\npace = 40/s")
     for new_text, event in (
@@ -147,27 +149,27 @@
 
 
 def test_a_second_manager_on_the_same_store_ends_with_status_2(
-    path: Path, manager: Process
+    path: Path, manager: ManagerProcess
 ) -> None:
-    second = Process(path)
+    second = ManagerProcess(path)
     assert "another manager has this store open" in second.until("dunlinlug:")["event"]
     assert second.process.wait(15) == 2
     assert manager.process.poll() is None
 
 
-def test_sigterm_stops_a_manager_with_status_0(manager: Process) -> None:
+def test_sigterm_stops_a_manager_with_status_0(manager: ManagerProcess) -> None:
     manager.process.send_signal(signal.SIGTERM)
     assert manager.until("manager.stopped")
     assert manager.process.wait(15) == 0
 
 
-def test_a_manager_whose_port_is_taken_says_so(tmp_path: Path) -> None:
+def test_a_manager_whose_port_is_taken_reports_it_and_ends_with_status_1(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = manager_file(
             tmp_path,
             ("127.0.0.1:18000", f"127.0.0.1:{taken.getsockname()[1]}"),
             ("store = unused", f"store = {tmp_path / 's'}"),
         )
-        manager = Process(path)
+        manager = ManagerProcess(path)
         assert "cannot serve" in manager.until("dunlinlug:")["event"]
         assert manager.process.wait(15) == 1
