--- a/tests/race_conditions/test_ads_shutdown.py
+++ b/tests/race_conditions/test_ads_shutdown.py
@@ -11,7 +11,7 @@
 
 from dunlinlug import rpc
 from dunlinlug.net import grpc, grpc_server
-from tests.command_line.test_command_line import Process
+from tests.command_line.test_command_line import ManagerProcess
 from tests.config.test_manager_config import manager_file
 
 GOAWAY = 7
@@ -23,7 +23,7 @@
         ("127.0.0.1:18000", "127.0.0.1:0"),
         ("store = unused", f"store = {tmp_path / 's'}"),
     )
-    manager = Process(path)
+    manager = ManagerProcess(path)
     try:
         manager.until("manager.ready")
         for number in (
