--- a/dunlinlug/admin/override_registry.py
+++ b/dunlinlug/admin/override_registry.py
@@ -36,7 +36,7 @@
 
 
 class OverrideRegistry:
-    """Activates and ends overrides: stores each change first, then submits it for decision.
+    """Activates and ends overrides: stores each change, then submits it to the decision module.
 
     All times are seconds on trio's clock, except those of `StoredOverride`.
     """
--- a/dunlinlug/audit/violations.py
+++ b/dunlinlug/audit/violations.py
@@ -1,4 +1,4 @@
-"""A violation of a rule, and the times in which proxies were connected, for most rules."""
+"""Violations of rules, and the times in which proxies were connected (used by most rules)."""
 
 from collections import defaultdict
 from dataclasses import dataclass
--- a/dunlinlug/client/request_dispatcher.py
+++ b/dunlinlug/client/request_dispatcher.py
@@ -91,7 +91,7 @@
         deadline: float,
         attempt: AttemptFunction,
     ) -> RequestResult:
-        """Attempt at one worker after another, within the retry policy and the deadline."""
+        """Make attempts at one worker after another, within the retry policy and the deadline."""
         not_executed = True
         last_attempt: AttemptResult | None = None
         attempted: set[str] = set()
--- a/dunlinlug/command_line/fleet_commands.py
+++ b/dunlinlug/command_line/fleet_commands.py
@@ -19,7 +19,7 @@
 
 @click.group()
 def fleet() -> None:
-    """A fleet of managers. FILE is a member's INI file; changes need that of the leader."""
+    """A fleet of managers. FILE is a member's INI file; changes are made at the leader."""
 
 
 @fleet.command("show")
