--- a/dunlinlug/balance.py
+++ b/dunlinlug/balance.py
@@ -1,14 +1,15 @@
-"""All decisions of a manager: the entry to the decision module.
+"""Entry point of the decision module, which makes all routing decisions of a manager.
 
-Call `Balancer(settings)` at the start, then `decide(now, events)` for each batch of events, with
-the clock in seconds; it returns orders in the order in which they take effect. The records are in
-`dunlinlug/decision/events.py`, `orders.py` and `settings.py`. A batch goes through three steps:
+Create one `Balancer(settings)` at startup, then call `decide(now, events)` with the clock in
+seconds for each batch of events. It returns the orders in the sequence in which they must take
+effect. The records are defined in `decision/events.py`, `decision/orders.py` and
+`decision/settings.py`. A batch is processed in three steps:
 
-1. `decision/event_handling.py`: events change what is known.
-2. `decision/planner.py`: what is known becomes the desired state.
-3. `decision/reconciler.py`: the difference to what is installed is ordered.
+1. `decision/event_handling.py` applies the events to the observed state.
+2. `decision/planner.py` computes the desired state from the observed state.
+3. `decision/reconciler.py` orders the differences between the desired and the installed state.
 
-`docs/design.md` tells the reasons, and how this follows CCU, the concurrent two-phase update.
+`docs/design.md` explains the design and how it follows CCU, the concurrent two-phase update.
 """
 
 from collections.abc import Iterable
@@ -25,19 +26,19 @@
 
 
 class Balancer:
-    """One manager's decisions.
+    """Makes the decisions of one manager and holds their state between batches.
 
-    Owns the state that the parts work on. Nothing here reads a clock, a file or a socket, and the
-    random numbers come from the seed of the settings: the same events give the same orders.
+    It is deterministic: it reads no clock, file or socket and seeds its random numbers from the
+    settings, so the same events produce the same orders.
     """
 
     def __init__(self, settings: ManagerSettings) -> None:
         self.state = DecisionState(settings)
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
-        """Take in a batch of events and return what is to be done about them.
+        """Process a batch of events and return the resulting orders.
 
-        `now` is seconds on the host's clock and does not go back.
+        `now` is the host's clock in seconds and never decreases from one call to the next.
         """
         if self.state.parameters.is_sharded:
             return self._decline_sharding()
@@ -46,7 +47,7 @@
         return reconcile(self.state, now, plan(self.state, now))
 
     def _decline_sharding(self) -> list[Order]:
-        """Log once that shards are not decided; order nothing else."""
+        """Order nothing but, on the first call, a log message that sharding is not supported."""
         if self.state.sharding_logged:
             return []
         self.state.sharding_logged = True
--- a/dunlinlug/decision/__init__.py
+++ b/dunlinlug/decision/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a manager: from events to orders, free of sockets, clocks and files.
+"""The decision module of a manager: turns events into orders without sockets, clocks or files.
 
-`dunlinlug/balance.py` is the entry. `docs/design.md` names the modules and tells the reasons.
+`dunlinlug/balance.py` is the entry point. `docs/design.md` describes the modules and the design.
 """
--- a/dunlinlug/decision/admission_control.py
+++ b/dunlinlug/decision/admission_control.py
@@ -1,8 +1,8 @@
 """Admission control: how much of each traffic class is admitted while the fleet is overloaded.
 
-One fraction of all work is admitted. It falls by a factor while the fleet is overloaded and rises
-again in steps; what it leaves out is taken from the classes with the least priority weight per
-work first. The fractions reach the tables by `reconciler.update_admission`.
+A single fraction of the total work is admitted. It decreases multiplicatively while the fleet is
+overloaded and increases again in steps. The work to shed is taken first from the classes with the
+lowest priority weight per unit of work. `reconciler.update_admission` orders the fractions.
 """
 
 from collections import deque
@@ -15,39 +15,41 @@
 class AdmissionController:
     """Decides how much of each traffic class is admitted.
 
-    Owns the request rates by class, the rate of successes, the admitted fraction of all work and
-    the fraction at which overload began (the overload threshold). How much work a request is has
-    not been told; its latency objective (seconds) stands for it, as longer work gets more time.
+    Owns the request rates by class, the success rate, the admitted fraction of all work and the
+    overload threshold, which is the admitted fraction at which the last overload began. The work
+    of a request is not known; the latency objective of its class in seconds is used as an estimate,
+    as requests that need more work are given more time.
     """
 
-    # Seconds between steps: about the time in which a step's effect can be observed.
+    # Seconds between updates: about the time after which the effect of an update can be observed.
     UPDATE_INTERVAL = 1.0
-    # The fleet is overloaded from this median failure rate, or from this latency in latency
-    # objectives.
+    # The fleet is overloaded at this median failure rate, or at this ratio of the mean latency to
+    # the latency objective.
     OVERLOAD_FAILURE_RATE = 0.08
     OVERLOAD_LATENCY_RATIO = 0.45
-    # Fraction of the bound on latency below which failures have other causes than overload ...
-    MIN_LATENCY_STRESS = 0.8
-    # ... but for this failure rate, which is overload at any latency: slow handshakes and lost
-    # answers stay below it.
+    # Below this latency pressure, failures are attributed to other causes than overload ...
+    MIN_LATENCY_PRESSURE = 0.8
+    # ... except at this failure rate, which is overload at any latency. Slow handshakes and lost
+    # responses cause lower failure rates.
     CERTAIN_OVERLOAD_FAILURE_RATE = 0.4
-    # Fraction of either bound below which more is admitted again (hysteresis).
-    RECOVERY_STRESS = 0.85
-    # Factor of the admitted fraction for each step under overload.
+    # Pressure below which admission increases again (hysteresis).
+    RECOVERY_PRESSURE = 0.85
+    # Factor on the admitted fraction at each update under overload.
     DECREASE_FACTOR = 0.7
-    # Factors for each step without overload: up to a fraction of the overload threshold, and
-    # beyond it.
+    # Factors at each update without overload, below and above `FAST_INCREASE_LIMIT` times the
+    # overload threshold.
     FAST_INCREASE_FACTOR = 1.25
     SLOW_INCREASE_FACTOR = 1.04
     FAST_INCREASE_LIMIT = 0.5
-    # No less is admitted than this fraction of the best success rate, which decays with each step.
+    # Admission never falls below this fraction of the best success rate, which decays with each
+    # update.
     MIN_THROUGHPUT_FRACTION = 0.5
     THROUGHPUT_DECAY = 0.98
-    # Least admitted fraction of a class.
+    # Lower bound of the admitted fraction of a class.
     MIN_ADMITTED_FRACTION = 0.05
-    # Queue lengths whose median tells that an overload is over.
+    # Number of queue lengths whose median shows whether an overload has ended.
     QUEUE_SAMPLES = 16
-    # Capacity of a fleet, in times its load: one of three zones may be lost.
+    # Assumed ratio of fleet capacity to load: one of three zones may be lost without overload.
     SPARE_CAPACITY = 1.5
 
     def __init__(self, traffic_classes: tuple[TrafficClass, ...]) -> None:
@@ -58,26 +60,28 @@
             range(len(traffic_classes)),
             key=lambda k: traffic_classes[k].priority_weight / traffic_classes[k].latency_objective,
         )
-        # Requests a second by class, smoothed, and requests since the last step by class name.
+        # Smoothed requests per second by class, and requests since the last update by class name.
         self.request_rates = [1.0] * len(traffic_classes)
         self.arrivals = dict.fromkeys(
             (class_settings.name for class_settings in traffic_classes), 0
         )
-        # Successes since the last step; a second, smoothed; the best of late.
+        # Successes since the last update, smoothed successes per second, and their decaying
+        # maximum.
         self.succeeded = 0.0
         self.success_rate = 0.0
         self.best_success_rate = 0.0
         self.admitted_fraction = 1.0
         self.overload_threshold = 1.0
         self.updated_at = inf
-        self.was_stable = True  # at the last step the fleet was not overloaded
-        # Requests that wait at endpoints, where these report it.
+        self.was_stable = True  # whether the fleet was not overloaded at the last update
+        # Recent queue lengths of the endpoints that report them.
         self.queue_lengths = deque[float](maxlen=self.QUEUE_SAMPLES)
 
     def update(self, now: float, failure_rate: float, mean_latency: float) -> None:
-        """Make a step, if one is due, by the median endpoint's failure rate and latency.
+        """Update the admitted fraction if an update is due.
 
-        The median is what a few faulty endpoints do not move.
+        The failure rate and the latency are medians over the endpoints, which a few faulty
+        endpoints do not affect.
         """
         self.updated_at = min(self.updated_at, now)
         if now < self.updated_at + self.UPDATE_INTERVAL:
@@ -85,19 +89,20 @@
         elapsed = now - self.updated_at
         self.updated_at = now
         self._update_rates(elapsed)
-        # Failures reported seconds late tell of an overload that is over where nothing waits.
+        # Failures are reported seconds late. If the endpoints' queues are empty, the overload that
+        # caused the failures has ended.
         queues_empty = (
             len(self.queue_lengths) == self.QUEUE_SAMPLES and median(self.queue_lengths) < 1.0
         )
-        stress = 0.0 if queues_empty else self._stress(failure_rate, mean_latency)
-        if stress > 1.0:
+        pressure = 0.0 if queues_empty else self._pressure(failure_rate, mean_latency)
+        if pressure > 1.0:
             self._decrease()
-        elif stress < self.RECOVERY_STRESS:
+        elif pressure < self.RECOVERY_PRESSURE:
             self._increase(queues_empty)
-        self.was_stable = stress <= 1.0
+        self.was_stable = pressure <= 1.0
 
     def _update_rates(self, elapsed: float) -> None:
-        """Smooth the rates of requests and successes with those of the elapsed seconds."""
+        """Update the smoothed request and success rates with the counts of the elapsed seconds."""
         rates_and_arrivals = zip(self.request_rates, self.arrivals.values(), strict=True)
         self.request_rates = [
             request_rate + (max(arrived, 0.1) / elapsed - request_rate) / 2
@@ -110,25 +115,26 @@
         self.arrivals = dict.fromkeys(self.arrivals, 0)
         self.succeeded = 0
 
-    def _stress(self, failure_rate: float, mean_latency: float) -> float:
-        """Return how near the fleet is to overload; over 1 it is overloaded."""
-        latency_stress = (
+    def _pressure(self, failure_rate: float, mean_latency: float) -> float:
+        """Return the load pressure on the fleet; above 1 it is overloaded."""
+        latency_pressure = (
             mean_latency
             / self.OVERLOAD_LATENCY_RATIO
             * sum(self.request_rates)
             / sum(self.work_rates())
         )
-        # A few failures are overload only where requests are slow too: else endpoints or
-        # connections fail, not capacity. Where nearly all fail there is no latency to go by.
+        # A moderate failure rate indicates overload only if requests are also slow; otherwise
+        # single endpoints or connections are faulty. If nearly all requests fail, there are too few
+        # successes to measure the latency.
         is_overload = (
-            latency_stress >= self.MIN_LATENCY_STRESS
+            latency_pressure >= self.MIN_LATENCY_PRESSURE
             or failure_rate >= self.CERTAIN_OVERLOAD_FAILURE_RATE
         )
-        failure_stress = failure_rate / self.OVERLOAD_FAILURE_RATE if is_overload else 0.0
-        return max(latency_stress, failure_stress)
+        failure_pressure = failure_rate / self.OVERLOAD_FAILURE_RATE if is_overload else 0.0
+        return max(latency_pressure, failure_pressure)
 
     def _decrease(self) -> None:
-        """Admit less, but no less than half of what succeeded of late."""
+        """Lower the admitted fraction, but not below a part of the best recent success rate."""
         if self.was_stable:
             self.overload_threshold = self.admitted_fraction
         best_throughput = self.MIN_THROUGHPUT_FRACTION * self.best_success_rate
@@ -138,14 +144,14 @@
         )
 
     def _increase(self, queues_empty: bool) -> None:
-        """Admit more: quickly while far below the overload threshold or where nothing waits."""
+        """Raise the admitted fraction: fast far below the overload threshold or without queues."""
         fast_limit = self.FAST_INCREASE_LIMIT * self.overload_threshold
         is_fast = queues_empty or self.admitted_fraction < fast_limit
         factor = self.FAST_INCREASE_FACTOR if is_fast else self.SLOW_INCREASE_FACTOR
         self.admitted_fraction = min(self.admitted_fraction * factor, 1.0)
 
     def work_rates(self) -> list[float]:
-        """Return the work that comes in by class: requests a second times latency objective."""
+        """Return the incoming work by class: requests per second times latency objective."""
         return [
             request_rate * latency_objective
             for request_rate, latency_objective in zip(
@@ -154,9 +160,9 @@
         ]
 
     def admitted_fractions(self, available_fraction: float = 1.0) -> list[float]:
-        """Return the admitted fraction of each class, given the available part of the fleet.
+        """Return the admitted fraction of each class, given the available fraction of the fleet.
 
-        They go in steps of a tenth, so that small moves cost no orders.
+        The results are rounded to tenths, so that small changes cause no orders.
         """
         work_by_class = self.work_rates()
         admitted_fraction = min(self.admitted_fraction, self.SPARE_CAPACITY * available_fraction)
--- a/dunlinlug/decision/decision_state.py
+++ b/dunlinlug/decision/decision_state.py
@@ -1,9 +1,9 @@
-"""All that one manager's decisions go on from, from one batch of events to the next.
+"""The state that a manager's decisions keep from one batch of events to the next.
 
-Each field has one owner, the module that changes it; the others read it. The state travels to
-other managers field by field: `dunlinlug/fleet/election/module_state.py` declares the names, and
-refuses a field that it does not know. Times are seconds on the host's clock, rows are indexes into
-the arrays of `Fleet`.
+Each field is changed only by the module that owns it and read by the others. The state is
+replicated to other managers field by field: `dunlinlug/fleet/election/module_state.py` declares the
+names of the fields and rejects undeclared ones. Times are in seconds on the host's clock, and rows
+are indexes into the arrays of `Fleet`.
 """
 
 from dataclasses import dataclass, field
@@ -22,49 +22,49 @@
 from dunlinlug.decision.state.endpoints import Fleet
 from dunlinlug.decision.state.table_versions import TableVersions
 
-# Seconds until a failure is reported.
+# Longest time in seconds until a failure is reported.
 MAX_REPORT_DELAY = 2.0
-# Seconds before the endpoint list is requested again, doubled with each failure.
+# Seconds until the endpoint list is requested again after a failure; doubles with each failure.
 MIN_LIST_RETRY_DELAY = 0.5
 
 
 @dataclass(eq=False)
 class ListPolling:
-    """When the endpoint list is requested (again): changed by events, read by the reconciler."""
+    """When to request the endpoint list next: set by events, read by the reconciler."""
 
-    retry_at: float  # inf: not at all
+    retry_at: float  # inf: no request is due
     retry_delay: float = MIN_LIST_RETRY_DELAY
 
 
 @dataclass(eq=False)
 class BlockedOrders:
-    """Until when an order that was rejected is not tried again: owned by `order_rejection`."""
+    """Times before which rejected orders are not retried: owned by `order_rejection`."""
 
-    rows: dict[int, float] = field(default_factory=dict)
-    classes: dict[int, float] = field(default_factory=dict)  # admission levels of a class
+    rows: dict[int, float] = field(default_factory=dict)  # weights and ejections
+    classes: dict[int, float] = field(default_factory=dict)  # admission levels
 
 
 @dataclass(eq=False)
 class Timers:
-    """The timers that were ordered and have not come due: owned by the reconciler."""
+    """The times of the timers that were ordered and have not fired: owned by `timer`."""
 
     armed: set[float] = field(default_factory=set)
     last_token: int = 0
 
 
 def _mean(weights: list[float]) -> float:
-    """Return the weight of an endpoint for which the list has none."""
+    """Return the default weight of endpoints that are listed without a weight."""
     return sum(weights) / len(weights)
 
 
 class DecisionState:
-    """What is known, what was decided and what was ordered."""
+    """The observed, the desired and the ordered state."""
 
     def __init__(self, settings: ManagerSettings) -> None:
         self.rng = Random(settings.seed)
         self.parameters = DecisionParameters.from_settings(settings)
         self.slow_start = SlowStart.from_limits(settings.safety_limits)
-        # What is known, kept up by events: endpoints, the channel, observations, requests, proxies.
+        # Observed state, updated by events: endpoints, channel, observations, requests, proxies.
         self.fleet = Fleet(_mean)
         self.budget = ChannelBudget(settings.channel)
         self.outlier_detector = OutlierDetector(
@@ -77,17 +77,18 @@
         self.overrides: dict[int, OverrideChanged] = {}  # operators', by class
         self.partition_limits = PartitionLimitsChanged(OutlierDetector.MAX_EJECTED_FRACTION)
         self.blocked = BlockedOrders()
-        # What is desired: owned by the planner.
+        # Desired state: owned by the planner.
         self.desired_weights = DesiredWeights()
         self.warming_rows = set[int]()
         self.rows_to_plan = set[int]()
-        # What was ordered: owned by the two-phase update and the subsets, the rest by the
+        # Ordered state: `tables` is owned by the two-phase update and the subsets, the rest by the
         # reconciler.
         self.tables = TableVersions()
         self.ejected_rows = set[int]()
         self.is_channel_constrained = False
         self.last_ack_number = 0
         self.timers = Timers()
-        # What was logged: the last weight limit by row, and that sharding is not supported.
+        # Logged state: the last weight limit by row, and whether sharding was logged as
+        # unsupported.
         self.logged_limits = dict[int, float]()
         self.sharding_logged = False
--- a/dunlinlug/decision/desired_state.py
+++ b/dunlinlug/decision/desired_state.py
@@ -1,4 +1,4 @@
-"""What the planner wants of the proxies' tables; the reconciler orders the difference to it."""
+"""The desired state of the proxies' tables: computed by the planner, read by the reconciler."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 class DesiredState:
     """Weights, admission and ejections as they should be now.
 
-    `weights` has by class the weight of each endpoint row; classes that no operator override sets
-    apart have one and the same dict. `weight_fractions` has for each ready row the part of its
-    listed weight that it gets, and `admission_levels` by class the admitted fraction and the retry
-    policy. The rows in `ejected` should be used by no proxy.
+    `weights` has by class the weight of each endpoint row; classes without an operator override
+    share the same dict. `weight_fractions` has for each ready row the fraction of its listed weight
+    that it gets, and `admission_levels` has by class the admitted fraction and the retry policy. No
+    proxy should use the rows in `ejected`.
     """
 
     weights: list[dict[int, float]]
@@ -19,14 +19,14 @@
     ejected: set[int]
 
     def differs_by_class(self) -> bool:
-        """Whether some class has weights of its own."""
+        """Whether some classes have different weights."""
         return len({*map(id, self.weights)}) > 1
 
     def common_weights(self) -> dict[int, float]:
-        """Return weights that serve all classes, where one table has to.
+        """Return weights for a table that all classes share.
 
-        They are those of the first class for the rows that all classes have, or those of the class
-        with most rows if there is no such row.
+        These are the first class's weights of the rows that all classes have in common. If there
+        are no such rows, they are the weights of the class with the most rows.
         """
         distinct = {id(weights): weights for weights in self.weights}
         first, *others = distinct.values()
--- a/dunlinlug/decision/ejections.py
+++ b/dunlinlug/decision/ejections.py
@@ -1,7 +1,8 @@
-"""Ejections: which endpoints proxies are told to stop using, and in which messages.
+"""Orders ejections: which endpoints proxies must stop using, and in which reply each is sent.
 
-What the safety rules demand goes first: endpoints that are not ready, and those that are given more
-than they bear; outlier ejections wait for a short queue. Owns the ejected rows as ordered.
+Ejections required by the safety rules are sent first: endpoints that are not ready, and endpoints
+whose installed weight is too high for their warm-up or probation. Outlier ejections wait until the
+channel's queue is short. Owns the set of rows whose ejection has been ordered.
 """
 
 from collections.abc import Mapping
@@ -22,10 +23,10 @@
 
 
 def update_ejections(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> None:
-    """Order each ejection and each end of one, at once and without stages.
+    """Order the start and the end of ejections.
 
-    Here a worker is ejected on its proxies. While mandatory ejections wait for room, nothing less
-    urgent is ordered in this batch.
+    Ejections apply to all tables immediately and do not go through the two-phase update. While
+    mandatory ejections wait for room in the channel, this batch orders nothing less urgent.
     """
     changed_rows = desired.ejected ^ state.ejected_rows
     groups_by_row = state.assignments.groups_by_row(changed_rows)
@@ -35,23 +36,24 @@
         if row not in state.blocked.rows
     ]
     mandatory_rows = [row for row in ordered_rows if _is_mandatory(state, desired, row)]
-    # Without this, one that no channel takes would wait, and hold back all else, for ever.
-    possible_rows = [
+    # An ejection that exceeds the capacity of even an empty channel can never be sent; waiting for
+    # it would block all other orders indefinitely.
+    sendable_rows = [
         row for row in mandatory_rows if _fits_empty_channel(batch, groups_by_row[row])
     ]
-    demanded_rows = set(mandatory_rows)
-    waiting_rows = set(possible_rows[_count_due(batch, possible_rows, groups_by_row) :])
+    mandatory_row_set = set(mandatory_rows)
+    waiting_rows = set(sendable_rows[_count_fitting(batch, sendable_rows, groups_by_row) :])
     if waiting_rows:
-        # Without this, less urgent orders would take the room that comes free meanwhile.
-        batch.hold_back_optional()
+        # Less urgent orders would use up the capacity that these ejections wait for.
+        batch.refuse_optional_orders()
     for row in ordered_rows:
         if row not in waiting_rows:
-            urgency = MANDATORY if row in demanded_rows else HEALTH
+            urgency = MANDATORY if row in mandatory_row_set else HEALTH
             _order_change(state, batch, row, groups_by_row[row], urgency)
 
 
 def _is_mandatory(state: DecisionState, desired: DesiredState, row: int) -> bool:
-    """Whether the safety rules demand that the row is ejected now."""
+    """Whether the safety rules require the row to be ejected now."""
     is_ready = row in desired.weight_fractions
     return row in desired.ejected and (
         not is_ready or state.outlier_detector.weight_limits[row] > 0.0
@@ -59,18 +61,21 @@
 
 
 def _fits_empty_channel(batch: OrderBatch, groups: list[Group]) -> bool:
-    """Whether one ejection for these proxies is less than the whole channel takes."""
+    """Whether an empty channel has room for one ejection to all proxies of these groups."""
     proxy_count = sum(map(len, groups))
     return proxy_count * (1.0 + batch.message_overhead) <= batch.limit(Priority.MANDATORY)
 
 
-def _count_due(batch: OrderBatch, rows: list[int], groups_by_row: Mapping[int, list[Group]]) -> int:
-    """Return how many of these rows, from the first, are ordered now.
+def _count_fitting(
+    batch: OrderBatch, rows: list[int], groups_by_row: Mapping[int, list[Group]]
+) -> int:
+    """Return how many of these rows, counted from the first, to order now.
 
-    All go together, or as many as fit once the queue is short; they wait for the room.
+    That is all of them or, if they are too many, as many as fit behind a short queue. None are
+    ordered while the queue has no room for that many.
 
-    Without this, what comes free in a full channel would go to one row at a time: each pays the
-    overhead of a message to every proxy, and the last ones are ordered too late for their grace.
+    Ordering rows one at a time, as capacity comes free in a full channel, would pay the message
+    overhead to every proxy for each row, and the last rows would exceed their drain grace period.
     """
     if not rows:
         return 0
@@ -94,7 +99,7 @@
 def _order_change(
     state: DecisionState, batch: OrderBatch, row: int, groups: list[Group], urgency: Urgency
 ) -> None:
-    """Order the opposite of what was ordered of a row last, if the channel allows it now."""
+    """Toggle the ejection of a row, if the channel allows it now."""
     if not batch.fits(sum(map(len, groups)), urgency.priority):
         return
     if not batch.reserve([*chain.from_iterable(groups)], 1.0, urgency):
--- a/dunlinlug/decision/event_handling.py
+++ b/dunlinlug/decision/event_handling.py
@@ -1,6 +1,6 @@
-"""What the events change in what is known; nothing is ordered here.
+"""Applies events to the observed state; orders nothing.
 
-`handle_event` is the entry, with one function for each kind of event below it.
+`handle_event` is the entry point and dispatches to one function for each kind of event.
 """
 
 from dunlinlug.decision.decision_state import MIN_LIST_RETRY_DELAY, DecisionState
@@ -21,14 +21,14 @@
 from dunlinlug.decision.order_rejection import handle_rejection
 from dunlinlug.decision.outlier_detection import OutlierDetector
 
-# What an endpoint's load report calls the requests that wait at it.
+# Name of the number of queued requests in an endpoint's load report.
 QUEUE_LENGTH = "queue"
 
 
 def handle_event(  # noqa: C901 - one case for each kind of event
     state: DecisionState, now: float, event: Event
 ) -> None:
-    """Take in one event; kinds that no decision goes by are disregarded."""
+    """Apply one event; kinds of events that no decision depends on are ignored."""
     match event:
         case EndpointsUpdated():
             _handle_endpoints_update(state, now, event)
@@ -54,7 +54,7 @@
 
 
 def _handle_endpoints_update(state: DecisionState, now: float, event: EndpointsUpdated) -> None:
-    """Take in the endpoint list or a change of it, or that it could not be had."""
+    """Apply an endpoint list or a change to it, or schedule a retry if the request failed."""
     if event.update_type == UpdateType.FAILED:
         _schedule_list_retry(state, now)
         return
@@ -73,7 +73,7 @@
 
 
 def _schedule_list_retry(state: DecisionState, now: float) -> None:
-    """Poll again after a random delay, which doubles with each failure up to a bound."""
+    """Schedule the next request after a random delay, which doubles with each failure."""
     polling = state.list_polling
     polling.retry_at = now + polling.retry_delay * state.rng.uniform(0.5, 1.0)
     max_delay = max(state.parameters.list_poll_interval / 4, MIN_LIST_RETRY_DELAY)
@@ -81,7 +81,7 @@
 
 
 def _forget_proxy(state: DecisionState, proxy_id: int) -> None:
-    """Drop what a proxy was sent and uses: it has left, or comes with a new connection."""
+    """Remove the state of a proxy that has disconnected or opened a new connection."""
     state.budget.forget_proxy(proxy_id)
     state.assignments.remove_proxy(proxy_id)
     for update in state.tables.staged_updates.values():
@@ -89,9 +89,9 @@
 
 
 def _handle_connection(state: DecisionState, now: float, event: ProxyConnected) -> None:
-    """Add a proxy; the first of a zone brings back the endpoints that were ejected there.
+    """Add a proxy; if it is the first of its zone, lift the ejections in the zone.
 
-    They were out of reach, not faulty.
+    The endpoints of a zone without proxies were unreachable, not faulty.
     """
     is_zone_reconnected = all(
         other.zone != event.zone for other in state.assignments.proxies.values()
@@ -104,7 +104,7 @@
 
 
 def _handle_acknowledgement(state: DecisionState, event: Acknowledged) -> None:
-    """Take in that a proxy applied a reply and all before it; others than awaited are ignored."""
+    """Record that a proxy applied a reply and all before it; ignore unexpected numbers."""
     if event.ack_number not in state.budget.awaited_acks.get(event.proxy, ()):
         return
     acknowledged = state.budget.handle_acknowledgement(event.proxy, event.ack_number, event.latency)
@@ -119,7 +119,7 @@
     row = state.fleet.row_by_id.get(event.worker)
     if row is None:
         return
-    # What proxies of other managers observed is no success of ours: `local` is 0 or 1 here.
+    # Successes observed by other managers' proxies do not count: `local` is used as 0 or 1.
     state.admission_controller.succeeded += (event.attempts - event.failed) * event.local
     if state.is_channel_constrained and QUEUE_LENGTH in event.load:
         state.admission_controller.queue_lengths.append(event.load[QUEUE_LENGTH])
@@ -128,7 +128,7 @@
 
 
 def _handle_health_check(state: DecisionState, now: float, event: HealthCheckCompleted) -> None:
-    """Put an ejected endpoint on probation if its check succeeded, else check it again soon."""
+    """Put an ejected endpoint on probation if its check succeeded; otherwise schedule another."""
     row = state.fleet.row_by_id.get(event.worker)
     if row is None or state.outlier_detector.weight_limits[row]:
         return
@@ -141,14 +141,14 @@
 
 
 def _handle_demand_report(state: DecisionState, event: DemandReported) -> None:
-    """Count the requests that came in, by class."""
+    """Count the received requests by class."""
     arrivals = state.admission_controller.arrivals
     if event.traffic_class in arrivals:
         arrivals[event.traffic_class] += event.requests
 
 
 def _handle_partition_limits(state: DecisionState, event: PartitionLimitsChanged) -> None:
-    """Go by new limits; if they differ, all weights are to be planned anew."""
+    """Apply new partition limits; if they differ, all weights must be recomputed."""
     if event != state.partition_limits:
         state.rows_to_plan.update(state.desired_weights.weight_fractions)
     state.partition_limits = event
--- a/dunlinlug/decision/events.py
+++ b/dunlinlug/decision/events.py
@@ -1,8 +1,8 @@
-"""What the decision module is notified of: one record an event.
+"""Events that the host passes to the decision module.
 
-Times are float seconds on the host's clock; ids are those of the wire. Events travel to other
-managers: `dunlinlug/fleet/election/event_forms.py` declares the names that they have there. Read
-back, a field with an enum has the plain string, which is equal to the member.
+Times are floats in seconds on the host's clock; ids are the same as on the wire. Events are
+replicated to other managers: `dunlinlug/fleet/election/event_forms.py` declares their names on the
+wire. When an event is decoded, enum fields have the plain string, which is equal to the member.
 """
 
 from dataclasses import dataclass, field
@@ -12,27 +12,28 @@
 
 
 class EndpointState(StrEnum):
-    """Whether an endpoint may be used."""
+    """Lifecycle state of an endpoint."""
 
     READY = "ready"
-    DRAINING = "draining"  # finishes what it has, and gets no new requests
+    DRAINING = "draining"  # finishes its pending requests and gets no new ones
     GONE = "gone"
 
 
 class UpdateType(StrEnum):
-    """What an update of the endpoint list is."""
+    """Kind of an update of the endpoint list."""
 
     CHANGES = "changes"  # the entries that changed
-    SNAPSHOT = "whole"  # all entries; whoever is not named is gone
-    RESTORED = "kept"  # a snapshot as stored before a restart
-    FAILED = "failed"  # the list could not be had
+    SNAPSHOT = "whole"  # all entries; endpoints that are not included are gone
+    RESTORED = "kept"  # a snapshot that was stored before a restart
+    FAILED = "failed"  # the list could not be retrieved
 
 
 @dataclass(frozen=True)
 class Endpoint:
     """One entry of the endpoint list.
 
-    `weight` is None where none is listed, `started_at` where the start is long ago.
+    `weight` is None if the list has no weight for the endpoint, and `started_at` is None if the
+    endpoint started long ago.
     """
 
     id: str
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True)
 class EndpointsUpdated:
-    """The endpoint list, or what changed of it."""
+    """A new endpoint list, a change to it, or a failure to retrieve it."""
 
     update_type: UpdateType
     endpoints: tuple[Endpoint, ...] = ()
@@ -54,14 +55,14 @@
 
 @dataclass(frozen=True)
 class TimerFired:
-    """A timer has come due; `token` is that of its `SetTimer`."""
+    """A timer has fired; `token` is the token of its `SetTimer` order."""
 
     token: int
 
 
 @dataclass(frozen=True)
 class HealthCheckCompleted:
-    """The result of a health check, with the endpoint's load report where it gives one."""
+    """The result of a health check, with the endpoint's load report if it returned one."""
 
     worker: str
     healthy: bool
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True)
 class PeerMessageReceived:
-    """Another manager's module sent this."""
+    """A message from the decision module of another manager."""
 
     peer: int
     payload: str
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True)
 class ProxyConnected:
-    """A proxy has connected, anew or for the first time; it holds no table that we know of."""
+    """A proxy has connected or reconnected; the manager assumes that it has no table."""
 
     proxy: int
     zone: str
@@ -97,10 +98,10 @@
 
 @dataclass(frozen=True)
 class EndpointReported:
-    """What the connected proxies of a zone observed at an endpoint in a window.
+    """What the connected proxies of a zone observed at an endpoint during a window.
 
-    `latency` is the mean of the succeeded attempts. If not `local`, proxies of another manager
-    observed it.
+    `latency` is the mean latency of the succeeded attempts. `local` is False if the proxies are
+    connected to another manager.
     """
 
     zone: str
@@ -115,11 +116,11 @@
 
 @dataclass(frozen=True)
 class PartitionLimitsChanged:
-    """What this manager may do while managers may be partitioned from each other.
+    """Limits on this manager's decisions while managers may be partitioned from each other.
 
-    `max_ejected_fraction` is the part of the ready weight that outlier detection may take out,
-    `may_change_weights` allows changes that the endpoint list does not ask for, and
-    `may_raise_weights` the next step of a slow start.
+    `max_ejected_fraction` is the fraction of the ready weight that outlier detection may eject.
+    `may_change_weights` allows weight changes that the endpoint list does not require, and
+    `may_raise_weights` allows the next step of a slow start.
     """
 
     max_ejected_fraction: float
@@ -129,7 +130,7 @@
 
 @dataclass(frozen=True)
 class ManagerLoadChanged:
-    """A manager, this or another, has become overloaded (channel or processor), or is no more."""
+    """The channel or processor overload of this or another manager has started or ended."""
 
     manager: str
     overloaded: bool
@@ -139,7 +140,7 @@
 
 @dataclass(frozen=True)
 class DemandReported:
-    """The requests of a class that came to a proxy (or, with shards, for a shard) in a window."""
+    """Requests of a class received by a proxy, or with sharding for a shard, in a window."""
 
     proxy: int | None
     traffic_class: str
@@ -151,7 +152,7 @@
 
 @dataclass(frozen=True)
 class ShardAssigned:
-    """A shard was assigned to this manager, or taken from it."""
+    """A shard was assigned to this manager or unassigned from it."""
 
     shard: int
     assigned: bool
@@ -159,7 +160,7 @@
 
 @dataclass(frozen=True)
 class ShardRestored:
-    """The weight of an endpoint in a shard, as stored by its former owner."""
+    """The weight of an endpoint in a shard, as stored by the shard's previous owner."""
 
     shard: int
     worker: str
@@ -168,9 +169,9 @@
 
 @dataclass(frozen=True)
 class Acknowledged:
-    """A proxy has applied the reply with this acknowledgement number, and all before it.
+    """A proxy has applied the reply with this acknowledgement number and all earlier replies.
 
-    `latency` is the seconds since the reply was ordered.
+    `latency` is the time in seconds since the reply was ordered.
     """
 
     proxy: int
@@ -180,9 +181,9 @@
 
 @dataclass(frozen=True)
 class OrderRejected:
-    """An order was judged and not carried out.
+    """An order was rejected and not executed.
 
-    All else of its reply was, and its acknowledgement number is acknowledged all the same.
+    The other orders of its reply were executed, and the reply is still acknowledged.
     """
 
     order: SetWeight | DeleteTable | AssignTable | SetEjected | SetAdmission
@@ -191,10 +192,11 @@
 
 @dataclass(frozen=True)
 class OverrideChanged:
-    """An operator's weights for one class, in place of the listed ones.
+    """Weights of one class that an operator has set in place of the listed ones.
 
-    A weight of 0 keeps an endpoint out of use, None means as listed; `keep_unlisted` is whether
-    endpoints that are not named keep theirs. No weights with `keep_unlisted` ends the override.
+    An endpoint with weight 0 is not used; one with weight None keeps its listed weight.
+    `keep_unlisted` is whether endpoints without an entry in `weights` keep their listed weights.
+    Empty `weights` with `keep_unlisted` end the override.
     """
 
     traffic_class: int
--- a/dunlinlug/decision/flow_control.py
+++ b/dunlinlug/decision/flow_control.py
@@ -1,9 +1,9 @@
-"""Flow control of the channel to the proxies: what may still be ordered, and what a reply costs.
+"""Flow control of the channel to the proxies.
 
-A table entry is the unit: the channel carries so many entries a second, lets so many wait, and a
-message to a proxy costs some entries in itself. `ChannelBudget` outlives a reply and estimates what
-waits in the channel; `OrderBatch` is one reply in the making and is charged for each order that
-goes to proxies. Times are seconds, sizes are entries.
+The unit is the table entry: the channel has a rate in entries per second and a maximum number of
+queued entries, and each message to a proxy costs a fixed overhead in entries. `ChannelBudget`
+estimates the channel's queue across replies. `OrderBatch` collects the orders of one reply and
+charges the entries that they cost. Times are in seconds, sizes in entries.
 """
 
 from collections.abc import Collection
@@ -15,53 +15,56 @@
 from dunlinlug.decision.settings import ChannelSettings
 from dunlinlug.decision.state.pending_acks import PendingAcks
 
-# Seconds of drain that may wait in the channel when a table change begins; other orders may find
-# a multiple of it (table switches two or three times, ejections and admission four times).
+# Longest queue, in seconds needed to drain it, at which a table change may begin. Other orders are
+# limited to a multiple of it: two or three times for table switches, four for ejections and
+# admission.
 BASE_DRAIN_TIME = 0.5
 
 
 class Priority(IntEnum):
-    """Which part of the channel an order may use; less urgent orders leave more of it free."""
+    """Priority of an order; lower priorities leave more of the channel's capacity free."""
 
-    MANDATORY = 0  # what the safety rules demand
+    MANDATORY = 0  # required by the safety rules
     HEALTH = 1
     ADMISSION = 2
-    BULK = 3  # table changes and switches
+    BULK = 3  # table changes and table switches
 
 
 @dataclass(frozen=True)
 class Urgency:
-    """What an order may find in the channel when it goes.
+    """The priority of an order and the longest channel queue behind which it may be sent.
 
-    `max_drain_time` is how many seconds of drain may wait in the channel.
+    `max_drain_time` is that queue length, in seconds needed to drain it.
     """
 
     priority: Priority
     max_drain_time: float = inf
 
 
-# What the safety rules demand goes whatever waits.
+# Orders required by the safety rules are sent behind a queue of any drain time.
 MANDATORY = Urgency(Priority.MANDATORY)
-# Health and admission orders, and table changes that are to begin.
+# Ejections by outlier detection and ends of ejections; admission changes; starts of table changes.
 HEALTH = Urgency(Priority.HEALTH, 4 * BASE_DRAIN_TIME)
 ADMISSION = Urgency(Priority.ADMISSION, 4 * BASE_DRAIN_TIME)
 TABLE_CHANGE = Urgency(Priority.BULK, BASE_DRAIN_TIME)
 
 
 class ChannelBudget(PendingAcks):
-    """Estimates what waits in the channel, from what was ordered and what was acknowledged.
+    """Estimates the channel's queue from the orders sent and the acknowledgements received.
 
-    Owns the observed channel rate, and by priority how many messages a proxy may be sent within
-    the message window. Whatever is not shown to have left counts as waiting: an upper bound.
+    Owns the observed channel rate and, for each priority, the number of messages that a proxy may
+    be sent within the message window. The estimate is an upper bound: entries count as queued until
+    an acknowledgement shows that they have left the queue.
     """
 
-    # An acknowledgement tells the rate if this much waited before it: seconds at the nominal rate.
+    # Shortest queue, in seconds at the nominal rate, from which the channel rate is measured.
     MIN_SAMPLE_DRAIN = 0.1
-    # The observed rate is never taken for less than this fraction of the nominal one.
+    # Lower bound of the observed rate, as a fraction of the nominal rate.
     MIN_RATE_FRACTION = 0.1
-    # Seconds after which a message that we wrote may be counted by the proxy.
+    # Longest time in seconds between sending a message and the proxy counting it.
     MESSAGE_DELAY = 0.3
-    # By priority, the fraction of the channel's queue and of a proxy's messages left to others.
+    # By priority: the fractions of the channel's queue and of a proxy's message limit that orders
+    # of this priority must leave free.
     RESERVED_CAPACITY = (0.08, 0.12, 0.2, 0.4)
     RESERVED_MESSAGES = (0.0, 0.4, 0.4, 0.5)
 
@@ -70,15 +73,14 @@
         super().__init__(max_messages or 1)
         self.channel = channel
         self.entries_per_second = channel.entries_per_second
-        # By priority, the messages within the window from which on a proxy gets no more; 0: no
-        # bound.
+        # By priority: the number of messages to a proxy within the window; 0 means unlimited.
         self.message_limits = [
             next((n for n in range(1, max_messages + 1) if 1.0 - n / max_messages <= reserved), 0)
             for reserved in self.RESERVED_MESSAGES
         ]
 
     def exceeds_message_limit(self, proxy_id: int, now: float, priority: int) -> bool:
-        """Whether the proxy was sent all the messages that this priority may use in a window."""
+        """Whether the proxy was sent as many messages in the window as this priority allows."""
         sent_times = self.sent_times.get(proxy_id, ())
         message_limit = self.message_limits[priority]
         return (
@@ -87,10 +89,11 @@
         )
 
     def handle_acknowledgement(self, proxy_id: int, ack_number: int, latency: float) -> list[int]:
-        """Take in an acknowledgement; return the numbers that it acknowledges for the proxy.
+        """Record an acknowledgement and return the numbers that it acknowledges for the proxy.
 
-        The last proxy to acknowledge a reply shows how long the channel took for all that waited
-        when the reply was ordered; the observed rate moves halfway to it.
+        Once all proxies have acknowledged a reply, its latency shows how long the channel took to
+        drain everything that was queued when the reply was sent. The observed rate moves halfway
+        to the rate measured this way.
         """
         queued_before = self.pending_replies[ack_number].queued_before
         nominal_rate = self.channel.entries_per_second
@@ -109,10 +112,10 @@
 
 
 class OrderBatch:
-    """One reply in the making: its orders, and the entries that they cost each proxy.
+    """Collects the orders of one reply and the entries that they cost each proxy.
 
-    Owns the orders in the order in which they take effect. All orders of a reply for one proxy
-    travel in one message, whose overhead is charged with the first of them.
+    The orders are kept in the sequence in which they take effect. All orders of a reply for the
+    same proxy are sent in one message, whose overhead is charged with the first of them.
     """
 
     def __init__(self, budget: ChannelBudget, now: float, ack_number: int) -> None:
@@ -123,22 +126,23 @@
         self.entries_by_proxy: dict[int, float] = {}
         self.reserved_entries = 0.0
         self.message_overhead = budget.channel.message_overhead + 1.0
-        # Whether an order was put off because a proxy was sent enough messages. Without a timer
-        # for it, the order would not be looked at again before the next event.
+        # Whether an order was postponed because a proxy had reached its message limit. The batch
+        # then sets a timer, so that the order is retried even if no further event arrives.
         self.deferred = False
         self.only_mandatory = False
 
-    def hold_back_optional(self) -> None:
-        """Refuse all orders from now on but those of the highest priority."""
+    def refuse_optional_orders(self) -> None:
+        """Refuse all further orders except those with the highest priority."""
         self.only_mandatory = True
 
     def exceeds_drain(self, max_drain_time: float, proxy_id: int | None = None) -> bool:
-        """Whether the channel needs longer than so many seconds for all that waits in it.
+        """Whether the channel needs more than `max_drain_time` seconds to drain its queue.
 
-        With a proxy that this reply does not yet write to, what the reply reserved counts too.
+        The entries reserved by this reply count too if it has no message for `proxy_id` yet.
         """
-        # If it always counted, a reply whose message overheads are paid for would leave changes
-        # to another reply that pays them again.
+        # Further orders for proxies that this reply already writes to do not pay the message
+        # overhead again. Counting the reserved entries for them would move those orders to a later
+        # reply, which would pay it again.
         counts_reserved = proxy_id is not None and proxy_id not in self.entries_by_proxy
         reserved = self.reserved_entries if counts_reserved else 0.0
         return (
@@ -146,14 +150,14 @@
         )
 
     def fits(self, entries: float, priority: int) -> bool:
-        """Whether the channel's queue has room for so many entries of this priority."""
+        """Whether the channel's queue has room for this many entries at this priority."""
         if self.only_mandatory and priority > Priority.MANDATORY:
             return False
         waiting_entries = self.budget.queued_entries + self.reserved_entries
         return waiting_entries + entries <= self.limit(priority)
 
     def limit(self, priority: int) -> float:
-        """Return how many entries may wait in the channel with one of this priority."""
+        """Return the number of entries up to which orders of this priority may fill the queue."""
         reserved_fraction = ChannelBudget.RESERVED_CAPACITY[priority]
         return self.budget.channel.max_queued_entries * (1.0 - reserved_fraction)
 
@@ -163,10 +167,10 @@
         entries_each: float,
         urgency: Urgency,
     ) -> float | None:
-        """Return what so many entries for each of these proxies cost; None if they may not go.
+        """Return the entries charged for `entries_each` to each proxy; None if not allowed now.
 
-        They may not go where the queue is too long or too full for this urgency, or where a
-        proxy was sent too many messages.
+        It is not allowed if the queue is too long or too full for this urgency, or if a proxy has
+        reached its message limit.
         """
         priority = urgency.priority
         if self.exceeds_drain(urgency.max_drain_time):
@@ -190,7 +194,7 @@
         entries_each: float,
         urgency: Urgency,
     ) -> bool:
-        """Charge entries to each of these proxies; False, without a charge, if they may not go."""
+        """Charge `entries_each` to each proxy; return False and charge nothing if not allowed."""
         entries = self.cost(proxy_ids, entries_each, urgency)
         if entries is None:
             return False
--- a/dunlinlug/decision/order_rejection.py
+++ b/dunlinlug/decision/order_rejection.py
@@ -1,7 +1,7 @@
-"""An order that was rejected: the host, or its guard, judged it and did not carry it out.
+"""Handles orders that the host or its guard rejected and did not execute.
 
-The state goes back to what is really installed, and the same order is not tried again for the time
-of a slow start step, so that a rejection does not come back with each batch.
+The state is set back to what is actually installed. The same order is not retried for the duration
+of a slow start step, so that it is not rejected again in every batch.
 """
 
 from dunlinlug.decision.decision_state import DecisionState
@@ -19,7 +19,7 @@
 
 
 def handle_rejection(state: DecisionState, now: float, order: Order) -> None:
-    """Take in that this order was not carried out."""
+    """Update the state for an order that was not executed."""
     match order:
         case SetWeight():
             _handle_rejected_weight(state, now, order)
@@ -30,13 +30,13 @@
         case SetAdmission():
             _handle_rejected_admission(state, now, order)
         case DeleteTable():
-            # Without this, the number of a table that is still there would be given out again.
+            # The table still exists, so its number must not be reused for a new table.
             if order.table_id not in state.assignments.tables:
                 state.assignments.add_table(Table(order.table_id, {}, {}, []))
 
 
 def _handle_rejected_weight(state: DecisionState, now: float, order: SetWeight) -> None:
-    """The table has no entry for the endpoint."""
+    """Record that the table has no entry for the endpoint."""
     row = state.fleet.row_by_id.get(order.worker)
     if row is None:
         return
@@ -47,12 +47,12 @@
 
 
 def _handle_rejected_assignment(state: DecisionState, now: float, order: AssignTable) -> None:
-    """The proxy does not use the table, and is assigned no other for a while."""
+    """Record that the proxy does not use the table, and delay its next assignment."""
     proxy = state.assignments.proxies.get(order.proxy)
     if proxy is None:
         return
-    # An empty table is rejected where a proxy came before the endpoint list. Without the shorter
-    # delay it would be left without endpoint for the time of a slow start step.
+    # An empty table is rejected if the proxy connected before the endpoint list arrived. A shorter
+    # delay keeps the proxy from being without an endpoint for the duration of a slow start step.
     table = state.assignments.tables.get(order.table_id)
     is_empty = table is not None and not table.weights
     proxy.assign_after = now + (TICK_INTERVAL if is_empty else SLOW_START_INTERVAL)
@@ -60,7 +60,7 @@
 
 
 def _handle_rejected_ejection(state: DecisionState, now: float, order: SetEjected) -> None:
-    """The endpoint is ejected, or is not, as it was before."""
+    """Record that the ejection did not start or end."""
     row = state.fleet.row_by_id.get(order.worker)
     if row is None:
         return
@@ -72,7 +72,7 @@
 
 
 def _handle_rejected_admission(state: DecisionState, now: float, order: SetAdmission) -> None:
-    """The class is admitted as it was before."""
+    """Record that the class is still admitted at its previous level."""
     if order.traffic_class >= state.parameters.class_count:
         return
     state.blocked.classes[order.traffic_class] = now + SLOW_START_INTERVAL
--- a/dunlinlug/decision/orders.py
+++ b/dunlinlug/decision/orders.py
@@ -1,7 +1,7 @@
-"""What the decision module orders its host to do, in the order in which it takes effect.
+"""Orders from the decision module to its host, which take effect in the sequence returned.
 
-Times are float seconds; table and acknowledgement numbers are the module's own. A traffic class is
-its index in `ManagerSettings.traffic_classes`.
+Times are floats in seconds. Table and acknowledgement numbers are assigned by the decision module.
+A traffic class is given as its index in `ManagerSettings.traffic_classes`.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class SetWeight:
-    """Set an endpoint's entry in a table, which it creates; weight 0 takes the entry away."""
+    """Set an endpoint's entry in a table, creating the table; weight 0 removes the entry."""
 
     table_id: int
     worker: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class AssignTable:
-    """Send a proxy a whole table, to be used for these classes."""
+    """Send a proxy a full table and assign the proxy to it for these classes."""
 
     proxy: int
     traffic_classes: tuple[int, ...]
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class SetEjected:
-    """Have all proxies stop using an endpoint at once, whatever their tables say, or end that."""
+    """Start or end an ejection: no proxy may use the endpoint, whatever its tables contain."""
 
     worker: str
     ejected: bool
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class SetAdmission:
-    """Set how much of a class a table admits, and when its proxies retry (0 never to 3 twice)."""
+    """Set a class's admission level and retry policy, 0 (never) to 3 (twice), in a table."""
 
     table_id: int
     traffic_class: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class RequestAcknowledgement:
-    """Ask the proxies that this reply goes to, or all, to acknowledge what they were sent."""
+    """Request an acknowledgement from the proxies that this reply is sent to, or from all."""
 
     ack_number: int
     all_proxies: bool
@@ -60,26 +60,26 @@
 
 @dataclass(frozen=True)
 class WatchEndpoints:
-    """Ask for the changes of the endpoint list from now on."""
+    """Subscribe to changes of the endpoint list."""
 
     enabled: bool = True
 
 
 @dataclass(frozen=True)
 class ListEndpoints:
-    """Ask for the whole endpoint list once."""
+    """Request the full endpoint list once."""
 
 
 @dataclass(frozen=True)
 class CheckHealth:
-    """Check an endpoint's health once."""
+    """Run one health check of an endpoint."""
 
     worker: str
 
 
 @dataclass(frozen=True)
 class SetTimer:
-    """Have `TimerFired` come with this token after so many seconds."""
+    """Send a `TimerFired` event with this token after `delay` seconds."""
 
     delay: float
     token: int
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True)
 class SendToPeers:
-    """Send this to the module of another manager, or of all."""
+    """Send a message to the decision module of one other manager, or of all if `peer` is None."""
 
     peer: int | None
     payload: str
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True)
 class LogMessage:
-    """Write a line to the log."""
+    """Write a message to the log."""
 
     text: str
 
--- a/dunlinlug/decision/outlier_detection.py
+++ b/dunlinlug/decision/outlier_detection.py
@@ -1,9 +1,9 @@
-"""Outlier detection: which endpoints lose weight, or are ejected, by what proxies observed.
+"""Outlier detection: limits the weight of endpoints, or ejects them, by what proxies observed.
 
-An endpoint is ejected where its weight limit becomes 0, in `OutlierDetector.update_limits`. The
-planner makes of it the set of rows that should be ejected, and the reconciler orders it
-(`reconciler.update_ejections`). The form is that of Envoy's outlier detection: an ejection time
-that grows with each ejection, a largest ejected part of the fleet, then a time of probation.
+An endpoint is ejected when `OutlierDetector.update_limits` sets its weight limit to 0. The planner
+derives the set of rows to eject from the limits, and `ejections.update_ejections` orders the
+changes. The scheme follows Envoy's outlier detection, with an ejection time that grows with each
+ejection and a maximum ejected fraction of the fleet, followed by a probation time.
 """
 
 from dataclasses import dataclass
@@ -19,62 +19,65 @@
 
 @dataclass(frozen=True)
 class PeerConditions:
-    """What endpoints are compared with: figures of all that receive traffic at full weight."""
+    """Statistics of all endpoints that receive traffic at full weight, for comparison."""
 
-    best_failure_rate: float  # of the best quarter
+    best_failure_rate: float  # upper bound of the best quarter
     median_latency: float  # seconds
-    overloaded: bool  # the median endpoint fails too often for a fault of single endpoints
+    overloaded: bool  # the median failure rate is too high for faults of single endpoints
 
 
 class OutlierDetector(OutlierStatistics):
-    """Judges endpoints by what proxies observed, in contrast to their peers and to the baseline.
+    """Sets weight limits by comparing each endpoint with its peers and with the baseline latency.
 
-    Owns each endpoint's weight limit (the most of its weight that it gets; 0: ejected), the limit
-    that it recovers to, when it is next due, and the baseline: the median latency while the fleet
-    was not overloaded. Weight limits of a deployment under overload stay as they are, as then the
-    endpoints that fail are not those at fault.
+    Owns for each endpoint the weight limit (the largest fraction of its weight that it may get; 0
+    if ejected), the limit that it recovers to, and the time when its limit is next due. The
+    baseline is the median latency while the fleet was not overloaded. Under overload, endpoints can
+    fail without being faulty; then limits are lowered only for endpoints that fail fast or have no
+    successes.
     """
 
-    # Seconds in which a past observation loses half its weight: about one report interval.
+    # Half-life in seconds of past observations: about one report interval.
     HALF_LIFE = 0.8
-    # An endpoint is failing with this many failed attempts, at this failure rate, and at this
-    # many times the rate of the best quarter, so that an overload condemns none.
+    # An endpoint is failing if it has at least this many failed attempts, this failure rate, and
+    # this multiple of the failure rate of the best quarter. The last condition keeps endpoints in
+    # use when an overload raises all failure rates.
     MIN_FAILED = 3.0
     FAILURE_RATE_THRESHOLD = 0.35
     MIN_FAILURE_CONTRAST = 3.0
-    # Times the baseline latency up to which an endpoint is not overloaded.
+    # Multiple of the baseline latency up to which an endpoint is not overloaded.
     MAX_LATENCY_RATIO = 1.6
-    # Failure rate of an endpoint that does not respond at all.
+    # Failure rate from which an endpoint counts as unresponsive.
     UNRESPONSIVE_FAILURE_RATE = 0.9
-    # Failure rate up to which an endpoint gets more weight again.
+    # Failure rate up to which an endpoint may recover weight.
     MAX_RECOVERED_FAILURE_RATE = 0.15
     # Median failure rate from which the fleet is overloaded.
     OVERLOAD_FAILURE_RATE = 0.08
-    # Fraction of each new median that goes into the baseline: dozens of reports make it.
+    # Weight of each new median in the baseline, which thus averages dozens of reports.
     BASELINE_SMOOTHING = 0.03
-    # Fraction of the ready weight that may be lost to ejections: if more fails in part, the cause
-    # is common to them ...
+    # Maximum fraction of the ready weight that may be lost to partly failing endpoints: if more of
+    # them fail, the failures have a common cause.
     MAX_EJECTED_FRACTION = 0.2
-    # ... but unresponsive endpoints may go while a part of the fleet does well: a zone that is
-    # partitioned or lost.
+    # Maximum fraction if the endpoint is unresponsive. It allows for a partitioned or lost zone as
+    # long as a part of the fleet remains healthy.
     MAX_UNRESPONSIVE_FRACTION = 0.8
-    # Seconds on probation, a few report intervals, and the weight limit meanwhile: what an
-    # endpoint that is warming up bears.
+    # Probation time in seconds, a few report intervals, and the weight limit during probation: the
+    # load that an endpoint can handle while warming up.
     PROBATION_TIME = 3.0
     PROBATION_LIMIT = 0.25
-    # Limit of an overloaded or slow endpoint; a quarter pushed too much onto the others.
+    # Limit of an overloaded endpoint; a limit of 0.25 shifted too much load to the others.
     OVERLOADED_LIMIT = 0.5
-    # Times the median latency, over so many succeeded attempts, at which overload is near.
+    # An endpoint is close to overload at this multiple of the median latency, measured over at
+    # least this many succeeded attempts.
     SLOW_LATENCY_RATIO = 2.5
     MIN_SLOW_SUCCEEDED = 8.0
-    # Limit after an overload or ahead of it, and seconds of it: the listed weight is too high.
+    # Limit of an endpoint after an overload or close to one, as its listed weight is too high, and
+    # how long the limit holds in seconds.
     REDUCED_LIMIT = 0.75
     REDUCED_TIME = 60.0
-    # Seconds of the first ejection, doubled with each further one up to the largest; seconds
-    # between health checks of an ejected endpoint.
+    # First ejection time in seconds, which doubles with each further ejection up to the maximum.
     BASE_EJECTION_TIME = 4.0
     MAX_EJECTION_TIME = 16.0
-    HEALTH_CHECK_INTERVAL = 1.0
+    HEALTH_CHECK_INTERVAL = 1.0  # seconds between health checks of an ejected endpoint
 
     def __init__(self, rng: Random, baseline_delay: float) -> None:
         super().__init__(
@@ -85,16 +88,17 @@
             ),
         )
         self.rng = rng
-        # Seconds without overload that make the baseline valid, and the time at which it is.
+        # Seconds without overload after which the baseline is valid, and the time when it becomes
+        # valid.
         self.baseline_delay = baseline_delay
         self.baseline_valid_at = inf
         self.baseline_latency = 0.0  # seconds; 0: none yet
         self.max_ejected_fraction = self.MAX_EJECTED_FRACTION
 
     def update_limits(self, now: float, weights: dict[int, float], total_weight: float) -> None:
-        """Lower weight limits on evidence, the worst endpoint first, and raise them when due.
+        """Lower the weight limits of unhealthy endpoints, worst first, and raise limits when due.
 
-        `weights` are the listed weights of the ready rows and `total_weight` their sum.
+        `weights` has the listed weights of the ready rows, and `total_weight` is their sum.
         """
         if len(self.peer_failure_rates) < 2:
             return
@@ -108,12 +112,12 @@
         )
         self._update_baseline(now, peers)
         if peers.overloaded and not self.baseline_latency:
-            # Without this, a manager that began during an overload would take overloaded
-            # endpoints for unresponsive ones.
+            # A manager that started during an overload has no baseline latency and cannot tell
+            # overloaded endpoints from unresponsive ones.
             return
         candidates = self._candidates(now, peers)
         for row in candidates:
-            weight_limit = self._judge(row, now, peers)
+            weight_limit = self._next_limit(row, now, peers)
             weight_loss = weights[row] * (self.weight_limits[row] - weight_limit)
             max_lost_weight = self._max_lost_fraction(row, weight_limit) * total_weight
             is_too_much = weight_loss > 0 and lost_weight + weight_loss > max_lost_weight
@@ -125,10 +129,10 @@
             self.update_indexes(row)
 
     def _update_baseline(self, now: float, peers: PeerConditions) -> None:
-        """Follow the median latency while there is no overload, and say when it can be trusted."""
+        """Track the median latency while there is no overload, and when it becomes valid."""
         if now < self.baseline_valid_at:
-            # Failures are reported late, so that quick first answers do not prove that there is
-            # no overload.
+            # Failures are reported late, so fast first responses do not prove that there is no
+            # overload.
             valid_at = now + self.baseline_delay
             if not peers.overloaded:
                 valid_at = min(self.baseline_valid_at, valid_at)
@@ -143,7 +147,7 @@
             self.baseline_latency += peers.median_latency
 
     def _candidates(self, now: float, peers: PeerConditions) -> list[int]:
-        """Return the rows whose limit can change, most failed attempts first, then by row."""
+        """Return the rows whose limit may change, those with most failed attempts first."""
         slow_rows: list[int] = []
         if peers.median_latency and not peers.overloaded:
             slow_rows = self.slow_peers(self.SLOW_LATENCY_RATIO * peers.median_latency)
@@ -152,11 +156,11 @@
             key=lambda row: (-self.failed[row], row),
         )
 
-    def _judge(self, row: int, now: float, peers: PeerConditions) -> float:
-        """Return the weight limit that the evidence calls for.
+    def _next_limit(self, row: int, now: float, peers: PeerConditions) -> float:
+        """Return the weight limit that the observations of a row call for.
 
-        Sets the limit that the endpoint recovers to, which holds also where the new weight limit
-        would take too much from the fleet.
+        Also sets the limit that the endpoint recovers to. That one is kept even if the new weight
+        limit is not applied because the fleet would lose too much weight.
         """
         weight_limit = self.weight_limits[row]
         failure_rate = self.failure_rate(row)
@@ -180,21 +184,21 @@
         return weight_limit
 
     def _is_slow(self, row: int, succeeded: float, peers: PeerConditions) -> bool:
-        """Whether so many attempts took so long that the endpoint will soon be overloaded."""
+        """Whether enough attempts were slow enough to expect an overload of the endpoint."""
         slow_latency = self.SLOW_LATENCY_RATIO * peers.median_latency
         return succeeded >= self.MIN_SLOW_SUCCEEDED and 0.0 < slow_latency <= self.mean_latency(row)
 
     def _max_lost_fraction(self, row: int, weight_limit: float) -> float:
-        """Return how much of the ready weight may be lost if this row gets this limit."""
+        """Return the fraction of the ready weight that may be lost if this row gets this limit."""
         is_unresponsive = self.failure_rate(row) >= self.UNRESPONSIVE_FAILURE_RATE
         if is_unresponsive and not weight_limit:
             return self.MAX_UNRESPONSIVE_FRACTION
         return self.max_ejected_fraction
 
     def _set_limit(self, row: int, weight_limit: float, now: float) -> None:
-        """Set a row's limit and when it is next due; the indexes are to be updated after it."""
-        # Drawn for every new limit, not for ejections alone: all draws of the module come from
-        # one generator, and leaving this one out would change those that follow.
+        """Set a row's limit and when it is next due. The caller must update the indexes."""
+        # Drawn for every new limit, not only for ejections: the module has a single random number
+        # generator, and skipping this draw would change all later ones.
         ejection_time = self.ejection_times[row] * self.rng.uniform(1, 1.2)
         if weight_limit == 0.0:
             delay = ejection_time
--- a/dunlinlug/decision/overrides.py
+++ b/dunlinlug/decision/overrides.py
@@ -1,7 +1,6 @@
-"""Operator overrides: the weights of a traffic class as an operator set them.
+"""Operator overrides: weights of a traffic class that an operator has set.
 
-Overridden weights stand in place of the listed ones; slow start, weight limits and ejections hold
-for them as for any.
+They replace the listed weights. Slow start, weight limits and ejections still apply to them.
 """
 
 from collections.abc import Mapping
@@ -19,8 +18,8 @@
 ) -> Weights:
     """Return the weights of a class under an override, in the order of `default_weights`.
 
-    Without anybody left to use, it is `default_weights` itself: an operator who asked for ejected
-    endpoints alone would leave the class without any.
+    If no usable endpoint remains, for example because the override names only ejected endpoints, it
+    returns `default_weights` itself, so that the class is not left without endpoints.
     """
     weights = {
         row_by_id[worker]: weight for worker, weight in override.weights if worker in row_by_id
--- a/dunlinlug/decision/parameters.py
+++ b/dunlinlug/decision/parameters.py
@@ -1,38 +1,38 @@
-"""What the decisions go by of a manager's settings, in the form in which they use it."""
+"""The parameters of the decisions, derived from a manager's settings."""
 
 from dataclasses import dataclass
 
 from dunlinlug.decision.settings import AdmissionMode, ManagerSettings
 from dunlinlug.decision.slow_start import SlowStart
 
-# The admitted fraction of a class where levels are rates: a fraction of 1 would shut a proxy.
+# The admission level for no limit if levels are rates: 1 would admit only one request per second.
 UNLIMITED_ADMISSION = 1e6
 
 
 @dataclass
 class DecisionParameters:
-    """Derived once from the settings, and never changed by a decision. Times are seconds."""
+    """Parameters that are derived once from the settings and never change. Times are in seconds."""
 
     class_count: int
     default_retry_policy: int
     list_poll_interval: float
     warm_up_time: float
-    # Times its weight that an endpoint bears at the weakest moment of its slow start.
+    # The lowest ratio, over its slow start, of the load that an endpoint can handle to its weight.
     min_overload_multiple: float
     can_check_health: bool
     is_sharded: bool
-    # Endpoints in a small table (a subset).
+    # Number of endpoints in a subset.
     subset_size: int
-    # Classes that go only to endpoints in the proxy's zone.
+    # Classes whose requests are sent only to endpoints in the proxy's zone.
     same_zone_classes: list[int]
-    # Table entries that an endpoint costs a proxy: those of same-zone classes are apart.
+    # Table entries per endpoint that are sent to a proxy; same-zone classes need separate ones.
     entries_per_endpoint: float
     controls_admission: bool
     full_admission: float
 
     @classmethod
     def from_settings(cls, settings: ManagerSettings) -> "DecisionParameters":
-        """Derive them from a manager's settings."""
+        """Derive the parameters from a manager's settings."""
         limits = settings.safety_limits
         slow_start = SlowStart.from_limits(limits)
         class_count = len(settings.traffic_classes)
--- a/dunlinlug/decision/planner.py
+++ b/dunlinlug/decision/planner.py
@@ -1,8 +1,8 @@
-"""Planning: what is known becomes the desired state.
+"""Planning: computes the desired state from the observed state.
 
-`plan` is the entry. It owns the desired weights, the rows that warm up and the rows that are to be
-planned anew, and has outlier detection and admission control make their steps. It orders nothing:
-the reconciler orders the difference between the desired state and what is installed.
+`plan` is the entry point. It updates outlier detection and admission control, and owns the desired
+weights, the warming rows and the rows whose weight must be recomputed. It orders nothing; the
+reconciler orders the differences between the desired and the installed state.
 """
 
 from collections.abc import Iterable, Set
@@ -19,21 +19,21 @@
 from dunlinlug.decision.state.tables import Table, admission_level
 from dunlinlug.decision.table_update import advance_updates
 
-# Median failure rate of a retry storm, for each time of its weight that an endpoint that warms up
-# bears.
+# Median failure rate that indicates a retry storm, per multiple of its weight that a warming
+# endpoint can handle (`DecisionParameters.min_overload_multiple`).
 RETRY_STORM_FAILURE_RATE = 0.1
-# Failure rate of all attempts from which endpoints that warm up wait outside: a load on the rise
-# had 0.14.
+# Failure rate of all attempts from which the load counts as rising and warming endpoints that are
+# not in use yet stay ejected.
 RISING_FAILURE_RATE = 0.1
-# Admitted fraction while a current table has only endpoints that should be ejected.
+# Maximum admitted fraction while a current table has only endpoints that should be ejected.
 LAST_RESORT_FRACTION = 0.3
-# An available fraction that could bound admission is added up endpoint by endpoint below this.
+# Below this value the available fraction may bound admission and is summed endpoint by endpoint.
 EXACT_AVAILABLE_FRACTION = 1.01 / AdmissionController.SPARE_CAPACITY
 
 
 @dataclass(frozen=True)
 class FleetConditions:
-    """How the deployment as a whole fares."""
+    """Conditions of the fleet as a whole."""
 
     median_failure_rate: float
     is_retry_storm: bool
@@ -41,7 +41,7 @@
 
 
 def plan(state: DecisionState, now: float) -> DesiredState:
-    """Return what proxies should use now; `now` is seconds on the host's clock."""
+    """Return the desired state at `now`, in seconds on the host's clock."""
     detector = state.outlier_detector
     detector.update_limits(now, state.fleet.base_weights, state.fleet.total_weight())
     if not state.parameters.can_check_health:
@@ -49,7 +49,7 @@
             due_at = now + OutlierDetector.PROBATION_TIME
             detector.reset(row, OutlierDetector.PROBATION_LIMIT, due_at)
     conditions = _fleet_conditions(state, now)
-    tables = _tables_in_play(state)
+    tables = _relevant_tables(state)
     update_weights(state, now)
     limits = _transient_limits(state, now, tables, conditions)
     ejected = _rows_to_eject(state, tables, limits)
@@ -71,10 +71,10 @@
 
 
 def _fleet_conditions(state: DecisionState, now: float) -> FleetConditions:
-    """Judge whether retries or a rising load would overload endpoints that warm up.
+    """Detect whether retries or a rising load would overload warming endpoints.
 
-    Reports of a storm come seconds late, so that the second condition holds already while a tenth
-    of all attempts fail anywhere.
+    A retry storm is reported seconds late. The load therefore already counts as rising once a tenth
+    of all attempts fail (`RISING_FAILURE_RATE`).
     """
     detector = state.outlier_detector
     median_failure_rate = 0.0
@@ -89,8 +89,8 @@
     )
 
 
-def _tables_in_play(state: DecisionState) -> list[Table]:
-    """Return the tables that proxies use or will be assigned to, each once."""
+def _relevant_tables(state: DecisionState) -> list[Table]:
+    """Return the tables that proxies may be using or will be assigned to, without duplicates."""
     tables = [
         *state.assignments.list_tables_in_use(),
         *state.tables.current_tables.values(),
@@ -100,7 +100,7 @@
 
 
 def update_weights(state: DecisionState, now: float) -> None:
-    """Plan the weight of each row that changed, that warms up, or that is blocked."""
+    """Recompute the desired weight of each row that changed, is warming up, or is blocked."""
     base_weights = state.fleet.base_weights
     state.rows_to_plan |= state.fleet.take_changed_rows() | (
         state.outlier_detector.take_changed_rows()
@@ -123,12 +123,12 @@
 def _weight_fraction(state: DecisionState, row: int, now: float) -> float:
     """Return the fraction of its weight that a row should get, by slow start and weight limit.
 
-    A manager on the lesser side of a partition may not raise it, or not change it at all.
+    During a partition between managers, the partition limits may forbid raising or changing it.
     """
     age = now - state.fleet.started_at[row]
     fraction = state.slow_start.fraction(age)
-    # An ejected endpoint is entered at its limit on probation, so that its entry needs no change
-    # when the ejection ends.
+    # An ejected endpoint keeps a table entry with its probation weight, so that the entry need not
+    # change when the ejection ends.
     weight_limit = state.outlier_detector.weight_limits[row] or OutlierDetector.PROBATION_LIMIT
     limited_fraction = min(fraction, weight_limit)
     limits = state.partition_limits
@@ -143,13 +143,11 @@
 def _transient_limits(
     state: DecisionState, now: float, tables: list[Table], conditions: FleetConditions
 ) -> dict[int, float]:
-    """Return the weight fraction over which an endpoint that warms up is ejected, by row.
+    """Return by row the weight fraction above which a warming or probation endpoint is ejected.
 
-    The same holds for an endpoint on probation.
-
-    Without this, an endpoint that warms up would be overloaded where a table still gives it its
-    former weight. In a retry storm, which brings it many times its weight, it is ejected whatever
-    its weight; while the load rises, one that no table has yet waits.
+    A table may still have the endpoint at its former, larger weight, which would overload it. The
+    limit is 0 for all warming endpoints in a retry storm, which multiplies the load on them, and
+    for warming endpoints that are not in use yet while the load rises.
     """
     detector = state.outlier_detector
     limits = {row: detector.weight_limits[row] for row in detector.probation_rows}
@@ -168,8 +166,8 @@
 def _rows_to_eject(state: DecisionState, tables: list[Table], limits: dict[int, float]) -> set[int]:
     """Return the rows that no proxy should use.
 
-    These are the rows that outlier detection ejected, those in a table that are no longer ready,
-    and those that are given more than their limit by any table in play.
+    These are rows ejected by outlier detection, rows of these tables that are no longer ready, and
+    rows whose weight fraction exceeds its limit in the desired state or in one of the tables.
     """
     weight_fractions = state.desired_weights.weight_fractions
     ejected = state.outlier_detector.ejected_rows.union(*(table.unready_rows for table in tables))
@@ -185,7 +183,7 @@
 def _admitted_fractions(
     state: DecisionState, now: float, conditions: FleetConditions
 ) -> list[float]:
-    """Return by class how much is admitted."""
+    """Return the admitted fraction of each class."""
     parameters = state.parameters
     detector = state.outlier_detector
     if not parameters.controls_admission or not detector.failure_rates:
@@ -198,10 +196,10 @@
 
 
 def _retry_policy(state: DecisionState, admitted_fractions: list[float]) -> int:
-    """Return when proxies retry: on proof that the first attempt did not run, or not at all.
+    """Return the retry policy: retry if the first attempt provably did not run, or never.
 
-    Without the bound a request could have its effect twice. There is no retry in overload, nor
-    before the fleet was seen without overload.
+    Retrying in other cases could execute a request twice. There are no retries under overload, nor
+    before the fleet was observed without overload.
     """
     if state.outlier_detector.baseline_latency and min(admitted_fractions) >= 1.0:
         return min(state.parameters.default_retry_policy, 1)
@@ -209,7 +207,7 @@
 
 
 def _weights_by_class(state: DecisionState, ejected: set[int]) -> list[Weights]:
-    """Return the weights of each class; without an override they are one and the same dict."""
+    """Return the weights of each class; classes without an override share the same dict."""
     class_count = state.parameters.class_count
     if not state.overrides:
         return [state.desired_weights.default_weights] * class_count
@@ -234,19 +232,19 @@
     ejected: set[int],
     limits: dict[int, float],
 ) -> tuple[set[int], bool]:
-    """Return what to eject so that no table is left without endpoint.
+    """Take rows out of `ejected` so that each table keeps a usable endpoint.
 
-    The second value tells whether a current table would have been.
+    Returns the remaining rows to eject, and whether some current table would have had no endpoint.
 
-    Where all of a table are to be ejected, those that warm up or are on probation stay in use, or
-    any if there are none such. Where classes keep to their zone, one warm endpoint of each zone
-    stays.
+    If all ready endpoints of a table are to be ejected, its warming and probation endpoints stay in
+    use, or all of them if it has none of these. If there are same-zone classes, one warm endpoint
+    of each zone stays in use.
     """
     current_tables = set(state.tables.current_tables.values())
     is_last_resort = False
     for table in tables:
         is_current = table in current_tables
-        ready_rows = _rows_at_stake(state, table, is_current, ejected)
+        ready_rows = _rows_to_protect(state, table, is_current, ejected)
         if ready_rows is None:
             continue
         if ready_rows and ready_rows <= ejected:
@@ -259,12 +257,12 @@
     return ejected, is_last_resort
 
 
-def _rows_at_stake(
+def _rows_to_protect(
     state: DecisionState, table: Table, is_current: bool, ejected: set[int]
 ) -> Set[int] | None:
     """Return the ready rows that a table's proxies depend on; None if some of them stay in use.
 
-    Where none of a current table's own rows is ready, these are all ready rows.
+    For a current table without ready rows, these are all ready rows of the fleet.
     """
     base_weights = state.fleet.base_weights
     is_unready = len(table.weight_fractions) == len(table.unready_rows)
@@ -280,7 +278,7 @@
 def _readmit_warm_endpoint(
     state: DecisionState, now: float, zone_rows: Iterable[int], ejected: set[int]
 ) -> None:
-    """Take the best warm endpoint among these out of `ejected`: one will do."""
+    """Take the warm endpoint with the lowest failure rate among these out of `ejected`."""
     detector = state.outlier_detector
     warm_rows = [
         row
--- a/dunlinlug/decision/reconciler.py
+++ b/dunlinlug/decision/reconciler.py
@@ -1,9 +1,8 @@
-"""Reconciliation: orders the difference between the desired state and what is installed.
+"""Reconciliation: orders the differences between the desired and the installed state.
 
-`reconcile` is the entry, and the only place from which orders go out. Their sequence is a matter
-of safety: ejections (`update_ejections`) go first, then admission, then table changes, which may
-wait for room in the channel. Owns the logged weight limits and the last acknowledgement
-number.
+`reconcile` is the entry point and the only function that returns orders. Their sequence matters for
+safety: ejections (`update_ejections`) come first, then admission, then table changes, which may
+wait for room in the channel. Owns the logged weight limits and the last acknowledgement number.
 """
 
 from dataclasses import dataclass
@@ -36,11 +35,11 @@
 
 @dataclass(frozen=True)
 class ChannelConditions:
-    """What the channel can carry, by the size of the deployment."""
+    """Capacity of the channel relative to the number of proxies and the size of their tables."""
 
-    # The tables of all classes to all proxies take longer than the drain of one batch.
+    # Sending the tables of all classes to all proxies takes longer than `BASE_DRAIN_TIME`.
     is_crowded: bool
-    # One table to all proxies takes longer than a slow start, so that proxies keep small ones.
+    # Sending one table to all proxies takes longer than a slow start, so proxies keep subsets.
     is_constrained: bool
 
 
@@ -53,11 +52,11 @@
     state.desired_weights.set_ejected(desired.ejected)
     if not state.tables.current_tables:
         create_first_tables(state, batch, desired)
-    awaits_all = _order_differences(state, batch, desired)
-    # Deletions cost no entry: nobody is assigned to these tables.
+    awaits_all_proxies = _order_differences(state, batch, desired)
+    # Deletions are not charged to the channel: no proxy is assigned to these tables.
     batch.orders.extend(DeleteTable(table_id) for table_id in state.assignments.take_deletable(now))
     if batch.entries_by_proxy:
-        batch.orders.append(RequestAcknowledgement(batch.ack_number, awaits_all))
+        batch.orders.append(RequestAcknowledgement(batch.ack_number, awaits_all_proxies))
         state.budget.record(batch.ack_number, now, batch.entries_by_proxy)
     if state.list_polling.retry_at <= now:
         state.list_polling.retry_at = inf
@@ -67,7 +66,7 @@
 
 
 def _order_differences(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> bool:
-    """Order ejections, admission and tables, the most urgent first; return if all are awaited."""
+    """Order ejections, admission and tables; return whether all proxies must acknowledge."""
     channel = channel_conditions(state, desired)
     state.is_channel_constrained = channel.is_constrained
     if channel.is_crowded:
@@ -81,15 +80,15 @@
         range(state.parameters.class_count), key=lambda traffic_class: -distances[traffic_class]
     )
     changed_classes = [each for each in class_order if distances[each]]
-    awaits_all = begin_updates(state, batch, desired, changed_classes, channel.is_crowded)
+    awaits_all_proxies = begin_updates(state, batch, desired, changed_classes, channel.is_crowded)
     if channel.is_constrained and not batch.exceeds_drain(BASE_DRAIN_TIME):
         update_subsets(state, batch, desired)
     switch_tables(state, batch, class_order, channel.is_crowded)
-    return awaits_all
+    return awaits_all_proxies
 
 
 def report_limits(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> None:
-    """Log changed weight limits, and check the health of ejected endpoints that are due."""
+    """Log changed weight limits, and order health checks of ejected endpoints that are due."""
     detector = state.outlier_detector
     due_ejections = detector.due_ejections(batch.now)
     rows = {*state.rows_to_plan, *due_ejections} & desired.weight_fractions.keys()
@@ -106,12 +105,12 @@
             batch.orders.append(LogMessage(text))
         is_due = not weight_limit and detector.due_at[row] <= batch.now
         if state.parameters.can_check_health and is_due and row not in state.blocked.rows:
-            detector.postpone(row)  # until the health check's result
+            detector.postpone(row)  # until the health check completes
             batch.orders.append(CheckHealth(worker))
 
 
 def create_first_tables(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> None:
-    """Create the first tables, one for all classes with the same weights."""
+    """Create the first tables, one for each group of classes with the same weights."""
     distinct_weights = {id(weights): weights for weights in desired.weights}
     created_tables = {
         key: create_table(state, batch, desired, weights)
@@ -124,10 +123,10 @@
 
 
 def channel_conditions(state: DecisionState, desired: DesiredState) -> ChannelConditions:
-    """Compare what the tables of all proxies cost with what the channel carries.
+    """Compare the cost of the tables of all proxies with the channel's rate.
 
-    Both are departures from the paper, which counts on changes that are small beside what the
-    channel carries (`docs/design.md`).
+    The paper assumes that changes are small relative to the channel's capacity. The handling of
+    crowded and constrained channels departs from it (`docs/design.md`).
     """
     entries_per_second = state.budget.entries_per_second
     table_entries = max(map(len, desired.weights)) + 2.0
@@ -142,7 +141,7 @@
 
 
 def update_admission(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> None:
-    """Order the admitted fraction and retry policy of each table and class that differs."""
+    """Order the admitted fraction and retry policy of each table and class where they differ."""
     differences = state.assignments.differing_admission(desired.admission_levels)
     for (traffic_class, table), groups in differences.items():
         if batch.now < state.blocked.classes.get(traffic_class, 0.0):
--- a/dunlinlug/decision/settings.py
+++ b/dunlinlug/decision/settings.py
@@ -1,6 +1,6 @@
-"""What the decision module is given at its start.
+"""Settings of the decision module, passed to it at startup.
 
-Times are float seconds, weights and fractions are plain floats, zones and host classes are names.
+Times are floats in seconds, weights and fractions are floats, zones and host classes are names.
 """
 
 from dataclasses import dataclass
@@ -8,19 +8,19 @@
 
 
 class Idempotency(StrEnum):
-    """Whether a request of a class may be sent again after a failure."""
+    """Whether requests of a class may be retried after a failure."""
 
     IDEMPOTENT = "idempotent"
-    KEYED = "referenced"  # it bears an idempotency key, by which a duplicate is recognised
+    KEYED = "referenced"  # has an idempotency key, by which endpoints detect duplicates
     NON_IDEMPOTENT = "non-idempotent"
 
 
 class AdmissionMode(StrEnum):
-    """What an admission level is."""
+    """The meaning of an admission level."""
 
-    FRACTION = "share"  # the fraction of requests that is admitted
-    RATE = "rate"  # requests a second
-    NONE = "none"  # the host admits all
+    FRACTION = "share"  # fraction of requests that is admitted
+    RATE = "rate"  # requests per second
+    NONE = "none"  # not supported: the host admits all requests
 
 
 class ReportDelivery(StrEnum):
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True)
 class TrafficClass:
-    """A kind of request.
+    """A class of requests that are routed and admitted alike.
 
-    `latency_objective` and `deadline` are seconds; `priority_weight` is what a request in time is
-    worth beside others, `late_value_fraction` the part of it that a late one keeps. Within
-    `deduplication_window` seconds a duplicate of a keyed request is recognised.
+    `latency_objective` and `deadline` are in seconds. `priority_weight` is the value of a request
+    that is answered in time, relative to other classes; a late one retains `late_value_fraction` of
+    it. Duplicates of a keyed request are detected within `deduplication_window` seconds.
     """
 
     name: str
@@ -53,10 +53,11 @@
 
 @dataclass(frozen=True)
 class ChannelSettings:
-    """What a manager's channel to its proxies carries, and what may wait in it.
+    """Capacity of a manager's channel to its proxies.
 
-    Sizes are table entries, of which a message costs `message_overhead` in itself. A proxy may be
-    sent `max_messages` in `message_window` seconds (0: any number).
+    Sizes are in table entries. Each message costs `message_overhead` entries in addition to its
+    content. A proxy may be sent at most `max_messages` within `message_window` seconds (0 means
+    unlimited).
     """
 
     entries_per_second: float
@@ -70,11 +71,11 @@
 
 @dataclass(frozen=True)
 class SafetyLimits:
-    """The figures of the safety rules that a manager keeps.
+    """Limits of the safety rules that a manager must keep.
 
-    `initial_capacity_fraction` is what an endpoint bears at its start, of what it bears after
-    `warm_up_time`. An endpoint that gets `overload_multiple` times what it bears for
-    `overload_duration` seconds fails.
+    `initial_capacity_fraction` is the capacity of an endpoint at its start, as a fraction of its
+    capacity after `warm_up_time`. An endpoint fails if its load is `overload_multiple` times its
+    capacity for `overload_duration` seconds.
     """
 
     max_time_without_endpoint: float
@@ -88,10 +89,11 @@
 
 @dataclass(frozen=True)
 class ManagerSettings:
-    """What a manager is told when it starts.
+    """Settings of a manager.
 
-    `load_report_fields` names the values of a load report in their order. `initial_subset_size` is
-    how many endpoints a proxy's first table has, for which the channel has room.
+    `load_report_fields` has the names of the values of a load report, in their order.
+    `initial_subset_size` is the number of endpoints in a subset, a proxy's first table on a slow
+    channel.
     """
 
     seed: int
@@ -102,7 +104,7 @@
     must_subscribe: bool = False
     can_check_health: bool = False
     load_report_fields: tuple[str, ...] = ()
-    report_delivery: str = ReportDelivery.NONE  # a `ReportDelivery`, or another that was told
+    report_delivery: str = ReportDelivery.NONE  # unknown values are allowed
     report_interval: float = 1.0
     default_retry_policy: int = 1
     admission_mode: AdmissionMode = AdmissionMode.NONE
--- a/dunlinlug/decision/subsets.py
+++ b/dunlinlug/decision/subsets.py
@@ -1,10 +1,11 @@
-"""Subsets: small tables for a channel that is too slow to send whole ones.
-
-A small table has a part of the endpoints and costs few entries, so that a proxy without endpoint
-gets one at once. While the channel is crowded, new proxies and those that lose too many endpoints
-are assigned to one; while it is constrained (even one table for all takes longer than a slow
-start), proxies stay with them and the small tables follow the desired weights in place. Owns the
-list `tables.subset_tables`; all endpoints are dealt over them.
+"""Subsets: small tables for a channel that is too slow to send full tables.
+
+A subset has a part of the endpoints and costs few entries, so that a proxy without a usable
+endpoint can be sent one immediately. While the channel is crowded, new proxies and proxies that
+lose too many endpoints are assigned to a subset. While the channel is constrained (sending a single
+table to all proxies takes longer than a slow start), proxies keep their subsets, and the subsets
+are updated in place to follow the desired weights. Owns the list `tables.subset_tables`, over which
+all endpoints are distributed.
 """
 
 from collections.abc import Collection, Iterator
@@ -31,25 +32,25 @@
     create_table,
 )
 
-# Times the usual request rate of an endpoint from which a small table gets one more: a slow start
-# step.
+# A subset gets another endpoint if its demand per weight exceeds the average by this factor; the
+# excess equals one slow start step.
 HOT_SUBSET_RATIO = 1.25
-# A new proxy gets the full table at once where the queue is short.
+# A new proxy is assigned to the full table immediately if the queue is short.
 FULL_TABLE = Urgency(Priority.HEALTH, BASE_DRAIN_TIME)
 
 
 class AvailableEndpoints:
-    """Which endpoints a proxy could use now, and which it is about to lose.
+    """The endpoints that proxies can use now and those that they are about to lose.
 
-    `unavailable` rows are ejected, or an order for them was rejected; `rows_by_zone` has the
-    available rows by zone where some class is for the proxy's own zone, else nothing.
+    `unavailable` has the rows that are ejected or for which an order was rejected. `rows_by_zone`
+    has the available rows of each zone if there are same-zone classes; otherwise it is empty.
     """
 
     def __init__(self, state: DecisionState, desired: DesiredState) -> None:
         self.assignments = state.assignments
         self.same_zone_classes = state.parameters.same_zone_classes
         self.newly_ejected = desired.ejected - state.ejected_rows
-        # Losing more endpoints than this costs more entries than a small table.
+        # Ejecting more endpoints than this costs a proxy more entries than a subset does.
         self.max_ejected = 1 + state.parameters.class_count + state.parameters.subset_size
         self.is_mass_ejection = (
             len(self.newly_ejected) * len(state.assignments.proxies)
@@ -63,11 +64,11 @@
                 row for row in desired.weight_fractions if row not in self.unavailable
             )
 
-    def proxies_in_need(self) -> list[int]:
-        """Return the proxies that need a small table now, in the order in which they connected."""
+    def proxies_needing_subset(self) -> list[int]:
+        """Return the proxies that need a subset now, in the order in which they connected."""
         groups: list[Collection[int]] = []
         for assigned_tables, proxy_ids in self.assignments.groups.items():
-            if self._is_group_in_need(assigned_tables):
+            if self._needs_subset(assigned_tables):
                 groups.append(proxy_ids)
             elif self.rows_by_zone:
                 groups.append(
@@ -75,8 +76,8 @@
                 )
         return self.assignments.by_join_order(groups)
 
-    def _is_group_in_need(self, assigned_tables: AssignedTables) -> bool:
-        """Whether proxies with these tables have none, no endpoint left, or lose too many."""
+    def _needs_subset(self, assigned_tables: AssignedTables) -> bool:
+        """Whether proxies with this assignment have no table, or lose all or too many endpoints."""
         tables = [table for table in dict.fromkeys(assigned_tables) if table]
         if not tables:
             return True
@@ -90,22 +91,23 @@
         )
 
     def _lacks_local_endpoint(self, proxy_id: int, assigned_tables: AssignedTables) -> bool:
-        """Whether a same-zone class of the proxy has no endpoint though its zone has one."""
+        """Whether a same-zone class of the proxy has no endpoint although its zone has one."""
         tables = [assigned_tables[traffic_class] for traffic_class in self.same_zone_classes]
         return self.assignments.lacks_local_endpoint(proxy_id, self.rows_by_zone, tables)
 
 
 def assign_subsets(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> None:
-    """Assign proxies in need to a small table, or to the full one where the queue is short.
+    """Assign proxies that need a subset to one, or new proxies to the full table.
 
-    Without this, a proxy would be left without endpoint, or would use draining ones for too long,
-    while whole tables or very many ejections wait in the channel.
+    New proxies get the full table if the queue is short. While full tables or a mass ejection are
+    queued in the channel, proxies would otherwise have no endpoint, or use draining endpoints for
+    too long.
     """
     available = AvailableEndpoints(state, desired)
     full_table = _full_table(state)
     capacities: dict[Table, float] = {}
     min_entries = 0.0
-    for proxy_id in available.proxies_in_need():
+    for proxy_id in available.proxies_needing_subset():
         if full_table is not None and _assign_full_table(state, batch, proxy_id, full_table):
             continue
         if not capacities:
@@ -116,14 +118,14 @@
             break
         table = _least_loaded(state, proxy_id, capacities, available.rows_by_zone)
         assigned_table = state.assignments.proxies[proxy_id].assigned_tables[0]
-        # One that the proxy has already is kept up in place (`update_subsets`).
+        # If the proxy is already assigned to this table, `update_subsets` updates it in place.
         if not available.rows_by_zone or table is not assigned_table:
             all_classes = tuple(range(state.parameters.class_count))
             assign_table(state, batch, Assignment(proxy_id, all_classes, table), MANDATORY)
 
 
 def _full_table(state: DecisionState) -> Table | None:
-    """Return the one table of all classes; None if there are several or the channel is slow."""
+    """Return the table that all classes share; None if they differ or the channel is too slow."""
     if state.is_channel_constrained or len(set(state.tables.current_tables.values())) != 1:
         return None
     return state.tables.current_tables[0]
@@ -132,7 +134,7 @@
 def _assign_full_table(
     state: DecisionState, batch: OrderBatch, proxy_id: int, full_table: Table
 ) -> bool:
-    """Assign a new proxy to the full table at once; False if the queue is too long for it."""
+    """Assign a new proxy to the full table; return False if not new or if the queue is too long."""
     if any(state.assignments.proxies[proxy_id].assigned_tables):
         return False
     if batch.exceeds_drain(BASE_DRAIN_TIME, proxy_id):
@@ -148,9 +150,9 @@
     capacities: dict[Table, float],
     rows_by_zone: dict[str, set[int]],
 ) -> Table:
-    """Return the small table that would be asked least with this proxy.
+    """Return the subset with the lowest demand per weight once this proxy is added to it.
 
-    One with an endpoint of the proxy's zone goes first where there is one.
+    Subsets with an endpoint in the proxy's zone are preferred if the zone has available endpoints.
     """
     request_rate = state.assignments.proxies[proxy_id].request_rate
     return min(
@@ -165,17 +167,17 @@
 def _subset_capacities(
     state: DecisionState, batch: OrderBatch, desired: DesiredState
 ) -> dict[Table, float]:
-    """Return by small table the weight of its available endpoints.
+    """Return the total weight of the available endpoints of each subset.
 
-    The endpoints are dealt anew, by each manager in a random order of its own, once all small
-    tables together have less than half of the available weight, or one that nobody uses has
-    endpoints that are not available.
+    Creates new subsets if there are none, if all subsets together have less than half of the
+    available weight, or if they are stale. Each manager distributes the endpoints in its own random
+    order.
     """
     state.desired_weights.ordered_weights()
     weights = desired.common_weights()
     used_subsets = [table for table in state.tables.subset_tables if table.use_count]
     best_rows = _best_rows(state, desired, weights)
-    # Each small table gets somebody of every zone.
+    # Each subset gets at least one endpoint of every zone.
     zones: Collection[set[int]] = ()
     if state.parameters.same_zone_classes:
         zones = state.fleet.by_zone(best_rows).values()
@@ -195,11 +197,13 @@
 
 
 def _best_rows(state: DecisionState, desired: DesiredState, weights: Weights) -> list[int]:
-    """Return the rows to deal: those at full weight, else those in use, else all."""
-    takes_any_weight = bool(state.parameters.same_zone_classes)
+    """Return the rows to distribute: those at full weight, else all available ones, else all."""
+    allows_partial_weight = bool(state.parameters.same_zone_classes)
     available_rows = [row for row in weights if row not in desired.ejected]
     best_rows = [
-        row for row in available_rows if takes_any_weight or desired.weight_fractions[row] == 1.0
+        row
+        for row in available_rows
+        if allows_partial_weight or desired.weight_fractions[row] == 1.0
     ]
     return best_rows or available_rows or list(weights)
 
@@ -207,7 +211,7 @@
 def _is_stale(
     subset_tables: list[Table], best_rows: list[int], zones: Collection[set[int]]
 ) -> bool:
-    """Whether an unused small table has other endpoints, or a zone's endpoints are in none."""
+    """Whether an unused subset has other endpoints, or no subset has an endpoint of some zone."""
     best_row_set = set(best_rows)
     if any(
         not table.weight_fractions.keys() <= best_row_set
@@ -223,7 +227,7 @@
 def _distribute(
     state: DecisionState, rows: list[int], zones: Collection[set[int]], weights: Weights
 ) -> Iterator[Weights]:
-    """Deal these rows, shuffled in place, over as many small tables as their size asks for."""
+    """Shuffle these rows in place and distribute them over subsets of the configured size."""
     zone_of = state.fleet.zones
     by_zone = bool(state.parameters.same_zone_classes)
     rows.sort(key=lambda row: (zone_of[row] if by_zone else "", state.rng.uniform(0.0, 1.0)))
@@ -235,7 +239,7 @@
 
 
 class SubsetDemand:
-    """What proxies ask of the small tables in use, against the weight of their endpoints."""
+    """Demand on the subsets in use: request rate relative to the weight of their endpoints."""
 
     def __init__(self, state: DecisionState, tables: list[Table], weights: Weights) -> None:
         self.desired_weights = state.desired_weights
@@ -247,26 +251,26 @@
         }
 
     @cached_property
-    def usual_ratio(self) -> float:
-        """Request rate by weight, over all small tables and all available endpoints."""
+    def average_ratio(self) -> float:
+        """Average demand: request rate of all subsets by weight of all available endpoints."""
         total_rate = sum(table.request_rate for table in self.tables)
         return total_rate / (self.desired_weights.available_weight(self.weights) or 1.0)
 
     @cached_property
     def rows_by_demand(self) -> list[int]:
-        """Available rows, those of which least is asked first."""
+        """Available rows, in order of increasing demand."""
         return self.desired_weights.rows_by_demand(self.weights, self.ratios)
 
     def is_hot(self, table: Table) -> bool:
-        """Whether so much more than usual is asked of a table that it needs one more endpoint."""
-        return HOT_SUBSET_RATIO * self.usual_ratio < self.ratios[table]
+        """Whether demand on a subset is so far above average that it needs another endpoint."""
+        return HOT_SUBSET_RATIO * self.average_ratio < self.ratios[table]
 
 
 def update_subsets(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> None:
-    """Let the small tables in use follow the desired weights in place.
+    """Update the subsets in use in place to follow the desired weights.
 
-    An endpoint that is in none joins where most is asked, and one of which least is asked joins
-    where that is `HOT_SUBSET_RATIO` times the usual. All are chosen before a table changes.
+    Endpoints that are in no subset are added to those with the highest demand. A hot subset gets
+    the endpoint with the lowest demand. All endpoints to add are chosen before any table changes.
     """
     weights = desired.common_weights()
     tables = state.assignments.subsets_in_use()
@@ -297,7 +301,7 @@
 
 
 def _is_updatable(state: DecisionState, batch: OrderBatch, table: Table) -> bool:
-    """Whether a table's proxies acknowledged its last change and the channel takes another."""
+    """Whether a table's proxies acknowledged its last change and the channel allows another."""
     silent_since = state.tables.silent_since
     return not state.assignments.has_lagging_proxy(
         0, table, table, silent_since
@@ -305,7 +309,7 @@
 
 
 def _can_pay_for_entry(state: DecisionState, batch: OrderBatch, table: Table) -> bool:
-    """Whether the channel takes one endpoint's entries for all proxies of a table."""
+    """Whether the channel has room for one endpoint's entries for all proxies of a table."""
     cost = batch.cost(
         state.assignments.assigned_proxies(table),
         state.parameters.entries_per_endpoint,
@@ -321,7 +325,11 @@
     next_rows: Iterator[int],
     may_be_hot: bool,
 ) -> int | None:
-    """Return the endpoint that joins a small table: of a zone that it lacks, in none, or if hot."""
+    """Return the row to add to a subset, None if there is none.
+
+    That is a row of a zone that the subset lacks, else a row that is in no subset, else, if the
+    subset is hot, the row with the lowest demand.
+    """
     remote_rows: Iterator[int] = iter(())
     if state.parameters.same_zone_classes:
         zones = state.fleet.by_zone(row for row in table.weights if row in demand.weights)
--- a/dunlinlug/decision/table_orders.py
+++ b/dunlinlug/decision/table_orders.py
@@ -1,7 +1,7 @@
-"""The orders that change tables: creating one, changing its entries, assigning it to a proxy.
+"""Orders that change tables: creating a table, changing its entries, assigning it to a proxy.
 
-Each function orders and books one such step; whether and when it is taken is decided by the
-two-phase update (`table_update.py`) and by the subsets (`subsets.py`).
+Each function orders one such step and records it in the state. The two-phase update
+(`table_update.py`) and the subsets (`subsets.py`) decide which steps to take and when.
 """
 
 from dataclasses import dataclass
@@ -18,9 +18,10 @@
 def create_table(
     state: DecisionState, batch: OrderBatch, desired: DesiredState, weights: Weights
 ) -> Table:
-    """Install a new table with these weights under a fresh number.
+    """Create a table with these weights under an unused number.
 
-    It costs the channel nothing: nobody is assigned to it yet, and the assignment carries it.
+    This is not charged to the channel, as the entries are sent when a proxy is assigned to the
+    table.
     """
     state.desired_weights.ordered_weights()
     table_id = next_free_number(state.tables.last_table_id, state.assignments.tables)
@@ -49,10 +50,10 @@
     table: Table,
     weights: Weights,
 ) -> bool:
-    """Change entries of a table in place towards these weights; False if none could go.
+    """Change entries of a table in place towards these weights; False if nothing was changed.
 
-    As many go as a batch's drain carries to all proxies that are assigned to the table, the
-    largest changes first.
+    Changes as many entries, the largest changes first, as the channel can send to all proxies
+    assigned to the table without its queue exceeding `2 * BASE_DRAIN_TIME`, but at least one.
     """
     entries_per_endpoint = state.parameters.entries_per_endpoint
     proxy_ids = state.assignments.assigned_proxies(table)
@@ -72,7 +73,7 @@
 
 
 def _max_changes(state: DecisionState, proxy_count: int) -> int:
-    """Return how many endpoints of a table may change at once, at least one."""
+    """Return how many entries of a table may change at once, at least one."""
     budget = state.budget
     entries_per_proxy = (
         2 * BASE_DRAIN_TIME * budget.entries_per_second - budget.queued_entries
@@ -91,11 +92,11 @@
 ) -> list[int]:
     """Return the rows whose entry differs, the largest difference first.
 
-    Entries to be taken away come last: their endpoints are ejected by now.
+    Entries to be removed come last, as their endpoints are already ejected.
     """
     installed = table.weights
-    # Without the exclusion, an entry could be added for an endpoint that must not be used, and
-    # of whose ejection nobody may have been told.
+    # Rows that are ejected and not in the table are excluded: adding an entry would expose an
+    # endpoint that must not be used to proxies that may not have received its ejection.
     changed = state.desired_weights.differing_rows(table, weights) - (ejected - installed.keys())
     return sorted(
         changed,
@@ -114,9 +115,10 @@
     changed_rows: list[int],
     proxy_ids: list[int],
 ) -> bool:
-    """Whether these entries may wait for a message that goes anyway.
+    """Whether these changes can wait until their proxies are sent a message for another reason.
 
-    An ejected endpoint gets nothing whatever its entry says.
+    That is so if they only concern removed or ejected endpoints, which receive no requests whatever
+    their entry is.
     """
     weight_limits = state.outlier_detector.weight_limits
     if any(row in weights and weight_limits[row] for row in changed_rows):
@@ -125,7 +127,7 @@
 
 
 def assignment_cost(state: DecisionState, table: Table) -> float:
-    """Return the entries that a proxy's assignment to this table costs."""
+    """Return how many entries it costs to assign a proxy to this table."""
     return (
         state.parameters.class_count
         + state.parameters.entries_per_endpoint * (1.0 + len(table.weights))
@@ -135,7 +137,7 @@
 
 @dataclass(frozen=True)
 class Assignment:
-    """A table that a proxy is to use for some classes."""
+    """Assignment of a proxy to a table for some traffic classes."""
 
     proxy_id: int
     traffic_classes: tuple[int, ...]
@@ -145,7 +147,7 @@
 def assign_table(
     state: DecisionState, batch: OrderBatch, assignment: Assignment, urgency: Urgency
 ) -> bool:
-    """Send a proxy its table; False if the channel does not allow it now."""
+    """Order and record an assignment; return False if the channel does not allow it now."""
     proxy_id = assignment.proxy_id
     traffic_classes = assignment.traffic_classes
     table = assignment.table
--- a/dunlinlug/decision/table_update.py
+++ b/dunlinlug/decision/table_update.py
@@ -1,17 +1,18 @@
-"""The two-phase update: how each traffic class moves from one table to the next.
+"""The two-phase update that moves each traffic class from one table to the next.
 
-After CCU, the concurrent two-phase update (Sukapuram and Barua, "CCU: Algorithm for Concurrent
-Consistent Updates for a Software Defined Network"); `docs/design.md` says what is kept of it. A
-class is the paper's disjoint class, a proxy its ingress, a table number its version tag:
+It follows CCU, the concurrent two-phase update (Sukapuram and Barua, "CCU: Algorithm for Concurrent
+Consistent Updates for a Software Defined Network"); `docs/design.md` lists the differences. A
+traffic class corresponds to the paper's disjoint class, a proxy to its ingress, and a table number
+to its version tag:
 
-1. `begin_updates` installs a new table and asks every proxy for an acknowledgement (*Ready to
+1. `begin_updates` installs a new table and requests an acknowledgement from every proxy (*Ready to
    Commit*).
-2. `switch_tables` assigns the proxies to it once all have acknowledged (*Commit OK*).
-3. `advance_updates` ends the update with the last acknowledgement of the assignments (*Ack Commit
-   OK*) and schedules the old table's deletion.
+2. `switch_tables` assigns the proxies to the table once all have acknowledged (*Commit OK*).
+3. `advance_updates` ends the update once all assignments are acknowledged (*Ack Commit OK*), and
+   schedules the deletion of the old table.
 
-While the channel is crowded, classes with the same weights share one table and only entries that
-differ are sent, into the table in place (the paper's section V-G).
+While the channel is crowded, classes with the same weights share one table, and only the entries
+that differ are sent and changed in place (the paper's section V-G).
 """
 
 from math import inf
@@ -36,23 +37,23 @@
     create_table,
 )
 
-# Versions that may be under way before a ready update waits for the oldest: the paper's four
-# status bits.
+# Number of versions in progress beyond which a ready update waits for the oldest one, as with the
+# four status bits in the paper.
 VERSION_WINDOW = 4
-# Seconds beyond the channel's delay after which a proxy that has not acknowledged is silent.
+# Seconds beyond the channel's delay after which a proxy that has not acknowledged counts as silent.
 ACK_TIMEOUT = 3.0
 # Seconds from the last acknowledgement to the deletion of the old table.
 TABLE_RETENTION = 2.0
-# How long the queue may be when proxies are assigned to a current table.
+# Urgencies of assigning proxies to a current table.
 NEW_PROXY = Urgency(Priority.HEALTH, 2 * BASE_DRAIN_TIME)
 SWITCH = Urgency(Priority.BULK, 2 * BASE_DRAIN_TIME)
 CROWDED_SWITCH = Urgency(Priority.BULK, 3 * BASE_DRAIN_TIME)
 
 
 def advance_updates(state: DecisionState, now: float) -> None:
-    """Move each update on as far as acknowledgements and timeouts let it.
+    """Advance each update as far as acknowledgements and timeouts allow.
 
-    Here an acknowledgement is awaited, and given up after the timeout.
+    Updates stop waiting for proxies that have not acknowledged within the timeout.
     """
     tables = state.tables
     ack_timeout = (
@@ -71,7 +72,7 @@
     )
     for traffic_class, update in list(tables.staged_updates.items()):
         if update.requested_at <= tables.silent_since:
-            update.awaited_proxies.clear()  # silent proxies leave the awaited set
+            update.awaited_proxies.clear()  # the proxies still awaited are silent
         if update.assigned and traffic_class not in lagging_classes:
             is_unused = update.old_table not in tables.current_tables.values()
             delete_at = now + TABLE_RETENTION if is_unused else inf
@@ -86,10 +87,10 @@
     class_order: list[int],
     is_crowded: bool,
 ) -> bool:
-    """Begin updates of these classes, in this order; return whether all proxies are awaited.
+    """Begin updates of these classes, in this order.
 
-    Where the channel is crowded, classes with the same weights go together. A class whose last
-    update has not ended is left out.
+    Returns whether all proxies must acknowledge. While the channel is crowded, classes with the
+    same weights are updated together. Classes with an update in progress are skipped.
     """
     if batch.exceeds_drain(BASE_DRAIN_TIME):
         return False
@@ -98,7 +99,7 @@
         if traffic_class not in state.tables.staged_updates:
             key = id(desired.weights[traffic_class]) if is_crowded else traffic_class
             groups.setdefault(key, []).append(traffic_class)
-    awaits_all = False
+    awaits_all_proxies = False
     for group in groups.values():
         old_tables = {each: state.tables.current_tables[each] for each in group}
         table = state.tables.current_tables[group[0]]
@@ -109,18 +110,21 @@
                 continue
         elif batch.reserve(state.assignments.proxies, 0.0, TABLE_CHANGE):
             table = create_table(state, batch, desired, weights)
-            awaits_all = True
+            awaits_all_proxies = True
         else:
             continue
         for traffic_class, old_table in old_tables.items():
             _record_begin(state, batch, traffic_class, table, old_table)
-    return awaits_all
+    return awaits_all_proxies
 
 
 def _needs_split(
     state: DecisionState, desired: DesiredState, table: Table, weights: Weights
 ) -> bool:
-    """Whether a class that uses this table needs other weights, so it cannot change in place."""
+    """Whether another class that uses this table needs different weights.
+
+    The table then cannot be changed in place.
+    """
     return desired.differs_by_class() and any(
         desired.weights[traffic_class] is not weights
         for traffic_class, current_table in state.tables.current_tables.items()
@@ -131,7 +135,7 @@
 def _record_begin(
     state: DecisionState, batch: OrderBatch, traffic_class: int, table: Table, old_table: Table
 ) -> None:
-    """Record that a class's update has begun; one in place awaits nobody before its assignment."""
+    """Record the start of a class's update; an update in place awaits no proxies before it."""
     state.tables.last_version += 1
     is_in_place = table is old_table
     state.tables.staged_updates[traffic_class] = StagedUpdate(
@@ -148,9 +152,10 @@
 def switch_tables(
     state: DecisionState, batch: OrderBatch, class_order: list[int], is_crowded: bool
 ) -> None:
-    """Make ready updates current, then assign the proxies that use another table.
+    """Make the tables of ready updates current, then assign proxies with other tables to them.
 
-    New proxies come first, unless the channel is crowded: then they have small tables already.
+    New proxies are assigned first. While the channel is crowded they are assigned to subsets
+    instead.
     """
     for traffic_class, update in state.tables.staged_updates.items():
         if not update.assigned and _is_ready(state, update):
@@ -164,7 +169,7 @@
 
 
 def _is_ready(state: DecisionState, update: StagedUpdate) -> bool:
-    """Whether no proxy is awaited, also not by a version that lies outside the window."""
+    """Whether the update awaits no proxy, and neither does any version before the window."""
     if update.awaited_proxies:
         return False
     oldest_version = update.version - VERSION_WINDOW
@@ -182,7 +187,7 @@
     is_crowded: bool,
     new_proxies: bool,
 ) -> None:
-    """Assign the new proxies, or the others, to the current tables as the channel allows."""
+    """Assign either new or other proxies to the current tables as far as the channel allows."""
     current_tables = state.tables.current_tables
     urgency = NEW_PROXY
     if not new_proxies:
@@ -196,7 +201,7 @@
             state.assignments.groups[assigned_tables] for assigned_tables in missing_classes
         ):
             proxy = state.assignments.proxies[proxy_id]
-            # It got a small table in this very reply.
+            # The proxy was assigned to a subset in this same reply.
             has_subset = is_crowded and proxy.updated_at == batch.now
             was_rejected = proxy.assign_after > batch.now
             is_queue_long = batch.exceeds_drain(urgency.max_drain_time, proxy_id)
--- a/dunlinlug/decision/timer.py
+++ b/dunlinlug/decision/timer.py
@@ -1,4 +1,4 @@
-"""The one timer that wakes the module when something is due without an event."""
+"""Sets the timer that wakes the decision module when work is due without another event."""
 
 from math import inf
 
@@ -13,7 +13,7 @@
 
 
 def set_timer(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> None:
-    """Order a timer for the next time at which something is due, unless one comes no later."""
+    """Order a timer for the next due time, unless an armed timer fires no later than that."""
     now = batch.now
     due_at = min(_due_times(state, batch, desired))
     timers = state.timers
@@ -25,7 +25,7 @@
 
 
 def _due_times(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> list[float]:
-    """Return when what is known to be due is due; inf where nothing is."""
+    """Return the times at which work is due; inf for kinds of work that are not due."""
     now = batch.now
     next_tick = now + TICK_INTERVAL
     due_times = [
@@ -42,7 +42,7 @@
 
 
 def _has_pending_work(state: DecisionState, batch: OrderBatch, desired: DesiredState) -> bool:
-    """Whether something waits for the channel, for acknowledgements or for proxies."""
+    """Whether work waits for channel capacity, acknowledgements or proxies."""
     return bool(
         state.tables.staged_updates
         or state.budget.pending_replies
