--- a/dunlinlug/decision/orders.py
+++ b/dunlinlug/decision/orders.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class SetWeight:
-    """Set an endpoint's entry in a table, creating the table; weight 0 removes the entry."""
+    """Set a table entry of an endpoint, creating the table if needed; weight 0 removes it."""
 
     table_id: int
     worker: str
--- a/tests/decision/rules_model.py
+++ b/tests/decision/rules_model.py
@@ -1,5 +1,6 @@
-"""A slow, plain model of proxies, channel and safety rules: it applies orders to the letter and
-names broken rules.
+"""A simple model of the proxies, the channel and the safety rules.
+
+It applies the orders of a manager and records which safety rules they violate.
 """
 
 from collections import defaultdict
@@ -34,21 +35,21 @@
 
 
 def manager_settings(**changes: object) -> ManagerSettings:
-    products = (
+    traffic_classes = (
         TrafficClass("read", 0.8, 2.0, 1.0, idempotency="idempotent"),
         TrafficClass("book", 0.8, 2.0, 5.0, idempotency="non-idempotent"),
     )
     channel = ChannelSettings(1200.0, 4.0, 2400.0, 0.2, 0.5, 30, 10.0)
     limits = SafetyLimits(5.0, 3.0, 10.0, 16.0, 0.2, 3.0, 2.0)
-    given = {
+    defaults = {
         "seed": 7,
         "zone": "north",
-        "traffic_classes": products,
+        "traffic_classes": traffic_classes,
         "channel": channel,
         "safety_limits": limits,
         "admission_mode": "share",
     }
-    return ManagerSettings(**{**given, **changes})
+    return ManagerSettings(**{**defaults, **changes})
 
 
 def endpoint(n: int, state: str = "ready", since: float | None = None) -> Endpoint:
@@ -56,12 +57,15 @@
 
 
 class Model:
-    """Follows one manager's orders; `broken` names each rule that was seen broken."""
+    """Applies one manager's orders; `violated_rules` has the rules that were violated.
+
+    `channel_speed` is the actual rate of the channel as a fraction of the configured one.
+    """
 
-    def __init__(self, settings: ManagerSettings, pace: float = 1.0) -> None:
-        self.settings, self.pace, self.now = settings, pace, 0.0
+    def __init__(self, settings: ManagerSettings, channel_speed: float = 1.0) -> None:
+        self.settings, self.channel_speed, self.now = settings, channel_speed, 0.0
         self.module = Balancer(settings)
-        self.orders, self.broken, self.listed = (
+        self.orders, self.violated_rules, self.listed = (
             list[Order](),
             set[str](),
             dict[str, Endpoint](),
@@ -73,33 +77,29 @@
         self.restart()
 
     def restart(self) -> None:
-        """A new process: what waits, is in flight or was ejected is lost, and no proxy is
-        connected.
-        """
+        """Start as a new process: queued and sent messages, ejections and connections are lost."""
         self.tables: dict[int, dict[str, float]] = defaultdict(dict)
         self.ejected: set[str] = set()
         self.assigned: dict[
             int, dict[int, int]
-        ] = {}  # by connected proxy and class the table, as ordered
+        ] = {}  # by connected proxy and class: the table that was last ordered
         self.applied: dict[
             int, dict[int, tuple[int, dict[str, float]]]
-        ] = {}  # the same with its entries, as the proxy applied it
-        self.ejected_by_proxy, self.joined = dict[int, set[str]](), dict[int, float]()
-        self.silent_proxies = set[int]()  # connected proxies that nothing reaches any more
+        ] = {}  # by connected proxy and class: the table and the entries that the proxy applied
+        self.ejected_by_proxy, self.connected_at = dict[int, set[str]](), dict[int, float]()
+        self.silent_proxies = set[int]()  # connected proxies that receive no more messages
         self.without_endpoint_since: dict[tuple[int, int], float] = {}
-        self.queue: list[tuple[int, float, list]] = []  # proxy, entries, what the message does
+        self.queue: list[tuple[int, float, list]] = []  # proxy, entries, effects of the message
         self.in_flight, self.timers = list[tuple[float, int, list]](), list[tuple[float, int]]()
         self.sent_times: dict[int, list[float]] = defaultdict(
             list
-        )  # whatever connections it came on
-        self.zone: dict[int, str] = {}  # of proxies
+        )  # by proxy, across reconnections
+        self.zone: dict[int, str] = {}  # by proxy
 
-    def step(self, span: float, events: list[Event]) -> None:
-        """Let time pass, deliver what is due, give the module its events, apply its orders, and
-        check every rule.
-        """
-        self.now += span
-        capacity = span * self.settings.channel.entries_per_second * self.pace
+    def step(self, elapsed: float, events: list[Event]) -> None:
+        """Advance the clock, deliver due messages and events, apply the orders, check all rules."""
+        self.now += elapsed
+        capacity = elapsed * self.settings.channel.entries_per_second * self.channel_speed
         while self.queue and capacity > 0:
             proxy, entries, effects = self.queue[0]
             if entries > capacity:
@@ -110,52 +110,56 @@
             self.in_flight.append((self.now + self.settings.channel.transit_time, proxy, effects))
         due = [flight for flight in self.in_flight if flight[0] <= self.now]
         self.in_flight = [flight for flight in self.in_flight if flight[0] > self.now]
-        answers: list[Event] = [
-            answer for _, proxy, effects in due for answer in self._apply(proxy, effects)
+        acknowledgements: list[Event] = [
+            acknowledgement
+            for _, proxy, effects in due
+            for acknowledgement in self._apply(proxy, effects)
         ]
         fired = [TimerFired(token) for at, token in self.timers if at <= self.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
         for event in events:
             self._handle_event(event)
-        self.orders = self.module.decide(self.now, [*events, *answers, *fired])
+        self.orders = self.module.decide(self.now, [*events, *acknowledgements, *fired])
         self._apply_orders()
         self._check_rules()
 
     def _apply(self, proxy: int, effects: list) -> list[Event]:
-        answers: list[Event] = []
-        for effect in effects if proxy in self.joined and proxy not in self.silent_proxies else ():
+        acknowledgements: list[Event] = []
+        for effect in (
+            effects if proxy in self.connected_at and proxy not in self.silent_proxies else ()
+        ):
             match effect:
-                case ("assign", product, number, entries, out):
-                    self.applied[proxy][product] = (
-                        number,
+                case ("assign", traffic_class, table_id, entries, ejected):
+                    self.applied[proxy][traffic_class] = (
+                        table_id,
                         {
-                            name: weight
-                            for name, weight in entries.items()
-                            if self._may_use(proxy, product, name)
+                            worker: weight
+                            for worker, weight in entries.items()
+                            if self._may_use(proxy, traffic_class, worker)
                         },
                     )
-                    self.ejected_by_proxy[proxy] |= out
-                case ("entry", number, name, weight):
-                    for product, (table, entries) in self.applied[proxy].items():
-                        if table == number and self._may_use(proxy, product, name):
-                            entries.update({name: weight})
-                            entries.pop(None if weight else name, None)
-                case ("eject", name, out):
+                    self.ejected_by_proxy[proxy] |= ejected
+                case ("entry", table_id, worker, weight):
+                    for traffic_class, (table, entries) in self.applied[proxy].items():
+                        if table == table_id and self._may_use(proxy, traffic_class, worker):
+                            entries.update({worker: weight})
+                            entries.pop(None if weight else worker, None)
+                case ("eject", worker, ejected):
                     (
                         self.ejected_by_proxy[proxy].add
-                        if out
+                        if ejected
                         else self.ejected_by_proxy[proxy].discard
-                    )(name)
-                case ("acknowledge", number):
-                    answers.append(Acknowledged(proxy, number, 0.3))
-        return answers
+                    )(worker)
+                case ("acknowledge", ack_number):
+                    acknowledgements.append(Acknowledged(proxy, ack_number, 0.3))
+        return acknowledgements
 
-    def _may_use(self, proxy: int, product: int, name: str) -> bool:
-        """Whether a proxy's class may use this endpoint, whose number tells its zone."""
-        number = int(name.split(":")[0].rpartition(".")[2])
+    def _may_use(self, proxy: int, traffic_class: int, worker: str) -> bool:
+        """Whether a proxy may use this endpoint for a class; its number determines its zone."""
+        endpoint_number = int(worker.split(":")[0].rpartition(".")[2])
         return (
-            not self.settings.traffic_classes[product].same_zone_only
-            or ZONES[number % 3] == self.zone[proxy]
+            not self.settings.traffic_classes[traffic_class].same_zone_only
+            or ZONES[endpoint_number % 3] == self.zone[proxy]
         )
 
     def _handle_event(self, event: Event) -> None:
@@ -165,7 +169,7 @@
                 self.applied[proxy] = {
                     k: (0, {old: 1.0}) for k in range(len(self.settings.traffic_classes))
                 }
-                self.assigned[proxy], self.ejected_by_proxy[proxy], self.joined[proxy] = (
+                self.assigned[proxy], self.ejected_by_proxy[proxy], self.connected_at[proxy] = (
                     {},
                     set(),
                     self.now,
@@ -174,13 +178,13 @@
             case ProxyDisconnected(proxy):
                 (
                     self.silent_proxies.discard(proxy),
-                    self.joined.pop(proxy, None),
+                    self.connected_at.pop(proxy, None),
                     self.assigned.pop(proxy, None),
                 )
                 self.queue = [message for message in self.queue if message[0] != proxy]
                 self.in_flight = [flight for flight in self.in_flight if flight[1] != proxy]
-            case EndpointsUpdated(form, workers) if form != "failed":
-                if form != "changes":
+            case EndpointsUpdated(update_type, workers) if update_type != "failed":
+                if update_type != "changes":
                     self.listed = {}
                 for entry in workers:
                     self.listed[entry.id] = entry
@@ -195,53 +199,58 @@
         entry_counts: dict[int, float] = defaultdict(float)
         for order in self.orders:
             match order:
-                case SetWeight(number, name, weight):
-                    self._set_weight(number, name, weight, effects, entry_counts)
-                case DeleteTable(number):
-                    entries = {table for p in self.joined for table, _ in self.applied[p].values()}
-                    if number in entries or any(
-                        number in assigned.values() for assigned in self.assigned.values()
+                case SetWeight(table_id, worker, weight):
+                    self._set_weight(table_id, worker, weight, effects, entry_counts)
+                case DeleteTable(table_id):
+                    entries = {
+                        table for p in self.connected_at for table, _ in self.applied[p].values()
+                    }
+                    if table_id in entries or any(
+                        table_id in assigned.values() for assigned in self.assigned.values()
                     ):
-                        self.broken.add("a table deleted under a proxy")
-                    del self.tables[number]
-                case AssignTable(proxy, products, number):
-                    table = self.tables[number]
-                    out = self.ejected & table.keys()
+                        self.violated_rules.add("a table in use was deleted")
+                    del self.tables[table_id]
+                case AssignTable(proxy, traffic_classes, table_id):
+                    table = self.tables[table_id]
+                    ejected = self.ejected & table.keys()
                     entry_counts[proxy] += (
-                        1 + len(self.settings.traffic_classes) + len(table) + len(out)
+                        1 + len(self.settings.traffic_classes) + len(table) + len(ejected)
                     )
-                    for product in products:
-                        effects[proxy].append(("assign", product, number, dict(table), out))
-                        self.assigned[proxy][product] = number
-                case SetEjected(name, out):
-                    (self.ejected.add if out else self.ejected.discard)(name)
-                    for proxy in self.joined:
+                    for traffic_class in traffic_classes:
+                        effects[proxy].append(
+                            ("assign", traffic_class, table_id, dict(table), ejected)
+                        )
+                        self.assigned[proxy][traffic_class] = table_id
+                case SetEjected(worker, ejected):
+                    (self.ejected.add if ejected else self.ejected.discard)(worker)
+                    for proxy in self.connected_at:
                         if any(
-                            name in entries for _, entries in self.applied[proxy].values()
+                            worker in entries for _, entries in self.applied[proxy].values()
                         ) or any(
-                            name in self.tables[number] for number in self.assigned[proxy].values()
+                            worker in self.tables[table_id]
+                            for table_id in self.assigned[proxy].values()
                         ):
-                            effects[proxy].append(("eject", name, out))
+                            effects[proxy].append(("eject", worker, ejected))
                             entry_counts[proxy] += 1
-                case SetAdmission(number, product, retry, _):
+                case SetAdmission(table_id, traffic_class, retry_policy, _):
                     if (
-                        retry > 1
-                        and self.settings.traffic_classes[product].idempotency != "idempotent"
+                        retry_policy > 1
+                        and self.settings.traffic_classes[traffic_class].idempotency != "idempotent"
                     ):
-                        self.broken.add("duplicate effect")
+                        self.violated_rules.add("duplicate effect")
                     for proxy, assigned in self.assigned.items():
-                        entry_counts[proxy] += number in assigned.values()
-                case RequestAcknowledgement(number, everyone):
+                        entry_counts[proxy] += table_id in assigned.values()
+                case RequestAcknowledgement(ack_number, all_proxies):
                     for proxy in (
-                        list(self.joined)
-                        if everyone
+                        list(self.connected_at)
+                        if all_proxies
                         else [p for p in entry_counts if entry_counts[p]]
                     ):
-                        effects[proxy].append(("acknowledge", number))
+                        effects[proxy].append(("acknowledge", ack_number))
                         entry_counts[proxy] += 1
                 case SetTimer(after, token):
                     self.timers.append((self.now + after, token))
-        for proxy in [p for p in self.joined if entry_counts[p]]:
+        for proxy in [p for p in self.connected_at if entry_counts[p]]:
             self.queue.append(
                 (
                     proxy,
@@ -254,18 +263,18 @@
             ] + [self.now]
 
     def _set_weight(
-        self, number: int, name: str, weight: float, effects: dict, entry_counts: dict
+        self, table_id: int, worker: str, weight: float, effects: dict, entry_counts: dict
     ) -> None:
-        self.tables[number][name] = weight
+        self.tables[table_id][worker] = weight
         if not weight:
-            del self.tables[number][name]
+            del self.tables[table_id][worker]
         for proxy, assigned in self.assigned.items():
-            if number in assigned.values():
+            if table_id in assigned.values():
                 entry_counts[proxy] += 1
-                effects[proxy].append(("entry", number, name, weight))
+                effects[proxy].append(("entry", table_id, worker, weight))
 
     def _check_rules(self) -> None:
-        limits, slow = self.settings.safety_limits, 1 / self.pace
+        limits, slowdown = self.settings.safety_limits, 1 / self.channel_speed
         warm = [
             w
             for w in self.listed.values()
@@ -273,32 +282,40 @@
             and (w.started_at is None or self.now - w.started_at >= limits.warm_up_time)
         ]
         if sum(entries for _, entries, _ in self.queue) > self.settings.channel.max_queued_entries:
-            self.broken.add("queue")
+            self.violated_rules.add("queue")
         if any(
             len(times) > self.settings.channel.max_messages for times in self.sent_times.values()
         ):
-            self.broken.add("messages")
-        for proxy, joined in self.joined.items():
-            for product, (_, entries) in (
+            self.violated_rules.add("messages")
+        for proxy, connected_at in self.connected_at.items():
+            for traffic_class, (_, entries) in (
                 self.applied[proxy].items() if proxy not in self.silent_proxies else ()
             ):
                 usable = {
-                    name: w
-                    for name, w in entries.items()
-                    if name not in self.ejected_by_proxy[proxy]
+                    worker: w
+                    for worker, w in entries.items()
+                    if worker not in self.ejected_by_proxy[proxy]
                 }
-                since = self.without_endpoint_since.setdefault((proxy, product), self.now)
-                if usable or not any(self._may_use(proxy, product, entry.id) for entry in warm):
-                    del self.without_endpoint_since[proxy, product]
-                elif self.now - max(since, joined) > limits.max_time_without_endpoint * slow:
-                    self.broken.add("without endpoint")
-                for name, share in usable.items():
+                since = self.without_endpoint_since.setdefault((proxy, traffic_class), self.now)
+                if usable or not any(
+                    self._may_use(proxy, traffic_class, entry.id) for entry in warm
+                ):
+                    del self.without_endpoint_since[proxy, traffic_class]
+                elif (
+                    self.now - max(since, connected_at)
+                    > limits.max_time_without_endpoint * slowdown
+                ):
+                    self.violated_rules.add("without endpoint")
+                for worker, weight_in_use in usable.items():
                     unready_since = self.unready_since.get(
-                        name, self.now if name in self.listed else 0.0
+                        worker, self.now if worker in self.listed else 0.0
                     )
-                    if self.now - max(unready_since, joined) > limits.drain_grace_period * slow:
-                        self.broken.add("drain")
-                    entry = self.listed.get(name)
+                    if (
+                        self.now - max(unready_since, connected_at)
+                        > limits.drain_grace_period * slowdown
+                    ):
+                        self.violated_rules.add("drain")
+                    entry = self.listed.get(worker)
                     if (
                         not warm
                         or not entry
@@ -309,29 +326,30 @@
                         continue
                     age, ready_since = (
                         self.now - entry.started_at,
-                        max(self.started_since.get(name, 0.0), joined),
+                        max(self.started_since.get(worker, 0.0), connected_at),
                     )
                     if (
-                        self.now - ready_since > limits.drain_grace_period * slow
-                        and share / (entry.weight or 1.0)
+                        self.now - ready_since > limits.drain_grace_period * slowdown
+                        and weight_in_use / (entry.weight or 1.0)
                         > (0.2 + 0.8 * age / limits.warm_up_time) * limits.overload_multiple / 2
                     ):
-                        self.broken.add("slow start")
+                        self.violated_rules.add("slow start")
 
 
 def random_override(rng: Random) -> OverrideChanged:
-    """A subset, an exclusion, other weights within what a slow start allows, or the end of an
-    override.
+    """Return a random override: a subset, other weights, an exclusion, or the end of an override.
+
+    The weights are within the range that slow start allows.
     """
-    names = rng.sample([endpoint(n).id for n in range(9)], rng.randrange(1, 6))
-    weights = tuple((name, rng.choice([0.5, 1.0, 1.0])) for name in names)
+    workers = rng.sample([endpoint(n).id for n in range(9)], rng.randrange(1, 6))
+    weights = tuple((worker, rng.choice([0.5, 1.0, 1.0])) for worker in workers)
     return OverrideChanged(
         rng.randrange(2),
         *rng.choice(
             [
                 (weights, False),
                 (weights, True),
-                (tuple((name, 0.0) for name in names), True),
+                (tuple((worker, 0.0) for worker in workers), True),
                 ((), True),
             ]
         ),
@@ -339,8 +357,10 @@
 
 
 def run(model: Model, seed: int, steps: int = 400, overrides: float = 0.0) -> Model:
-    """A generated run of events: endpoints drain, restart and come, proxies and the manager come
-    and go, and in this part of the steps an operator sets an override.
+    """Run the model on random events and return it.
+
+    Endpoints drain, restart and are added; proxies connect and disconnect; the manager restarts. In
+    the given fraction of the steps an operator sets an override.
     """
     rng, override_rng = Random(seed), Random(f"{seed} pins")
     fleet = {n: endpoint(n) for n in range(9)}
@@ -358,13 +378,13 @@
             proxy = rng.randrange(8)
             events.append(
                 ProxyDisconnected(proxy)
-                if proxy in model.joined
+                if proxy in model.connected_at
                 else ProxyConnected(proxy, rng.choice(ZONES), 5.0, rng.random() < 0.5)
             )
         if rng.random() < 0.5:
-            attempts, name = rng.randrange(1, 30), endpoint(rng.randrange(13)).id
+            attempts, worker = rng.randrange(1, 30), endpoint(rng.randrange(13)).id
             failed = rng.choice([0, 0, 0, attempts])
-            events.append(EndpointReported(rng.choice(ZONES), name, attempts, failed, 0.2, 0.5))
+            events.append(EndpointReported(rng.choice(ZONES), worker, attempts, failed, 0.2, 0.5))
         if override_rng.random() < overrides:
             events.append(random_override(override_rng))
         if rng.random() < 0.01:
@@ -374,13 +394,13 @@
                 EndpointsUpdated("kept", tuple(w for w in fleet.values() if w.state != "gone"))
             ]
             continue
-        if rng.random() < 0.03 and model.joined:
-            model.silent_proxies.add(rng.choice(sorted(model.joined)))
+        if rng.random() < 0.03 and model.connected_at:
+            model.silent_proxies.add(rng.choice(sorted(model.connected_at)))
         if rng.random() < 0.02:
-            model.pace = rng.choice([1.0, 0.5, 0.25])
-        odd = [
+            model.channel_speed = rng.choice([1.0, 0.5, 0.25])
+        unexpected_events = [
             DemandReported(rng.randrange(8), "book", 9, 0, 0.5),
             Acknowledged(rng.randrange(9), 3, 0.1),
         ]
-        model.step(0.1, [*events, *odd])
+        model.step(0.1, [*events, *unexpected_events])
     return model
--- a/tests/decision/test_order_rejection.py
+++ b/tests/decision/test_order_rejection.py
@@ -1,4 +1,6 @@
-"""The module after a rejection: it goes by what is installed, and does not order the same with each
+"""Tests the decision module after an order was rejected.
+
+It must continue from the state that is actually installed and must not repeat the order in every
 batch.
 """
 
@@ -33,8 +35,9 @@
 
 
 class RejectingHost:
-    """Runs a module and rejects its orders of one kind while `is_rejecting`; records them with
-    their time.
+    """Runs a module and rejects its orders of one kind while `is_rejecting`.
+
+    `rejections` has the rejected orders with their times.
     """
 
     def __init__(self, rejected_kind: type, is_rejected: object = lambda order: True) -> None:
@@ -58,7 +61,7 @@
                 and self.is_rejected(order)
             ):  # type: ignore[operator]
                 self.rejections.append((self.now, order))
-                self.events.append(OrderRejected(order, "said no"))
+                self.events.append(OrderRejected(order, "rejected by the test"))
             if isinstance(order, RequestAcknowledgement):
                 self.events += [
                     Acknowledged(p, order.ack_number, 0.1)
@@ -85,7 +88,7 @@
     host.run(BLOCKED_SECONDS - 0.5)
     assert len(host.rejections) == 1
     host.run(10 * BLOCKED_SECONDS)
-    assert 9 <= len(host.rejections) - 1 <= 11, "ten times in a row, once in each step"
+    assert 9 <= len(host.rejections) - 1 <= 11, "expected one retry in each of ten steps"
     host.is_rejecting = False
     host.run(BLOCKED_SECONDS + 0.5)
     assert set(host.module.state.assignments.proxies[3].tables_in_use) == {0, 1}
@@ -130,10 +133,10 @@
     host.run(4.0)
     drained = host.module.state.fleet.row_by_id[endpoint(0).id]
     assert host.rejections and drained in host.module.state.ejected_rows, (
-        "its readmission was rejected, and it is known to be ejected"
+        "the endpoint must still count as ejected, as its readmission was rejected"
     )
     orders = host.step(EndpointsUpdated("changes", (endpoint(1, "gone"),)))
-    assert SetEjected(endpoint(1).id, True) in orders, "a rejection delays no drain"
+    assert SetEjected(endpoint(1).id, True) in orders, "the rejection delayed another ejection"
     assert len(host.rejections) <= 2
 
 
@@ -176,7 +179,7 @@
 
 
 class EmptyTableModule:
-    """The module, whose tables have no entries while `is_rejecting`."""
+    """A decision module that omits all table entries while `is_rejecting`."""
 
     is_rejecting = False
 
@@ -191,9 +194,7 @@
 async def test_a_manager_restarted_while_a_rejected_table_is_outstanding_starts_clean(
     tmp_path: Path,
 ) -> None:
-    """The drain that caused the update is not delayed by the rejection, nor forgotten over the
-    restart.
-    """
+    """The drain that caused the update is neither delayed by the rejection nor lost on restart."""
     drained = WORKERS[3].id
     async with running(tmp_path, make=EmptyTableModule) as run, peer(run, "p0") as proxy:
         await proxy.until(bound)
@@ -202,7 +203,7 @@
         await proxy.until(lambda h: drained in h.ejected)
         await until(lambda: bool(run.said("guard.order_rejected")))
         assert len(proxy.holdings.usable_weights("press-book")) == len(WORKERS) - 1, (
-            "the table before stays in use, without the drained endpoint"
+            "the previous table must stay in use, without the draining endpoint"
         )
         proxy_state = proxy.holdings
     assert {rejection.rule for rejection in read_rejections(tmp_path / "store")} == {"bare"}
--- a/tests/decision/test_override_application.py
+++ b/tests/decision/test_override_application.py
@@ -1,4 +1,4 @@
-"""How the decision module brings in an operator override, keeps its rules under it, and ends it."""
+"""Tests how the decision module applies and ends operator overrides under the safety rules."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 def run(model: Model, *events: Event, seconds: float = 12.0) -> None:
-    """Let the model handle events and then run on for a while."""
+    """Pass events to the model, then run it without events for some seconds."""
     model.step(0.1, list(events))
     for _ in range(round(seconds / 0.1)):
         model.step(0.1, [])
@@ -22,15 +22,15 @@
 
 
 def weights_by_proxy(model: Model, traffic_class: int) -> list[dict[str, float]]:
-    """Each proxy's weights for a traffic class, as it applied them."""
+    """Return each proxy's weights for a traffic class, as applied by the proxy."""
     return [tables[traffic_class][1] for tables in model.applied.values()]
 
 
 @pytest.mark.parametrize("channel", [manager_settings().channel, SLOW_CHANNEL])
-def test_an_override_sets_one_class_apart_and_its_end_restores_it(
+def test_an_override_changes_one_class_only_and_its_end_restores_the_listed_weights(
     channel: ChannelSettings,
 ) -> None:
-    """Also where the channel is too slow for full tables, and equal classes share one."""
+    """Also covers a channel too slow for full tables, where classes with equal weights share one."""
     model = Model(manager_settings(channel=channel))
     run(model, EndpointsUpdated("kept", FLEET), *connected(6))
     listed_weights = {worker.id: 1.0 for worker in FLEET}
@@ -46,10 +46,10 @@
     run(model, OverrideChanged(1))
     assert weights_by_proxy(model, 1) == [listed_weights] * 6
     assert weights_by_proxy(model, 0) == [listed_weights] * 6
-    assert not model.broken
+    assert not model.violated_rules
 
 
-def test_an_override_all_of_whose_endpoints_drain_gives_way_at_once() -> None:
+def test_an_override_is_ignored_once_all_its_endpoints_are_draining() -> None:
     model = Model(manager_settings())
     run(model, EndpointsUpdated("kept", FLEET), *connected(6))
     run(model, OverrideChanged(0, tuple((worker.id, 1.0) for worker in FLEET[:2]), False))
@@ -57,10 +57,10 @@
     run(model, EndpointsUpdated("changes", draining), seconds=2.0)
     remaining = {worker.id for worker in FLEET[2:]}
     assert all(set(weights) == remaining for weights in weights_by_proxy(model, 0))
-    assert not model.broken
+    assert not model.violated_rules
 
 
-def test_slow_start_goes_on_under_an_override() -> None:
+def test_slow_start_applies_under_an_override() -> None:
     model = Model(manager_settings())
     run(model, EndpointsUpdated("kept", FLEET), *connected(1))
     run(model, OverrideChanged(0, ((FLEET[0].id, 1.0), (FLEET[1].id, 2.0)), False))
@@ -71,7 +71,7 @@
     assert weights.get(FLEET[1].id, 0.0) <= 0.5, "a quarter of the overridden weight"
 
 
-def test_a_new_proxy_is_not_given_what_an_override_excludes() -> None:
+def test_a_new_proxy_does_not_get_endpoints_that_an_override_excludes() -> None:
     model = Model(manager_settings(channel=SLOW_CHANNEL))
     run(model, EndpointsUpdated("kept", FLEET), *connected(6))
     run(model, OverrideChanged(1, ((FLEET[2].id, 0.0),), True))
--- a/tests/decision/test_regressions.py
+++ b/tests/decision/test_regressions.py
@@ -1,4 +1,4 @@
-"""One small test for each failure that was found on the bench or in an incident."""
+"""Regression tests for failures that were found in benchmarks or incidents."""
 
 from dunlinlug.decision.events import (
     Acknowledged,
@@ -21,14 +21,15 @@
 def report(
     model: Model, observations: dict[int, tuple[int, int, float]], seconds: float
 ) -> list[Order]:
-    """Let proxies report each half second: by endpoint the attempts, the failed ones, and the
-    latency.
+    """Report observations of the endpoints every half second and return the orders.
+
+    `observations` has by endpoint number the attempts, the failed attempts, and the latency.
     """
     orders: list[Order] = []
     for _ in range(round(seconds / 0.5)):
         reports = [
-            EndpointReported(ZONES[n % 3], endpoint(n).id, *seen, 0.5)
-            for n, seen in observations.items()
+            EndpointReported(ZONES[n % 3], endpoint(n).id, *observed, 0.5)
+            for n, observed in observations.items()
         ]
         model.step(
             0.5, [*reports, *(DemandReported(1, name, 100, 0, 0.5) for name in ("read", "book"))]
@@ -52,15 +53,15 @@
     return model
 
 
-def admitted_fractions(orders: list[Order], product: int) -> list[float]:
+def admitted_fractions(orders: list[Order], traffic_class: int) -> list[float]:
     return [
         order.admitted_fraction
         for order in orders
-        if isinstance(order, SetAdmission) and order.traffic_class == product
+        if isinstance(order, SetAdmission) and order.traffic_class == traffic_class
     ]
 
 
-def test_overload_condemns_nobody() -> None:
+def test_overload_ejects_no_endpoint() -> None:
     model = reported_model()
     report(model, {n: (20, 12 + n % 3, 1.5) for n in range(9)}, 6.0)
     assert not model.ejected
@@ -93,7 +94,7 @@
 
 def test_a_zone_that_reconnects_returns_without_probation() -> None:
     model = reported_model()
-    model.step(0.1, [ProxyDisconnected(p) for p in (1, 4)])  # the south's proxies
+    model.step(0.1, [ProxyDisconnected(p) for p in (1, 4)])  # the proxies of zone south
     report(model, {n: (20, 20 if n % 3 == 1 else 0, 0.2) for n in range(9)}, 3.0)
     assert model.ejected == {endpoint(n).id for n in (1, 4, 7)}
     model.step(0.1, [ProxyConnected(1, "south", 5.0, False)])
@@ -109,7 +110,7 @@
     assert admitted_fractions(orders, 0)[-1] == 1.0
 
 
-def test_a_manager_that_starts_during_an_overload_ejects_nobody_and_allows_no_retries() -> None:
+def test_a_manager_started_during_an_overload_ejects_no_endpoint_and_allows_no_retries() -> None:
     model = reported_model(4.0, 1.5, 15)
     orders = report(model, {n: (20, 20 if n < 4 else 15, 1.5) for n in range(9)}, 3.0)
     assert not model.ejected and not [
@@ -124,10 +125,10 @@
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(4, "ready", model.now - 1.0),))])
     assert model.ejected == {endpoint(4).id}
     report(model, {}, 8.0)
-    assert not model.ejected and not model.broken
+    assert not model.ejected and not model.violated_rules
 
 
-def test_admission_rates_never_shut_a_proxy() -> None:
+def test_admission_rates_never_block_a_proxy() -> None:
     orders = report(reported_model(admission_mode="rate"), {n: (20, 0, 0.2) for n in range(9)}, 1.0)
     model = Model(manager_settings(admission_mode="rate", default_retry_policy=2))
     model.step(0.1, [EndpointsUpdated("kept", FLEET)])
@@ -152,7 +153,7 @@
     assert len(requested_at) > 6
 
 
-def test_lists_of_none_or_one_endpoint_and_unknown_events_do_no_harm() -> None:
+def test_lists_of_none_or_one_endpoint_and_unknown_events_are_handled() -> None:
     model = Model(manager_settings())
     model.step(0.1, [EndpointsUpdated("kept", ())])
     model.step(0.1, [ProxyConnected(1, "north", 5.0, True)])
@@ -167,25 +168,25 @@
     report(model, {}, 6.0)
     assert {name for _, t in model.applied[1].values() for name in t} == {
         endpoint(1).id
-    } and not model.broken
+    } and not model.violated_rules
 
 
 def test_warming_endpoints_stay_ejected_in_a_retry_storm_and_before_a_baseline_exists() -> None:
     model = connected_model()
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(9, "ready", -2.0),))])
-    assert model.ejected == {endpoint(9).id}  # there is no baseline yet
+    assert model.ejected == {endpoint(9).id}  # no baseline exists yet
     report(model, {n: (20, 0, 0.2) for n in range(9)}, 3.0)
     assert model.ejected == {
         endpoint(9).id
-    }  # quick first answers prove nothing: failures are reported late
+    }  # fast first responses do not rule out a retry storm, as failures are reported late
     report(model, {n: (20, 0, 0.2) for n in range(9)}, 3.0)
     assert not model.ejected
     report(model, {n: (20, 12, 1.5) for n in range(9)}, 3.0)
-    assert model.ejected == {endpoint(9).id}  # a storm of retries
+    assert model.ejected == {endpoint(9).id}  # retry storm
 
 
 def test_a_warming_endpoint_in_a_new_table_is_ejected_before_the_table_is_assigned() -> None:
-    model = reported_model(1.0)  # without a baseline a retry storm must be assumed
+    model = reported_model(1.0)  # without a baseline the module assumes a retry storm
     warming = endpoint(10, "ready", model.now - 1.0)
     model.step(0.1, [EndpointsUpdated("changes", (warming,))])
     reached = set()
@@ -200,14 +201,14 @@
     assert reached == set(range(6))
 
 
-def test_readmission_is_not_delayed_by_the_messages_that_table_changes_used() -> None:
+def test_readmission_is_not_delayed_by_messages_sent_for_table_changes() -> None:
     model = reported_model()
     for times in model.module.state.budget.sent_times.values():
         times.extend([model.now] * (15 - len(times)))
     model.step(0.1, [EndpointsUpdated("changes", tuple(endpoint(n, "draining") for n in range(9)))])
     assert len(model.ejected) == 9
     model.step(0.1, [EndpointsUpdated("changes", FLEET)])
-    assert not model.ejected and not model.broken
+    assert not model.ejected and not model.violated_rules
 
 
 def crowded_model() -> Model:
@@ -216,7 +217,7 @@
     return model
 
 
-def test_many_new_proxies_at_once_soon_have_a_table() -> None:
+def test_many_proxies_connecting_at_once_soon_have_a_table() -> None:
     model = connected_model(60, 60, initial_subset_size=3)
     report(model, {}, 1.5)
     assert all(number for tables in model.applied.values() for number, _ in tables.values())
@@ -225,14 +226,17 @@
     model.step(0.1, [EndpointsUpdated("changes", tuple(gone))])
     assert (
         lost_workers and not lost_workers & model.tables[model.assigned[59][0]].keys()
-    )  # not left with endpoints that are gone
+    )  # the proxy must not be left with endpoints that are gone
 
 
 def test_in_a_crowded_channel_an_update_sends_only_the_entries_that_differ() -> None:
     model = crowded_model()
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(31), endpoint(4, "gone")))])
     orders = report(model, {n: (20, 0, 0.2) for n in range(5, 30)}, 4.0)
-    assert not [order for order in orders if isinstance(order, AssignTable)] and not model.broken
+    assert (
+        not [order for order in orders if isinstance(order, AssignTable)]
+        and not model.violated_rules
+    )
     assert all(
         endpoint(31).id in entries_in_use
         for tables in model.applied.values()
@@ -240,10 +244,10 @@
     )
 
 
-def test_a_mass_loss_of_endpoints_is_answered_with_small_tables() -> None:
+def test_proxies_get_subsets_after_a_mass_loss_of_endpoints() -> None:
     model = crowded_model()
     model.module.state.budget.entries_per_second = (
-        300.0  # an entry for each endpoint and proxy would take two seconds
+        300.0  # sending one entry per lost endpoint and proxy would take two seconds
     )
     model.step(0.1, [EndpointsUpdated("changes", tuple(endpoint(n, "gone") for n in range(15)))])
     assert {order.proxy for order in model.orders if isinstance(order, AssignTable)} == set(
@@ -251,22 +255,22 @@
     )
 
 
-def test_a_drain_passes_in_a_slow_channel_ahead_of_outlier_ejections_and_admission() -> None:
+def test_on_a_slow_channel_a_drain_precedes_outlier_ejections_and_admission() -> None:
     model = crowded_model()
     model.latency = 0.1
     report(model, {n: (20, 20 if n % 5 == 0 else 9, 1.2) for n in range(30)}, 8.0)
-    assert sum(lines for _, lines, _ in model.queue) <= 600  # rather than all that the limit allows
+    assert sum(entries for _, entries, _ in model.queue) <= 600  # far below the queue limit
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(7, "draining"),))])
     assert endpoint(7).id in model.ejected
 
 
-def test_failures_at_the_usual_latency_shed_nothing_but_mass_failures_do() -> None:
+def test_failures_at_normal_latency_shed_no_load_but_mass_failures_do() -> None:
     model = reported_model()
     assert not admitted_fractions(report(model, {n: (20, 5, 0.2) for n in range(9)}, 6.0), 0)
     assert admitted_fractions(report(model, {n: (20, 20, 0.0) for n in range(9)}, 3.0), 0)[-1] < 1.0
 
 
-def test_a_warming_endpoint_waits_while_a_tenth_of_all_attempts_fail() -> None:
+def test_a_warming_endpoint_stays_ejected_while_a_tenth_of_all_attempts_fail() -> None:
     model = reported_model(12.0)
     report(model, {n: (20, 20 if n < 4 else 0, 0.2) for n in range(9)}, 0.5)
     model.step(0.1, [EndpointsUpdated("changes", (endpoint(10, "ready", model.now - 1.0),))])
@@ -302,7 +306,7 @@
     return {table[endpoint(n).id] for table in entries_in_use if endpoint(n).id in table}
 
 
-def test_a_manager_with_half_of_its_set_raises_no_slow_start_until_more_are_connected() -> None:
+def test_slow_start_is_not_raised_while_the_partition_limits_forbid_it() -> None:
     for may_raise in (True, False):
         model = reported_model(12.0)
         model.step(0.1, [EndpointsUpdated("changes", (endpoint(10, "ready", model.now - 0.5),))])
@@ -311,10 +315,10 @@
         assert installed_weights(model, 10) == ({0.5} if may_raise else {0.25})
         model.step(0.1, [PartitionLimitsChanged(0.2)])
         report(model, {n: (20, 0, 0.2) for n in range(9)}, 4.0)
-        assert installed_weights(model, 10) == {0.75}, "by its age, as the safety rules have it"
+        assert installed_weights(model, 10) == {0.75}, "the slow start fraction for its age"
 
 
-def test_a_minority_partition_changes_weights_by_the_endpoint_list_alone() -> None:
+def test_a_manager_in_a_minority_partition_changes_weights_only_by_the_endpoint_list() -> None:
     slow = {n: (20, 12 if n == 4 else 0, 1.0 if n == 4 else 0.2) for n in range(9)}
     for may_change in (True, False):
         model = reported_model()
@@ -328,9 +332,10 @@
         assert installed_weights(model, 10) == {1.0} and 9 in model.assigned
 
 
-def test_five_managers_together_give_a_warming_endpoint_what_one_would() -> None:
-    """Each serves a fifth of the proxies and raises by the endpoint's age: their parts add up to
-    its weight.
+def test_five_managers_together_give_a_warming_endpoint_the_same_load_as_one() -> None:
+    """Each manager serves a fifth of the proxies and computes the slow start from the age alone.
+
+    The sum of the five shares must not exceed the share that a single manager gives the endpoint.
     """
     models = [reported_model(12.0, seed=n) for n in range(6)]
     for model in models:
@@ -349,17 +354,19 @@
                 table.get(endpoint(10).id, 0.0) / sum(table.values()) for table in tables
             ]
             fractions_by_manager.append(sum(weight_fractions) / len(weight_fractions))
-        one, five = fractions_by_manager[0], fractions_by_manager[1:]
-        assert sum(weight_fraction / 5 for weight_fraction in five) <= one + 1e-9
-    assert one > 0.05, "and it has its full weight in the end"
+        single_manager, five_managers = fractions_by_manager[0], fractions_by_manager[1:]
+        assert (
+            sum(weight_fraction / 5 for weight_fraction in five_managers) <= single_manager + 1e-9
+        )
+    assert single_manager > 0.05, "the endpoint must get its full weight in the end"
 
 
 def test_admission_follows_the_available_weight_once_a_third_is_ejected() -> None:
-    for replaced, least in ((3, 1.0), (6, 0.1)):
+    for replaced, max_admitted in ((3, 1.0), (6, 0.1)):
         model = reported_model(12.0)
         report(
             model, {n: (20, 3, 0.2) for n in range(9)}, 0.5
-        )  # attempts fail: warming endpoints wait
+        )  # a failure rate at which warming endpoints stay ejected
         model.step(
             0.1,
             [
@@ -371,13 +378,13 @@
         orders = report(model, {n: (20, 3, 0.2) for n in range(replaced, 9)}, 2.0)
         assert len(model.ejected) == replaced
         assert (
-            min(admitted_fractions(orders, 0), default=1.0) <= least
+            min(admitted_fractions(orders, 0), default=1.0) <= max_admitted
             and min(admitted_fractions(orders, 1), default=1.0) >= 0.8
         )
         assert bool(admitted_fractions(orders, 0)) == (replaced == 6)
 
 
-def test_a_late_health_check_of_an_endpoint_that_went_or_restarted_is_ignored() -> None:
+def test_a_late_health_check_of_an_endpoint_that_is_gone_or_restarted_is_ignored() -> None:
     model = reported_model(can_check_health=True)
     report(model, {n: (20, 20 if n == 4 else 0, 0.2) for n in range(9)}, 2.0)
     assert model.ejected == {endpoint(4).id}
@@ -389,12 +396,12 @@
     model.step(0.1, [HealthCheckCompleted(endpoint(4).id, False, "timeout", 0.4)])
     assert (
         model.module.state.outlier_detector.weight_limits[4] == weight_limit == 1.0
-        and not model.broken
+        and not model.violated_rules
     )
 
 
-def test_a_release_is_told_in_time_while_other_ejections_fill_the_channel() -> None:
-    """Guards against ejections of draining endpoints that go one by one through a full channel."""
+def test_draining_endpoints_are_ejected_in_time_while_other_ejections_fill_the_channel() -> None:
+    """Guards against ejecting draining endpoints one by one on a full channel."""
     model = connected_model(
         200,
         108,
@@ -416,11 +423,11 @@
             events.append(EndpointsUpdated("changes", draining))
         model.step(0.1, events)
     assert len(model.ejected & {endpoint(n).id for n in range(20)}) == 20
-    assert not model.broken
+    assert not model.violated_rules
 
 
-def test_an_ejection_that_no_channel_takes_holds_back_nothing_else() -> None:
-    """Guards against one ejection too large for the whole channel blocking all other orders."""
+def test_an_ejection_that_exceeds_the_channel_capacity_blocks_no_other_orders() -> None:
+    """Guards against waiting for an ejection that exceeds the capacity of an empty channel."""
     channel = ChannelSettings(2000.0, 10.0, 1000.0, 0.1, 0.2, 0, 10.0)
     model = connected_model(9, 200, channel=channel)
     for _ in range(300):
@@ -430,5 +437,5 @@
     model.step(0.1, [ProxyConnected(p, ZONES[p % 3], 5.0, True) for p in range(60)])
     for _ in range(100):
         model.step(0.1, [])
-    (full_table,) = {model.assigned[199][product] for product in (0, 1)}
+    (full_table,) = {model.assigned[199][traffic_class] for traffic_class in (0, 1)}
     assert all(model.assigned[p] == {0: full_table, 1: full_table} for p in range(200))
--- a/tests/decision/test_safety_rules.py
+++ b/tests/decision/test_safety_rules.py
@@ -1,4 +1,7 @@
-"""The module beside the plain model of the rules, on generated runs, and beside a broken module."""
+"""Checks the safety rules with the model in `rules_model.py`.
+
+Runs on random events must violate no rule, and the model must detect violations by a faulty module.
+"""
 
 from dataclasses import replace
 from random import Random
@@ -19,7 +22,7 @@
 @pytest.mark.parametrize("seed", range(25))
 def test_generated_runs_keep_the_rules(seed: int) -> None:
     narrow = {"channel": ChannelSettings(300.0, 4.0, 900.0, 0.2, 0.5, 30, 10.0)} if seed % 2 else {}
-    assert not run(Model(manager_settings(**narrow)), seed).broken
+    assert not run(Model(manager_settings(**narrow)), seed).violated_rules
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -30,39 +33,44 @@
         Model(manager_settings(channel=ChannelSettings(1200.0, 4.0, 2400.0, 0.2, 0.5, 10, 10.0))),
         seed,
     )
-    assert "messages" not in model.broken
+    assert "messages" not in model.violated_rules
 
 
 def test_endpoints_without_warm_up_time_have_no_slow_start() -> None:
     model = Model(manager_settings(safety_limits=SafetyLimits(5.0, 3.0, 10.0, 0.0, 1.0, 3.0, 2.0)))
-    assert not run(model, 2).broken
+    assert not run(model, 2).violated_rules
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_same_zone_class_leaves_no_proxy_without_endpoint(seed: int) -> None:
-    products = (
+    traffic_classes = (
         manager_settings().traffic_classes[0],
         replace(manager_settings().traffic_classes[1], same_zone_only=True),
     )
     narrow = {"channel": ChannelSettings(300.0, 4.0, 900.0, 0.2, 0.5, 30, 10.0)} if seed % 2 else {}
     assert not run(
-        Model(manager_settings(traffic_classes=products, initial_subset_size=3, **narrow)), seed
-    ).broken
+        Model(manager_settings(traffic_classes=traffic_classes, initial_subset_size=3, **narrow)),
+        seed,
+    ).violated_rules
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_small_tables_have_an_endpoint_of_each_zone_for_a_same_zone_class(seed: int) -> None:
-    products = (
+    traffic_classes = (
         manager_settings().traffic_classes[0],
         replace(manager_settings().traffic_classes[1], same_zone_only=True),
     )
-    model = Model(manager_settings(traffic_classes=products, initial_subset_size=3, seed=seed))
+    model = Model(
+        manager_settings(traffic_classes=traffic_classes, initial_subset_size=3, seed=seed)
+    )
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(60)))])
     model.step(0.1, [ProxyConnected(p, ZONES[p % 3], 5.0, True) for p in range(90)])
 
     def proxies_with_local_endpoint() -> list[int]:
         return [
-            p for p in model.joined if model.applied[p][1][1].keys() - model.ejected_by_proxy[p]
+            p
+            for p in model.connected_at
+            if model.applied[p][1][1].keys() - model.ejected_by_proxy[p]
         ]
 
     for lost in (
@@ -73,17 +81,17 @@
         model.step(0.1, [EndpointsUpdated("changes", tuple(endpoint(n, "gone") for n in lost))])
         for _ in range(20):
             model.step(0.1, [])
-        assert len(proxies_with_local_endpoint()) == 90 and not model.broken
+        assert len(proxies_with_local_endpoint()) == 90 and not model.violated_rules
 
 
 def test_a_zone_whose_endpoints_are_all_ejected_gets_a_warm_one_back_for_same_zone_classes() -> (
     None
 ):
-    products = (
+    traffic_classes = (
         manager_settings().traffic_classes[0],
         replace(manager_settings().traffic_classes[1], same_zone_only=True),
     )
-    model = Model(manager_settings(traffic_classes=products))
+    model = Model(manager_settings(traffic_classes=traffic_classes))
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(9)))])
     model.step(0.1, [ProxyConnected(p, ZONES[p % 3], 5.0, True) for p in range(6)])
     for _ in range(20):
@@ -96,17 +104,19 @@
                 for n in range(9)
             ],
         )
-    assert len(model.ejected) == 2 and not model.broken
+    assert len(model.ejected) == 2 and not model.violated_rules
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_generated_runs_with_overrides_keep_the_rules(seed: int) -> None:
     narrow = {"channel": ChannelSettings(300.0, 4.0, 900.0, 0.2, 0.5, 30, 10.0)} if seed % 2 else {}
-    assert not run(Model(manager_settings(**narrow)), seed, overrides=0.03).broken
+    assert not run(Model(manager_settings(**narrow)), seed, overrides=0.03).violated_rules
 
 
 def test_a_subscribed_endpoint_list_keeps_the_rules() -> None:
-    assert not run(Model(manager_settings(must_subscribe=True, can_check_health=True)), 3).broken
+    assert not run(
+        Model(manager_settings(must_subscribe=True, can_check_health=True)), 3
+    ).violated_rules
 
 
 def test_the_same_events_give_the_same_orders() -> None:
@@ -116,14 +126,18 @@
     )
 
 
-def rules_broken_by(monkeypatch: pytest.MonkeyPatch, change: object, pace: float = 1.0) -> set[str]:
+def rules_violated_by(
+    monkeypatch: pytest.MonkeyPatch, change: object, channel_speed: float = 1.0
+) -> set[str]:
     def bad(state: DecisionState, now: float) -> DesiredState:
         desired = plan(state, now)
         change(state, desired)
         return desired
 
     monkeypatch.setattr(balance, "plan", bad)
-    return set().union(*(run(Model(manager_settings(), pace), seed).broken for seed in range(4)))
+    return set().union(
+        *(run(Model(manager_settings(), channel_speed), seed).violated_rules for seed in range(4))
+    )
 
 
 @pytest.mark.parametrize(
@@ -153,20 +167,20 @@
         ),
     ],
 )
-def test_the_model_sees_a_broken_rule(
+def test_the_model_detects_a_violated_rule(
     rule: str, change: object, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert rule in rules_broken_by(monkeypatch, change)
+    assert rule in rules_violated_by(monkeypatch, change)
 
 
-def test_the_model_sees_a_warming_endpoint_overloaded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_model_detects_an_overloaded_warming_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(slow_start, "SLOW_START_STEP", 1.0)
-    assert "slow start" in rules_broken_by(
+    assert "slow start" in rules_violated_by(
         monkeypatch, lambda state, desired: desired.ejected.clear()
     )
 
 
-def test_the_model_sees_a_long_queue(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_model_detects_a_queue_over_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         OrderBatch, "exceeds_drain", lambda self, max_drain_time, proxy_id=None: False
     )
@@ -175,15 +189,15 @@
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(30)))])
     for n in range(90):
         model.step(0.1, [ProxyConnected(n, "north", 1.0, True)])
-    assert "queue" in model.broken
+    assert "queue" in model.violated_rules
 
 
-def test_the_model_sees_too_many_messages(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_model_detects_too_many_messages(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         ChannelBudget, "exceeds_message_limit", lambda self, proxy_id, now, priority: False
     )
     flip = iter(range(10**6))
-    assert "messages" in rules_broken_by(
+    assert "messages" in rules_violated_by(
         monkeypatch,
         lambda state, desired: setattr(
             desired, "ejected", {next(flip) % 2, 2 + next(flip) % 3} if state.fleet.ids else set()
@@ -192,8 +206,10 @@
 
 
 class BunchedEvents(Model):
-    """What comes in four steps comes in one instant, in a random order: a connection ahead of the
-    disconnection that it follows, gone and ready, an acknowledgement and the reset behind it.
+    """Delivers the events of about four steps at once and in random order.
+
+    For example, a new connection can precede the disconnection of the previous one, and a restart
+    of an endpoint can precede its removal.
     """
 
     def __init__(self, settings: ManagerSettings, seed: int) -> None:
@@ -204,18 +220,18 @@
         super().restart()
         self.waiting = []
 
-    def step(self, span: float, events: list[Event]) -> None:
+    def step(self, elapsed: float, events: list[Event]) -> None:
         self.waiting += events
         if (
             self.module.state.fleet.ids and self.random.random() < 0.75
-        ):  # the list as kept comes first, as hosts tell it
-            return super().step(span, [])
+        ):  # hosts pass the stored endpoint list before any other event
+            return super().step(elapsed, [])
         self.random.shuffle(self.waiting if self.module.state.fleet.ids else [])
         events, self.waiting = self.waiting, []
-        return super().step(span, events)
+        return super().step(elapsed, events)
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_events_of_one_instant_keep_the_rules_in_any_order(seed: int) -> None:
     narrow = {"channel": ChannelSettings(300.0, 4.0, 900.0, 0.2, 0.5, 30, 10.0)} if seed % 2 else {}
-    assert not run(BunchedEvents(manager_settings(**narrow), seed), seed).broken
+    assert not run(BunchedEvents(manager_settings(**narrow), seed), seed).violated_rules
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The steps of slow start against what the safety limits say that an endpoint bears."""
+"""Compares the steps of slow start with the load that the safety limits allow an endpoint."""
 
 import pytest
 
@@ -13,24 +13,24 @@
 @pytest.mark.parametrize("multiple", [1.0, 1.2, 1.5, 3.0])
 @pytest.mark.parametrize("initial_capacity", [0.0, 0.05, 0.2, 0.5, 1.0])
 @pytest.mark.parametrize("warm_up_time", [0.5, 3.0, 5.0, 18.0, 60.0, 120.0, 600.0])
-def test_no_step_gives_an_endpoint_more_than_it_bears(
+def test_no_step_exceeds_the_maximum_load_of_an_endpoint(
     warm_up_time: float, initial_capacity: float, multiple: float
 ) -> None:
-    """Guards against endpoints with a long warm-up being pushed over by fixed steps."""
+    """Guards against fixed steps that overload endpoints with a long warm-up time."""
     slow_start = SlowStart.from_limits(limits(warm_up_time, initial_capacity, multiple))
-    weakest = multiple
+    lowest_multiple = multiple
     last_fraction = 0.0
     for tenths in range(round(10 * warm_up_time) + 1):
         age = tenths / 10
         fraction = slow_start.fraction(age)
         assert last_fraction <= fraction <= 1.0
         last_fraction = fraction
-        warmed = min(1.0, age / warm_up_time)
-        bearable = multiple * (initial_capacity + (1.0 - initial_capacity) * warmed)
-        assert fraction <= max(bearable + 1e-9, MIN_FRACTION)
-        weakest = min(weakest, bearable / fraction)
+        warmed_fraction = min(1.0, age / warm_up_time)
+        max_load = multiple * (initial_capacity + (1.0 - initial_capacity) * warmed_fraction)
+        assert fraction <= max(max_load + 1e-9, MIN_FRACTION)
+        lowest_multiple = min(lowest_multiple, max_load / fraction)
     assert last_fraction == slow_start.fraction(warm_up_time) == 1.0
-    assert slow_start.min_overload_multiple() == pytest.approx(weakest)
+    assert slow_start.min_overload_multiple() == pytest.approx(lowest_multiple)
 
 
 def test_without_a_warm_up_an_endpoint_is_warm_at_once() -> None:
--- a/tests/decision/test_subsets.py
+++ b/tests/decision/test_subsets.py
@@ -1,5 +1,7 @@
-"""Small tables that stay and are updated, where the channel cannot carry one table to all within a
-slow start.
+"""Tests of subsets on a constrained channel.
+
+The channel cannot send one table to all proxies within a slow start, so proxies keep their subsets,
+which are updated in place.
 """
 
 from random import Random
@@ -27,7 +29,7 @@
 
 
 def constrained_model(rates: list[float] | None = None, workers: int = WORKERS) -> Model:
-    """A model in which all proxies are connected and have a small table."""
+    """Return a model in which all proxies are connected and assigned to a subset."""
     model = Model(manager_settings(**CONSTRAINED_CHANNEL))
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(workers)))])
     model.step(
@@ -57,16 +59,16 @@
 
 
 def installed_weights(model: Model) -> dict[str, float]:
-    """By endpoint, the weight that it has in the tables that proxies have applied."""
+    """Return each endpoint's total weight in the tables that the proxies have applied."""
     found: dict[str, float] = {}
-    for p in model.joined:
+    for p in model.connected_at:
         for name, weight in model.applied[p][0][1].items():
             found[name] = found.get(name, 0.0) + weight
     return found
 
 
 def table_sizes(model: Model) -> set[int]:
-    return {len(lines) for p in model.joined for _, lines in model.applied[p].values()}
+    return {len(lines) for p in model.connected_at for _, lines in model.applied[p].values()}
 
 
 def test_no_proxy_is_sent_a_full_table_and_every_endpoint_is_in_use() -> None:
@@ -76,11 +78,11 @@
     assert (
         max(table_sizes(model)) <= 7
         and len(installed_weights(model)) == WORKERS
-        and not model.broken
+        and not model.violated_rules
     )
 
 
-def test_a_release_passes_through_the_small_tables_at_a_fraction_of_a_full_tables_entries() -> None:
+def test_a_release_costs_a_fraction_of_the_entries_of_full_tables() -> None:
     model = constrained_model()
     before, max_queued = set(installed_weights(model)), 0.0
     for n in range(30):
@@ -100,18 +102,18 @@
         report(model, 0.5)
         max_queued = max(max_queued, sum(lines for _, lines, _ in model.queue))
     now = set(installed_weights(model))
-    assert {endpoint(n).id for n in range(60, 90)} <= now, "a new endpoint is used by nobody"
+    assert {endpoint(n).id for n in range(60, 90)} <= now, "no proxy uses some new endpoint"
     assert not any(
         usable <= model.ejected
         for usable in (
             set(entries) for tables in model.applied.values() for _, entries in tables.values()
         )
     )
-    assert before - now <= {endpoint(n).id for n in range(30)} and not model.broken
+    assert before - now <= {endpoint(n).id for n in range(30)} and not model.violated_rules
     assert max_queued < PROXIES * WORKERS / 4
 
 
-def test_a_small_table_that_lost_endpoints_is_filled_up() -> None:
+def test_a_subset_that_lost_endpoints_gets_new_ones() -> None:
     model = constrained_model()
     table = model.assigned[0][0]
     lost_workers = sorted(model.tables[table])[:4]
@@ -119,9 +121,9 @@
     report(model, 8.0, numbers)
     available = set(model.applied[0][0][1]) - model.ejected_by_proxy[0]
     assert set(lost_workers) <= model.ejected and len(available) >= 5, (
-        "two endpoints were left with the work of six"
+        "two endpoints were left with the load of six"
     )
-    assert not model.broken
+    assert not model.violated_rules
 
 
 def test_proxies_with_high_request_rates_are_spread() -> None:
@@ -147,10 +149,10 @@
         subsets_by_manager.append({frozenset(table) for table in model.tables.values()})
     assert (
         len(subsets_by_manager[0] & subsets_by_manager[1]) <= 1
-    )  # the full table, which is created and not sent
+    )  # the full table, which is created but not sent
 
 
-def test_endpoints_replaced_at_once_are_distributed_anew() -> None:
+def test_subsets_are_rebuilt_when_most_endpoints_are_replaced_at_once() -> None:
     model = constrained_model()
     replaced = [endpoint(n, "gone") for n in range(50)] + [endpoint(n) for n in range(60, 110)]
     model.step(0.1, [EndpointsUpdated("changes", tuple(replaced))])
@@ -158,14 +160,14 @@
     for tables in model.applied.values():
         usable = set(tables[0][1]) - model.ejected
         assert usable and usable <= {w.id for w in model.listed.values() if w.state == "ready"}
-    assert len(set(installed_weights(model)) - model.ejected) == 60 and not model.broken
+    assert len(set(installed_weights(model)) - model.ejected) == 60 and not model.violated_rules
 
 
 def test_remaining_proxies_get_the_full_table_when_others_leave() -> None:
     model = constrained_model()
     model.step(0.1, [ProxyDisconnected(p) for p in range(20, PROXIES)])
     report(model, 20.0)
-    assert table_sizes(model) == {WORKERS} and not model.broken
+    assert table_sizes(model) == {WORKERS} and not model.violated_rules
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -177,12 +179,12 @@
         turn = rng.random()
         if turn < 0.2:
             events = (
-                [ProxyDisconnected(p) for p in rng.sample(sorted(model.joined), 20)]
-                if len(model.joined) > 40
+                [ProxyDisconnected(p) for p in rng.sample(sorted(model.connected_at), 20)]
+                if len(model.connected_at) > 40
                 else []
             )
         elif turn < 0.4:
-            away = sorted(set(range(PROXIES)) - model.joined.keys())
+            away = sorted(set(range(PROXIES)) - model.connected_at.keys())
             events = [
                 ProxyConnected(p, ZONES[p % 3], 5.0, False) for p in away[: rng.randrange(1, 60)]
             ]
@@ -205,12 +207,14 @@
                 ),
             ],
         )
-    assert not model.broken
+    assert not model.violated_rules
 
 
 def overload(model: Model, **queue: float) -> tuple[float, float]:
-    """An overload of 4 s, then 6 s in which late failures are still reported, beside the queues
-    that endpoints report; gives the admitted fraction at the end of each.
+    """Simulate an overload of 4 s, then 6 s in which its failures are still reported.
+
+    During the 6 s the endpoints also report the given queue length. Returns the admitted fraction
+    at the end of each phase.
     """
     admitted_fractions = []
     for seconds, load in ((4.0, {}), (6.0, queue)):
@@ -235,7 +239,7 @@
 
 
 @pytest.mark.parametrize("queue", [{}, {"queue": 7.0}, {"held": 0.0}])
-def test_without_queue_reports_or_with_full_queues_admission_goes_by_failures(
+def test_without_queue_reports_or_with_full_queues_admission_depends_on_failures(
     queue: dict[str, float],
 ) -> None:
     before, after = overload(constrained_model(), **queue)
@@ -256,7 +260,7 @@
 
 
 def test_queues_do_not_raise_admission_where_reports_are_recent() -> None:
-    """What is shed empties the queues, so that the admitted fraction would swing."""
+    """Guards against oscillation: shedding empties the queues, which would raise admission."""
     model = Model(manager_settings())
     model.step(0.1, [EndpointsUpdated("kept", tuple(endpoint(n) for n in range(9)))])
     model.step(0.1, [ProxyConnected(p, ZONES[p % 3], 5.0, True) for p in range(6)])
--- a/tests/decision/test_turn_costs.py
+++ b/tests/decision/test_turn_costs.py
@@ -1,8 +1,9 @@
-"""The cost of a batch goes with what changed, not with what there is: counted in bytecode
-instructions run, never in time, nor in lines, whose number goes with the formatting.
+"""The cost of a batch must depend on the changes in it, not on the size of the deployment.
 
-The same events come to a small deployment and to a large one. The reference model, and the module
-with a shortcut taken out, must be seen to cost more.
+Cost is counted in executed bytecode instructions, which depend neither on the machine, as time
+would, nor on formatting, as lines would. The same events are passed to a small and to a large
+deployment. The test must detect the higher cost of the reference model, and of a module in which an
+incremental computation is replaced by a full one.
 """
 
 import sys
@@ -35,15 +36,15 @@
 from dunlinlug.decision.state.outlier_statistics import OutlierStatistics
 from dunlinlug.decision.state.tables import Table
 from tests import reference_model
-from tests.reference_model.balance import Balancer as Former
+from tests.reference_model.balance import Balancer as ReferenceBalancer
 
-History = Callable[[], Iterator[list[Event]]]
-PROXIES, STEP = 20, 0.1  # seconds between turns
-TEXT = (
+EventGenerator = Callable[[], Iterator[list[Event]]]
+PROXIES, STEP = 20, 0.1  # number of proxies; seconds between turns
+COUNTED_PATHS = (
     Path(balance.__file__),
     Path(decision.__file__).parent,
     Path(reference_model.__file__).parent,
-)  # files and packages whose instructions count
+)  # files and packages whose instructions are counted
 
 
 def worker(n: int, state: str = "ready", since: float | None = None) -> Endpoint:
@@ -63,37 +64,41 @@
     )
 
 
-class Counter:
-    """Bytecode instructions of the module that ran."""
+class InstructionCounter:
+    """Counts the executed bytecode instructions of the files in `COUNTED_PATHS`."""
 
     def __init__(self) -> None:
         self.instructions = 0
 
-    def local(self, frame: FrameType, event: str, arg: object) -> Any:
+    def count_opcode(self, frame: FrameType, event: str, arg: object) -> Any:
         self.instructions += event == "opcode"
-        return self.local
+        return self.count_opcode
 
-    def begin(self, frame: FrameType, event: str, arg: object) -> Any:
+    def trace_call(self, frame: FrameType, event: str, arg: object) -> Any:
         path = Path(frame.f_code.co_filename)
-        if not any(path.is_relative_to(counted) for counted in TEXT):
+        if not any(path.is_relative_to(counted) for counted in COUNTED_PATHS):
             return None
         frame.f_trace_lines, frame.f_trace_opcodes = False, True
-        return self.local
+        return self.count_opcode
 
-    def run(self, act: Callable[[], Any]) -> Any:
+    def count(self, decide: Callable[[], Any]) -> Any:
         before = sys.gettrace()
-        sys.settrace(self.begin)
+        sys.settrace(self.trace_call)
         try:
-            return act()
+            return decide()
         finally:
             sys.settrace(before)
 
 
 class RunningModule:
-    """One manager; every proxy acknowledges each request a while later."""
+    """Runs one manager; every proxy acknowledges each request 0.3 seconds later."""
 
     def __init__(self, workers: int, class_count: int = 2, module: Any = Balancer) -> None:
-        self.module, self.now, self.counter = module(manager_settings(class_count)), 0.0, Counter()
+        self.module, self.now, self.counter = (
+            module(manager_settings(class_count)),
+            0.0,
+            InstructionCounter(),
+        )
         self.due: list[tuple[float, Event]] = []
         self.turn([EndpointsUpdated("kept", tuple(worker(n) for n in range(workers)))])
         self.turn([ProxyConnected(p, "abc"[p % 3], 5.0, True) for p in range(PROXIES)])
@@ -101,13 +106,13 @@
             self.turn([])
 
     def turn(self, events: list[Event], counted: bool = False) -> int:
-        """Instructions that ran, if counted."""
+        """Pass a batch to the module; return the executed instructions, 0 if not `counted`."""
         self.now += STEP
         events = [*events, *(event for at, event in self.due if at <= self.now)]
         self.due = [entry for entry in self.due if entry[0] > self.now]
         before = self.counter.instructions
-        act = lambda: self.module.decide(self.now, events)  # noqa: E731
-        for order in self.counter.run(act) if counted else act():
+        decide = lambda: self.module.decide(self.now, events)  # noqa: E731
+        for order in self.counter.count(decide) if counted else decide():
             if isinstance(order, RequestAcknowledgement):
                 self.due += [
                     (self.now + 0.3, Acknowledged(p, order.ack_number, 0.3)) for p in range(PROXIES)
@@ -118,7 +123,7 @@
 
 
 def reports() -> Iterator[list[Event]]:
-    """Four seconds of reports of workers that each size has; one of eight fails."""
+    """Four seconds of reports on workers that exist at each size; one in eight is failing."""
     for n in range(40):
         rows = [(7 * n + m) % 200 for m in range(6)]
         yield [
@@ -131,44 +136,48 @@
 
 
 def release() -> Iterator[list[Event]]:
-    """Thirty workers are replaced, each by news of its own."""
+    """Thirty workers are replaced, each by its own updates of the endpoint list."""
     for n in range(30):
         yield [EndpointsUpdated("changes", (worker(n, "draining"),))]
         yield [EndpointsUpdated("changes", (worker(n, "ready", 1.0 + n / 10),))]
 
 
-def cost(events: History, *size: int, module: Any = Balancer, turns: int = 60) -> float:
-    """Instructions a turn, on the mean of so many at most."""
+def cost(events: EventGenerator, *size: int, module: Any = Balancer, turns: int = 60) -> float:
+    """Return the mean number of instructions per turn, over at most `turns` turns."""
     running = RunningModule(*size, module=module)
     counts = [running.turn(batch, counted=True) for batch in islice(events(), turns)]
     return sum(counts) / len(counts)
 
 
-def growth(events: History, few: int, many: int, module: Any = Balancer, turns: int = 60) -> float:
+def growth(
+    events: EventGenerator, few: int, many: int, module: Any = Balancer, turns: int = 60
+) -> float:
     return cost(events, many, 2, module=module, turns=turns) / cost(
         events, few, 2, module=module, turns=turns
     )
 
 
 @pytest.mark.parametrize("events", [reports, release])
-def test_the_cost_of_a_batch_does_not_grow_with_the_endpoints(events: History) -> None:
-    assert growth(events, 1500, 5000) <= 1.05  # small tables are updated at both
+def test_the_cost_of_a_batch_does_not_grow_with_the_endpoints(events: EventGenerator) -> None:
+    assert growth(events, 1500, 5000) <= 1.05  # both sizes update subsets
     assert (
         growth(events, 200, 1500) <= 3.0
-    )  # at 200 one table goes to all, so that there is no small table to update
+    )  # with 200 workers all proxies have the full table, so there are no subsets to update
 
 
 @pytest.mark.parametrize(("events", "max_instructions"), [(reports, 510), (release, 770)])
-def test_a_class_costs_a_batch_few_instructions(events: History, max_instructions: int) -> None:
-    """Not the endpoints of its table: that would be 200 for each."""
+def test_a_class_costs_a_batch_few_instructions(
+    events: EventGenerator, max_instructions: int
+) -> None:
+    """A class must not cost a comparison of all 200 endpoints of its table."""
     assert cost(events, 200, 270) - cost(events, 200, 2) <= 268 * max_instructions
 
 
 def test_the_reference_models_cost_grows_with_the_endpoints() -> None:
-    assert growth(reports, 200, 800, Former, 10) > 3.0
+    assert growth(reports, 200, 800, ReferenceBalancer, 10) > 3.0
     assert (
-        cost(reports, 200, 20, module=Former, turns=10)
-        - cost(reports, 200, 2, module=Former, turns=10)
+        cost(reports, 200, 20, module=ReferenceBalancer, turns=10)
+        - cost(reports, 200, 2, module=ReferenceBalancer, turns=10)
         > 18 * 2700
     )
 
@@ -190,15 +199,15 @@
             )(row)
 
 
-FAULTS: dict[str, tuple[History, type, str, Callable[..., object]]] = {
-    "differences are walked": (reports, DesiredWeights, "differing_rows", compare_all_rows),
-    "all are judged": (
+FAULTS: dict[str, tuple[EventGenerator, type, str, Callable[..., object]]] = {
+    "all rows are compared": (reports, DesiredWeights, "differing_rows", compare_all_rows),
+    "all rows are recovery candidates": (
         reports,
         OutlierStatistics,
         "due_recoveries",
         lambda self, now: [row for row in self.ready_rows if self.weight_limits[row]],
     ),
-    "ejected rows are walked": (
+    "all rows are checked for due ejections": (
         reports,
         OutlierStatistics,
         "due_ejections",
@@ -208,13 +217,13 @@
             if not self.weight_limits[row] and self.due_at[row] <= now
         ],
     ),
-    "all are planned anew": (
+    "all weights are recomputed": (
         reports,
         Fleet,
         "take_changed_rows",
         lambda self: set(self.ready_rows),
     ),
-    "uncovered rows are walked": (
+    "all rows are checked for coverage": (
         reports,
         Coverage,
         "find_uncovered",
@@ -227,9 +236,13 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_shortcut_taken_out_is_seen(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_cost_of_a_full_computation_is_detected(
+    name: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     events, state_class, method, fault = FAULTS[name]
     monkeypatch.setattr(state_class, method, fault)
-    text = Path(__file__)  # the fault's own instructions count
-    monkeypatch.setattr("tests.decision.test_turn_costs.TEXT", (*TEXT, text))
+    fault_path = Path(__file__)  # the instructions of the fault count too
+    monkeypatch.setattr(
+        "tests.decision.test_turn_costs.COUNTED_PATHS", (*COUNTED_PATHS, fault_path)
+    )
     assert growth(events, 1500, 3000, turns=10) > 1.05
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -355,4 +355,4 @@
         )
         written += sum(message.entry_count for message in messages.values())
         assert sum(message.entry_count for message in messages.values()) <= expected
-    assert written > 500 and not model.broken
+    assert written > 500 and not model.violated_rules
