--- a/tests/decision/histories.py
+++ b/tests/decision/histories.py
@@ -1,9 +1,9 @@
-"""Generated histories for `tests/decision/reference_decisions.py`: a manager's surroundings in
-simulated time, from a seed alone.
+"""Generates histories for `reference_decisions.py`: a manager's environment in simulated time.
 
-Workers have a true state that shapes what proxies meet; a channel of the trade's pace, proxies that
-answer, fall silent and come back, discovery with releases and losses, an operator's pins, cuts
-between managers, and orders refused. Times are seconds.
+A history depends on its seed alone. The environment simulates workers whose state determines what
+proxies observe, a channel of limited rate, proxies that acknowledge, become silent and reconnect,
+service discovery with releases and losses, operator overrides, partitions between managers, and
+rejected orders. Times are in seconds.
 """
 
 import heapq
@@ -49,9 +49,9 @@
 )
 from dunlinlug.decision.settings import ChannelSettings, ManagerSettings, SafetyLimits, TrafficClass
 
-Happening = Event | Callable[[], None]
+ScheduledAction = Event | Callable[[], None]
 
-# Workers, proxies, products and turns to go with them, and how often such a history is drawn.
+# Ranges of workers and proxies, choices of the number of classes, turns, and relative frequency.
 SIZES = (
     ((5, 12), (1, 8), (1, 2, 3), 1600, 6),
     ((10, 40), (2, 30), (1, 2, 3), 1200, 8),
@@ -61,21 +61,21 @@
     ((60, 120), (100, 300), (1, 2, 3), 500, 4),
     ((150, 400), (5, 60), (2,), 260, 2),
 )
-LARGE = ((1000, 1400), (5, 40), (1, 2), 110)  # for every twentieth seed
+LARGE = ((1000, 1400), (5, 40), (1, 2), 110)  # used by one in twenty seeds
 EVEN = (
     (20, 80),
     (20, 150),
     (1, 2),
     500,
-)  # for another twentieth: tables and proxies alike, so that sums tie
+)  # used by one in twenty seeds: tables and proxies are alike, so that sums tie
 
-# A worker's state: part of its tries that is voided, and how long a settled one takes.
+# By state of a worker: the fraction of its attempts that fails, and the latency of the others.
 STATES = {
-    "well": (0.01, 0.2),
+    "healthy": (0.01, 0.2),
     "failing": (0.8, 0.15),
-    "silent": (1.0, 0.2),
-    "jammed": (0.5, 1.2),
-    "late": (0.0, 0.9),
+    "unresponsive": (1.0, 0.2),
+    "overloaded": (0.5, 1.2),
+    "slow": (0.0, 0.9),
     "weak": (0.2, 0.3),
     "one in ten": (0.1, 0.2),
     "slow and failing": (0.6, 0.7),
@@ -83,49 +83,53 @@
 
 
 @dataclass
-class Machine:
-    """A worker as it truly is."""
+class SimulatedWorker:
+    """The actual state of a worker, which differs from what the manager observes."""
 
     zone: str
     weight: float | None
-    state: str = "well"
-    listed: str = "ready"
-    since: float | None = None
+    state: str = "healthy"
+    listed_state: str = "ready"
+    started_at: float | None = None
 
 
-def drawn(random: Random, seed: int) -> tuple[ManagerSettings, int, int, int]:
-    """The trade, workers at the start, proxies, and turns."""
+def generate_settings(random: Random, seed: int) -> tuple[ManagerSettings, int, int, int]:
+    """Return the settings and the numbers of initial workers, proxies and turns."""
     sizes = {19: LARGE, 17: EVEN}.get(seed % 20) or random.choices(
         SIZES, [size[-1] for size in SIZES]
     )[0][:4]
-    (least, most), (few, many), products, turns = sizes
+    (min_workers, max_workers), (min_proxies, max_proxies), products, turns = sizes
     workers, proxies, n = (
-        random.randint(least, most),
-        random.randint(few, many),
+        random.randint(min_workers, max_workers),
+        random.randint(min_proxies, max_proxies),
         random.choice(products),
     )
-    even = sizes is EVEN
-    home = random.choice(["none", "none", "all", "some"][: 1 if even else 4])
-    wares = tuple(
+    is_even = sizes is EVEN
+    same_zone_choice = random.choice(["none", "none", "all", "some"][: 1 if is_even else 4])
+    traffic_classes = tuple(
         TrafficClass(
             f"product-{k}",
             random.choice([0.4, 0.8, 2.0]),
             random.choice([1.0, 2.0]),
             1.0 + k * random.random(),
             idempotency=random.choice(["idempotent", "referenced", "non-idempotent"]),
-            same_zone_only=home == "all" or home == "some" and random.random() < 0.5,
+            same_zone_only=same_zone_choice == "all"
+            or same_zone_choice == "some"
+            and random.random() < 0.5,
         )
         for k in range(n)
     )
-    # From one that carries all tables to all proxies at once to one that a table a turn fills.
-    whole = n * (workers + 2.0) * proxies
-    part = max(whole * random.choice([0.02, 0.3, 1.0, 5.0][: 2 if even else 4]), 60.0)
-    pace = random.choice([part, 1200.0, 4400.0, 1e5][: 1 if even else 4])
-    warm = random.choice([0.0, 1e-6, 5.0, 18.0, 18.0, 30.0][: 3 if even else 6])
-    trade = ManagerSettings(
+    # The rate ranges from sending one table per turn to sending all tables to all proxies at once.
+    full_update_entries = n * (workers + 2.0) * proxies
+    slow_rate = max(
+        full_update_entries * random.choice([0.02, 0.3, 1.0, 5.0][: 2 if is_even else 4]), 60.0
+    )
+    channel_rate = random.choice([slow_rate, 1200.0, 4400.0, 1e5][: 1 if is_even else 4])
+    warm_up_time = random.choice([0.0, 1e-6, 5.0, 18.0, 18.0, 30.0][: 3 if is_even else 6])
+    settings = ManagerSettings(
         seed=seed,
         zone="zone-0",
-        traffic_classes=wares,
+        traffic_classes=traffic_classes,
         admission_mode=random.choice(["share", "share", "none"]),
         can_check_health=random.random() < 0.5,
         must_subscribe=random.random() < 0.2,
@@ -133,9 +137,10 @@
         initial_subset_size=random.choice([1, 2, 4, 6, 12, 30]),
         shard_count=8 if seed % 50 == 7 else 0,
         channel=ChannelSettings(
-            pace,
+            channel_rate,
             random.choice([4.0, 10.0]),
-            random.choice([0.3, 1.5, 4.0]) * pace + random.choice([400.0, 4.0 * (workers + n)]),
+            random.choice([0.3, 1.5, 4.0]) * channel_rate
+            + random.choice([400.0, 4.0 * (workers + n)]),
             0.25,
             0.5,
             random.choice([0, 0, 10, 30]),
@@ -144,33 +149,33 @@
             5.0,
             3.0,
             random.choice([2.0, 10.0]),
-            warm,
+            warm_up_time,
             random.choice([0.1, 0.2, 0.5]),
             random.choice([2.0, 3.0, 6.0]),
             2.0,
         ),
     )
-    return trade, workers, proxies, turns
+    return settings, workers, proxies, turns
 
 
 class ObservedState(Protocol):
-    """What a history reads of the balancer whose orders it obeys."""
+    """State of a balancer that a history needs to simulate the effect of its orders."""
 
     def owed_entries(self, ack_number: int) -> dict[int, float]:
-        """By proxy, the entries of the reply whose acknowledgement was asked for."""
+        """Entries by proxy of the reply with this acknowledgement number."""
 
     def is_channel_constrained(self) -> bool:
-        """Whether the channel is too slow for whole tables, so that subsets stay."""
+        """Whether the channel is too slow for full tables, so that proxies keep subsets."""
 
     def has_subsets_in_use(self) -> bool:
-        """Whether proxies are connected and a subset table is used."""
+        """Whether proxies are connected and use a subset."""
 
     def admitted_fractions(self) -> set[float]:
-        """The fractions that current tables admit; none where admission is not controlled."""
+        """Admitted fractions of the current tables; empty if admission is not controlled."""
 
 
 class BalancerState:
-    """The state of the present Balancer."""
+    """Observed state of the decision module's Balancer."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
@@ -194,14 +199,14 @@
 
 
 class ReferenceState:
-    """The state of the frozen Balancer of `tests/reference_model`, or of its counted copy."""
+    """Observed state of the reference model's Balancer, or of its instrumented copy."""
 
     def __init__(self, balancer: Any) -> None:
         self.balancer = balancer
 
     def owed_entries(self, ack_number: int) -> dict[int, float]:
-        owed: dict[int, float] = self.balancer.account.sent[ack_number].owed
-        return owed
+        owed_entries: dict[int, float] = self.balancer.account.sent[ack_number].owed
+        return owed_entries
 
     def is_channel_constrained(self) -> bool:
         return bool(self.balancer.scant)
@@ -217,19 +222,22 @@
         return {n for table in self.balancer.current.values() for n, _ in table.levels}
 
 
-def observed(balancer: Any) -> ObservedState:
+def observe(balancer: Any) -> ObservedState:
     return BalancerState(balancer) if isinstance(balancer, Balancer) else ReferenceState(balancer)
 
 
-class Surroundings:
-    """Draws `turns()`, one by one; after each the caller lets it `obey` the former text's orders."""
+class SimulatedEnvironment:
+    """Generates the turns of a history.
+
+    After each turn of `turns()`, the caller passes the reference model's orders to `apply_orders`.
+    """
 
     def __init__(self, seed: int, scale: float = 1.0) -> None:
         self.random = random = Random(f"history {seed}")
-        self.trade, workers, self.proxies, turns = drawn(random, seed)
-        self.left, self.now = max(10, int(turns * scale)), 0.0
-        # On a grid, turns come just when something is due; told coarsely, workers tie.
-        self.grid, self.coarse, self.skip = (
+        self.settings, workers, self.proxies, turns = generate_settings(random, seed)
+        self.remaining_turns, self.now = max(10, int(turns * scale)), 0.0
+        # With a time grid, turns coincide with due times. Coarse reports make workers tie.
+        self.time_grid, self.has_coarse_reports, self.pause = (
             random.choice([0.0, 0.0, 0.125, 0.25]),
             random.random() < 0.35,
             0.0,
@@ -245,423 +253,485 @@
                 random.choice([[0.1], [0.3], [0.7], [0.1, 0.2], [0.37]]),
                 [5.0],
             )
-        self.due, self.order = list[tuple[float, int, Happening]](), count()
-        self.machines, self.names = dict[str, Machine](), count()
-        self.joined, self.mute = dict[int, str](), set[int]()
-        self.asked_at, self.busy, self.pace = dict[int, float](), 0.0, 1.0
-        self.load, self.refusing, self.turned = "calm", dict[type, float](), 0
-        self.said = Counter[str]()
+        self.scheduled, self.sequence = list[tuple[float, int, ScheduledAction]](), count()
+        self.workers, self.worker_numbers = dict[str, SimulatedWorker](), count()
+        self.zone_by_proxy, self.silent_proxies = dict[int, str](), set[int]()
+        self.requested_at, self.channel_busy_until, self.channel_speed = (
+            dict[int, float](),
+            0.0,
+            1.0,
+        )
+        self.load_condition, self.rejection_rates, self.report_offset = (
+            "normal",
+            dict[type, float](),
+            0,
+        )
+        self.counts = Counter[str]()
         for _ in range(workers):
-            self.machine()
-        self.begin()
+            self.add_worker()
+        self.schedule_events()
 
-    def at(self, when: float, what: Happening) -> None:
-        heapq.heappush(self.due, (when, next(self.order), what))
+    def schedule(self, when: float, action: ScheduledAction) -> None:
+        heapq.heappush(self.scheduled, (when, next(self.sequence), action))
 
     def turns(self) -> Iterator[tuple[float, list[Event]]]:
-        gap = self.end / self.left
-        while self.left > 0 and self.now < self.end:
+        interval = self.end / self.remaining_turns
+        while self.remaining_turns > 0 and self.now < self.end:
             self.now += (
                 0.0
                 if self.random.random() < 0.01
-                else gap * self.random.uniform(0.1, 1.7) + self.skip
+                else interval * self.random.uniform(0.1, 1.7) + self.pause
             )
-            self.skip = 0.0
-            if self.grid:
-                self.now = ceil(self.now / self.grid) * self.grid
+            self.pause = 0.0
+            if self.time_grid:
+                self.now = ceil(self.now / self.time_grid) * self.time_grid
             events = list[Event]()
-            while self.due and self.due[0][0] <= self.now:
-                what = heapq.heappop(self.due)[2]
-                if callable(what):
-                    what()
+            while self.scheduled and self.scheduled[0][0] <= self.now:
+                action = heapq.heappop(self.scheduled)[2]
+                if callable(action):
+                    action()
                 else:
-                    events.append(what)
+                    events.append(action)
             if events or self.random.random() < 0.05:
-                self.left -= 1
+                self.remaining_turns -= 1
                 yield self.now, events
 
-    # What the former text ordered, and what follows of it.
+    # Effects of orders.
 
-    def obey(self, now: float, orders: list[Order], balancer: Any) -> None:
-        """Let what follows of these orders come about. `balancer`, present or reference, gave them."""
-        state = observed(balancer)
+    def apply_orders(self, now: float, orders: list[Order], balancer: Any) -> None:
+        """Schedule the events that follow from these orders of `balancer`."""
+        state = observe(balancer)
         for order in orders:
             match order:
                 case RequestAcknowledgement(number):
-                    self._send(now, number, state.owed_entries(number))
+                    self._send_reply(now, number, state.owed_entries(number))
                 case SetTimer(after, token):
-                    self.at(
+                    self.schedule(
                         now + after + (0.3 if self.random.random() < 0.05 else 0.0),
                         TimerFired(token),
                     )
-                case CheckHealth(worker):
-                    self.at(now + self.random.choice([0.02, 0.4, 1.0]), self._probed(worker))
+                case CheckHealth(worker_id):
+                    self.schedule(
+                        now + self.random.choice([0.02, 0.4, 1.0]),
+                        self._health_check_completion(worker_id),
+                    )
                 case WatchEndpoints():
-                    self.at(now + 0.1, self.fetched)
+                    self.schedule(now + 0.1, self.send_requested_list)
                 case SetWeight() | DeleteTable() | AssignTable() | SetEjected() | SetAdmission():
-                    if self.random.random() < self.refusing.get(type(order), 0.0):
-                        self.said[f"refused {type(order).__name__}"] += 1
-                        self.at(now, OrderRejected(order, "the guard's word"))
+                    if self.random.random() < self.rejection_rates.get(type(order), 0.0):
+                        self.counts[f"rejected {type(order).__name__}"] += 1
+                        self.schedule(now, OrderRejected(order, "the guard's word"))
         if state.is_channel_constrained():
-            self.said["turns with small tables to stay"] += 1
+            self.counts["turns on a constrained channel"] += 1
         if state.has_subsets_in_use():
-            self.said["turns with small tables in use"] += 1
+            self.counts["turns with subsets in use"] += 1
         for level in state.admitted_fractions():
-            self.said[f"turns with a level of {level:.2f}"] += 1
+            self.counts[f"turns with a level of {level:.2f}"] += 1
 
-    def _send(self, now: float, mark: int, owed: dict[int, float]) -> None:
-        for proxy, lines in owed.items():
-            self.busy = max(self.busy, now) + lines / (
-                self.trade.channel.entries_per_second * self.pace
+    def _send_reply(self, now: float, ack_number: int, owed_entries: dict[int, float]) -> None:
+        for proxy, entry_count in owed_entries.items():
+            self.channel_busy_until = max(self.channel_busy_until, now) + entry_count / (
+                self.settings.channel.entries_per_second * self.channel_speed
             )
-            arrives = self.busy + self.trade.channel.transit_time * self.random.uniform(0.5, 1.5)
-            if proxy in self.mute or arrives - now > 30.0:
-                self.said["marks that nobody answers"] += 1
+            arrives = (
+                self.channel_busy_until
+                + self.settings.channel.transit_time * self.random.uniform(0.5, 1.5)
+            )
+            if proxy in self.silent_proxies or arrives - now > 30.0:
+                self.counts["replies that are never acknowledged"] += 1
             else:
-                self.at(arrives, Acknowledged(proxy, mark, arrives - now))
+                self.schedule(arrives, Acknowledged(proxy, ack_number, arrives - now))
 
-    def _probed(self, worker: str) -> Callable[[], None]:
-        def probed() -> None:
-            machine = self.machines.get(worker)
-            ok = machine is not None and machine.state == "well" and machine.listed != "gone"
+    def _health_check_completion(self, worker_id: str) -> Callable[[], None]:
+        def complete() -> None:
+            worker = self.workers.get(worker_id)
+            is_healthy = (
+                worker is not None and worker.state == "healthy" and worker.listed_state != "gone"
+            )
             load = self.random.choice([{}, {"queue": 2.0}])
-            self.at(
-                self.now, HealthCheckCompleted(worker, ok, "ok" if ok else "timeout", 0.1, load)
+            self.schedule(
+                self.now,
+                HealthCheckCompleted(
+                    worker_id, is_healthy, "ok" if is_healthy else "timeout", 0.1, load
+                ),
             )
 
-        return probed
+        return complete
 
-    # Discovery.
+    # Service discovery.
 
-    def machine(self, zone: str | None = None, since: float | None = None) -> str:
-        n = next(self.names)
+    def add_worker(self, zone: str | None = None, started_at: float | None = None) -> str:
+        n = next(self.worker_numbers)
         name = f"10.{n // 65536}.{n // 256 % 256}.{n % 256}:80"
-        self.machines[name] = Machine(
-            zone or self.random.choice(self.zones), self.random.choice(self.weights), since=since
+        self.workers[name] = SimulatedWorker(
+            zone or self.random.choice(self.zones),
+            self.random.choice(self.weights),
+            started_at=started_at,
         )
         return name
 
-    def entry(self, name: str) -> Endpoint:
-        machine = self.machines[name]
-        return Endpoint(name, machine.zone, "", 0, machine.listed, machine.weight, machine.since)
+    def list_entry(self, name: str) -> Endpoint:
+        worker = self.workers[name]
+        return Endpoint(
+            name, worker.zone, "", 0, worker.listed_state, worker.weight, worker.started_at
+        )
 
-    def news(self, names: list[str], form: str = "changes") -> None:
-        if names or form != "changes":
-            self.at(self.now, EndpointsUpdated(form, tuple(map(self.entry, names))))
-            self.said[f"lists {form}"] += 1
+    def send_list_update(self, names: list[str], update_type: str = "changes") -> None:
+        if names or update_type != "changes":
+            self.schedule(
+                self.now, EndpointsUpdated(update_type, tuple(map(self.list_entry, names)))
+            )
+            self.counts[f"lists {update_type}"] += 1
 
-    def move(self, names: list[str], state: str, since: float | None = None) -> Callable[[], None]:
-        """An act: these come to be listed so, if they are known still."""
+    def change_state(
+        self, names: list[str], state: str, started_at: float | None = None
+    ) -> Callable[[], None]:
+        """Return an action that changes the listed state of these workers, if they still exist."""
 
-        def act() -> None:
-            known = [name for name in names if name in self.machines]
+        def apply() -> None:
+            known = [name for name in names if name in self.workers]
             for name in known:
-                machine = self.machines[name]
-                machine.listed, machine.since = state, machine.since if since is None else since
-                if since is not None:
-                    machine.state = "well"
-            self.news(known)
+                worker = self.workers[name]
+                worker.listed_state, worker.started_at = (
+                    state,
+                    worker.started_at if started_at is None else started_at,
+                )
+                if started_at is not None:
+                    worker.state = "healthy"
+            self.send_list_update(known)
             for name in known if state == "gone" and self.random.random() < 0.8 else ():
-                if self.machines[name].listed == "gone" and self.random.random() < 0.5:
-                    del self.machines[name]
+                if self.workers[name].listed_state == "gone" and self.random.random() < 0.5:
+                    del self.workers[name]
 
-        return act
+        return apply
 
-    def fetched(self) -> None:
-        """The answer to a manager that asks for the list."""
+    def send_requested_list(self) -> None:
+        """Respond to a request for the endpoint list, with the full list or a failure."""
         if self.random.random() < 0.4:
-            self.news([], "failed")
+            self.send_list_update([], "failed")
         else:
-            self.news(
-                [name for name, machine in self.machines.items() if machine.listed != "gone"],
+            self.send_list_update(
+                [name for name, worker in self.workers.items() if worker.listed_state != "gone"],
                 "whole",
             )
 
-    def ready(self) -> list[str]:
-        return [name for name, machine in self.machines.items() if machine.listed == "ready"]
+    def ready_workers(self) -> list[str]:
+        return [name for name, worker in self.workers.items() if worker.listed_state == "ready"]
 
-    def some(self, least: int, most: int) -> list[str]:
-        ready = self.ready()
+    def sample_ready_workers(self, min_workers: int, max_workers: int) -> list[str]:
+        ready = self.ready_workers()
         return self.random.sample(
-            ready, min(len(ready), self.random.randint(least, max(least, most)))
+            ready, min(len(ready), self.random.randint(min_workers, max(min_workers, max_workers)))
         )
 
-    def begin(self) -> None:
-        """The start, what goes on all the time, and incidents."""
+    def schedule_events(self) -> None:
+        """Schedule the start of the history, the regular reports, and random incidents."""
         random, end = self.random, self.end
-        if self.trade.must_subscribe and random.random() < 0.5:
-            self.at(1.0, self.fetched)
+        if self.settings.must_subscribe and random.random() < 0.5:
+            self.schedule(1.0, self.send_requested_list)
         else:
-            self.at(0.0, lambda: self.news(self.ready(), random.choice(["kept", "whole"])))
-        crowd = random.choice([0.1, 0.5, 5.0])
+            self.schedule(
+                0.0,
+                lambda: self.send_list_update(
+                    self.ready_workers(), random.choice(["kept", "whole"])
+                ),
+            )
+        connect_duration = random.choice([0.1, 0.5, 5.0])
         for proxy in range(self.proxies):
-            self.at(random.choice([0.0, 0.3]) + random.random() * crowd, self.joins(proxy))
-        every, when = random.choice([0.1, 0.5]), 0.5
-        lines = random.choice([60.0, 80.0, 200.0]) * every
+            self.schedule(
+                random.choice([0.0, 0.3]) + random.random() * connect_duration, self.connect(proxy)
+            )
+        interval, when = random.choice([0.1, 0.5]), 0.5
+        entry_count = random.choice([60.0, 80.0, 200.0]) * interval
         while when < end:
-            self.at(when, lambda: self.reports(max(1, int(lines))))
-            when += every
+            self.schedule(when, lambda: self.report_observations(max(1, int(entry_count))))
+            when += interval
         incidents = [
-            self.release,
-            self.release,
-            self.replaced,
-            self.lost,
-            self.whole,
-            self.storm,
-            self.bad,
-            self.cut,
-            self.zone_lost,
-            self.pin,
-            self.pin,
-            self.refuses,
-            self.churn,
-            self.reweighted,
-            self.slow_channel,
-            self.mutes,
-            self.oddities,
-            self.back_again,
-            self.silence,
-            self.halt,
+            self.rolling_release,
+            self.rolling_release,
+            self.replace_most_workers,
+            self.lose_workers,
+            self.send_full_list,
+            self.overload_workers,
+            self.fail_workers,
+            self.partition_managers,
+            self.lose_zone,
+            self.change_override,
+            self.change_override,
+            self.reject_orders,
+            self.reconnect_proxies,
+            self.change_weights,
+            self.slow_down_channel,
+            self.silence_proxies,
+            self.send_unusual_events,
+            self.return_workers,
+            self.pause_reports,
+            self.pause_manager,
         ]
         for name in (
-            self.some(1, 3) if random.random() < 0.5 else ()
-        ):  # bad for good, so that rests double
-            self.machines[name].state = random.choice(["failing", "failing", "silent", "jammed"])
+            self.sample_ready_workers(1, 3) if random.random() < 0.5 else ()
+        ):  # these workers never recover, so that their ejection times double
+            self.workers[name].state = random.choice(
+                ["failing", "failing", "unresponsive", "overloaded"]
+            )
         when = random.uniform(2.0, 6.0)
-        if random.random() < 0.3:  # a manager that begins in a jam, or beside workers that fail
-            self.at(0.1, random.choice([self.storm, self.bad]))
+        if random.random() < 0.3:  # the manager starts during an overload or with failing workers
+            self.schedule(0.1, random.choice([self.overload_workers, self.fail_workers]))
         while when < end:
-            self.at(when, random.choice(incidents))
+            self.schedule(when, random.choice(incidents))
             when += random.expovariate(1.0 / random.choice([1.0, 4.0]))
 
     # Proxies.
 
-    def joins(self, proxy: int, first: bool = True) -> Callable[[], None]:
-        def act() -> None:
-            self.mute.discard(proxy)
-            zone = self.joined.setdefault(proxy, self.random.choice(self.zones))
-            self.at(self.now, ProxyConnected(proxy, zone, self.random.choice(self.rates), first))
+    def connect(self, proxy: int, first: bool = True) -> Callable[[], None]:
+        def apply() -> None:
+            self.silent_proxies.discard(proxy)
+            zone = self.zone_by_proxy.setdefault(proxy, self.random.choice(self.zones))
+            self.schedule(
+                self.now, ProxyConnected(proxy, zone, self.random.choice(self.rates), first)
+            )
 
-        return act
+        return apply
 
-    def leaves(self, proxy: int) -> None:
-        if self.joined.pop(proxy, None) is not None:
-            self.at(self.now, ProxyDisconnected(proxy))
+    def disconnect(self, proxy: int) -> None:
+        if self.zone_by_proxy.pop(proxy, None) is not None:
+            self.schedule(self.now, ProxyDisconnected(proxy))
 
-    def churn(self) -> None:
-        """Some or most proxies leave, at once, and come back, as many or a few."""
-        self.said["churn"] += 1
+    def reconnect_proxies(self) -> None:
+        """Disconnect some, half or all of the proxies at once; some of them reconnect later."""
+        self.counts["churn"] += 1
         gone = self.random.sample(
-            sorted(self.joined), int(len(self.joined) * self.random.choice([0.1, 0.5, 1.0]))
+            sorted(self.zone_by_proxy),
+            int(len(self.zone_by_proxy) * self.random.choice([0.1, 0.5, 1.0])),
         )
         for proxy in gone:
             if (
                 self.random.random() < 0.2
-            ):  # its new stream comes before word that the old one ended
-                self.at(self.now + self.random.random(), self.joins(proxy, False))
+            ):  # the new connection is reported before the end of the old one
+                self.schedule(self.now + self.random.random(), self.connect(proxy, False))
                 continue
-            self.leaves(proxy)
+            self.disconnect(proxy)
             if self.random.random() < 0.8:
-                self.at(self.now + self.random.choice([0.2, 2.0, 6.0]), self.joins(proxy, False))
+                self.schedule(
+                    self.now + self.random.choice([0.2, 2.0, 6.0]), self.connect(proxy, False)
+                )
 
-    def mutes(self) -> None:
-        self.said["silent proxies"] += 1
+    def silence_proxies(self) -> None:
+        self.counts["silent proxies"] += 1
         gone = set(
-            self.random.sample(sorted(self.joined), len(self.joined) // self.random.choice([2, 5]))
+            self.random.sample(
+                sorted(self.zone_by_proxy), len(self.zone_by_proxy) // self.random.choice([2, 5])
+            )
         )
-        self.mute |= gone
-        self.at(
+        self.silent_proxies |= gone
+        self.schedule(
             self.now + self.random.choice([2.0, 8.0, 20.0]),
-            lambda: self.mute.difference_update(gone),
+            lambda: self.silent_proxies.difference_update(gone),
         )
 
-    def slow_channel(self) -> None:
-        self.said["a slow channel"] += 1
-        self.pace = self.random.choice([0.05, 0.25, 0.5])
-        self.at(self.now + self.random.uniform(2.0, 8.0), lambda: setattr(self, "pace", 1.0))
+    def slow_down_channel(self) -> None:
+        self.counts["slow channels"] += 1
+        self.channel_speed = self.random.choice([0.05, 0.25, 0.5])
+        self.schedule(
+            self.now + self.random.uniform(2.0, 8.0), lambda: setattr(self, "channel_speed", 1.0)
+        )
 
-    # Workers come and go.
+    # Changes of the set of workers.
+
+    def rolling_release(self) -> None:
+        """Run a rolling release: each batch drains, is removed, and restarts or is replaced."""
+        self.counts["releases"] += 1
+        names, are_replaced = self.sample_ready_workers(2, 60), self.random.random() < 0.5
+        batch_size, interval = self.random.choice([1, 5, 20]), self.random.choice([0.2, 1.0, 2.0])
+        for n in range(0, len(names), batch_size):
+            worker_batch, begin = names[n : n + batch_size], self.now + n // batch_size * interval
+            self.schedule(begin, self.change_state(worker_batch, "draining"))
+            self.schedule(begin + 2.0, self.change_state(worker_batch, "gone"))
+            self.schedule(
+                begin + self.random.choice([0.0, 2.5]),
+                self.start_workers(worker_batch, are_replaced),
+            )
 
-    def release(self) -> None:
-        """Rolling: each batch drains, goes, and starts again under its name, or others start in its
-        place.
-        """
-        self.said["releases"] += 1
-        names, anew = self.some(2, 60), self.random.random() < 0.5
-        batch, gap = self.random.choice([1, 5, 20]), self.random.choice([0.2, 1.0, 2.0])
-        for n in range(0, len(names), batch):
-            part, begin = names[n : n + batch], self.now + n // batch * gap
-            self.at(begin, self.move(part, "draining"))
-            self.at(begin + 2.0, self.move(part, "gone"))
-            self.at(begin + self.random.choice([0.0, 2.5]), self.starts(part, anew))
-
-    def starts(self, former: list[str], anew: bool) -> Callable[[], None]:
-        def act() -> None:
-            zones = [self.machines[name].zone for name in former if name in self.machines]
-            again = [name for name in former if name in self.machines]
-            self.move(
-                [self.machine(zone, self.now) for zone in zones] if anew else again,
+    def start_workers(self, previous: list[str], are_replaced: bool) -> Callable[[], None]:
+        def apply() -> None:
+            zones = [self.workers[name].zone for name in previous if name in self.workers]
+            restarted = [name for name in previous if name in self.workers]
+            self.change_state(
+                [self.add_worker(zone, self.now) for zone in zones] if are_replaced else restarted,
                 "ready",
                 self.now,
             )()
 
-        return act
-
-    def replaced(self) -> None:
-        """Most of the fleet at once by others, so that rows are free for new ones."""
-        self.said["replacements of most"] += 1
-        names = self.some(len(self.machines) // 2, len(self.machines) * 9 // 10)
-        self.at(self.now, self.starts(names, True))
-        self.at(self.now + 0.5, self.move(names, "draining"))
-        self.at(self.now + 3.0, self.move(names, "gone"))
-
-    def lost(self) -> None:
-        """Gone without a word, some to come back with or without a new start."""
-        self.said["losses"] += 1
-        names = self.some(1, len(self.machines) // 3)
-        self.move(names, "gone")()
+        return apply
+
+    def replace_most_workers(self) -> None:
+        """Replace most of the fleet at once, so that rows become free for new workers."""
+        self.counts["replacements of most"] += 1
+        names = self.sample_ready_workers(len(self.workers) // 2, len(self.workers) * 9 // 10)
+        self.schedule(self.now, self.start_workers(names, True))
+        self.schedule(self.now + 0.5, self.change_state(names, "draining"))
+        self.schedule(self.now + 3.0, self.change_state(names, "gone"))
+
+    def lose_workers(self) -> None:
+        """Remove workers without a drain; they may return later, with or without a restart."""
+        self.counts["losses"] += 1
+        names = self.sample_ready_workers(1, len(self.workers) // 3)
+        self.change_state(names, "gone")()
         if self.random.random() < 0.7:
-            back = self.now + self.random.choice([0.5, 5.0, 9.0])
-            self.at(back, self.move(names, "ready", back if self.random.random() < 0.5 else None))
-
-    def back_again(self) -> None:
-        self.said["come back"] += 1
-        gone = [name for name, machine in self.machines.items() if machine.listed != "ready"]
-        self.move(gone[:20], "ready", self.now - self.random.choice([0.0, 4.0, 40.0]))()
-        if self.random.random() < 0.5:  # and a few more than before
-            self.move(
-                [self.machine(since=self.now) for _ in range(self.random.randint(1, 10))],
+            return_at = self.now + self.random.choice([0.5, 5.0, 9.0])
+            self.schedule(
+                return_at,
+                self.change_state(
+                    names, "ready", return_at if self.random.random() < 0.5 else None
+                ),
+            )
+
+    def return_workers(self) -> None:
+        self.counts["returned workers"] += 1
+        gone = [name for name, worker in self.workers.items() if worker.listed_state != "ready"]
+        self.change_state(gone[:20], "ready", self.now - self.random.choice([0.0, 4.0, 40.0]))()
+        if self.random.random() < 0.5:  # some new workers in addition
+            self.change_state(
+                [self.add_worker(started_at=self.now) for _ in range(self.random.randint(1, 10))],
                 "ready",
                 self.now,
             )()
 
-    def whole(self) -> None:
-        form = self.random.choice(["whole", "whole", "kept", "failed", "failed"])
-        names = [name for name, machine in self.machines.items() if machine.listed != "gone"]
+    def send_full_list(self) -> None:
+        update_type = self.random.choice(["whole", "whole", "kept", "failed", "failed"])
+        names = [name for name, worker in self.workers.items() if worker.listed_state != "gone"]
         if (
-            form == "whole" and self.random.random() < 0.5
-        ):  # with some or all left out, and an order of its own
+            update_type == "whole" and self.random.random() < 0.5
+        ):  # a list in random order that leaves out some or all workers
             names = self.random.sample(names, len(names) * self.random.choice([4, 4, 4, 0]) // 5)
-            for name in self.machines.keys() - set(names):
-                self.machines[name].listed = "gone"
-        self.news([] if form == "failed" else names, form)
+            for name in self.workers.keys() - set(names):
+                self.workers[name].listed_state = "gone"
+        self.send_list_update([] if update_type == "failed" else names, update_type)
 
-    def reweighted(self) -> None:
-        self.said["weights listed anew"] += 1
-        names = self.some(1, 20)
+    def change_weights(self) -> None:
+        self.counts["changed listed weights"] += 1
+        names = self.sample_ready_workers(1, 20)
         for name in names:
-            self.machines[name].weight = self.random.choice([*self.weights, 0.0, None, 3.0])
+            self.workers[name].weight = self.random.choice([*self.weights, 0.0, None, 3.0])
             if self.random.random() < 0.3:
-                self.machines[name].zone = self.random.choice(self.zones)
+                self.workers[name].zone = self.random.choice(self.zones)
         if (
             names and self.random.random() < 0.2
-        ):  # told twice in one piece of news, from a clock that is ahead
-            machine = self.machines[names[0]]
-            machine.since = self.now + self.random.choice([0.5, 3.0])
+        ):  # an entry that is listed twice, with a start time from a clock that is ahead
+            worker = self.workers[names[0]]
+            worker.started_at = self.now + self.random.choice([0.5, 3.0])
             names = [*names, names[0]]
-        self.news(names)
+        self.send_list_update(names)
 
-    # What proxies meet.
+    # Observations of proxies.
 
-    def reports(self, lines: int) -> None:
-        names, zones = list(self.machines), sorted(set(self.joined.values())) or self.zones
-        if self.coarse:  # the next ones in turn
-            self.said["reports told coarsely"] += 1
+    def report_observations(self, entry_count: int) -> None:
+        names, zones = list(self.workers), sorted(set(self.zone_by_proxy.values())) or self.zones
+        if self.has_coarse_reports:  # report on the workers in rotation
+            self.counts["coarse reports"] += 1
             names = (
-                names[self.turned % len(names) :] + names[: self.turned % len(names)]
+                names[self.report_offset % len(names) :] + names[: self.report_offset % len(names)]
                 if names
                 else []
             )
-            names, self.turned = names[:lines], self.turned + lines
-        for _ in range(lines if names and self.load != "silence" else 0):
+            names, self.report_offset = names[:entry_count], self.report_offset + entry_count
+        for _ in range(entry_count if names and self.load_condition != "no reports" else 0):
             if self.random.random() < 0.25:
-                txns = self.random.randint(0, 40)
-                self.at(
+                requests = self.random.randint(0, 40)
+                self.schedule(
                     self.now,
                     DemandReported(
                         self.random.randrange(self.proxies),
-                        self.random.choice(self.trade.traffic_classes).name,
-                        txns,
-                        txns // 5 if self.load != "calm" else 0,
+                        self.random.choice(self.settings.traffic_classes).name,
+                        requests,
+                        requests // 5 if self.load_condition != "normal" else 0,
                         0.5,
                     ),
                 )
                 continue
             name = self.random.choice(names)
-            part, took = STATES[self.machines[name].state]
-            if self.load == "even":
-                part = 0.1
-            if self.load in ("storm", "late") and self.random.random() < 0.9:
-                part, took = max(part, 0.6), took if self.load == "late" else 1.2
-            tries = 10 if self.coarse else self.random.choice([1, 4, 12, 30, 2.5])
-            voided = (
-                round(10 * part)
-                if self.coarse
-                else sum(self.random.random() < part for _ in range(int(tries)))
+            failure_rate, latency = STATES[self.workers[name].state]
+            if self.load_condition == "even":
+                failure_rate = 0.1
+            if self.load_condition in ("overload", "late") and self.random.random() < 0.9:
+                failure_rate, latency = (
+                    max(failure_rate, 0.6),
+                    latency if self.load_condition == "late" else 1.2,
+                )
+            attempts = 10 if self.has_coarse_reports else self.random.choice([1, 4, 12, 30, 2.5])
+            failed = (
+                round(10 * failure_rate)
+                if self.has_coarse_reports
+                else sum(self.random.random() < failure_rate for _ in range(int(attempts)))
             )
             queue = (
                 {"queue": self.random.choice([0.0, 0.0, 3.0])} if self.random.random() < 0.3 else {}
             )
-            self.at(
+            self.schedule(
                 self.now,
                 EndpointReported(
                     self.random.choice(zones),
                     name,
-                    tries,
-                    voided,
-                    took if self.coarse else (took * self.random.uniform(0.7, 1.3)),
+                    attempts,
+                    failed,
+                    latency
+                    if self.has_coarse_reports
+                    else (latency * self.random.uniform(0.7, 1.3)),
                     0.5,
                     queue,
                     self.random.random() < 0.8,
                 ),
             )
 
-    def storm(self) -> None:
-        """All void and are slow, or void a tenth; word of it comes later than its end, so that
-        voids go on at a usual pace.
+    def overload_workers(self) -> None:
+        """Let attempts at all workers fail and be slow, or let a tenth of them fail.
+
+        Failures may be reported after the end of the overload, when latency is normal again.
         """
-        self.said["storms"] += 1
-        self.load, length = (
-            self.random.choice(["storm", "storm", "even"]),
+        self.counts["overloads"] += 1
+        self.load_condition, length = (
+            self.random.choice(["overload", "overload", "even"]),
             self.random.choice([0.5, 3.0, 10.0]),
         )
-        self.at(
-            self.now + length, lambda: setattr(self, "load", self.random.choice(["late", "calm"]))
+        self.schedule(
+            self.now + length,
+            lambda: setattr(self, "load_condition", self.random.choice(["late", "normal"])),
         )
-        self.at(self.now + length + 3.0, lambda: setattr(self, "load", "calm"))
-
-    def silence(self) -> None:
-        self.said["silence"] += 1
-        self.load = "silence"
-        self.at(
-            self.now + self.random.choice([2.0, 10.0, 20.0]), lambda: setattr(self, "load", "calm")
+        self.schedule(self.now + length + 3.0, lambda: setattr(self, "load_condition", "normal"))
+
+    def pause_reports(self) -> None:
+        self.counts["pauses without reports"] += 1
+        self.load_condition = "no reports"
+        self.schedule(
+            self.now + self.random.choice([2.0, 10.0, 20.0]),
+            lambda: setattr(self, "load_condition", "normal"),
         )
 
-    def halt(self) -> None:
-        """The manager gets no turn for so long, and then hears all at once."""
-        self.said["halts"] += 1
-        self.skip = self.random.choice([0.5, 5.0, 15.0])
+    def pause_manager(self) -> None:
+        """Pause the manager, which then receives all events at once."""
+        self.counts["manager pauses"] += 1
+        self.pause = self.random.choice([0.5, 5.0, 15.0])
 
-    def bad(self) -> None:
-        """A few or many workers fail, each in its way, for a while."""
-        self.said["bad workers"] += 1
-        names = self.some(1, self.random.choice([2, 5, len(self.machines) // 2]))
+    def fail_workers(self) -> None:
+        """Let some workers fail for a while, in the same way or in different ways."""
+        self.counts["failing workers"] += 1
+        names = self.sample_ready_workers(1, self.random.choice([2, 5, len(self.workers) // 2]))
         states = self.random.choice([list(STATES)[1:], [self.random.choice(list(STATES))]])
         for name in names:
-            self.machines[name].state = self.random.choice(states)
+            self.workers[name].state = self.random.choice(states)
 
-        def heal() -> None:
+        def recover() -> None:
             for name in names:
-                if name in self.machines:
-                    self.machines[name].state = "well"
+                if name in self.workers:
+                    self.workers[name].state = "healthy"
 
-        self.at(self.now + self.random.choice([3.0, 10.0, 25.0, 60.0]), heal)
+        self.schedule(self.now + self.random.choice([3.0, 10.0, 25.0, 60.0]), recover)
 
-    # Managers, operators, the guard.
+    # Other managers, operators and the guard.
 
-    def cut(self) -> None:
-        self.said["cuts"] += 1
-        self.at(
+    def partition_managers(self) -> None:
+        self.counts["partitions"] += 1
+        self.schedule(
             self.now,
             PartitionLimitsChanged(
                 self.random.choice([0.05, 0.1, 0.2]),
@@ -669,57 +739,61 @@
                 self.random.random() < 0.4,
             ),
         )
-        self.at(self.now + self.random.uniform(1.0, 15.0), PartitionLimitsChanged(0.2))
+        self.schedule(self.now + self.random.uniform(1.0, 15.0), PartitionLimitsChanged(0.2))
+
+    def lose_zone(self) -> None:
+        """Lose a zone: its proxies disconnect and its workers do not respond.
 
-    def zone_lost(self) -> None:
-        """Its proxies leave and its workers answer nobody; after a while both are there again, the
-        proxies one by one.
+        After a while the workers recover and the proxies reconnect one after the other.
         """
-        self.said["zones lost"] += 1
+        self.counts["zones lost"] += 1
         zone, after = self.random.choice(self.zones), self.random.choice([2.0, 8.0])
-        names = [name for name, machine in self.machines.items() if machine.zone == zone]
-        proxies = [proxy for proxy, its in self.joined.items() if its == zone]
+        names = [name for name, worker in self.workers.items() if worker.zone == zone]
+        proxies = [proxy for proxy, proxy_zone in self.zone_by_proxy.items() if proxy_zone == zone]
         for name in names:
-            self.machines[name].state = "silent"
+            self.workers[name].state = "unresponsive"
         for proxy in proxies:
-            self.leaves(proxy)
+            self.disconnect(proxy)
 
-        def back() -> None:
+        def restore() -> None:
             for name in names:
-                if name in self.machines:
-                    self.machines[name].state = "well"
+                if name in self.workers:
+                    self.workers[name].state = "healthy"
             for n, proxy in enumerate(proxies):
-                self.joined.setdefault(proxy, zone)
-                self.at(self.now + 0.3 * n, self.joins(proxy, False))
+                self.zone_by_proxy.setdefault(proxy, zone)
+                self.schedule(self.now + 0.3 * n, self.connect(proxy, False))
 
-        self.at(self.now + after, back)
+        self.schedule(self.now + after, restore)
 
-    def pin(self) -> None:
-        k = self.random.randrange(len(self.trade.traffic_classes))
-        names = [*self.some(1, 6), *(["10.99.0.1:80"] if self.random.random() < 0.2 else [])]
+    def change_override(self) -> None:
+        k = self.random.randrange(len(self.settings.traffic_classes))
+        names = [
+            *self.sample_ready_workers(1, 6),
+            *(["10.99.0.1:80"] if self.random.random() < 0.2 else []),
+        ]
         weights = tuple((name, self.random.choice([0.5, 1.0, 1.0, 0.0, None])) for name in names)
-        way = self.random.choice(["some", "others", "none used", "ended", "nobody"])
-        self.said[f"pins: {way}"] += 1
-        self.at(
+        kind = self.random.choice(["subset", "partial", "exclusion", "end", "empty subset"])
+        self.counts[f"overrides: {kind}"] += 1
+        self.schedule(
             self.now,
             {
-                "some": OverrideChanged(k, weights, False),
-                "others": OverrideChanged(k, weights, True),
-                "none used": OverrideChanged(k, tuple((name, 0.0) for name in names), True),
-                "ended": OverrideChanged(k),
-                "nobody": OverrideChanged(k, (), False),
-            }[way],
+                "subset": OverrideChanged(k, weights, False),
+                "partial": OverrideChanged(k, weights, True),
+                "exclusion": OverrideChanged(k, tuple((name, 0.0) for name in names), True),
+                "end": OverrideChanged(k),
+                "empty subset": OverrideChanged(k, (), False),
+            }[kind],
         )
 
-    def refuses(self) -> None:
+    def reject_orders(self) -> None:
         kinds: list[type] = [SetWeight, AssignTable, DeleteTable, SetEjected, SetAdmission]
         for kind in self.random.choice([kinds, [self.random.choice(kinds)], kinds[3:], kinds[3:]]):
-            self.refusing[kind] = self.random.choice([0.02, 0.2, 1.0])
-        self.at(self.now + self.random.choice([0.5, 3.0, 9.0]), self.refusing.clear)
+            self.rejection_rates[kind] = self.random.choice([0.02, 0.2, 1.0])
+        self.schedule(self.now + self.random.choice([0.5, 3.0, 9.0]), self.rejection_rates.clear)
 
-    def oddities(self) -> None:
-        """News that this module passes over, and some of who is not known."""
-        self.said["oddities"] += 1
+    def send_unusual_events(self) -> None:
+        """Send events that the module ignores, and events about unknown proxies or workers."""
+        self.counts["unusual events"] += 1
         for event in (
             PeerMessageReceived(2, "hello"),
             ShardAssigned(1, True),
@@ -730,17 +804,17 @@
             Acknowledged(9999, 1, 0.1),
             TimerFired(123456),
             EndpointReported("zone-0", "10.98.0.1:80", 5, 5, 0.2, 0.5),
-            EndpointReported("", next(iter(self.machines), ""), 0, 0, 0.0, 0.5),
+            EndpointReported("", next(iter(self.workers), ""), 0, 0, 0.0, 0.5),
             OverrideChanged(
-                len(self.trade.traffic_classes),
+                len(self.settings.traffic_classes),
                 (("10.98.0.1:80", 0.0),),
                 self.random.random() < 0.5,
             ),
             DemandReported(None, "no-product", 5, 0, 0.5),
             HealthCheckCompleted(
-                next(iter(self.machines), ""), self.random.random() < 0.5, "ok", 0.1, {}
+                next(iter(self.workers), ""), self.random.random() < 0.5, "ok", 0.1, {}
             ),
             HealthCheckCompleted("10.98.0.1:80", True, "ok", 0.1),
             OrderRejected(AssignTable(9999, (0,), 1), "unknown"),
         ):
-            self.at(self.now, event)
+            self.schedule(self.now, event)
--- a/tests/decision/reference_decisions.py
+++ b/tests/decision/reference_decisions.py
@@ -1,12 +1,13 @@
-"""Same decisions: the former decision module and the present one over the same generated histories.
+"""Compares the decision module with the reference model on generated histories.
 
 python -m tests.decision.reference_decisions --seeds 100:200 [--turns 2.0] [--shrink]
 
-A history is drawn from its seed alone: what a manager is told at its start, then turns of events.
-The former text (`tests/reference_model`) drives it in simulated time, as answers, probes, refusals
-and timers follow its orders; its orders are kept beside the events, and the present text gets the
-very same turns and must give the very same orders. Where only floats differ, by no more than a part
-in 1e9, that counts as rounding and the comparison goes on.
+A history is generated from its seed alone and consists of a manager's settings and turns with
+events. The reference model (`tests/reference_model`) drives the history in simulated time:
+acknowledgements, health check results, rejections and timers follow from its orders, which are
+recorded with the events. The decision module then gets the same turns and must return the same
+orders. Floats may differ by a relative error of 1e-9; such turns are counted as rounding and the
+comparison continues.
 """
 
 import argparse
@@ -34,17 +35,17 @@
     SetWeight,
 )
 from dunlinlug.decision.settings import ManagerSettings
-from tests.decision.histories import Surroundings
+from tests.decision.histories import SimulatedEnvironment
 
 Orders = list[Order]
-Decides = Any  # a Balancer of either text
-ROUNDING = 1e-9
+DecisionModule = Any  # a Balancer, of the decision module or of the reference model
+ROUNDING_TOLERANCE = 1e-9
 NUMBER = re.compile(r"\d+\.?\d*")
 
 
 @dataclass
 class Turn:
-    """One call: the clock in seconds, its events, and the former text's orders."""
+    """One call of `decide`: the clock in seconds, the events, and the reference model's orders."""
 
     now: float
     events: list[Event]
@@ -53,45 +54,57 @@
 
 @dataclass
 class History:
+    """A generated history; `counts` has how often each kind of event, order and block occurred."""
+
     seed: int
-    trade: ManagerSettings
+    settings: ManagerSettings
     turns: list[Turn]
     counts: Counter[str]
 
 
 @dataclass
 class Difference:
-    """The first one that is not of rounding, at this turn of the history."""
+    """The first turn of a history whose orders differ by more than rounding.
+
+    `actual` has the decision module's orders or, if it raised an exception, its description.
+    """
 
     history: History
-    place: int
-    present: Orders | str
+    turn_index: int
+    actual: Orders | str
 
     def report(self) -> str:
-        turn = self.history.turns[self.place]
+        turn = self.history.turns[self.turn_index]
         lines = [
-            f"seed {self.history.seed}, turn {self.place} of {len(self.history.turns)}, {turn.now:.3f} s",
-            f"trade: {told(self.history.trade)}",
+            f"seed {self.history.seed}, turn {self.turn_index} of {len(self.history.turns)}, {turn.now:.3f} s",
+            f"settings: {summarize(self.history.settings)}",
         ]
-        for earlier in self.history.turns[max(0, self.place - 3) : self.place]:
+        for earlier in self.history.turns[max(0, self.turn_index - 3) : self.turn_index]:
             lines += [f"  before, {earlier.now:.3f} s: {event}" for event in earlier.events[-6:]]
         lines += [f"  event: {event}" for event in turn.events[:12]]
-        if isinstance(self.present, str):
-            return "\n".join([*lines, f"  present text raised {self.present}"])
-        pairs = zip([*turn.orders, None], [*self.present, None], strict=False)
+        if isinstance(self.actual, str):
+            return "\n".join([*lines, f"  decision module raised {self.actual}"])
+        pairs = zip([*turn.orders, None], [*self.actual, None], strict=False)
         first = next(
-            (n for n, (a, b) in enumerate(pairs) if a is None or b is None or not alike(a, b)), 0
+            (
+                n
+                for n, (a, b) in enumerate(pairs)
+                if a is None or b is None or not equal_up_to_rounding(a, b)
+            ),
+            0,
         )
         lines.append(
-            f"  {len(turn.orders)} orders by the former, {len(self.present)} by the present; from {first} on:"
+            f"  {len(turn.orders)} orders expected, {len(self.actual)} returned; from order {first} on:"
         )
-        lines += [f"  former:  {order}" for order in turn.orders[first : first + 6]]
-        lines += [f"  present: {order}" for order in self.present[first : first + 6]]
+        lines += [f"  expected: {order}" for order in turn.orders[first : first + 6]]
+        lines += [f"  actual:   {order}" for order in self.actual[first : first + 6]]
         return "\n".join(lines)
 
 
 @dataclass
-class Verdict:
+class ComparisonResult:
+    """The result of replaying a history; `difference` is None if the orders are the same."""
+
     turns: int = 0
     rounding: list[str] = field(
         default_factory=list
@@ -99,134 +112,142 @@
     difference: Difference | None = None
 
 
-def told(trade: ManagerSettings) -> str:
+def summarize(settings: ManagerSettings) -> str:
     return (
-        str(replace(trade, traffic_classes=trade.traffic_classes[:2]))
-        + f" and {len(trade.traffic_classes)} products in all"
+        str(replace(settings, traffic_classes=settings.traffic_classes[:2]))
+        + f" and {len(settings.traffic_classes)} traffic classes in total"
     )
 
 
-def alike(former: Any, present: Any) -> bool:
-    """Equal but for rounding."""
-    if former == present:
+def equal_up_to_rounding(reference: Any, actual: Any) -> bool:
+    """Whether two values are equal except for rounding of floats."""
+    if reference == actual:
         return True
-    if type(former) is not type(present):
+    if type(reference) is not type(actual):
         return False
-    if isinstance(former, float):
-        return math.isclose(former, present, rel_tol=ROUNDING, abs_tol=ROUNDING)
+    if isinstance(reference, float):
+        return math.isclose(
+            reference, actual, rel_tol=ROUNDING_TOLERANCE, abs_tol=ROUNDING_TOLERANCE
+        )
     if isinstance(
-        former, LogMessage
-    ):  # its figures are printed to two places, so a last one may tip over
-        mine, other = (NUMBER.findall(note.text) for note in (former, present))
-        return NUMBER.sub("#", former.text) == NUMBER.sub("#", present.text) and all(
+        reference, LogMessage
+    ):  # numbers are printed with two decimals, so the last digit may be rounded differently
+        mine, other = (NUMBER.findall(message.text) for message in (reference, actual))
+        return NUMBER.sub("#", reference.text) == NUMBER.sub("#", actual.text) and all(
             abs(float(a) - float(b)) <= (0.0100001 if "." in a else 1.0)
             for a, b in zip(mine, other, strict=True)
         )
-    return hasattr(former, "__dataclass_fields__") and all(
-        alike(getattr(former, f.name), getattr(present, f.name)) for f in fields(former)
+    return hasattr(reference, "__dataclass_fields__") and all(
+        equal_up_to_rounding(getattr(reference, f.name), getattr(actual, f.name))
+        for f in fields(reference)
     )
 
 
 def record(
-    seed: int, scale: float = 1.0, make: Callable[[ManagerSettings], Decides] | None = None
+    seed: int, scale: float = 1.0, make: Callable[[ManagerSettings], DecisionModule] | None = None
 ) -> History:
-    """Play a history with the former text, its blocks counted unless `make` gives it."""
-    counts, around, turns = Counter[str](), Surroundings(seed, scale), []
-    former, blocks, ran = counted()
-    module = (make or former)(around.trade)
-    for now, events in around.turns():
+    """Generate a history with the reference model, counting its blocks unless `make` is given."""
+    counts, environment, turns = Counter[str](), SimulatedEnvironment(seed, scale), []
+    reference, blocks, block_counts = instrumented_reference_model()
+    module = (make or reference)(environment.settings)
+    for now, events in environment.turns():
         orders = module.decide(now, events)
-        around.obey(now, orders, module)
+        environment.apply_orders(now, orders, module)
         turns.append(Turn(now, events, orders))
         counts.update(f"event {type(event).__name__}" for event in events)
-        counts.update(map(kind, orders))
+        counts.update(map(order_kind, orders))
     counts["turns"] = len(turns)
     return History(
         seed,
-        around.trade,
+        environment.settings,
         turns,
-        counts + around.said + Counter(dict(zip(blocks, ran, strict=True))),
+        counts + environment.counts + Counter(dict(zip(blocks, block_counts, strict=True))),
     )
 
 
-def kind(order: Order) -> str:
+def order_kind(order: Order) -> str:
     name = type(order).__name__
     match order:
-        case SetEjected(_, out):
-            return f"order {name} {'out' if out else 'back'}"
+        case SetEjected(_, ejected):
+            return f"order {name} {'start' if ejected else 'end'}"
         case SetWeight(_, _, weight):
-            return f"order {name} {'taken away' if not weight else 'set'}"
-        case RequestAcknowledgement(_, everyone):
-            return f"order {name} {'to all' if everyone else 'to some'}"
-        case AssignTable(_, products, _) if len(products) > 1:
-            return f"order {name} of several products"
+            return f"order {name} {'removed' if not weight else 'set'}"
+        case RequestAcknowledgement(_, all_proxies):
+            return f"order {name} {'to all' if all_proxies else 'to some'}"
+        case AssignTable(_, traffic_classes, _) if len(traffic_classes) > 1:
+            return f"order {name} of several classes"
     return f"order {name}"
 
 
-def replay(history: History, make: Callable[[ManagerSettings], Decides] = Balancer) -> Verdict:
-    """Give the present text the history's turns, up to the first difference that is not of
-    rounding.
-    """
-    module, verdict = make(history.trade), Verdict()
-    for place, turn in enumerate(history.turns):
+def replay(
+    history: History, make: Callable[[ManagerSettings], DecisionModule] = Balancer
+) -> ComparisonResult:
+    """Pass the history's turns to the decision module, up to the first difference."""
+    module, result = make(history.settings), ComparisonResult()
+    for turn_index, turn in enumerate(history.turns):
         try:
             orders = module.decide(turn.now, turn.events)
-        except Exception as error:  # whatever it is, it is a difference, and told with its history
-            verdict.difference = Difference(history, place, f"{type(error).__name__}: {error}")
-            return verdict
-        verdict.turns += 1
+        except Exception as error:  # any exception counts as a difference and is reported
+            result.difference = Difference(history, turn_index, f"{type(error).__name__}: {error}")
+            return result
+        result.turns += 1
         if orders == turn.orders:
             continue
-        if len(orders) != len(turn.orders) or not all(map(alike, turn.orders, orders)):
-            verdict.difference = Difference(history, place, orders)
-            return verdict
+        if len(orders) != len(turn.orders) or not all(
+            map(equal_up_to_rounding, turn.orders, orders)
+        ):
+            result.difference = Difference(history, turn_index, orders)
+            return result
         first = next(pair for pair in zip(turn.orders, orders, strict=True) if pair[0] != pair[1])
-        verdict.rounding.append(
+        result.rounding.append(
             f"seed {history.seed}, {turn.now:.3f} s: {first[0]} became {first[1]}"
         )
-    return verdict
+    return result
 
 
 def shrink(
-    difference: Difference, make: Callable[[ManagerSettings], Decides] = Balancer, tries: int = 200
+    difference: Difference,
+    make: Callable[[ManagerSettings], DecisionModule] = Balancer,
+    max_attempts: int = 200,
 ) -> Difference:
-    """Cut turns, then events, for as long as the two texts still differ, each with this many tries.
-    The rest stays as it was, so a cut history may hold answers to marks that were never given;
-    both texts pass over those.
+    """Remove turns, then events, while the two modules still differ, with `max_attempts` each.
+
+    The remaining events are unchanged, so a shortened history may contain acknowledgements of
+    numbers that were never requested. Both modules ignore those.
     """
-    from tests.reference_model.balance import Balancer as Former
+    from tests.reference_model.balance import Balancer as ReferenceBalancer
 
-    def differs(cut: list[tuple[float, tuple[Event, ...]]]) -> bool:
+    def differs(shortened: list[tuple[float, tuple[Event, ...]]]) -> bool:
         nonlocal best
-        former, turns = Former(difference.history.trade), []
+        reference, turns = ReferenceBalancer(difference.history.settings), []
         try:
-            for now, part in itertools.groupby(cut, lambda piece: piece[0]):
+            for now, part in itertools.groupby(shortened, lambda piece: piece[0]):
                 events = [event for _, each in part for event in each]
-                turns.append(Turn(now, events, former.decide(now, events)))
-        except Exception:  # cut so that the model itself breaks: no cut at all
+                turns.append(Turn(now, events, reference.decide(now, events)))
+        except Exception:  # the reference model fails on this shortened history, so reject it
             return False
         found = replay(replace(best.history, turns=turns), make).difference
         best = found or best
         return found is not None
 
-    turns = difference.history.turns[: difference.place + 1]
+    turns = difference.history.turns[: difference.turn_index + 1]
     best = replace(difference, history=replace(difference.history, turns=turns))
-    less([(turn.now, tuple(turn.events)) for turn in turns], differs, tries)
-    less(
+    reduce_pieces([(turn.now, tuple(turn.events)) for turn in turns], differs, max_attempts)
+    reduce_pieces(
         [(turn.now, (event,)) for turn in best.history.turns for event in turn.events],
         differs,
-        tries,
+        max_attempts,
     )
     return best
 
 
-def less(pieces: list[Any], fits: Callable[[list[Any]], bool], tries: int) -> None:
-    """Leave out ever smaller parts, as long as what is left fits."""
+def reduce_pieces(pieces: list[Any], fits: Callable[[list[Any]], bool], max_attempts: int) -> None:
+    """Remove parts of decreasing size while `fits` accepts the remaining pieces."""
     size = len(pieces) // 2
-    while size and tries > 0:
+    while size and max_attempts > 0:
         begin = 0
-        while begin < len(pieces) and tries > 0:
-            tries -= 1
+        while begin < len(pieces) and max_attempts > 0:
+            max_attempts -= 1
             rest = pieces[:begin] + pieces[begin + size :]
             if fits(rest):
                 pieces = rest
@@ -235,11 +256,9 @@
         size //= 2
 
 
-# Counting what of the former text ran: a counter at the head of each block and of each arm of a
-# conditional.
-
+class _BlockCounter(ast.NodeTransformer):
+    """Inserts a counter into each block and each arm of a conditional expression."""
 
-class _Blocks(ast.NodeTransformer):
     def __init__(self) -> None:
         self.names, self.within = list[str](), ""
 
@@ -248,7 +267,7 @@
         return len(self.names) - 1
 
     def _block(self, body: list[ast.stmt], what: str) -> list[ast.stmt]:
-        call = ast.parse(f"_ran[{self._number(body[0], what)}] += 1").body[0]
+        call = ast.parse(f"_counts[{self._number(body[0], what)}] += 1").body[0]
         head = 1 if isinstance(body[0], ast.Expr) and isinstance(body[0].value, ast.Constant) else 0
         return body[:head] + [ast.copy_location(call, body[0])] + body[head:]
 
@@ -280,7 +299,7 @@
         for arm, what in (("body", "arm"), ("orelse", "other arm")):
             inner = getattr(node, arm)
             call = ast.Call(
-                ast.Name("_passed", ast.Load()),
+                ast.Name("_count", ast.Load()),
                 [ast.Constant(self._number(inner, what)), inner],
                 [],
             )
@@ -288,39 +307,48 @@
         return node
 
 
-def counted() -> tuple[Callable[[ManagerSettings], Decides], list[str], list[int]]:
-    """The former Balancer with its blocks counted: their names, by function, line and column of
-    `tests/reference_model/balance.py`, and how often each has run."""
-    former, blocks, ran = (
+def instrumented_reference_model() -> tuple[
+    Callable[[ManagerSettings], DecisionModule], list[str], list[int]
+]:
+    """Return the reference model's Balancer with counted blocks, the block names and the counts.
+
+    A block's name has its function, line and column in `tests/reference_model/balance.py`.
+    """
+    reference, blocks, block_counts = (
         importlib.import_module("tests.reference_model.balance"),
-        _Blocks(),
+        _BlockCounter(),
         list[int](),
     )
-    tree = ast.fix_missing_locations(blocks.visit(ast.parse(inspect.getsource(former))))
-    ran.extend([0] * len(blocks.names))
+    tree = ast.fix_missing_locations(blocks.visit(ast.parse(inspect.getsource(reference))))
+    block_counts.extend([0] * len(blocks.names))
 
-    def passed(number: int, value: Any) -> Any:
-        ran[number] += 1
+    def count(number: int, value: Any) -> Any:
+        block_counts[number] += 1
         return value
 
     return (
-        made(compile(tree, str(former.__file__), "exec"), {"_ran": ran, "_passed": passed}),
+        execute_module(
+            compile(tree, str(reference.__file__), "exec"),
+            {"_counts": block_counts, "_count": count},
+        ),
         blocks.names,
-        ran,
+        block_counts,
     )
 
 
-def made(code: types.CodeType, given: dict[str, Any]) -> Callable[[ManagerSettings], Decides]:
-    """The Balancer of a text of its own."""
-    module = types.ModuleType("a_text_of_its_own")
-    module.__dict__.update(given)
-    sys.modules[module.__name__] = module  # dataclasses look their module up
+def execute_module(
+    code: types.CodeType, namespace: dict[str, Any]
+) -> Callable[[ManagerSettings], DecisionModule]:
+    """Execute a module's code and return its Balancer class."""
+    module = types.ModuleType("instrumented_reference_model")
+    module.__dict__.update(namespace)
+    sys.modules[module.__name__] = module  # dataclasses look up their module by name
     exec(code, module.__dict__)
     return module.Balancer
 
 
-def seeds(text: str) -> range:
-    """`7`, `100:200` or `17:1000:20`."""
+def parse_seeds(text: str) -> range:
+    """Parse a range of seeds: `7`, `100:200` or `17:1000:20`."""
     first, *rest = map(int, text.split(":"))
     return range(first, *rest) if rest else range(first, first + 1)
 
@@ -329,33 +357,35 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", default="0:20")
     parser.add_argument(
-        "--turns", type=float, default=1.0, help="times the usual length of a history"
+        "--turns", type=float, default=1.0, help="factor on the default length of a history"
     )
     parser.add_argument("--shrink", action="store_true")
-    parser.add_argument("--counts", action="store_true", help="print what was covered")
+    parser.add_argument(
+        "--counts", action="store_true", help="print counts of events, orders and blocks"
+    )
     args = parser.parse_args()
     counts, events, turns, found, rounding = Counter[str](), 0, 0, 0, 0
-    for place, seed in enumerate(seeds(args.seeds), 1):
+    for seed_count, seed in enumerate(parse_seeds(args.seeds), 1):
         history = record(seed, args.turns)
-        verdict = replay(history)
+        result = replay(history)
         counts.update(history.counts)
         events += sum(len(turn.events) for turn in history.turns)
-        turns, rounding = turns + verdict.turns, rounding + len(verdict.rounding)
-        print(*verdict.rounding[:3], sep="\n", end="\n" if verdict.rounding else "", flush=True)
-        if verdict.difference:
+        turns, rounding = turns + result.turns, rounding + len(result.rounding)
+        print(*result.rounding[:3], sep="\n", end="\n" if result.rounding else "", flush=True)
+        if result.difference:
             found += 1
-            difference = shrink(verdict.difference) if args.shrink else verdict.difference
+            difference = shrink(result.difference) if args.shrink else result.difference
             print(difference.report(), flush=True)
-        if place % 100 == 0:
+        if seed_count % 100 == 0:
             print(
-                f"to seed {seed}: {turns} turns, {events} events, {found} differences",
+                f"up to seed {seed}: {turns} turns, {events} events, {found} differences",
                 file=sys.stderr,
                 flush=True,
             )
     if args.counts:
         print(*(f"{n:9d} {name}" for name, n in sorted(counts.items())), sep="\n")
     print(
-        f"seeds {args.seeds}: {turns} turns, {events} events, {found} differences, {rounding} turns of rounding"
+        f"seeds {args.seeds}: {turns} turns, {events} events, {found} differences, {rounding} turns with rounding"
     )
     sys.exit(1 if found else 0)
 
--- a/tests/decision/state/test_state_models.py
+++ b/tests/decision/state/test_state_models.py
@@ -377,4 +377,4 @@
         detector.recovery_limits,
     )
     assert {len(column) for column in columns} == {len(model.module.state.fleet.ids)}
-    assert len(model.module.state.fleet.ids) <= 16 and not model.broken
+    assert len(model.module.state.fleet.ids) <= 16 and not model.violated_rules
--- a/tests/decision/test_reference_decisions.py
+++ b/tests/decision/test_reference_decisions.py
@@ -1,5 +1,6 @@
-"""The decision module orders what the reference model does, over generated histories: see
-`reference_decisions.py`.
+"""The decision module must return the same orders as the reference model on generated histories.
+
+`reference_decisions.py` has the comparison, and `histories.py` the generator.
 """
 
 import ast
@@ -23,12 +24,19 @@
 from dunlinlug.decision.events import Event
 from dunlinlug.decision.orders import LogMessage, SetEjected, SetWeight
 from tests.decision import reference_decisions
-from tests.decision.reference_decisions import Decides, History, alike, record, replay, shrink
+from tests.decision.reference_decisions import (
+    DecisionModule,
+    History,
+    equal_up_to_rounding,
+    record,
+    replay,
+    shrink,
+)
 from tests.reference_model.balance import Balancer as ReferenceBalancer
 
-# Chosen so that among them they hold what is rare: the first show all the faults below, two have
-# 1,000 workers and more, four of the last a tie that the last bit of a sum decides, and the last one
-# lists that fail.
+# Chosen to cover rare cases: the first ones detect all the faults below, two have at least 1,000
+# workers, four near the end have ties that the last bit of a sum decides, and the last one has
+# failing list requests.
 SEEDS = (
     33,
     5,
@@ -60,18 +68,18 @@
     2153,
     8,
 )
-ROUNDING = 0  # turns whose orders may differ by rounding
+MAX_ROUNDING = 0  # number of turns whose orders may differ by rounding
 
-# Of these at least so many over all seeds, else the histories leave out what is to be compared.
+# Minimum counts over all seeds; below them, the histories would not cover what must be compared.
 MIN_COUNTS = {
     "turns": 10000,
     "order SetWeight set": 50000,
-    "order SetWeight taken away": 200,
+    "order SetWeight removed": 200,
     "order DeleteTable": 2000,
     "order AssignTable": 10000,
-    "order AssignTable of several products": 200,
-    "order SetEjected out": 1000,
-    "order SetEjected back": 1000,
+    "order AssignTable of several classes": 200,
+    "order SetEjected start": 1000,
+    "order SetEjected end": 1000,
     "order SetAdmission": 10000,
     "order RequestAcknowledgement to all": 150,
     "order RequestAcknowledgement to some": 500,
@@ -94,11 +102,11 @@
     "event Acknowledged": 5000,
     "event OrderRejected": 500,
     "event OverrideChanged": 40,
-    "refused SetWeight": 150,
-    "refused DeleteTable": 20,
-    "refused AssignTable": 100,
-    "refused SetEjected": 20,
-    "refused SetAdmission": 20,
+    "rejected SetWeight": 150,
+    "rejected DeleteTable": 20,
+    "rejected AssignTable": 100,
+    "rejected SetEjected": 20,
+    "rejected SetAdmission": 20,
     "lists changes": 1000,
     "lists whole": 40,
     "lists kept": 10,
@@ -107,31 +115,31 @@
     "losses": 20,
     "replacements of most": 20,
     "churn": 20,
-    "storms": 20,
-    "cuts": 20,
+    "overloads": 20,
+    "partitions": 20,
     "zones lost": 20,
     "silent proxies": 20,
-    "pins: some": 10,
-    "pins: others": 10,
-    "pins: none used": 10,
-    "pins: ended": 5,
-    "pins: nobody": 10,
-    "marks that nobody answers": 200,
-    "come back": 20,
-    "weights listed anew": 20,
-    "a slow channel": 20,
-    "silence": 10,
-    "halts": 10,
-    "reports told coarsely": 500,
-    "turns with small tables in use": 1000,
-    "turns with small tables to stay": 500,
+    "overrides: subset": 10,
+    "overrides: partial": 10,
+    "overrides: exclusion": 10,
+    "overrides: end": 5,
+    "overrides: empty subset": 10,
+    "replies that are never acknowledged": 200,
+    "returned workers": 20,
+    "changed listed weights": 20,
+    "slow channels": 20,
+    "pauses without reports": 10,
+    "manager pauses": 10,
+    "coarse reports": 500,
+    "turns with subsets in use": 1000,
+    "turns on a constrained channel": 500,
     "turns with a level of 0.05": 100,
     "turns with a level of 0.50": 100,
     "turns with a level of 0.90": 100,
 }
 
-# The module's text with one small fault each: what stands there once, and what is put for it. Both
-# are written as `ast.unparse` lays a text out, so that formatting doesn't matter.
+# Small faults in the decision module: source text that occurs exactly once, and its replacement.
+# Both are written as formatted by `ast.unparse`, so that they do not depend on the formatter.
 FAULTS = {
     "a constant of outlier statistics": ("HALF_LIFE = 0.8", "HALF_LIFE = 0.81"),
     "a constant of contrast": ("MIN_FAILURE_CONTRAST = 3.0", "MIN_FAILURE_CONTRAST = 2.5"),
@@ -155,13 +163,16 @@
         "min(state.parameters.default_retry_policy, 1)",
         "state.parameters.default_retry_policy",
     ),
-    "queues that end an overload": (
+    "empty queues that end an overload": (
         "median(self.queue_lengths) < 1.0",
         "median(self.queue_lengths) < 0.0",
     ),
-    "the first proxy back": ("all((other.zone != event.zone", "any((other.zone != event.zone"),
+    "the first proxy of a zone that reconnects": (
+        "all((other.zone != event.zone",
+        "any((other.zone != event.zone",
+    ),
     "new entries of ejected rows": ("- (ejected - installed.keys())", ""),
-    "an override that leaves nobody": (
+    "an override without usable endpoints": (
         "return default_weights if ejected >= effective_weights.keys() else effective_weights",
         "return effective_weights",
     ),
@@ -170,14 +181,14 @@
         "is_due",
     ),
     "rows that are reused": ("reusable_rows.pop(0)", "reusable_rows.pop()"),
-    "fails with a cause": (
+    "an exception": (
         "state.overrides[event.traffic_class] = event",
         "state.overrides[event.traffic_class] = event[0]",
     ),
 }
 
-# The records that histories are made of. They stay the same classes in a faulty copy, so that its
-# orders compare equal to those of the reference model.
+# Modules with the records that histories consist of. A faulty copy uses the same classes, so that
+# its orders compare equal to those of the reference model.
 SHARED_MODULES = {
     "dunlinlug.decision.events",
     "dunlinlug.decision.orders",
@@ -187,19 +198,20 @@
 
 @pytest.fixture(scope="module")
 def histories() -> Iterator[list[History]]:
-    """They stay, some hundred thousand events: not to be gone through at each collection of
-    garbage.
+    """Generate the histories once for all tests.
+
+    Their several hundred thousand events are kept, so they are excluded from garbage collection.
     """
-    played = []
+    recorded = []
     for seed in SEEDS:
-        played.append(record(seed))
+        recorded.append(record(seed))
         gc.freeze()
-    yield played
+    yield recorded
     gc.unfreeze()
 
 
-class TextLoader(SourceFileLoader):
-    """Loads a module from a text instead of its file, with the file's name in tracebacks."""
+class SourceTextLoader(SourceFileLoader):
+    """Loads a module from a source text instead of its file; tracebacks have the file's name."""
 
     def __init__(self, name: str, path: str, text: str) -> None:
         super().__init__(name, path)
@@ -209,25 +221,26 @@
         return compile(self.text, self.path, "exec")
 
 
-class TextFinder(MetaPathFinder):
-    """Finds the modules whose texts it has; all others are found as usual."""
+class SourceTextFinder(MetaPathFinder):
+    """Finds modules for which a source text is given; leaves all others to the other finders."""
 
-    def __init__(self, texts: dict[str, str]) -> None:
-        self.texts = texts
+    def __init__(self, sources: dict[str, str]) -> None:
+        self.sources = sources
 
     def find_spec(
         self, fullname: str, path: Sequence[str] | None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        spec = PathFinder.find_spec(fullname, path, target) if fullname in self.texts else None
+        spec = PathFinder.find_spec(fullname, path, target) if fullname in self.sources else None
         if spec is not None and spec.origin is not None:
-            spec.loader = TextLoader(fullname, spec.origin, self.texts[fullname])
+            spec.loader = SourceTextLoader(fullname, spec.origin, self.sources[fullname])
         return spec
 
 
 @cache
-def decision_texts() -> dict[str, str]:
-    """By name, the normalised text of each module that decides: `dunlinlug.balance` and all of
-    `dunlinlug.decision` but the shared records.
+def decision_sources() -> dict[str, str]:
+    """Return the normalised source text of each decision module by name.
+
+    These are `dunlinlug.balance` and all modules of `dunlinlug.decision` except `SHARED_MODULES`.
     """
     walked = pkgutil.walk_packages(decision.__path__, f"{decision.__name__}.")
     names = {balance.__name__, decision.__name__, *(module.name for module in walked)}
@@ -238,23 +251,23 @@
     }
 
 
-def faulty(old: str, new: str) -> type[Decides]:
-    """The present Balancer with this fault, wherever in the decision modules its text stands.
+def faulty_balancer(old: str, new: str) -> type[DecisionModule]:
+    """Return the Balancer with this fault in the decision module that contains the old text.
 
-    All of them are loaded anew, as they import each other, and are forgotten again afterwards.
+    All decision modules are loaded again, as they import each other, and removed afterwards.
     """
-    places = [name for name, text in decision_texts().items() for _ in range(text.count(old))]
-    assert len(places) == 1, f"one place expected for this fault, found {places}: {old}"
-    texts = {name: text.replace(old, new) for name, text in decision_texts().items()}
-    finder = TextFinder(texts)
+    places = [name for name, text in decision_sources().items() for _ in range(text.count(old))]
+    assert len(places) == 1, f"expected the text of this fault exactly once, found {places}: {old}"
+    sources = {name: text.replace(old, new) for name, text in decision_sources().items()}
+    finder = SourceTextFinder(sources)
     with (
         patch.dict(sys.modules),
         patch.object(sys, "meta_path", [finder, *sys.meta_path]),
-        # An import also binds the module in its parent package, which stays.
+        # An import also binds the module in its parent package; the binding is restored.
         patch.object(dunlinlug, "balance", balance),
         patch.object(dunlinlug, "decision", decision),
     ):
-        for name in texts:
+        for name in sources:
             del sys.modules[name]
         return importlib.import_module(balance.__name__).Balancer
 
@@ -262,26 +275,26 @@
 def test_the_module_gives_the_reference_models_orders(histories: list[History]) -> None:
     rounding = list[str]()
     for history in histories:
-        verdict = replay(history)
-        assert verdict.difference is None, verdict.difference.report()
-        assert verdict.turns == len(history.turns) > 0
-        rounding += verdict.rounding
-    assert len(rounding) <= ROUNDING, "\n".join(rounding)
+        result = replay(history)
+        assert result.difference is None, result.difference.report()
+        assert result.turns == len(history.turns) > 0
+        rounding += result.rounding
+    assert len(rounding) <= MAX_ROUNDING, "\n".join(rounding)
 
 
-def test_the_histories_hold_every_kind_of_order_and_event(histories: list[History]) -> None:
+def test_the_histories_contain_every_kind_of_order_and_event(histories: list[History]) -> None:
     counts = sum((history.counts for history in histories), Counter[str]())
     too_few = {
         name: (counts[name], minimum)
         for name, minimum in MIN_COUNTS.items()
         if counts[name] < minimum
     }
-    assert not too_few, f"too few (counted, least): {too_few}"
+    assert not too_few, f"too few (counted, minimum): {too_few}"
     assert {f"event {kind.__name__}" for kind in Event.__args__} <= MIN_COUNTS.keys()
 
 
-def test_every_block_of_the_reference_model_ran(histories: list[History]) -> None:
-    _, blocks, _ = reference_decisions.counted()
+def test_every_block_of_the_reference_model_is_executed(histories: list[History]) -> None:
+    _, blocks, _ = reference_decisions.instrumented_reference_model()
     counts = sum((history.counts for history in histories), Counter[str]())
     assert len(blocks) > 180
     assert not [name for name in blocks if not counts[name]]
@@ -289,52 +302,60 @@
 
 def test_counting_blocks_changes_no_decision(histories: list[History]) -> None:
     for history in histories[5:8]:
-        assert replay(history, ReferenceBalancer) == reference_decisions.Verdict(len(history.turns))
+        assert replay(history, ReferenceBalancer) == reference_decisions.ComparisonResult(
+            len(history.turns)
+        )
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_small_fault_of_the_module_is_seen(histories: list[History], name: str) -> None:
-    make = faulty(*FAULTS[name])
+def test_a_small_fault_in_the_decision_module_is_detected(
+    histories: list[History], name: str
+) -> None:
+    make = faulty_balancer(*FAULTS[name])
     difference = next(
         filter(None, (replay(history, make).difference for history in histories)), None
     )
     assert difference is not None
     report = difference.report()
-    assert f"seed {difference.history.seed}, turn {difference.place} of" in report
+    assert f"seed {difference.history.seed}, turn {difference.turn_index} of" in report
     assert (
-        "present text raised TypeError" if name == "fails with a cause" else "by the present; from"
+        "decision module raised TypeError" if name == "an exception" else "returned; from order"
     ) in report
 
 
-def test_a_history_is_cut_to_what_shows_the_difference(histories: list[History]) -> None:
-    make = faulty(*FAULTS["the order of ejections"])
+def test_a_history_is_shortened_while_it_shows_the_difference(histories: list[History]) -> None:
+    make = faulty_balancer(*FAULTS["the order of ejections"])
     difference = next(filter(None, (replay(history, make).difference for history in histories)))
-    cut = shrink(difference, make, tries=60)
-    assert len(cut.history.turns) < difference.place / 2
+    shortened = shrink(difference, make, max_attempts=60)
+    assert len(shortened.history.turns) < difference.turn_index / 2
     assert (
-        sum(len(turn.events) for turn in cut.history.turns)
-        < sum(len(turn.events) for turn in difference.history.turns[: difference.place]) / 2
+        sum(len(turn.events) for turn in shortened.history.turns)
+        < sum(len(turn.events) for turn in difference.history.turns[: difference.turn_index]) / 2
     )
-    assert replay(cut.history, make).difference is not None
-    assert replay(cut.history, ReferenceBalancer).difference is None
-
-
-def test_rounding_is_distinguished_from_another_order() -> None:
-    share, other = SetWeight(1, "w", 0.3), SetWeight(1, "w", 0.1 + 0.2)
-    assert share != other and alike(share, other)
-    assert not alike(share, SetWeight(1, "w", 0.30001)) and not alike(share, SetWeight(2, "w", 0.3))
-    assert not alike(share, SetEjected("w", True))
-    assert alike(LogMessage("a to 0.5: 0.12 of 7 tries"), LogMessage("a to 0.5: 0.13 of 7 tries"))
-    assert not alike(
+    assert replay(shortened.history, make).difference is not None
+    assert replay(shortened.history, ReferenceBalancer).difference is None
+
+
+def test_rounding_is_distinguished_from_a_different_order() -> None:
+    weight, other = SetWeight(1, "w", 0.3), SetWeight(1, "w", 0.1 + 0.2)
+    assert weight != other and equal_up_to_rounding(weight, other)
+    assert not equal_up_to_rounding(
+        weight, SetWeight(1, "w", 0.30001)
+    ) and not equal_up_to_rounding(weight, SetWeight(2, "w", 0.3))
+    assert not equal_up_to_rounding(weight, SetEjected("w", True))
+    assert equal_up_to_rounding(
+        LogMessage("a to 0.5: 0.12 of 7 tries"), LogMessage("a to 0.5: 0.13 of 7 tries")
+    )
+    assert not equal_up_to_rounding(
         LogMessage("a to 0.5: 0.12 of 7 tries"), LogMessage("a to 0.5: 0.14 of 7 tries")
     )
-    assert not alike(LogMessage("a out"), LogMessage("b out"))
+    assert not equal_up_to_rounding(LogMessage("a out"), LogMessage("b out"))
 
 
-def test_other_rounding_is_listed_and_is_no_difference(
+def test_different_rounding_is_counted_and_is_no_difference(
     histories: list[History],
 ) -> None:
-    make = faulty(
+    make = faulty_balancer(
         "SLOW_START_STEP * (1 + step)",
         "SLOW_START_STEP * 1.0000000000001 * (1 + step)",
     )
--- a/tests/recorded/record_decisions.py
+++ b/tests/recorded/record_decisions.py
@@ -24,7 +24,7 @@
 from dunlinlug.decision.events import Event
 from dunlinlug.decision.settings import ManagerSettings
 from dunlinlug.simulator.host import serve
-from tests.decision.histories import Surroundings
+from tests.decision.histories import SimulatedEnvironment
 from tests.recorded.neutral_decisions import (
     event_from,
     neutral_event,
@@ -54,11 +54,11 @@
 
 def history_lines(seed: int) -> Iterator[str]:
     """The settings, and then each turn of a drawn history with the orders of the module under test."""
-    around = Surroundings(seed, SCALE)
-    former, module = Former(around.trade), Balancer(around.trade)
-    yield text_of(neutral_settings(around.trade))
+    around = SimulatedEnvironment(seed, SCALE)
+    former, module = Former(around.settings), Balancer(around.settings)
+    yield text_of(neutral_settings(around.settings))
     for now, events in around.turns():
-        around.obey(now, former.decide(now, events), former)
+        around.apply_orders(now, former.decide(now, events), former)
         yield turn_line(module, now, events)
 
 
--- a/tests/recorded/record_fleet.py
+++ b/tests/recorded/record_fleet.py
@@ -18,7 +18,7 @@
 from dunlinlug.fleet.membership import codec as members_codec
 from dunlinlug.fleet.ownership import log
 from dunlinlug.manager.installed_tables import InstalledTable
-from tests.decision.histories import Surroundings
+from tests.decision.histories import SimulatedEnvironment
 from tests.recorded import fleet_examples as examples
 from tests.recorded import fleet_facts
 
@@ -78,21 +78,21 @@
 
 def lived_module() -> tuple[Balancer, list[tuple[float, list[Any]]]]:
     """A module after some turns of a history, and the turns that come next."""
-    surroundings = Surroundings(HISTORY)
-    module = Balancer(surroundings.trade)
+    surroundings = SimulatedEnvironment(HISTORY)
+    module = Balancer(surroundings.settings)
     turns = surroundings.turns()
     for _ in range(TURNS):
         now, events = next(turns)
-        surroundings.obey(now, module.decide(now, events), module)
+        surroundings.apply_orders(now, module.decide(now, events), module)
     # The history answers orders, so a copy goes on to tell what comes next.
     copy, _ = replicated_state.deserialize_snapshot(
-        replicated_state.serialize_snapshot(module, standing(now)), surroundings.trade
+        replicated_state.serialize_snapshot(module, standing(now)), surroundings.settings
     )
     following = []
     for _ in range(MORE_TURNS):
         now, events = next(turns)
         following.append((now, events))
-        surroundings.obey(now, copy.decide(now, events), copy)
+        surroundings.apply_orders(now, copy.decide(now, events), copy)
     return module, following
 
 
--- a/tests/recorded/test_decisions.py
+++ b/tests/recorded/test_decisions.py
@@ -19,7 +19,7 @@
     SetTimer,
     SetWeight,
 )
-from tests.decision.histories import Surroundings
+from tests.decision.histories import SimulatedEnvironment
 from tests.recorded.neutral_decisions import (
     event_from,
     neutral_event,
@@ -80,9 +80,11 @@
 def test_every_kind_of_event_is_read_as_it_was_written() -> None:
     seen = set[str]()
     for seed in range(12):
-        around = Surroundings(seed, SCALE)
-        module = Balancer(around.trade)
-        assert settings_from(json.loads(text_of(neutral_settings(around.trade)))) == around.trade
+        around = SimulatedEnvironment(seed, SCALE)
+        module = Balancer(around.settings)
+        assert (
+            settings_from(json.loads(text_of(neutral_settings(around.settings)))) == around.settings
+        )
         for now, events in around.turns():
             module.decide(now, events)
             for event in events:
--- a/tests/recorded/test_fleet_bytes.py
+++ b/tests/recorded/test_fleet_bytes.py
@@ -15,7 +15,7 @@
 from dunlinlug.fleet.membership.messages import Broadcast
 from dunlinlug.fleet.ownership import log, shared_health_checks
 from dunlinlug.fleet.ownership import messages as owner
-from tests.decision.histories import Surroundings
+from tests.decision.histories import SimulatedEnvironment
 from tests.recorded import fleet_examples as examples
 from tests.recorded import fleet_facts
 from tests.recorded import record_fleet as record
@@ -106,7 +106,7 @@
 def test_a_recorded_whole_is_read_and_written_again() -> None:
     body = (record.DATA / "whole.bin").read_bytes()
     module, standing = replicated_state.deserialize_snapshot(
-        body, Surroundings(record.HISTORY).trade
+        body, SimulatedEnvironment(record.HISTORY).settings
     )
     expected = record.standing(standing.now)
     for name in (
@@ -145,7 +145,7 @@
 
 
 def test_recorded_batches_lead_from_the_recorded_whole_to_the_next() -> None:
-    trade = Surroundings(record.HISTORY).trade
+    trade = SimulatedEnvironment(record.HISTORY).settings
     module, _ = replicated_state.deserialize_snapshot(
         (record.DATA / "whole.bin").read_bytes(), trade
     )
--- a/tests/recorded/test_wire_forms.py
+++ b/tests/recorded/test_wire_forms.py
@@ -160,7 +160,7 @@
 
 
 def test_a_module_with_fields_unknown_or_missing_is_refused() -> None:
-    trade = record.Surroundings(record.HISTORY).trade
+    trade = record.SimulatedEnvironment(record.HISTORY).settings
     found = module_state.fields_of(lived())
     for name in found:
         with pytest.raises(FieldFormError, match="missing") as caught:
