--- a/dunlinlug/decision/flow_control.py
+++ b/dunlinlug/decision/flow_control.py
@@ -15,14 +15,14 @@
 from dunlinlug.decision.settings import ChannelSettings
 from dunlinlug.decision.state.pending_acks import PendingAcks
 
-# Longest queue, in seconds needed to drain it, at which a table change may begin. Other orders are
-# limited to a multiple of it: two or three times for table switches, four for ejections and
-# admission.
+# Longest queue, in seconds needed to drain it, at which a table change may begin. Other orders may
+# be sent behind a multiple of it: two or three times for table switches, four times for admission
+# and for ejections that the safety rules do not require.
 BASE_DRAIN_TIME = 0.5
 
 
 class Priority(IntEnum):
-    """Priority of an order; lower priorities leave more of the channel's capacity free."""
+    """Priority of an order; less urgent orders leave more of the channel's capacity free."""
 
     MANDATORY = 0  # required by the safety rules
     HEALTH = 1
--- a/dunlinlug/decision/outlier_detection.py
+++ b/dunlinlug/decision/outlier_detection.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class PeerConditions:
-    """Statistics of all endpoints that receive traffic at full weight, for comparison."""
+    """Statistics of the peers: endpoints whose weight limit is at least `OVERLOADED_LIMIT`."""
 
     best_failure_rate: float  # upper bound of the best quarter
     median_latency: float  # seconds
@@ -64,7 +64,7 @@
     # load that an endpoint can handle while warming up.
     PROBATION_TIME = 3.0
     PROBATION_LIMIT = 0.25
-    # Limit of an overloaded endpoint; a limit of 0.25 shifted too much load to the others.
+    # Limit of an overloaded endpoint; a limit of 0.25 would shift too much load to the others.
     OVERLOADED_LIMIT = 0.5
     # An endpoint is close to overload at this multiple of the median latency, measured over at
     # least this many succeeded attempts.
--- a/tests/decision/histories.py
+++ b/tests/decision/histories.py
@@ -98,11 +98,11 @@
     sizes = {19: LARGE, 17: EVEN}.get(seed % 20) or random.choices(
         SIZES, [size[-1] for size in SIZES]
     )[0][:4]
-    (min_workers, max_workers), (min_proxies, max_proxies), products, turns = sizes
+    (min_workers, max_workers), (min_proxies, max_proxies), class_counts, turns = sizes
     workers, proxies, n = (
         random.randint(min_workers, max_workers),
         random.randint(min_proxies, max_proxies),
-        random.choice(products),
+        random.choice(class_counts),
     )
     is_even = sizes is EVEN
     same_zone_choice = random.choice(["none", "none", "all", "some"][: 1 if is_even else 4])
--- a/tests/decision/test_reference_decisions.py
+++ b/tests/decision/test_reference_decisions.py
@@ -146,7 +146,7 @@
     "a constant of ejection times": ("MAX_EJECTION_TIME = 16.0", "MAX_EJECTION_TIME = 10.0"),
     "a constant of admission": ("DECREASE_FACTOR = 0.7", "DECREASE_FACTOR = 0.69"),
     "a constant of deletion": ("TABLE_RETENTION = 2.0", "TABLE_RETENTION = 2.1"),
-    "a constant of small tables": ("HOT_SUBSET_RATIO = 1.25", "HOT_SUBSET_RATIO = 1.3"),
+    "a constant of subsets": ("HOT_SUBSET_RATIO = 1.25", "HOT_SUBSET_RATIO = 1.3"),
     "the order of ejections": (
         "key=lambda row: (row in desired.weight_fractions, row)",
         "key=lambda row: (row not in desired.weight_fractions, row)",
--- a/tests/decision/test_subsets.py
+++ b/tests/decision/test_subsets.py
@@ -68,7 +68,7 @@
 
 
 def table_sizes(model: Model) -> set[int]:
-    return {len(lines) for p in model.connected_at for _, lines in model.applied[p].values()}
+    return {len(entries) for p in model.connected_at for _, entries in model.applied[p].values()}
 
 
 def test_no_proxy_is_sent_a_full_table_and_every_endpoint_is_in_use() -> None:
@@ -100,7 +100,7 @@
     began = model.now
     while model.now < began + 30.0:
         report(model, 0.5)
-        max_queued = max(max_queued, sum(lines for _, lines, _ in model.queue))
+        max_queued = max(max_queued, sum(entries for _, entries, _ in model.queue))
     now = set(installed_weights(model))
     assert {endpoint(n).id for n in range(60, 90)} <= now, "no proxy uses some new endpoint"
     assert not any(
