--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""Limits of the house that no tool checks."""
+"""Architecture rules that no linter checks: policy files without I/O, and no import cycles."""
 
 import ast
 import graphlib
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_policy_files_of_the_deployment_are_there_and_free_of_io() -> None:
+def test_the_policy_files_of_the_deployment_exist_and_do_no_io() -> None:
     entries = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     files = list[Path]()
     for entry in entries:
@@ -37,10 +37,11 @@
 
 
 def package_of(module: str) -> str:
-    """The package below dunlinlug that a dotted name belongs to, or the module itself outside one.
+    """Return the package that a dotted name below dunlinlug belongs to.
 
-    What lies inside `decision` counts as one package: `decision.state` uses the records of
-    `decision.events`; that no two modules of it import each other is held by the test of modules.
+    It is the module itself if that is in no package. Subpackages of `decision` count as one package,
+    because `decision.state` uses the records of `decision.events`; import cycles inside it are found
+    by the test of modules.
     """
     names = module.split(".")
     while len(names) > 1 and not (ROOT / "dunlinlug" / Path(*names)).is_dir():
@@ -49,7 +50,7 @@
 
 
 def module_of(dotted: str) -> str:
-    """The module that a dotted name below dunlinlug stands for, or stands in."""
+    """Return the module that a dotted name below dunlinlug names, or whose member it names."""
     names = dotted.split(".")
     while len(names) > 1 and not (
         (ROOT / "dunlinlug" / Path(*names)).is_dir()
@@ -60,7 +61,7 @@
 
 
 def imports() -> Iterator[tuple[str, str]]:
-    """Each import between modules of dunlinlug: who imports, and what, as dotted names."""
+    """Yield each import between modules of dunlinlug: the importer and the imported dotted name."""
     for file in (ROOT / "dunlinlug").rglob("*.py"):
         path = file.relative_to(ROOT / "dunlinlug").with_suffix("")
         importer = ".".join(path.parts[:-1] if path.name == "__init__" else path.parts)
@@ -73,15 +74,15 @@
                     yield importer, f"{node.module}.{name.name}".removeprefix("dunlinlug.")
 
 
-def test_imports_between_packages_run_one_way() -> None:
-    arrows = dict[str, set[str]]()
+def test_imports_between_packages_have_no_cycle() -> None:
+    dependencies = dict[str, set[str]]()
     for importer, imported in imports():
         package = package_of(importer)
-        arrows.setdefault(package, set()).update({package_of(imported)} - {package})
-    assert len(arrows) > 20
-    # Raises CycleError, which names the cycle.
-    list(graphlib.TopologicalSorter(arrows).static_order())
-    assert not arrows["platform"] & {
+        dependencies.setdefault(package, set()).update({package_of(imported)} - {package})
+    assert len(dependencies) > 20
+    # Raises CycleError, whose message lists the modules of the cycle.
+    list(graphlib.TopologicalSorter(dependencies).static_order())
+    assert not dependencies["platform"] & {
         "ads",
         "xds",
         "rpc",
@@ -91,9 +92,9 @@
     }
 
 
-def test_imports_between_modules_run_one_way() -> None:
-    arrows = dict[str, set[str]]()
+def test_imports_between_modules_have_no_cycle() -> None:
+    dependencies = dict[str, set[str]]()
     for importer, imported in imports():
-        arrows.setdefault(importer, set()).update({module_of(imported)} - {importer})
-    assert len(arrows) > 100
-    list(graphlib.TopologicalSorter(arrows).static_order())
+        dependencies.setdefault(importer, set()).update({module_of(imported)} - {importer})
+    assert len(dependencies) > 100
+    list(graphlib.TopologicalSorter(dependencies).static_order())
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -11,13 +11,13 @@
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "dunlinlug"
-# Records of what was so on their day, and a list of names as they were before.
-RECORDS = {"docs/results.md", "CHANGELOG.md"}
+# Records of past measurements and releases: they may name what the tree no longer has.
+RECORD_PAGES = {"docs/results.md", "CHANGELOG.md"}
 PAGES = sorted(
     page
     for pattern in ("*.md", "docs/*.md")
     for page in ROOT.glob(pattern)
-    if str(page.relative_to(ROOT)) not in RECORDS
+    if str(page.relative_to(ROOT)) not in RECORD_PAGES
 )
 GLOSSARY = ROOT / "docs" / "glossary.md"
 SOURCE_FOLDERS = ("dunlinlug", "tests", "bench")
@@ -29,7 +29,7 @@
 LINK = re.compile(r"\]\(([^)#\s]*)(?:#([^)\s]*))?\)")
 PATH = re.compile(rf"(?<![\w./-])(?:{'|'.join(TOP_FOLDERS)})/[\w./*-]*")
 FILE = re.compile(r"(?<![\w./*<-])[\w/-]+\.(?:py|md|ini|toml)(?![\w/])")
-# Such as FILE or NAME, for the reader to fill in.
+# A word such as FILE or NAME, which the reader replaces.
 PLACEHOLDER = re.compile(r"\b[A-Z]{2,}\b(?!\.md)")
 MODULE = re.compile(r"(?<![\w./-])(?:dunlinlug|tests|bench)(?:\.\w+)+")
 SYMBOL = re.compile(r"(?<![\w.])[A-Z][a-z0-9]+(?:[A-Z][a-z0-9]*)+(?:\.\w+)?")
@@ -38,7 +38,7 @@
     r"(?:admin|channel|connection|discovery|election|guard|manager|member|membership|members|module|override"
     r"|owner|ownership|peer|pin|proxy|reload|report|roster|settings|store|succession)\.(?:[a-z_]+|\*)"
 )
-# Names outside the tree that pages have to spell out: other programs' keys, headers and settings.
+# Names from other programs that pages use: their keys, headers and settings.
 OUTSIDE_NAMES = frozenset(
     {
         "per_try_timeout",  # a field of Envoy's retry policy, of which protobuf has the class
@@ -47,19 +47,20 @@
 
 
 def source_files() -> Iterator[Path]:
-    """Every Python file of the tree but this one."""
+    """Yield each Python file of the tree except this one."""
     for folder in SOURCE_FOLDERS:
         yield from set((ROOT / folder).rglob("*.py")) - {Path(__file__)}
 
 
 def docstring_nodes(tree: ast.AST) -> set[int]:
-    """The ids of the nodes that hold docstrings, or other strings that are evaluated for nothing."""
+    """Return the ids of the nodes of docstrings and of other strings whose value is not used."""
     return {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}
 
 
 def names_of(tree: ast.AST) -> Iterator[str]:
-    """What a module defines or uses by name, and every word of its strings; no comment or
-    docstring.
+    """Yield the names that a module defines or uses, and each word of its strings.
+
+    Words of comments and docstrings are left out.
     """
     docstrings = docstring_nodes(tree)
     for node in ast.walk(tree):
@@ -81,7 +82,7 @@
 
 @cache
 def names_in_code() -> frozenset[str]:
-    """Every name that the tree's code has, names of modules among them."""
+    """Return every name in the code of the tree, including the names of modules."""
     names = {file.stem for file in source_files()}
     for file in source_files():
         names.update(names_of(ast.parse(file.read_text())))
@@ -90,7 +91,7 @@
 
 @cache
 def strings_in_code() -> frozenset[str]:
-    """Every whole string of the package, such as keys on the wire."""
+    """Return every complete string literal of the package, such as keys on the wire."""
     return frozenset(
         node.value
         for file in PACKAGE.rglob("*.py")
@@ -101,7 +102,7 @@
 
 @cache
 def names_in_settings() -> frozenset[str]:
-    """Keys and values of the INI files, and of what starts the program on the platform."""
+    """Return the keys and values of the INI files, the files under deploy/ and pyproject.toml."""
     files = [
         *ROOT.rglob("days/**/*.ini"),
         *ROOT.glob("deploy/**/*.*"),
@@ -112,28 +113,28 @@
 
 
 def is_log_event(event: str) -> bool:
-    """Whether the package has this log event; `part.*` stands for all of a part."""
+    """Return whether the package logs this event; `prefix.*` matches any event with the prefix."""
     if event.endswith(".*"):
         return any(each.startswith(event[:-1]) for each in strings_in_code())
     return event in strings_in_code()
 
 
 def definitions(file: Path) -> set[str]:
-    """What a module defines: classes, functions, constants, fields, methods and parameters."""
-    found: set[str] = set()
+    """Return what a module defines: classes, functions, variables, attributes and parameters."""
+    names: set[str] = set()
     for node in ast.walk(ast.parse(file.read_text())):
         match node:
             case ast.ClassDef() | ast.FunctionDef() | ast.AsyncFunctionDef():
-                found.add(node.name)
+                names.add(node.name)
             case ast.Name(id=name, ctx=ast.Store()) | ast.Attribute(attr=name, ctx=ast.Store()):
-                found.add(name)
+                names.add(name)
             case ast.arg(arg=name):
-                found.add(name)
-    return found
+                names.add(name)
+    return names
 
 
 def anchors(page: Path) -> set[str]:
-    """The anchors of a page's headings, as a forge makes them."""
+    """Return the anchors that code hosting sites make of a page's headings."""
     return {
         re.sub(r"[^\w\- ]", "", heading.lower()).replace(" ", "-")
         for heading in HEADING.findall(page.read_text())
@@ -141,7 +142,7 @@
 
 
 def missing_links(text: str, page: Path) -> Iterator[str]:
-    """Links to a page, a file or a heading that is not there."""
+    """Yield each link to a page, a file or a heading that does not exist."""
     for target, anchor in LINK.findall(text):
         if "://" in target:
             continue
@@ -153,7 +154,7 @@
 
 
 def missing_paths(code: str, page: Path) -> Iterator[str]:
-    """Paths and file names that are not in the tree."""
+    """Yield each path and file name that is not in the tree."""
     for path in PATH.findall(code):
         if not any(ROOT.glob(PLACEHOLDER.sub("*", path.rstrip("/").rstrip(".")))):
             yield f"path {path}"
@@ -167,14 +168,14 @@
 
 
 def missing_modules(code: str) -> Iterator[str]:
-    """Dotted names that are neither a module of the tree nor something in one."""
+    """Yield each dotted name that is neither a module of the tree nor a member of one."""
     for module in MODULE.findall(code):
-        if not is_name_on_wire(module) and not is_module_or_member(module):
+        if not is_string_in_code(module) and not is_module_or_member(module):
             yield f"module {module}"
 
 
 def missing_symbols(code: str) -> Iterator[str]:
-    """Names of classes, functions, constants, keys and log events that no code has."""
+    """Yield each class, function, constant, key and log event that is not in the code."""
     for symbol in SYMBOL.findall(code):
         if any(word not in names_in_code() for word in symbol.split(".")):
             yield f"symbol {symbol}"
@@ -186,8 +187,8 @@
             yield f"name {identifier}"
 
 
-def missing(text: str, page: Path) -> Iterator[str]:
-    """What a page names and the tree does not have."""
+def missing_references(text: str, page: Path) -> Iterator[str]:
+    """Yield each reference of a page that does not resolve in the tree."""
     yield from missing_links(text, page)
     for code in CODE.findall(text):
         yield from missing_paths(code, page)
@@ -198,8 +199,11 @@
         yield from missing_modules(block)
 
 
-def is_name_on_wire(dotted: str) -> bool:
-    """Whether the package writes this name, such as a load metric's; a placeholder ends it."""
+def is_string_in_code(dotted: str) -> bool:
+    """Return whether the package has this name as a string, up to the first placeholder.
+
+    An example is the name of a load metric.
+    """
     prefix = PLACEHOLDER.split(dotted)[0]
     if prefix == dotted:
         return dotted in strings_in_code()
@@ -207,14 +211,14 @@
 
 
 def module_file(dotted: str) -> Path | None:
-    """The file of a module or package of the tree; None if there is none."""
+    """Return the file of a module or package of the tree; None if it does not exist."""
     path = ROOT.joinpath(*dotted.split("."))
     candidates = (path.with_suffix(".py"), path / "__init__.py")
     return next((candidate for candidate in candidates if candidate.is_file()), None)
 
 
 def is_module_or_member(dotted: str) -> bool:
-    """Whether a dotted name is a module of the tree, or something that stands in one."""
+    """Return whether a dotted name is a module of the tree, or a member of one."""
     parts = dotted.split(".")
     for count in range(len(parts), 0, -1):
         path = ROOT.joinpath(*parts[:count])
@@ -226,7 +230,7 @@
 
 
 def glossary_rows() -> list[tuple[str, str]]:
-    """Of each row of the glossary the code's term and the module."""
+    """Return the term used in code and its module, for each row of the glossary."""
     rows = []
     for line in GLOSSARY.read_text().splitlines():
         cells = [cell.strip() for cell in line.strip("|").split("|")]
@@ -237,12 +241,12 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
-def test_a_page_names_what_is_in_the_tree(page: Path) -> None:
-    assert sorted(set(missing(page.read_text(), page))) == []
+def test_references_of_a_page_resolve_in_the_tree(page: Path) -> None:
+    assert sorted(set(missing_references(page.read_text(), page))) == []
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
-def test_examples_in_python_import_what_is_there(page: Path) -> None:
+def test_python_examples_import_only_existing_names(page: Path) -> None:
     for block in PYTHON_BLOCK.findall(page.read_text()):
         for node in ast.walk(ast.parse(block)):
             if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("dunlinlug"):
@@ -251,7 +255,7 @@
                 assert {alias.name for alias in node.names} <= definitions(file)
 
 
-def test_each_term_of_the_glossary_stands_where_it_says() -> None:
+def test_each_term_of_the_glossary_is_defined_in_the_module_it_names() -> None:
     misplaced = []
     for term, where in glossary_rows():
         files = [ROOT / path for path in CODE.findall(where)]
@@ -272,13 +276,13 @@
     assert misplaced == []
 
 
-def test_every_page_is_reached_from_the_readme() -> None:
+def test_the_readme_links_to_every_page() -> None:
     linked = {target for target, _ in LINK.findall((ROOT / "README.md").read_text())}
     pages = {str(page.relative_to(ROOT)) for page in ROOT.glob("docs/*.md")}
     assert pages - linked == set()
 
 
-def test_pages_that_code_and_settings_name_are_there() -> None:
+def test_pages_named_in_code_and_settings_exist() -> None:
     files = {ROOT / "dev", ROOT / ".ci" / "run", *source_files()}
     files.update(
         file
@@ -294,29 +298,29 @@
     assert sorted(link for link in named if not (ROOT / link[1]).exists()) == []
 
 
-def test_what_is_gone_is_seen() -> None:
-    gone = (
-        "`dunlinlug/nowhere.py` [x](gone.md) [y](README.md#nothing-here) `dunlinlug.balance.Nobody` "
-        "`NobodyHere(1)` `nobody.py` `guard/nobody.py` `nobody_here` `proxy.gone`\n"
-        "    python -m bench.nothing\n"
+def test_missing_references_are_found() -> None:
+    text = (
+        "`dunlinlug/absent.py` [x](absent.md) [y](README.md#absent-heading) `dunlinlug.balance.Absent` "
+        "`AbsentClass(1)` `absent.py` `guard/absent.py` `absent_name` `proxy.absent`\n"
+        "    python -m bench.absent\n"
     )
-    found = list(missing(gone, ROOT / "README.md"))
+    found = list(missing_references(text, ROOT / "README.md"))
     assert sorted(set(found)) == [
-        "anchor README.md#nothing-here",
-        "file guard/nobody.py",
-        "file nobody.py",
-        "link gone.md",
-        "log event proxy.gone",
-        "module bench.nothing",
-        "module dunlinlug.balance.Nobody",
-        "name nobody_here",
-        "path dunlinlug/nowhere.py",
-        "symbol NobodyHere",
+        "anchor README.md#absent-heading",
+        "file absent.py",
+        "file guard/absent.py",
+        "link absent.md",
+        "log event proxy.absent",
+        "module bench.absent",
+        "module dunlinlug.balance.Absent",
+        "name absent_name",
+        "path dunlinlug/absent.py",
+        "symbol AbsentClass",
     ]
 
 
-def test_what_only_a_comment_names_is_not_in_the_code() -> None:
+def test_names_in_comments_and_docstrings_do_not_count_as_code() -> None:
     tree = ast.parse(
-        '"""Docs name Ghost."""\nx = 1  # ghost_name\n"only a phantom"\ny = "real word"\n'
+        '"""Docstring of Absent."""\nx = 1  # absent_name\n"unused string"\ny = "used string"\n'
     )
-    assert set(names_of(tree)) == {"x", "y", "real", "word"}
+    assert set(names_of(tree)) == {"x", "y", "used", "string"}
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Test processes that run side by side are given different ports."""
+"""Test processes that run at the same time allocate different ports."""
 
 import subprocess
 import sys
@@ -6,8 +6,8 @@
 
 ROOT = Path(__file__).parent.parent
 ANSWER_TIMEOUT_S = 60.0
-# Draws as every other of these processes does, and keeps what it got until its input ends.
-DRAW = """
+# Draws the same random candidates in each process, and holds its ports until standard input ends.
+ALLOCATION_SCRIPT = """
 import sys
 from random import Random
 from unittest.mock import patch
@@ -16,16 +16,18 @@
     print({call}, flush=True)
 sys.stdin.read()
 """
-TESTS = DRAW.format(module="tests.fixtures.ports", function="free_ports", call="*free_ports(3)")
-SCALE = DRAW.format(
+TESTS_SCRIPT = ALLOCATION_SCRIPT.format(
+    module="tests.fixtures.ports", function="free_ports", call="*free_ports(3)"
+)
+SCALE_SCRIPT = ALLOCATION_SCRIPT.format(
     module="bench.scale.stage",
     function="places",
     call="*(port for _, port in places(['a', 'b', 'c']).values())",
 )
 
 
-def test_processes_that_draw_alike_are_given_different_ports() -> None:
-    """Guards against an address in use where several test processes run at once."""
+def test_processes_with_the_same_random_candidates_allocate_different_ports() -> None:
+    """Guards against \"address already in use\" when several test processes run at once."""
     processes = [
         subprocess.Popen(
             [sys.executable, "-c", text],
@@ -34,12 +36,12 @@
             stdout=subprocess.PIPE,
             text=True,
         )
-        for text in (TESTS, TESTS, SCALE, SCALE)
+        for text in (TESTS_SCRIPT, TESTS_SCRIPT, SCALE_SCRIPT, SCALE_SCRIPT)
     ]
     try:
-        drawn = [process.stdout.readline().split() for process in processes if process.stdout]
+        allocated = [process.stdout.readline().split() for process in processes if process.stdout]
     finally:
         for process in processes:
             process.communicate(timeout=ANSWER_TIMEOUT_S)
-    assert [len(ports) for ports in drawn] == [3, 3, 3, 3]
-    assert len({port for ports in drawn for port in ports}) == 12
+    assert [len(ports) for ports in allocated] == [3, 3, 3, 3]
+    assert len({port for ports in allocated for port in ports}) == 12
