--- a/tests/scenarios/broken_manager.py
+++ b/tests/scenarios/broken_manager.py
@@ -1,10 +1,10 @@
-"""A manager broken on purpose: `broken_manager.py FAULT FILE`; the audit must find each fault.
+"""A manager with an injected fault, which the audit must find: `broken_manager.py FAULT FILE`.
 
-ramp          the decision module takes endpoints that are warming up for warm
-withdrawals   endpoints are never ejected, and drains are not noticed
-tables        from some time on, tables are assigned without entries
-retries       failed requests are retried although they may not run again
-pace          entries are sent as soon as they are ordered
+ramp          the decision module treats endpoints that are warming up as warm
+withdrawals   endpoints are never ejected, and drains are ignored
+tables        after a delay, tables are assigned without entries
+retries       failed requests are retried even if they are not idempotent
+pace          table entries are sent at once, without the channel's pacing
 """
 
 import sys
@@ -20,11 +20,13 @@
 from dunlinlug.decision.settings import ManagerSettings
 from dunlinlug.manager.channel import PacedChannel
 
-CARELESS_AFTER = 3.0  # seconds from the start: before the hard scenario's first drain
+# Seconds from the first batch after which `tables` removes entries; the hard scenario's first drain
+# is later.
+EMPTY_TABLES_DELAY_S = 3.0
 
 
-def with_false_entries(event: Event, **fields: object) -> Event:
-    """An update of the endpoint list with a false field in every entry that is not gone."""
+def with_altered_entries(event: Event, **fields: object) -> Event:
+    """Return an endpoint list update with these fields replaced in each entry that is not gone."""
     if not isinstance(event, EndpointsUpdated):
         return event
     return replace(
@@ -37,7 +39,7 @@
 
 
 class BrokenModule:
-    """The decision module with false events, or with its orders changed."""
+    """The decision module, with the events it receives or the orders it returns altered."""
 
     def __init__(self, fault: str, settings: ManagerSettings) -> None:
         self.fault = fault
@@ -47,23 +49,24 @@
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
         if self.fault == "ramp":
-            events = [with_false_entries(event, started_at=None) for event in events]
+            events = [with_altered_entries(event, started_at=None) for event in events]
         if self.fault == "withdrawals":
-            # Without this, the staged update alone would be quick enough on a small fleet.
-            events = [with_false_entries(event, state="ready") for event in events]
+            # Drains are hidden too: on a small fleet, the staged table update that follows a drain
+            # is fast enough to keep the rule without an ejection.
+            events = [with_altered_entries(event, state="ready") for event in events]
         orders = self.module.decide(now, events)
         if self.fault == "withdrawals":
             return [order for order in orders if not isinstance(order, SetEjected)]
         self.first_batch_at = min(self.first_batch_at, now)
-        # The first tables are good, so that proxies have one to stay on.
-        if self.fault == "tables" and now >= self.first_batch_at + CARELESS_AFTER:
+        # The first tables have entries, so that proxies have a usable table to keep.
+        if self.fault == "tables" and now >= self.first_batch_at + EMPTY_TABLES_DELAY_S:
             return [order for order in orders if not isinstance(order, SetWeight)]
         if self.fault == "retries":
             return self.with_retries(orders)
         return orders
 
     def with_retries(self, orders: list[Order]) -> list[Order]:
-        """The orders, but with retries after any failure in every table."""
+        """Return the orders, with retries after any failure allowed in every table."""
         tables = dict.fromkeys(order.table_id for order in orders if isinstance(order, SetWeight))
         admissions = [
             SetAdmission(table_id, traffic_class, 2, 1.0)
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Whole scenarios through real sockets, judged by the records of the stand-ins."""
+"""Complete scenarios over real sockets, checked by the audit of the stand-ins' records."""
 
 import json
 import sys
@@ -24,10 +24,10 @@
 
 SCENARIOS = Path(__file__).parents[2] / "days"
 TOKEN = "a-token-of-the-tests"
-SHIPPED = sorted(path.stem for path in SCENARIOS.glob("*.ini"))
+SHIPPED_NAMES = sorted(path.stem for path in SCENARIOS.glob("*.ini"))
 
 
-async def play(
+async def run_scenario(
     scenario_file: Path, folder: Path, manager: Sequence[str] = MANAGER_COMMAND
 ) -> records.Records:
     await ScenarioRunner(scenario_file, folder, manager).run()
@@ -35,18 +35,18 @@
 
 
 async def test_the_shipped_scenarios_keep_the_rules(tmp_path: Path) -> None:
-    """All at once: a busy machine is one more fault."""
+    """All scenarios run at the same time: the busy machine delays their processes."""
     records_by_name: dict[str, records.Records] = {}
 
-    async def play_one(name: str) -> None:
-        records_by_name[name] = await play(SCENARIOS / f"{name}.ini", tmp_path / name)
+    async def run_one(name: str) -> None:
+        records_by_name[name] = await run_scenario(SCENARIOS / f"{name}.ini", tmp_path / name)
 
     async with trio.open_nursery() as nursery:
-        for name in SHIPPED:
-            nursery.start_soon(play_one, name)
-    violations = {name: rules.find_violations(records_by_name[name]) for name in SHIPPED}
-    assert violations == {name: [] for name in SHIPPED}
-    for name in SHIPPED:
+        for name in SHIPPED_NAMES:
+            nursery.start_soon(run_one, name)
+    violations = {name: rules.find_violations(records_by_name[name]) for name in SHIPPED_NAMES}
+    assert violations == {name: [] for name in SHIPPED_NAMES}
+    for name in SHIPPED_NAMES:
         summary = figures.summarize(records_by_name[name])
         assert summary.served_fraction > 0.3, (name, summary)
         assert sum(summary.outcomes.values()) > 300, (name, summary)
@@ -55,26 +55,29 @@
     assert len(faults) == 4
     assert sum(fault.process_down for fault in faults) == 2
     assert not failure_verdicts.false_verdicts(verdicts, faults), (
-        "lost, duplicated and late messages cause no verdict"
+        "lost, duplicated and delayed messages cause no verdict"
     )
-    # A member whose clocks run is found to have failed in about a second; here all scenarios share
-    # the machine.
+    # A running member detects the failure of another in about 1 s. The limit is 3.5 s because all
+    # scenarios share the machine.
     assert not failure_verdicts.missed_failures(verdicts, faults, frozenset("abc"), 3.5)
 
     observations = history.read_logs(tmp_path / "members")
-    assert history.find_violations(observations) == [], "one owner at a time"
+    assert history.find_violations(observations) == [], "each task has one owner at a time"
     assert sum(observation.done for observation in observations) > 500
-    # Of other tasks rejections alone are logged.
-    exercises = [one for one in observations if one.task.startswith("exercise/")]
-    assert {one.owner for one in exercises if one.done} == set("abc")
-    assert len({one.task for one in exercises}) == 6
-
-
-# Changes that make a scenario in which each broken manager shows: a short grace period, warming
-# endpoints far below their capacity, requests that may not run again, lost answers, a slow channel.
-# The sound manager keeps the rules in it with room: what a warming endpoint is sent within
-# fall_after is a sum of many small requests, so that chance alone does not overload it.
-HARD_CHANGES = (
+    # For other tasks, only rejections are logged.
+    exercises = [
+        observation for observation in observations if observation.task.startswith("exercise/")
+    ]
+    assert {observation.owner for observation in exercises if observation.done} == set("abc")
+    assert len({observation.task for observation in exercises}) == 6
+
+
+# Changes to the first scenario under which each fault of a broken manager breaks its rule: a short
+# drain grace period, warming endpoints far below their capacity, non-idempotent requests, lost
+# answers, a slow channel. The correct manager keeps the rules with a margin: the work that a warming
+# endpoint receives within fall_after is the sum of many small requests, so that random variation
+# alone does not overload it.
+HARD_SCENARIO_CHANGES = (
     ("length = 12s", "length = 10s"),
     ("lines_per_s = 1200/s", "lines_per_s = 150/s"),
     ("bare = 4s", "bare = 1.5s"),
@@ -92,7 +95,7 @@
         "part = 30%",
     ),
 )
-# The rule that each fault of `broken_manager.py` breaks; the sound manager has an empty name.
+# The rule that each fault of `broken_manager.py` breaks; the empty name is the correct manager.
 RULE_BY_FAULT = {
     "": "",
     "withdrawals": "drain",
@@ -101,57 +104,58 @@
     "tables": "bare",
     "pace": "queue",
 }
-# The faults that the guard must stop: it gets the endpoint list itself, not the module's false one.
+# The faults that the guard must stop. It receives the true endpoint list, not the module's altered one.
 GUARDED_FAULTS = ("", "ramp", "retries", "tables")
 
 
-async def play_hard_scenario(
+async def run_hard_scenario(
     folder: Path, guard: str, faults: Sequence[str], changes: Sequence[tuple[str, str]] = ()
 ) -> dict[str, set[str]]:
-    """The rules broken in the hard scenario, by the fault of its manager."""
+    """Run the hard scenario with each fault; return the rules that it broke, by fault."""
     text = (SCENARIOS / "first.ini").read_text() + f"\n[guard]\nmode = {guard}\n"
-    for old, new in [*HARD_CHANGES, *changes]:
+    for old, new in [*HARD_SCENARIO_CHANGES, *changes]:
         assert old in text, old
         text = text.replace(old, new)
     scenario_file = folder / "hard.ini"
     scenario_file.write_text(text)
     broken_rules: dict[str, set[str]] = {}
 
-    async def play_one(fault: str) -> None:
+    async def run_one(fault: str) -> None:
         script = str(Path(__file__).parent / "broken_manager.py")
         command = (sys.executable, script, fault) if fault else MANAGER_COMMAND
-        scenario_records = await play(scenario_file, folder / f"way-{fault}", command)
+        scenario_records = await run_scenario(scenario_file, folder / f"run-{fault}", command)
         violations = rules.find_violations(scenario_records)
         broken_rules[fault] = {violation.rule for violation in violations}
 
     async with trio.open_nursery() as nursery:
         for fault in faults:
-            nursery.start_soon(play_one, fault)
+            nursery.start_soon(run_one, fault)
     return broken_rules
 
 
 async def test_each_fault_of_a_broken_manager_is_found(tmp_path: Path) -> None:
-    broken_rules = await play_hard_scenario(tmp_path, "off", list(RULE_BY_FAULT))
+    broken_rules = await run_hard_scenario(tmp_path, "off", list(RULE_BY_FAULT))
     assert broken_rules[""] == set()
     for fault, rule in RULE_BY_FAULT.items():
         assert not rule or rule in broken_rules[fault], (fault, broken_rules)
 
 
-async def test_the_guard_stops_what_a_careless_module_orders(tmp_path: Path) -> None:
-    """The same faults and the same scenario as above, but for the guard."""
-    broken_rules = await play_hard_scenario(tmp_path, "on", GUARDED_FAULTS)
+async def test_the_guard_rejects_the_orders_of_a_faulty_module(tmp_path: Path) -> None:
+    """The same scenario and faults as with the guard off, where each breaks its rule."""
+    broken_rules = await run_hard_scenario(tmp_path, "on", GUARDED_FAULTS)
     assert broken_rules == dict.fromkeys(GUARDED_FAULTS, set())
     for fault in GUARDED_FAULTS[1:]:
-        rejections = read_rejections(tmp_path / f"way-{fault}" / "store")
+        rejections = read_rejections(tmp_path / f"run-{fault}" / "store")
         rejected_rules = {rejection.rule for rejection in rejections}
         assert RULE_BY_FAULT[fault] in rejected_rules, (fault, rejections[:3])
         assert all(rejection.reason and rejection.remedy for rejection in rejections)
 
 
-class CarelessOperator:
-    """Overrides traffic classes to each endpoint that has just come back, and now and then well.
+class OverridingOperator:
+    """Routes traffic classes to each endpoint alone that is ready again, which overloads it.
 
-    `answers` has the status and body of each answer to an override.
+    At random times it excludes one ready endpoint, which is harmless. `answers` has the status and
+    body of each answer to an override.
     """
 
     def __init__(self, address: str) -> None:
@@ -160,7 +164,7 @@
         self.answers = list[tuple[int, str]]()
 
     async def send(self, method: str, path: str, payload: object = None) -> Any:
-        """The answer's JSON; None without one, as before the manager's start or after its end."""
+        """Return the answer's JSON; None if there is none, as when the manager is not running."""
         headers = {"authorization": f"Bearer {TOKEN}"}
         with trio.move_on_after(2.0):
             try:
@@ -174,7 +178,7 @@
             return json.loads(response.body) if response.status == 200 else None
 
     async def ready_workers(self) -> set[str] | None:
-        """The ready endpoints of the tables in use; None if the manager does not answer."""
+        """Return the ready endpoints of the tables in use; None if the manager does not answer."""
         traffic_classes = await self.send("GET", "/tables")
         if traffic_classes is None:
             return None
@@ -187,16 +191,16 @@
         }
 
     async def run(self) -> None:
-        known = set[str]()
-        away = set[str]()
+        seen_ready = set[str]()
+        missing = set[str]()
         while True:
             await trio.sleep(0.1)
             ready = await self.ready_workers()
             if ready is None:
                 continue
-            returned = sorted(away & ready)
-            known |= ready
-            away = known - ready
+            returned = sorted(missing & ready)
+            seen_ready |= ready
+            missing = seen_ready - ready
             for worker in returned:
                 for product in ("press-book", "ticket-read"):
                     payload = {"product": product, "lasts": 6, "only": [worker]}
@@ -207,30 +211,30 @@
                 await self.send("PUT", "/pins", payload)
 
 
-async def test_the_guard_stops_a_careless_operator_beside_a_careless_module(
+async def test_the_guard_rejects_overrides_that_overload_warming_endpoints_under_a_faulty_module(
     tmp_path: Path,
 ) -> None:
-    """The scenario that `ramp` breaks with the guard off, and overrides to warming endpoints."""
+    """The module has the fault `ramp`; the overrides send a class to a warming endpoint alone."""
     address = AddressAllocator().allocate()
-    operator = CarelessOperator(address)
+    operator = OverridingOperator(address)
     token = tmp_path / "token"
     token.write_text(TOKEN)
     token.chmod(0o600)
     changes = [("[roster]", f"[operators]\ntoken_file = {token}\nlisten = {address}\n\n[roster]")]
     async with trio.open_nursery() as nursery:
         nursery.start_soon(operator.run)
-        broken_rules = await play_hard_scenario(tmp_path, "on", ["ramp"], changes)
+        broken_rules = await run_hard_scenario(tmp_path, "on", ["ramp"], changes)
         nursery.cancel_scope.cancel()
     assert broken_rules == {"ramp": set()}
     assert {status for status, _ in operator.answers} == {200, 409}
     assert all("would_pass" in body for status, body in operator.answers if status == 409)
-    rejections = read_rejections(tmp_path / "way-ramp" / "store")
+    rejections = read_rejections(tmp_path / "run-ramp" / "store")
     assert "operator" in {rejection.source for rejection in rejections}
 
 
-async def test_a_scenario_whose_manager_does_not_start_fails_and_says_so(tmp_path: Path) -> None:
+async def test_a_scenario_whose_manager_does_not_start_fails_with_an_error(tmp_path: Path) -> None:
     command = (sys.executable, "-c", "raise SystemExit(3)")
     with pytest.raises(ScenarioError, match="manager ended during the day"):
-        await play(SCENARIOS / "first.ini", tmp_path, command)
+        await run_scenario(SCENARIOS / "first.ini", tmp_path, command)
     with pytest.raises(records.RecordError, match="cannot be judged"):
         records.read_records(tmp_path)
