--- a/tests/race_conditions/processes.py
+++ b/tests/race_conditions/processes.py
@@ -1,4 +1,4 @@
-"""Manager processes before a scripted discovery, and bytes in pieces that are read one by one."""
+"""Manager processes that query a scripted discovery, and messages sent to them in pieces."""
 
 import json
 import socket
@@ -28,6 +28,7 @@
 
 
 def list_body(generation: int, *instances: dict[str, Any], reset: bool = True) -> bytes:
+    """Return the body of a complete endpoint list, or of changes to it if not `reset`."""
     return json.dumps(
         {"generation": generation, "reset": reset, "instances": instances}, ensure_ascii=False
     ).encode()
@@ -41,7 +42,7 @@
 
 
 def chunked_response(body: bytes, size: int) -> bytes:
-    """Return the same in chunks of `size` bytes, wherever that splits it."""
+    """Return a chunked response whose chunks of `size` bytes may split characters."""
     chunks = [body[n : n + size] for n in range(0, len(body), size)]
     return b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + b"".join(
         b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in [*chunks, b""]
@@ -49,7 +50,7 @@
 
 
 class ScriptedDiscovery:
-    """Discovery by script: `respond` writes to a query's connection what it likes, given its path."""
+    """A discovery server that calls `respond` with the connection and the path of each query."""
 
     def __init__(self, respond: Callable[[trio.SocketStream, str], Awaitable[None]]) -> None:
         self.respond = respond
@@ -70,7 +71,7 @@
                     self.query_arrived = trio.Event()
                     await self.respond(stream, self.queries[-1])
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            return  # given up by the manager
+            return  # closed by the manager
 
     async def until_queried(self, count: int, timeout: float = 10.0) -> None:
         with trio.fail_after(timeout):
@@ -79,7 +80,7 @@
 
 
 class DiscoverySource:
-    """Discovery for any number of managers: a watch gets all that changed since its version."""
+    """Discovery for any number of managers: a watch returns the changes since its version."""
 
     def __init__(self, *instances: dict[str, Any]) -> None:
         self.version = 1
@@ -113,16 +114,14 @@
 
 
 class Managers:
-    """Manager processes before one discovery, each with a folder, a configuration and a log of its
-    own.
-    """
+    """Manager processes that share one discovery, each with its own configuration file and log."""
 
     def __init__(self, folder: Path, discovery_address: str, count: int, **overrides: Any) -> None:
         self.folder = folder
         self.discovery_address = discovery_address
         self.overrides = overrides
         self.ports = free_ports(count)
-        self.processes = list[trio.Process]()  # all that were ever started
+        self.processes = list[trio.Process]()  # including those that have ended
         self.running: dict[int, RunningManager] = {}
         self.logs: list[Path] = []
 
@@ -138,7 +137,7 @@
         )
 
     async def start(self, n: int, max_files: int = 256, **environment: str) -> None:
-        """Start a manager with so many descriptors, and do not wait for it."""
+        """Start a manager that may open `max_files` descriptors; do not wait until it serves."""
         if not self.config_path(n).exists():
             self.config_path(n).write_text(self.config_text(n))
         log = self.folder / f"log{n}.{len(self.logs)}"
@@ -185,9 +184,10 @@
     wait: bool = True,
     **overrides: Any,
 ) -> AsyncIterator[tuple[Managers, trio.Nursery]]:
-    """Start `count` managers before the discovery that `serve` plays.
+    """Start `count` managers that query the discovery served by `serve`.
 
-    `overrides` go into their configuration; with `wait`, each has answered a liveness probe.
+    `overrides` replace values of their configuration. With `wait`, each has answered a liveness
+    probe before the context is entered.
     """
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -211,7 +211,7 @@
 async def serving_manager(
     folder: Path, serve: Callable[[trio.SocketStream], Awaitable[None]], **overrides: Any
 ) -> AsyncIterator[tuple[RunningManager, trio.Nursery]]:
-    """The same with one manager, which is still there at the end."""
+    """Start one manager as `running_managers` does, and check that it still runs at the end."""
     async with running_managers(folder, serve, 1, **overrides) as (managers, nursery):
         yield managers.running[0], nursery
         assert managers.running[0].process.poll() is None
@@ -220,8 +220,8 @@
 def _unread(stream: trio.SocketStream) -> int | None:
     """Return the bytes that the peer's process has not read; None if it has closed its socket.
 
-    Both ends are on loopback. Asked of the kernel for this one connection (sock_diag(7)): its list
-    of all is long where others are at work.
+    Both ends are on loopback. Queries the kernel for this one connection (sock_diag(7)), because
+    its list of all connections is long on a busy machine.
     """
     try:
         remote = stream.socket.getpeername()
@@ -239,7 +239,7 @@
         struct.pack("=BBBBI", socket.AF_INET, socket.IPPROTO_TCP, 0, 0, 0xFFFFFFFF)
         + endpoints
         + struct.pack("=III", 0, 0xFFFFFFFF, 0xFFFFFFFF)
-    )  # of any state and interface, by no cookie
+    )  # any state, interface and cookie
     with socket.socket(socket.AF_NETLINK, socket.SOCK_DGRAM, NETLINK_INET_DIAG) as diagnosis:
         diagnosis.send(
             struct.pack("=IHHII", 16 + len(request), SOCK_DIAG_BY_FAMILY, NLM_F_REQUEST, 1, 0)
@@ -247,7 +247,7 @@
         )
         answer = diagnosis.recv(4096)
     if struct.unpack_from("=H", answer, 4)[0] != SOCK_DIAG_BY_FAMILY:
-        return None  # an error: there is none any more
+        return None  # an error: the connection no longer exists
     unread: int = struct.unpack_from("=I", answer, 16 + 4 + 48 + 4)[0]
     return unread
 
@@ -255,8 +255,9 @@
 async def send_in_pieces(
     stream: trio.SocketStream, pieces: Iterable[bytes], timeout: float = 8.0
 ) -> None:
-    """Write each piece once the peer's process has read the one before, so that it reads each
-    alone.
+    """Write each piece after the peer's process has read the one before.
+
+    Each read of the peer then returns a single piece.
     """
     stream.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
     with trio.fail_after(timeout):
@@ -271,14 +272,18 @@
 
 
 def fleet_settings(
-    zones: tuple[str, ...] = ("a", "b"), lanes: tuple[str, str] = ("read", "book"), **specifics: Any
+    zones: tuple[str, ...] = ("a", "b"),
+    traffic_classes: tuple[str, str] = ("read", "book"),
+    **specifics: Any,
 ) -> dict[str, Any]:
+    """Return the platform's settings, with `specifics` replacing values of that section."""
     return {
         **SETTINGS,
         "dcs": list(zones),
         "zone": zones[0],
         "lanes": [
-            {**lane, "name": name} for lane, name in zip(SETTINGS["lanes"], lanes, strict=True)
+            {**entry, "name": name}
+            for entry, name in zip(SETTINGS["lanes"], traffic_classes, strict=True)
         ],
         "specifics": {**SETTINGS["specifics"], **specifics},
     }
--- a/tests/race_conditions/roaming_proxies.py
+++ b/tests/race_conditions/roaming_proxies.py
@@ -1,4 +1,4 @@
-"""Proxies that move between several managers, and the workers that they send requests to."""
+"""Proxies that reconnect to other managers, and the workers to which they send requests."""
 
 import json
 from collections import Counter
@@ -13,7 +13,7 @@
 from dunlinlug.standins.platform import PlatformClient
 from tests.fixtures.platform_process import SETTINGS
 
-LANES = tuple(lane["name"] for lane in SETTINGS["lanes"])
+TRAFFIC_CLASSES = tuple(entry["name"] for entry in SETTINGS["lanes"])
 UPDATE_KEYS = {
     "@type",
     "routes",
@@ -30,20 +30,20 @@
 
 @dataclass
 class Stream:
-    """One connection of a proxy, and what arrived on it."""
+    """One connection of a proxy, and the updates received on it."""
 
     port: int
     opened_at: float
     update_times: list[float] = field(default_factory=list)
     ack_numbers: set[int] = field(default_factory=set)
-    partial_bytes: int = 0  # of a message begun and never ended
+    partial_bytes: int = 0  # of a message that was incomplete when the connection ended
 
 
 class Proxy:
-    """A proxy of the platform, which moves to another manager when its connection ends.
+    """A proxy of the platform, which connects to another manager when its connection ends.
 
-    It keeps its tables across connections, connects to another manager once one ends or brings
-    nothing in time, and reports demand. It is strict: what it cannot use stands in `errors`.
+    It also does so if the first update does not arrive in time. It keeps its tables across
+    connections and reports demand. Each message that it cannot use is an entry of `errors`.
     """
 
     CONNECT_TIMEOUT_S = 1.0
@@ -56,35 +56,37 @@
         zone: str,
         ports: list[int],
         rng: Random,
-        lanes: tuple[str, ...] = LANES,
+        traffic_classes: tuple[str, ...] = TRAFFIC_CLASSES,
     ) -> None:
         self.number = number
         self.zone = zone
         self.ports = ports
         self.rng = rng
-        self.lanes = lanes
-        self.tables: dict[str, dict[str, float]] = {lane: {} for lane in lanes}
-        self.admitted_fractions = dict.fromkeys(lanes, 1.0)
+        self.traffic_classes = traffic_classes
+        self.tables: dict[str, dict[str, float]] = {
+            traffic_class: {} for traffic_class in traffic_classes
+        }
+        self.admitted_fractions = dict.fromkeys(traffic_classes, 1.0)
         self.ejected = set[str]()
         self.streams = list[Stream]()
         self.errors = list[str]()
-        self.refused_at = dict[int, float]()  # by port, when it refused a connection last
+        self.refused_at = dict[int, float]()  # by port: when it last refused a connection
         self.chosen_port = 0
-        self.joined: Stream | None = None  # the connection that has brought an update
+        self.updated_stream: Stream | None = None  # the open connection, once an update has arrived
         self.changed = trio.Event()
         self.listeners = list[Callable[[], None]]()
         self.requests_per_second = 2.0
         self.write_lock = trio.Lock()
 
-    def usable(self, lane: str = "") -> dict[str, float]:
-        """Return the workers that may be picked, with their weights."""
-        table = self.tables[lane or self.lanes[0]]
+    def usable(self, traffic_class: str = "") -> dict[str, float]:
+        """Return the workers that requests may be sent to, with their weights."""
+        table = self.tables[traffic_class or self.traffic_classes[0]]
         return {
             name: weight for name, weight in table.items() if weight and name not in self.ejected
         }
 
     async def until(self, condition: Callable[[], Any], timeout: float = 10.0) -> None:
-        """Wait for a condition that is checked after each update and each end of a connection."""
+        """Wait for a condition, which is checked after each update and each end of a connection."""
         with trio.fail_after(timeout):
             while not condition():
                 await self.changed.wait()
@@ -94,7 +96,7 @@
         return self.rng.choice([port for port in self.ports if port != last_port] or self.ports)
 
     async def run(self) -> None:
-        """Be served by one manager after the other until cancelled."""
+        """Connect to one manager after another until cancelled."""
         last_port = 0
         while True:
             last_port = self.chosen_port = self.choose_port(last_port)
@@ -108,7 +110,7 @@
             if stream is not None:
                 async with stream:
                     await self._serve(PlatformClient(stream), last_port)
-            self.joined = None
+            self.updated_stream = None
             self._notify()
 
     def _notify(self) -> None:
@@ -126,12 +128,12 @@
                 await self._receive_updates(client, stream)
                 nursery.cancel_scope.cancel()
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # a reset is an end as any other
+            pass  # a reset ends the connection like a close
         except* json.JSONDecodeError as error:
             self.errors.append(f"cannot be decoded: {error.exceptions}")
 
     async def _receive_updates(self, client: PlatformClient, stream: Stream) -> None:
-        """Apply messages up to the connection's end; an incomplete one has no effect."""
+        """Apply messages until the connection ends; an incomplete one has no effect."""
         updates = list[dict[str, Any]]()
         await self._send(
             client,
@@ -159,11 +161,11 @@
     async def _report(self, client: PlatformClient) -> None:
         while True:
             await trio.sleep(self.REPORT_INTERVAL_S)
-            for lane in self.lanes:
+            for traffic_class in self.traffic_classes:
                 await self._send(
                     client,
                     "demand",
-                    lane=lane,
+                    lane=traffic_class,
                     count=round(self.requests_per_second),
                     fail=0,
                     over=1000.0 * self.REPORT_INTERVAL_S,
@@ -178,30 +180,32 @@
         for update in updates:
             for ack_number in [update["nonce_out"]] if "nonce_out" in update else []:
                 if ack_number in stream.ack_numbers:
-                    self.errors.append(f"acknowledgement {ack_number} is requested twice")
+                    self.errors.append(f"acknowledgement {ack_number} was requested twice")
                 stream.ack_numbers.add(ack_number)
             if (
                 update.keys() - UPDATE_KEYS
                 or update["@type"] != "push"
-                or not {*update.get("routes", ())} <= {*self.lanes}
+                or not {*update.get("routes", ())} <= {*self.traffic_classes}
             ):
                 self.errors.append(f"not an update: {update}")
-            for lane in update.get("routes", self.lanes):
-                table = {} if update.get("full") else self.tables[lane]
+            for traffic_class in update.get("routes", self.traffic_classes):
+                table = {} if update.get("full") else self.tables[traffic_class]
                 table.update(update.get("endpoints", ()))
-                self.tables[lane] = {name: weight for name, weight in table.items() if weight}
-                self.admitted_fractions[lane] = update.get(
-                    "admit", 1.0 if update.get("full") else self.admitted_fractions[lane]
+                self.tables[traffic_class] = {
+                    name: weight for name, weight in table.items() if weight
+                }
+                self.admitted_fractions[traffic_class] = update.get(
+                    "admit", 1.0 if update.get("full") else self.admitted_fractions[traffic_class]
                 )
             self.ejected = (self.ejected | {*update.get("eject", ())}) - {
                 *update.get("restore", ())
             }
-        self.joined = stream
+        self.updated_stream = stream
         self._notify()
 
 
 class Workers:
-    """Workers on loopback, which count the effects of requests by number and answer each."""
+    """Workers on loopback, which answer each request and count its effects by request number."""
 
     def __init__(self) -> None:
         self.effects = Counter[int]()
@@ -225,13 +229,13 @@
 
 
 class Requests:
-    """Requests at proxies; each is to get one answer, and to have its effect at most once."""
+    """Requests sent through proxies; each must get one answer and have exactly one effect."""
 
     def __init__(self, workers: Workers, rng: Random, timeout: float = 2.0) -> None:
         self.workers = workers
         self.rng = rng
         self.request_count = 0
-        self.timeout = timeout  # seconds for an answer
+        self.timeout = timeout  # seconds until a request counts as late
         self.answers: dict[int, list[str]] = {}
         self.finishing = False
 
@@ -246,16 +250,18 @@
     async def _send_one(self, proxy: Proxy) -> None:
         number = self.request_count
         self.request_count += 1
-        lane = self.rng.choice(proxy.lanes)
+        traffic_class = self.rng.choice(proxy.traffic_classes)
         attempts = ["no endpoint"]
         answer = ""
         with trio.move_on_after(self.timeout):
-            answer = await self._attempt(proxy, lane, number, attempts)
+            answer = await self._attempt(proxy, traffic_class, number, attempts)
         self.answers.setdefault(number, []).append(answer or f"late: {attempts[-1]}")
 
-    async def _attempt(self, proxy: Proxy, lane: str, number: int, attempts: list[str]) -> str:
+    async def _attempt(
+        self, proxy: Proxy, traffic_class: str, number: int, attempts: list[str]
+    ) -> str:
         while True:
-            usable = proxy.usable(lane)
+            usable = proxy.usable(traffic_class)
             if usable:
                 name = self.rng.choices([*usable], [*usable.values()])[0]
                 attempts.append(name)
@@ -263,7 +269,7 @@
                     stream = await trio.open_tcp_stream("127.0.0.1", self.workers.ports[name])
                 except OSError:
                     await trio.sleep(0.02)
-                    continue  # it was not sent, so another worker may be picked
+                    continue  # the request was not sent, so it may be retried at another worker
                 async with stream:
                     await stream.send_all(b"%d" % number)
                     return (await stream.receive_some()).decode() or "failed"
@@ -276,7 +282,7 @@
                 await trio.sleep(0.005)
 
     async def finish(self) -> None:
-        """Send no more, and check that each request had one answer and one effect."""
+        """Stop sending, and check that each request had one answer and one effect."""
         self.finishing = True
         with trio.fail_after(self.timeout + 3.0):
             while len(self.answers) < self.request_count:
--- a/tests/race_conditions/test_ads_shutdown.py
+++ b/tests/race_conditions/test_ads_shutdown.py
@@ -1,4 +1,8 @@
-"""Stops of the gRPC front end while something is being sent, and signals in quick succession."""
+"""Shutdown of the gRPC front end while a frame is being sent, and several signals at once.
+
+Guards against a truncated frame followed by a GOAWAY, which the peer would read as the rest of the
+frame, and against signal handlers that run a shutdown twice.
+"""
 
 import signal
 import socket
@@ -17,7 +21,7 @@
 GOAWAY = 7
 
 
-def test_signals_of_all_kinds_at_once_stop_a_manager_once_and_quietly(tmp_path: Path) -> None:
+def test_several_signals_at_once_stop_a_manager_once_without_a_traceback(tmp_path: Path) -> None:
     path = manager_file(
         tmp_path,
         ("127.0.0.1:18000", "127.0.0.1:0"),
@@ -43,18 +47,18 @@
 
 
 def frame_types(data: bytes) -> list[int]:
-    """Return the types of these HTTP/2 frames, which are complete."""
+    """Return the types of these HTTP/2 frames, each of which must be complete."""
     types = []
     while data:
         length = 9 + int.from_bytes(data[:3], "big")
-        assert len(data) >= length, "a frame is incomplete"
+        assert len(data) >= length, "every frame is complete"
         types.append(data[3])
         data = data[length:]
     return types
 
 
 @pytest.mark.parametrize("peer_reads", [True, False])
-async def test_a_frame_being_sent_at_a_stop_is_completed_where_the_peer_reads(
+async def test_a_frame_being_sent_at_a_stop_is_completed_if_the_peer_reads(
     peer_reads: bool,
 ) -> None:
     response_started = trio.Event()
@@ -88,10 +92,11 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(serve)
             await response_started.wait()
-            await trio.testing.wait_all_tasks_blocked()  # the writer stands in the middle of it
+            await trio.testing.wait_all_tasks_blocked()  # the writer has sent a part of a frame
             scope.cancel()
             stopped_at = trio.current_time()
-            # until the time is over, then at once: the incomplete frame leaves room for a GOAWAY
+            # A peer that reads only after the deadline makes room in the send buffer behind the
+            # incomplete frame, where a GOAWAY could be written.
             if not peer_reads:
                 await trio.testing.wait_all_tasks_blocked()
                 await trio.sleep_until(connections[0].close_deadline)
--- a/tests/race_conditions/test_descriptor_exhaustion.py
+++ b/tests/race_conditions/test_descriptor_exhaustion.py
@@ -1,6 +1,8 @@
-"""A manager without a free descriptor, beside others that have room.
+"""A manager that has no free file descriptor, next to managers that have some.
 
-No proxy waits for it for good, and once proxies have left it accepts new ones.
+Guards against proxies that wait for it forever: their connections are in its listen backlog, but it
+cannot accept them. Also guards against a busy loop on a failing accept, and against a manager that
+accepts no proxy after others have disconnected.
 """
 
 import os
@@ -18,20 +20,20 @@
 
 PROXY_COUNT = 40
 LEAVING_COUNT = 8
-MAX_FILES = 30  # descriptors of the first manager, of which it uses a dozen itself
+MAX_FILES = 30  # descriptor limit of the first manager, which uses about 12 itself
 
 
-class ImpatientProxy(Proxy):
+class ShortTimeoutProxy(Proxy):
     FIRST_UPDATE_TIMEOUT_S = 1.0
 
 
 def cpu_seconds(process: trio.Process) -> float:
-    """Return the processor time that a process has used."""
+    """Return the CPU time that a process has used, in seconds."""
     fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def test_a_full_manager_s_proxies_go_elsewhere_and_it_accepts_others_later(
+async def test_proxies_leave_a_manager_without_descriptors_and_it_accepts_others_later(
     tmp_path: Path,
 ) -> None:
     source = DiscoverySource(*map(instance, range(6)))
@@ -51,47 +53,48 @@
         requests = Requests(workers, rng)
         await workers.open(nursery, *(f"s-{n}" for n in range(6)))
         proxies = [
-            ImpatientProxy(n, ZONES[n % 2], [managers.ports[0]], rng) for n in range(PROXY_COUNT)
+            ShortTimeoutProxy(n, ZONES[n % 2], [managers.ports[0]], rng) for n in range(PROXY_COUNT)
         ]
 
         def proxies_at(n: int) -> int:
             return sum(
-                proxy.joined is not None and proxy.joined.port == managers.ports[n]
+                proxy.updated_stream is not None and proxy.updated_stream.port == managers.ports[n]
                 for proxy in proxies
             )
 
         async def run(proxy: Proxy) -> None:
             with scopes[proxy.number]:
                 await proxy.run()
-            proxy.joined = None
+            proxy.updated_stream = None
 
-        async def until(seen: Callable[[], Any]) -> None:
+        async def until(condition: Callable[[], Any]) -> None:
             with trio.fail_after(10):
-                while not seen():
+                while not condition():
                     await trio.sleep(0.01)
 
         scopes = [trio.CancelScope() for _ in proxies]
         for proxy in proxies:
             nursery.start_soon(run, proxy)
-        full = managers.running[0].process
+        full_process = managers.running[0].process
         await until(
             lambda: proxies_at(0) >= MAX_FILES // 2 and all(proxy.streams for proxy in proxies)
         )
-        cpu_before = cpu_seconds(full)
+        cpu_before = cpu_seconds(full_process)
         started_at = trio.current_time()
+        # Each proxy is connected to it, or has ended a connection to it.
         await until(
             lambda: proxies_at(0) + sum(len(proxy.streams) > 1 for proxy in proxies) >= PROXY_COUNT
-        )  # those that gave it up
-        assert cpu_seconds(full) - cpu_before < 0.5 * (trio.current_time() - started_at), (
-            "it does not spin while it cannot accept"
         )
-        proxies_when_full = proxies_at(0)
-        assert MAX_FILES // 2 <= proxies_when_full < MAX_FILES
-        for proxy in [proxy for proxy in proxies if proxy.joined][:LEAVING_COUNT]:
+        assert cpu_seconds(full_process) - cpu_before < 0.5 * (trio.current_time() - started_at), (
+            "the manager does not busy-loop while accept fails"
+        )
+        proxies_at_limit = proxies_at(0)
+        assert MAX_FILES // 2 <= proxies_at_limit < MAX_FILES
+        for proxy in [proxy for proxy in proxies if proxy.updated_stream][:LEAVING_COUNT]:
             scopes[proxy.number].cancel()
         await until(
             lambda: (
-                proxies_at(0) >= proxies_when_full
+                proxies_at(0) >= proxies_at_limit
                 and sum(scope.cancel_called for scope in scopes) == LEAVING_COUNT
             )
         )
@@ -106,7 +109,7 @@
             await managers.running[n].process.wait()
         await managers.start(1)
         await until(lambda: proxies_at(0) + proxies_at(1) == PROXY_COUNT - LEAVING_COUNT)
-        assert proxies_at(1), "started again beside a full one, it gets proxies"
+        assert proxies_at(1), "a restarted manager gets proxies next to one without descriptors"
         await requests.until_answered(requests.request_count + 50)
         await requests.finish()
         assert not any(proxy.errors for proxy in proxies)
--- a/tests/race_conditions/test_discovery_failures.py
+++ b/tests/race_conditions/test_discovery_failures.py
@@ -1,6 +1,7 @@
-"""Discovery that stalls in the middle of an answer, or sends its complete list again and again.
+"""Discovery that stalls in the middle of an answer, or sends complete lists in quick succession.
 
-Before a manager process with a proxy that has joined.
+Guards against a manager that waits forever for the rest of an answer, applies an incomplete list,
+or leaves its proxies with an older list than the last one.
 """
 
 import heapq
@@ -41,13 +42,17 @@
     list_body,
     serving_manager,
 )
-from tests.race_conditions.roaming_proxies import LANES, Proxy
+from tests.race_conditions.roaming_proxies import TRAFFIC_CLASSES, Proxy
 
-CHANGE_COUNT = 300  # versions before the stall, as fast as they are queried
+CHANGE_COUNT = 300  # versions before the stall, each sent as soon as it is queried
 
 
 class StallingDiscovery:
-    """Sends quick changes, then one answer by `stall`; from then on one change, then nothing."""
+    """Sends `CHANGE_COUNT` versions, then an answer by `stall`.
+
+    On the next connection it sends one more change, and nothing after it. `is_snapshot` selects
+    whether the stalled answer is a complete list.
+    """
 
     def __init__(self, stall: Callable[[trio.SocketStream], Any], is_snapshot: bool) -> None:
         self.stall, self.is_snapshot = stall, is_snapshot
@@ -77,9 +82,8 @@
                 http_response(list_body(self.generation, *entries, reset=not is_watch))
             )
         elif self.is_snapshot and "index" in path:
-            await stream.send_all(
-                http_response(list_body(1, reset=False))
-            )  # put back, so that the complete list is queried
+            # A lower version, so that the complete list is queried.
+            await stream.send_all(http_response(list_body(1, reset=False)))
         else:
             self.stalled_stream, self.stalled_at = stream, trio.current_time()
             await self.stall(stream)
@@ -95,7 +99,7 @@
 
 
 def unfinished_list(is_snapshot: bool) -> bytes:
-    """Return what is sent in part: it would remove every worker but one."""
+    """Return the body that is sent in part; if applied, it would leave a single worker."""
     gone = [] if is_snapshot else [instance(n, lifecycle="gone") for n in range(6)]
     return list_body(CHANGE_COUNT + 5, *gone, instance(9), reset=is_snapshot)
 
@@ -110,13 +114,14 @@
 
 
 async def send_chunks_without_end(stream: trio.SocketStream, is_snapshot: bool) -> None:
+    # All chunks except the last, empty one.
     await stream.send_all(
         chunked_response(unfinished_list(is_snapshot), 16).removesuffix(b"0\r\n\r\n")
-    )  # all but the last, empty one
+    )
 
 
 async def send_slowly(stream: trio.SocketStream, is_snapshot: bool) -> None:
-    """Send a byte at a time without end."""
+    """Send one byte at a time, and never the complete answer."""
     await stream.send_all(b"HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n")
     while True:
         await stream.send_all(b" ")
@@ -137,7 +142,7 @@
 async def test_discovery_that_stalls_in_an_answer_is_queried_again(
     tmp_path: Path, stall: Callable[..., Any], is_snapshot: bool
 ) -> None:
-    """After quick changes. What had arrived of the answer does not count, be it all but its end."""
+    """The part of the answer that arrived is dropped, even if only the end is missing."""
     discovery = StallingDiscovery(lambda stream: stall(stream, is_snapshot), is_snapshot)
     async with serving_manager(
         tmp_path,
@@ -153,7 +158,9 @@
                 await trio.sleep(0.01)
         nursery.start_soon(late.run)
         await late.until(lambda: late.usable().keys() == {f"s-{n}" for n in range(6)})
-        assert not discovery.queried_again_at, "the list that is held serves meanwhile"
+        assert not discovery.queried_again_at, (
+            "tables are made from the last complete list meanwhile"
+        )
         for each_proxy in (proxy, late):
             await each_proxy.until(
                 lambda each_proxy=each_proxy: (
@@ -180,8 +187,9 @@
 
 
 class RepeatingDiscovery:
-    """Sends a complete list at once for each query, by turns others; once `finishing`, the last
-    one.
+    """Answers each query at once with the next of several complete lists, in a cycle.
+
+    Once `finishing` is set, it sends the list `last`, and no changes after it.
     """
 
     def __init__(self, versions_advance: bool) -> None:
@@ -198,7 +206,7 @@
 
     async def respond(self, stream: trio.SocketStream, path: str) -> None:
         query_count = len(self.server.queries)
-        if self.finished:  # nothing new
+        if self.finished:  # no more changes
             await trio.sleep(1.0)
             await stream.send_all(http_response(list_body(self.last_version, reset=False)))
             return
@@ -214,9 +222,7 @@
 async def test_complete_lists_in_quick_succession_lead_to_the_last_one(
     tmp_path: Path, versions_advance: bool
 ) -> None:
-    """No proxy gets more messages than allowed or unusable ones, and ejected workers are
-    readmitted.
-    """
+    """Each proxy gets valid messages within the rate limit, and ejected workers are readmitted."""
     max_messages = 10
     window = 2.0
     discovery = RepeatingDiscovery(versions_advance)
@@ -236,13 +242,15 @@
         await discovery.server.until_queried(queries_before + (300 if versions_advance else 30))
         elapsed = trio.current_time() - started_at
         assert versions_advance or elapsed > 28 * discovery_state.MIN_QUERY_INTERVAL_S, (
-            "a version that does not advance is not queried without a pause"
+            "queries are paced while the version does not advance"
         )
         discovery.finishing = True
         names = {entry["instanceId"] for entry in discovery.last}
         for proxy in proxies:
             await proxy.until(
-                lambda proxy=proxy: proxy.usable().keys() == proxy.usable(LANES[1]).keys() == names,
+                lambda proxy=proxy: (
+                    proxy.usable().keys() == proxy.usable(TRAFFIC_CLASSES[1]).keys() == names
+                ),
                 15,
             )
         for proxy in proxies:
@@ -260,13 +268,13 @@
     ("list_count", "gap", "response_time"),
     [(2, 0.002, 0.001), (4, 0.004, 0.005), (12, 0.004, 0.005)],
 )
-def test_the_last_of_many_lists_is_installed_by_the_module_s_own_timers(
+def test_the_last_of_many_lists_is_applied_by_the_module_s_own_timers(
     list_count: int, gap: float, response_time: float
 ) -> None:
-    """Nothing else happens after it: no report, no demand.
+    """No report and no demand follow the last list.
 
-    A change that waited for lack of messages and was not looked at again would wait for the next
-    report, and proxies of an idle fleet would keep a table without workers.
+    Guards against a change that is deferred by the message limit and is only reconsidered at the
+    next report: proxies of an idle fleet would keep a table without workers.
     """
     module = Balancer(
         manager_settings(channel=ChannelSettings(1300.0, 4.0, 2000.0, 0.252, 0.63, 10, 2.0))
--- a/tests/race_conditions/test_http_connections.py
+++ b/tests/race_conditions/test_http_connections.py
@@ -1,6 +1,8 @@
-"""Two events at one HTTP connection at once: closes, surplus bytes, idle timeouts, stops.
+"""Two events at one HTTP connection at the same time, with raw sockets as peers.
 
-The peers are raw sockets.
+Guards against a request that is sent twice when its reused connection closes, surplus bytes that
+count as the next response, a request that is lost to an idle timeout, and requests that are lost at
+a shutdown. Also checks impossible requests and unusable load reports.
 """
 
 import os
@@ -23,7 +25,7 @@
 
 
 class ScriptedServer:
-    """A server that handles its n-th connection by the n-th of `handlers`."""
+    """A server that handles its n-th connection with the n-th of `handlers`."""
 
     def __init__(self, *handlers: Callable[[trio.SocketStream], Awaitable[None]]) -> None:
         self.handlers = list(handlers)
@@ -33,7 +35,7 @@
     async def serve(self, stream: trio.SocketStream) -> None:
         index = self.connection_count
         self.connection_count += 1
-        with suppress(trio.BrokenResourceError):  # of a client that has gone
+        with suppress(trio.BrokenResourceError):  # the client has closed the connection
             await self.handlers[index](stream)
         self.closed[index].set()
 
@@ -125,7 +127,7 @@
 
 @pytest.mark.parametrize("at_once", [True, False])
 async def test_surplus_bytes_do_not_answer_a_later_request(at_once: bool) -> None:
-    """After a response, or on an idle connection, as a server sends that closes it with a 408."""
+    """They follow a response, or arrive on an idle connection that the server closes with a 408."""
     first_answered, sent = trio.Event(), trio.Event()
 
     async def send_surplus(stream: trio.SocketStream) -> None:
@@ -159,7 +161,7 @@
         ("127.0.0.1", "/\r\nx: y"),
     ],
 )
-async def test_an_impossible_request_is_an_error_of_that_exchange_alone(
+async def test_a_request_that_cannot_be_sent_is_an_error_of_that_request_only(
     host: str, path: str
 ) -> None:
     async with ScriptedServer(answer_all).client() as client:
@@ -203,7 +205,7 @@
 
 
 @pytest.mark.parametrize("ends", ["never", "early"])
-async def test_an_endless_or_incomplete_report_fails_the_health_check_and_fills_no_memory(
+async def test_an_endless_or_incomplete_report_fails_the_health_check_in_bounded_memory(
     ends: str,
 ) -> None:
     sent_bytes = 0
@@ -236,7 +238,7 @@
         assert [event.result for event in events if isinstance(event, HealthCheckCompleted)] == [
             "reset"
         ]
-        assert sent_bytes < 100 * MAX_REPORT_BYTES  # what socket buffers hold, at most
+        assert sent_bytes < 100 * MAX_REPORT_BYTES  # bounded by the socket buffers
 
 
 async def test_a_worker_that_leaves_while_its_health_check_is_queued_is_not_connected_to() -> None:
@@ -261,10 +263,8 @@
                 await started.wait()
                 nursery.start_soon(health_checker.check, "second")
                 await trio.testing.wait_all_tasks_blocked()
-                del (
-                    addresses["second"],
-                    addresses["first"],
-                )  # the one that runs ends as it would have
+                # The running check of the first completes.
+                del (addresses["second"], addresses["first"])
                 proceed.set()
         assert [
             (event.worker, event.result)
@@ -275,7 +275,7 @@
 
 
 class RunningServer:
-    """A server by `http.serve`, and raw clients of it."""
+    """A server run by `http.serve`, and connections to it."""
 
     def __init__(self, handler: http.Handler, **options: float) -> None:
         self.handler = handler
@@ -321,7 +321,7 @@
         "\xff\xfe /a HTTP/1.1",
     ],
 )
-async def test_no_request_ends_the_server(request_line: str) -> None:
+async def test_unusual_requests_do_not_end_the_server(request_line: str) -> None:
     async def handler(request: http.Request) -> http.Response:
         return http.Response.json({"at": request.path}, 200 if request.method == "GET" else 401)
 
@@ -347,7 +347,7 @@
         started.set()
         await proceed.wait()
         effects.append(request.path)
-        await trio.lowlevel.checkpoint()  # a stop must not come between effect and answer here
+        await trio.lowlevel.checkpoint()  # the stop must not cancel between effect and answer
         return http.Response(200, body=b"done")
 
     server = RunningServer(handler, grace_period=5.0)
@@ -385,7 +385,7 @@
 
 
 async def test_a_request_that_arrived_as_the_idle_timeout_ends_is_answered() -> None:
-    """Both in one turn: the timeout passes while the request is in the socket."""
+    """The event loop is blocked while the request arrives and the timeout expires."""
 
     async def handler(request: http.Request) -> http.Response:
         return http.Response(200, body=b"ok")
--- a/tests/race_conditions/test_kill_points.py
+++ b/tests/race_conditions/test_kill_points.py
@@ -1,7 +1,8 @@
-"""A manager that is killed (SIGKILL) at a given point while it first deals with a proxy.
+"""A manager that is killed (SIGKILL) at a given point of its first exchange with a proxy.
 
-It kills itself there, by a hook that is loaded into the process, as no signal from outside would
-meet the point. Its proxies find another manager.
+Guards against proxies that lose requests, keep an incomplete update or keep endpoints that have
+gone when their manager dies. The process kills itself by a hook loaded into it, because a signal
+from outside cannot be timed to the point. Its proxies then connect to another manager.
 """
 
 from pathlib import Path
@@ -17,12 +18,13 @@
     fleet_settings,
     running_managers,
 )
-from tests.race_conditions.roaming_proxies import LANES, Proxy, Requests, Workers
+from tests.race_conditions.roaming_proxies import TRAFFIC_CLASSES, Proxy, Requests, Workers
 
+# Kills the process at POINT if the file ARMED exists, which it deletes first.
 HOOK = """
 import os, signal, socket
 
-def die():
+def kill_self():
     os.unlink(ARMED)
     os.kill(os.getpid(), signal.SIGKILL)
 
@@ -30,16 +32,16 @@
     def recv(self, *args):
         data = super().recv(*args)
         if POINT == "hello received" and b'"hello"' in data and os.path.exists(ARMED):
-            die()
+            kill_self()
         return data
 
     def send(self, data, *args):
         if POINT == "update half written" and b'"push"' in data and os.path.exists(ARMED):
             super().send(data[:len(data) // 2], *args)
-            die()
+            kill_self()
         count = super().send(data, *args)
         if POINT == "update written" and b'"push"' in data and os.path.exists(ARMED):
-            die()
+            kill_self()
         return count
 
 accept = socket.socket.accept
@@ -47,7 +49,7 @@
 def killing_accept(self):
     accepted, address = accept(self)
     if POINT == "accepted" and os.path.exists(ARMED):
-        die()
+        kill_self()
     return KillingSocket(fileno=accepted.detach()), address
 
 socket.socket.accept = killing_accept
@@ -55,9 +57,7 @@
 
 
 class ThreeManagers:
-    """Three managers with their proxies, and requests at the proxies; the first one is to be
-    killed.
-    """
+    """Three managers, of which the first will be killed, their proxies, and requests to these."""
 
     def __init__(self, managers: Managers, nursery: trio.Nursery) -> None:
         self.managers = managers
@@ -68,7 +68,7 @@
         self.proxies = [Proxy(n, ZONES[n % 2], [*managers.ports], self.rng) for n in range(9)]
 
     async def start_proxies(self) -> None:
-        """Start all proxies, at the other two managers."""
+        """Start all proxies, connected to the second and third manager only."""
         await self.workers.open(self.nursery, *(f"s-{n}" for n in range(8)))
         for n, proxy in enumerate(self.proxies):
             proxy.ports = [self.managers.ports[1 + n % 2]]
@@ -78,7 +78,7 @@
             self.nursery.start_soon(self.requests.send_to, proxy, 30.0)
 
     async def until_all_use(self, *names: str) -> None:
-        """Wait until each proxy is connected to a running manager and may use just these workers."""
+        """Wait until each proxy is connected to a running manager and uses only these workers."""
         running_ports = {
             port
             for n, port in enumerate(self.managers.ports)
@@ -87,9 +87,12 @@
         for proxy in self.proxies:
             await proxy.until(
                 lambda proxy=proxy: (
-                    proxy.joined
-                    and proxy.joined.port in running_ports
-                    and all(proxy.usable(lane).keys() == {*names} for lane in LANES)
+                    proxy.updated_stream
+                    and proxy.updated_stream.port in running_ports
+                    and all(
+                        proxy.usable(traffic_class).keys() == {*names}
+                        for traffic_class in TRAFFIC_CLASSES
+                    )
                 )
             )
 
@@ -97,10 +100,10 @@
 @pytest.mark.parametrize(
     "point", ["accepted", "hello received", "update half written", "update written"]
 )
-async def test_a_manager_killed_while_proxies_join_loses_nothing(
+async def test_a_manager_killed_while_proxies_join_loses_no_request_and_no_change(
     tmp_path: Path, point: str
 ) -> None:
-    """Workers that go, come, are ejected or readmitted meanwhile are known to the others alone."""
+    """Only the other managers learn of workers that leave, start, or are ejected meanwhile."""
     source, armed, hook = (
         DiscoverySource(*map(instance, range(6))),
         tmp_path / "armed",
@@ -123,7 +126,8 @@
         armed.touch()
         for proxy in fleet.proxies:
             proxy.ports = [managers.ports[0]]
-        await managers.kill(1)  # its proxies connect to the first manager alone, all at once
+        # Its proxies connect to the first manager only, all at once.
+        await managers.kill(1)
         with trio.fail_after(10):
             await managers.running[0].process.wait()
         assert not armed.exists() and not any(proxy.errors for proxy in fleet.proxies)
@@ -133,7 +137,9 @@
             for stream in proxy.streams
             if stream.port == managers.ports[0]
         )
-        assert update_count <= (point == "update written"), "it died before its first answer"
+        assert update_count <= (point == "update written"), (
+            "the manager was killed before its first complete update"
+        )
         source.update(instance(0, lifecycle="gone"), instance(1, lifecycle="draining"), instance(6))
         for proxy in fleet.proxies:
             proxy.ports = [*managers.ports]
@@ -141,7 +147,8 @@
         await managers.start(0)
         await managers.start(1)
         await managers.until_alive(0, 1)
-        await managers.kill(2)  # which alone had ejected s-1: the others never had it in a table
+        # Only the third manager had ejected s-1; the restarted ones never had it in a table.
+        await managers.kill(2)
         await fleet.until_all_use("s-2", "s-3", "s-4", "s-5", "s-6")
         assert any("s-1" in proxy.ejected for proxy in fleet.proxies)
         source.update(instance(1), instance(7))
--- a/tests/race_conditions/test_many_managers.py
+++ b/tests/race_conditions/test_many_managers.py
@@ -1,7 +1,9 @@
-"""Twenty manager processes that start at once before workers that are warming up, in a retry storm.
+"""Twenty manager processes that start at the same time, while workers warm up, in a retry storm.
 
-A third of them is killed and started again, another third drained and started again as the storm
-is back. What all of them together send to a warming worker is compared with what it can take.
+Guards against managers that each send a warming worker an acceptable share, but overload it
+together. A third of them is killed and restarted in calm, another third drained and restarted when
+the storm returns. The load that the tables of all proxies send to each warming worker is compared
+with its capacity.
 """
 
 import json
@@ -26,16 +28,16 @@
     fleet_settings,
     running_managers,
 )
-from tests.race_conditions.roaming_proxies import LANES, Proxy, Requests, Workers
+from tests.race_conditions.roaming_proxies import TRAFFIC_CLASSES, Proxy, Requests, Workers
 
 MANAGER_COUNT = 20
 PROXY_COUNT = 40
 WARM_COUNT = 12
 WARMING_COUNT = 8
 LATER_WARMING_COUNT = 4
-# requests to all workers in calm, as a part of what the warm ones can take
+# Requests to all workers in calm, as a fraction of the capacity of the warm ones.
 UTILIZATION = 0.95
-STORM_ATTEMPTS = 3.0  # attempts in a storm for each in calm
+STORM_ATTEMPTS = 3.0  # attempts per request in a storm; one in calm
 STORM_FAILURE_RATE = 0.5
 RULES = {
     **SETTINGS["rules"],
@@ -50,12 +52,14 @@
     base = fleet_settings(
         proxyCount=PROXY_COUNT, messagesMost=0, egressPerS=20000.0, pendingMax=40000.0
     )
-    lanes = [{**lane, "aimUs": 300_000, "hardLimitUs": 500_000} for lane in base["lanes"]]
-    return {**base, "rules": RULES, "lanes": lanes}
+    traffic_classes = [
+        {**entry, "aimUs": 300_000, "hardLimitUs": 500_000} for entry in base["lanes"]
+    ]
+    return {**base, "rules": RULES, "lanes": traffic_classes}
 
 
 class SentLoad:
-    """What all tables together send to each worker, in units of what a warm one can take."""
+    """The load that all tables together send to each worker, in capacities of a warm worker."""
 
     def __init__(self) -> None:
         self.load_by_proxy: dict[int, dict[str, float]] = {}
@@ -63,20 +67,20 @@
         self.warming_since: dict[str, float] = {}  # by worker, in Unix seconds
         self.attempts_per_request = 1.0
         self.overloaded_since = dict[str, float]()
-        self.worst_ratio = 0.0  # of what a warming worker was sent to what it can take
+        self.worst_ratio = 0.0  # load of a warming worker / its capacity
         self.longest_overload = 0.0  # seconds
-        # by zone: when the last reports were made, and their lines
+        # by zone: the time of the last reports, and their lines
         self.last_reports: dict[str, tuple[float, bytes]] = {}
 
     def update_proxy(self, proxy: Proxy) -> None:
-        """Take note that a proxy has applied an update."""
-        load_per_class = WARM_COUNT * UTILIZATION / PROXY_COUNT / len(LANES)
+        """Update the load for a proxy that has applied an update."""
+        load_per_class = WARM_COUNT * UTILIZATION / PROXY_COUNT / len(TRAFFIC_CLASSES)
         load = dict[str, float]()
-        for lane in LANES:
-            usable = proxy.usable(lane)
+        for traffic_class in TRAFFIC_CLASSES:
+            usable = proxy.usable(traffic_class)
             for name, weight in usable.items():
                 load[name] = load.get(name, 0.0) + load_per_class * proxy.admitted_fractions[
-                    lane
+                    traffic_class
                 ] * weight / sum(usable.values())
         previous = self.load_by_proxy.get(proxy.number, {})
         self.load_by_proxy[proxy.number] = load
@@ -90,7 +94,7 @@
         return {
             name: max(round(self.load_by_worker.get(name, 0.0), 9), 0.0)
             for name in self.warming_since
-        }  # without the rounding errors of sums
+        }  # rounded, because repeated sums accumulate errors
 
     def check(self) -> None:
         now = time.time()
@@ -114,7 +118,7 @@
         self.check()
 
     def reports(self, zone: str, names: Iterable[str]) -> bytes:
-        """Return the lines of a zone's collector, made again each tenth of a second."""
+        """Return the report lines of a zone's collector, renewed every 0.1 s."""
         made_at, reports = self.last_reports.get(zone, (-1.0, b""))
         if time.time() - made_at > 0.1:
             reports = self._make_reports(zone, names)
@@ -148,30 +152,30 @@
         self.rng = Random(17)
         self.sent_load = SentLoad()
         self.workers = Workers()
-        # Twenty processes beside this one take its core for seconds on a busy machine.
+        # On a busy machine, the twenty processes can take this one's core for seconds.
         self.requests = Requests(self.workers, self.rng, timeout=10.0)
-        self.proxies = [BalancingProxy(n, self) for n in range(PROXY_COUNT)]
+        self.proxies = [LeastLoadedManagerProxy(n, self) for n in range(PROXY_COUNT)]
 
     def start_workers(self, numbers: Iterable[int]) -> list[dict[str, Any]]:
-        """Return list entries of workers that start now."""
+        """Return the list entries of workers that start now."""
         now = time.time()
         self.sent_load.warming_since.update({f"s-{n}": now for n in numbers})
         return [instance(n, startedAtMs=round(now * 1000)) for n in numbers]
 
     def proxies_by_manager(self) -> dict[int, int]:
-        """Return how many proxies have a table of each manager."""
-        ports = [proxy.joined.port for proxy in self.proxies if proxy.joined]
+        """Return the number of proxies that have an update from each manager."""
+        ports = [proxy.updated_stream.port for proxy in self.proxies if proxy.updated_stream]
         return {n: ports.count(port) for n, port in enumerate(self.managers.ports)}
 
     def all_workers_usable(self) -> bool:
-        """Return whether every proxy is connected and may use every warming worker."""
+        """Return whether each proxy is connected and may send to each warming worker."""
         return all(
-            proxy.joined and proxy.usable().keys() >= self.sent_load.warming_since.keys()
+            proxy.updated_stream and proxy.usable().keys() >= self.sent_load.warming_since.keys()
             for proxy in self.proxies
         )
 
     async def collect(self, port: int, zone: str) -> None:
-        """Be a zone's collector at one manager until cancelled."""
+        """Send a zone's reports to one manager until cancelled."""
         while True:
             try:
                 async with await trio.open_tcp_stream("127.0.0.1", port) as stream:
@@ -182,7 +186,7 @@
                 await trio.sleep(0.1)
 
     async def until(self, condition: Any, timeout: float = 30.0) -> None:
-        """Wait for a condition, and check the load meanwhile."""
+        """Wait for a condition, checking the load all the time."""
         with trio.fail_after(timeout):
             while not condition():
                 await self.keep_checking(0.02)
@@ -194,8 +198,11 @@
             await trio.sleep(0.02)
 
 
-class BalancingProxy(Proxy):
-    """A proxy that chooses the manager with the fewest proxies that has not refused it recently."""
+class LeastLoadedManagerProxy(Proxy):
+    """A proxy that picks the manager with the fewest proxies.
+
+    It avoids managers that refused its connection within `REFUSAL_MEMORY_S`.
+    """
 
     REPORT_INTERVAL_S = 1.0
     REFUSAL_MEMORY_S = 1.0
@@ -239,16 +246,14 @@
         for proxy in fleet.proxies:
             nursery.start_soon(proxy.run)
         await fleet.until(lambda: sum(fleet.proxies_by_manager().values()) == PROXY_COUNT)
-        assert sent_load.worst_ratio == 0.0, (
-            "in a storm from the start that no manager has reports of yet"
-        )
+        assert sent_load.worst_ratio == 0.0, "in a storm before the managers have reports of it"
         for port in managers.ports:
             for zone in ZONES:
                 nursery.start_soon(fleet.collect, port, zone)
         for proxy in fleet.proxies:
             nursery.start_soon(fleet.requests.send_to, proxy, 2.0)
         await fleet.keep_checking(1.0)
-        assert sent_load.worst_ratio == 0.0, "with reports of it"
+        assert sent_load.worst_ratio == 0.0, "in a storm that is reported"
 
         sent_load.attempts_per_request = 1.0
         sent_load.restart_checks()
@@ -263,7 +268,7 @@
         )
         await managers.until_alive(*thirds[0])
         await fleet.until(fleet.all_workers_usable)
-        assert 0.0 < sent_load.worst_ratio <= 1.0, "in calm, with a third killed"
+        assert 0.0 < sent_load.worst_ratio <= 1.0, "in calm, after a third was killed"
 
         sent_load.attempts_per_request = STORM_ATTEMPTS
         sent_load.restart_checks()
@@ -279,10 +284,10 @@
             )
         )
         assert sent_load.longest_overload * 1e6 < RULES["fallUs"], (
-            "until reports of the storm arrive"
+            "overload ends once the storm is reported"
         )
         assert all(fleet.proxies_by_manager()[n] for n in thirds[0]), (
-            "managers killed and started serve again"
+            "managers that were killed and restarted serve again"
         )
         sent_load.restart_checks()
         await managers.until_alive(*thirds[1])
@@ -290,9 +295,11 @@
             await managers.kill(n)
         await fleet.until(lambda: sum(fleet.proxies_by_manager().values()) == PROXY_COUNT)
         assert all(fleet.proxies_by_manager()[n] for n in thirds[1]), (
-            "managers drained and started serve again"
+            "managers that were drained and restarted serve again"
+        )
+        assert sent_load.worst_ratio == 0.0, (
+            "in the storm, including managers that started during it"
         )
-        assert sent_load.worst_ratio == 0.0, "in the storm, also by managers that started in it"
         await fleet.requests.finish()
         assert not any(proxy.errors for proxy in fleet.proxies)
         nursery.cancel_scope.cancel()
@@ -301,13 +308,13 @@
 @pytest.mark.parametrize(
     ("warm_up_time", "overload_multiple"), [(16.0, 3.0), (60.0, 1.5), (120.0, 1.5)]
 )
-def test_slow_start_sends_no_more_than_a_warming_worker_can_take(
+def test_slow_start_does_not_exceed_the_capacity_of_a_warming_worker(
     warm_up_time: float, overload_multiple: float
 ) -> None:
-    """In calm, by one manager for all proxies.
+    """One manager serves all proxies, in calm.
 
-    Slow start by fixed steps reaches the whole weight in 15 s, however long workers take to warm up
-    and however little they can take meanwhile.
+    Guards against slow start in fixed steps: it reaches the full weight in 15 s, regardless of the
+    warm-up time and the initial capacity.
     """
     model = Model(
         manager_settings(
@@ -322,7 +329,9 @@
     model.step(0.1, [ProxyConnected(0, "north", 5.0, True)])
     ratios = []
     for _ in range(100):
-        model.step(0.2, [EndpointReported("north", one.id, 20, 0, 0.05, 0.2) for one in fleet])
+        model.step(
+            0.2, [EndpointReported("north", worker.id, 20, 0, 0.05, 0.2) for worker in fleet]
+        )
         weights = {
             name: weight
             for name, weight in model.applied[0][0][1].items()
--- a/tests/race_conditions/test_partial_messages.py
+++ b/tests/race_conditions/test_partial_messages.py
@@ -1,7 +1,8 @@
-"""Messages in pieces at a manager process, each of which it reads alone.
+"""Messages that reach a manager process in pieces, each returned by a read of its own.
 
-The next piece is written once the process has read the one before. Names hold characters of several
-bytes, so that pieces end inside them.
+Guards against messages that are lost, counted twice or misread when a read ends inside a message, a
+number or a UTF-8 character. Each piece is written after the process has read the one before; names
+have characters of several bytes, so that pieces end inside them.
 """
 
 import json
@@ -24,8 +25,8 @@
     single_bytes,
 )
 
-ZONE, LANE, WORKER = "zürich-東", "läsen-頁", "s-é€"
-CONFIG = {"settings": fleet_settings((ZONE, "b"), (LANE, "book"), messagesMost=0)}
+ZONE, TRAFFIC_CLASS, WORKER = "zürich-東", "läsen-頁", "s-é€"
+CONFIG = {"settings": fleet_settings((ZONE, "b"), (TRAFFIC_CLASS, "book"), messagesMost=0)}
 
 
 def line(kind: str, **message: Any) -> bytes:
@@ -37,13 +38,13 @@
 
 
 async def send_list_once(stream: trio.SocketStream, path: str) -> None:
-    """Send the list at the first query, and nothing after it."""
+    """Answer the query for the complete list, and no watch."""
     if "index" not in path:
         await stream.send_all(http_response(list_body(1, worker(0), worker(1))))
 
 
 PROXY_HELLO = line("hello", id=17, site=ZONE, rps=12.5, new=True)
-DEMAND_REPORT = line("demand", id=17, lane=LANE, count=1907, fail=21, over=1000.25)
+DEMAND_REPORT = line("demand", id=17, lane=TRAFFIC_CLASS, count=1907, fail=21, over=1000.25)
 ENDPOINT_REPORT = line(
     "outcomes",
     site=ZONE,
@@ -58,14 +59,14 @@
 
 
 def split_points(data: bytes) -> list[int]:
-    """Return where a piece may end: inside characters of several bytes, and between digits."""
+    """Return the offsets inside characters of several bytes and between digits."""
     return [
         n for n in range(1, len(data)) if data[n] & 0xC0 == 0x80 or data[n - 1 : n + 1].isdigit()
     ]
 
 
 async def join_in_pieces(running: RunningManager, pieces: list[bytes]) -> PlatformClient:
-    """Join, again where the manager closed the connection: on a busy machine it may be late."""
+    """Join, retrying if the manager closed the connection because joining took too long."""
     for _ in range(5):
         began, client = trio.current_time(), await running.connect()
         client.proxy_id = 17
@@ -76,11 +77,11 @@
             return client
         except (trio.BrokenResourceError, ConnectionError):
             assert trio.current_time() - began >= JOIN_TIMEOUT_S
-    raise TimeoutError("no joining within its second in five")
+    raise TimeoutError("the proxy did not join within JOIN_TIMEOUT_S in five attempts")
 
 
 async def expect_alive_answers(client: PlatformClient, count: int) -> None:
-    """Receive `count` answers to liveness probes, whatever table updates come between."""
+    """Receive `count` answers to liveness probes, ignoring table updates between them."""
     with trio.fail_after(8):
         while count:
             answer = await client.receive()
@@ -100,11 +101,11 @@
             single_bytes(PROXY_HELLO),
             *([PROXY_HELLO[:n], PROXY_HELLO[n:]] for n in split_points(PROXY_HELLO)),
         ]
-        for pieces in hellos:  # each replaces the one before
+        for pieces in hellos:  # each connection replaces the one before
             await join_in_pieces(running, pieces)
         client = await running.connect()
         await send_in_pieces(client.stream, [PROXY_HELLO + LIVENESS_PROBE])
-        await expect_alive_answers(client, 1)  # what followed the hello in one piece
+        await expect_alive_answers(client, 1)  # to the probe in one piece with the hello
         sent = [
             single_bytes(DEMAND_REPORT),
             *([DEMAND_REPORT[:n], DEMAND_REPORT[n:]] for n in split_points(DEMAND_REPORT)),
@@ -129,15 +130,15 @@
         for pieces in reports:
             await send_in_pieces(collector.stream, pieces)
         await send_in_pieces(collector.stream, [LIVENESS_PROBE])
-        await expect_alive_answers(collector, 1)  # so that all before it has been handled
-        report_count = 1 + len(split_points(DEMAND_REPORT)) + 2 + 2  # as `sent` has them
+        await expect_alive_answers(collector, 1)  # all messages before the probe have been handled
+        report_count = 1 + len(split_points(DEMAND_REPORT)) + 2 + 2  # the reports in `sent`
         expected = {
             "ProxyConnected": len(hellos) + 1,
             "DemandReported": report_count,
             "EndpointReported": len(reports),
         }
         before = len(running.logged("summary"))
-        await running.until_logged("summary", before + 1)  # what has arrived by now is in it
+        await running.until_logged("summary", before + 1)  # it counts all messages received so far
         summaries = running.logged("summary")[: before + 1]
         assert {
             kind: sum(summary["counts"].get(kind, 0) for summary in summaries) for kind in expected
@@ -148,8 +149,8 @@
 # Discovery.
 
 
-class StepwiseDiscovery:
-    """Discovery that sends a list, then one of `answers` for each watch, in its pieces."""
+class PiecewiseDiscovery:
+    """A discovery server that sends a list, then one of `answers` for each watch, in pieces."""
 
     def __init__(self, answers: list[list[bytes]]) -> None:
         self.answers = answers
@@ -168,11 +169,12 @@
 
 
 async def test_an_answer_of_discovery_in_pieces_is_one_answer(tmp_path: Path) -> None:
-    """Split inside the digits of lengths and versions, inside characters, and at each byte."""
+    """Answers are split inside lengths, versions and characters, and at each byte."""
     answers = [single_bytes(change(2)), single_bytes(change(3, 17))]
     for chunk_size in (0, 17):
         for index in range(len(split_points(change(100, chunk_size)))):
-            response = change(100 + len(answers), chunk_size)  # as long as every other of its form
+            # All responses with this chunk size have the same length.
+            response = change(100 + len(answers), chunk_size)
             answers.append(
                 [
                     response[: split_points(response)[index]],
@@ -180,7 +182,7 @@
                 ]
             )
     versions = ["", "1", "2", "3", *(str(100 + n) for n in range(2, len(answers)))]
-    discovery = StepwiseDiscovery(answers)
+    discovery = PiecewiseDiscovery(answers)
     async with serving_manager(
         tmp_path, discovery.server.serve, known=initial_list(worker(0)), **CONFIG
     ) as (
@@ -204,9 +206,9 @@
 async def test_of_two_answers_in_one_piece_the_unrequested_one_is_dropped(
     tmp_path: Path,
 ) -> None:
-    """It names a worker and a later version; as the answer to the next query it would count."""
+    """It has a worker and a later version, and would be valid as the answer to the next query."""
     unrequested = http_response(list_body(9, worker(9), reset=False))
-    discovery = StepwiseDiscovery(
+    discovery = PiecewiseDiscovery(
         [[change(2) + unrequested], [change(3) + unrequested[:30]], [change(4)]]
     )
     async with serving_manager(
@@ -228,7 +230,7 @@
 
 
 async def test_a_health_check_answered_byte_by_byte_is_one_answer(tmp_path: Path) -> None:
-    """A worker that failed is checked; its report arrives in pieces, and it is readmitted."""
+    """A worker that failed is checked, sends its load report in pieces, and is readmitted."""
     requests = list[bytes]()
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     report = b"TEXT inflight=17, queue=2, util=0.61\n"
--- a/tests/race_conditions/test_platform_sockets.py
+++ b/tests/race_conditions/test_platform_sockets.py
@@ -1,6 +1,8 @@
-"""Two events at the manager's address, or at its query of discovery, in one turn of the event loop.
+"""Two events in one turn of the event loop: at the manager's sockets, or at its discovery query.
 
-On real sockets, in this process.
+Guards against an event that still takes effect after the other one has invalidated it, such as a
+message of a replaced connection, and against output lost at a shutdown. The sockets are real; the
+server runs in this process.
 """
 
 import os
@@ -44,7 +46,7 @@
 
 
 class RunningServer:
-    """A server, the events that it submitted, and raw clients of it that do not block."""
+    """A server, the events that it submitted, and raw sockets connected to it."""
 
     def __init__(self, max_unjoined: int = 64) -> None:
         self.events = list[Event]()
@@ -71,10 +73,10 @@
         finally:
             for client in self.clients:
                 client.close()
-        assert not self.log_entries, "no internal error"
+        assert not self.log_entries, "no internal error was logged"
 
     def connect(self, receive_buffer: int = 0) -> socket.socket:
-        """Connect; the kernel alone has accepted it yet, not the server."""
+        """Connect; the kernel completes the connection before the server accepts it."""
         client = socket.socket()
         if receive_buffer:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -83,7 +85,7 @@
         return client
 
     async def join_slow_reader(self, number: int = 17) -> tuple[socket.socket, Connection]:
-        """Return a joined proxy that receives little at a time, and the server's connection to it."""
+        """Return a joined proxy with small socket buffers, and the server's connection to it."""
         client = self.connect(receive_buffer=4096)
         joined_before = self._count(ProxyConnected)
         client.sendall(PROXY_HELLO.replace(b"17", b"%d" % number))
@@ -114,7 +116,7 @@
 
 
 def block(seconds: float) -> None:
-    """Keep the event loop from running."""
+    """Block the event loop."""
     until = time.perf_counter() + seconds
     while time.perf_counter() < until:
         pass
@@ -127,17 +129,18 @@
     running = RunningServer()
     async with running.open():
         old = await running.join()
-        for n in range(2, 42):  # which of the two is read first is random
+        for n in range(2, 42):  # the event loop reads the two in random order
             new = running.connect()
-            await trio.testing.wait_all_tasks_blocked()  # accepted, and nothing sent yet
+            # The server has accepted the connection, and nothing is sent yet.
+            await trio.testing.wait_all_tasks_blocked()
             new.sendall(PROXY_HELLO)
             old.sendall(DEMAND_REPORT)
             await running.until_submitted(n)
             old.close()
             await trio.testing.wait_all_tasks_blocked()
             old = new
-        # Read before the new hello it counts, and the old connection's end comes next; else it does
-        # not.
+        # A report that was read before the new hello counts, and the end of the old connection is
+        # the next event. A report read after it is dropped.
         report_indexes = [
             n for n, event in enumerate(running.events) if isinstance(event, DemandReported)
         ]
@@ -161,18 +164,18 @@
     left.close(), right.close()
 
 
-async def test_a_hello_that_arrives_as_its_connection_is_to_be_closed_counts() -> None:
+async def test_a_hello_that_arrives_when_its_grace_period_expires_counts() -> None:
     for _ in range(12):
         running = RunningServer(max_unjoined=1)
         async with running.open():
             first = running.connect()
             await trio.testing.wait_all_tasks_blocked()
             running.connect()
-            await (
-                trio.testing.wait_all_tasks_blocked()
-            )  # the second waits for the first to be closed
+            # The second connection waits until the first is closed.
+            await trio.testing.wait_all_tasks_blocked()
             first.sendall(PROXY_HELLO)
-            block(2 * SILENT_GRACE_S)  # so that its time is over as it becomes readable
+            # The grace period of the first has expired when the event loop finds it readable.
+            block(2 * SILENT_GRACE_S)
             await running.until_submitted(1)
             await trio.testing.wait_all_tasks_blocked()
             assert not any(isinstance(event, ProxyDisconnected) for event in running.events)
@@ -188,12 +191,11 @@
             running.connect().sendall(partial_hello)
         started_at = trio.current_time()
         await running.join()
-        assert (
-            trio.current_time() - started_at < 4.0
-        )  # closing the oldest, whatever it sent, would take 9 s for 300
+        # 300 silent connections would take 9 s with the grace period of those that sent something.
+        assert trio.current_time() - started_at < 4.0
 
 
-async def test_resets_and_ends_at_any_byte_do_not_disturb_other_connections() -> None:
+async def test_resets_and_closes_at_any_byte_do_not_affect_other_connections() -> None:
     running = RunningServer()
     async with running.open():
         good = await running.join(PROXY_HELLO.replace(b"17", b"3"))
@@ -239,18 +241,16 @@
         data += chunk
 
 
-async def test_output_begun_before_a_stop_is_completed_where_the_peer_reads() -> None:
+async def test_output_begun_before_a_stop_is_completed_if_the_peer_reads() -> None:
     running = RunningServer()
     async with running.open():
         client, connection = await running.join_slow_reader()
         expected = table_update(4000) + table_update(100)
         running.server.deliver(17, ProxyMessage(expected, 4000.0, None))
-        assert connection.unsent, "the socket took a part of it"
-        client.sendall(
-            DEMAND_REPORT
-            # not read by the server: closed with it, the connection would be reset and its output
-            # lost
-        )
+        assert connection.unsent, "the socket accepted only a part of it"
+        # The server does not read this. Closing the socket with unread input would send a reset,
+        # which discards the output.
+        client.sendall(DEMAND_REPORT)
         received = b""
 
         async def read() -> None:
@@ -262,7 +262,7 @@
             nursery.start_soon(read)
             with trio.fail_after(5):
                 await running.server.finish()
-                nursery.start_soon(running.server.finish)  # a second stop has nothing to do
+                nursery.start_soon(running.server.finish)  # a second stop has no effect
         assert received == expected
 
 
@@ -323,9 +323,8 @@
                 running: RunningServer = running,
                 accepted_at_stop: list[int] = accepted_at_stop,
             ) -> None:
-                await trio.lowlevel.wait_readable(
-                    listener
-                )  # woken with the accepting task, in random order
+                # Runs in the same turn as the accepting task, in random order.
+                await trio.lowlevel.wait_readable(listener)
                 accepted_at_stop.append(running.server.accepted_count)
                 await running.server.finish()
 
@@ -337,7 +336,7 @@
             listener.close()
 
 
-async def test_a_peer_that_resets_with_output_queued_disturbs_no_other() -> None:
+async def test_a_reset_by_a_peer_with_queued_output_does_not_affect_other_connections() -> None:
     running = RunningServer()
     async with running.open():
         good = await running.join()
@@ -346,9 +345,8 @@
         assert connection.unsent
         reset(reset_client)
         await running.until_submitted(1, ProxyDisconnected)
-        running.server.deliver(
-            18, ProxyMessage(table_update(10), 10.0, None)
-        )  # for a connection that has ended: lost
+        # Dropped, because the connection has ended.
+        running.server.deliver(18, ProxyMessage(table_update(10), 10.0, None))
         good.sendall(DEMAND_REPORT)
         await running.until_submitted(1, DemandReported)
         assert running.registry.peer_by_proxy.keys() == {17}
@@ -358,7 +356,7 @@
 
 
 class CountingModule:
-    """A module that counts its batches and sets a timer for at once."""
+    """A decision module that counts its batches and sets a timer without delay."""
 
     def __init__(self) -> None:
         self.batch_count = 0
@@ -369,10 +367,10 @@
 
 
 class NullOrderSink:
-    """An order sink that makes no messages."""
+    """An order sink that produces no messages."""
 
     def handle_events(self, events: Iterable[Event]) -> None:
-        """Take note of nothing."""
+        """Ignore the events."""
 
     def apply_orders(
         self, orders: Iterable[Order], now: float, awaited_proxies: Iterable[int] = ()
@@ -396,7 +394,7 @@
             if with_timer:
                 loop.timers.append((trio.current_time(), 1))
             loop.submit(ProxyDisconnected(1))
-            loop.stop()  # the loop is woken already, and has not run
+            loop.stop()  # the loop has been woken, and has not run yet
             await trio.testing.wait_all_tasks_blocked()
             loop.submit(ProxyDisconnected(2))
             await trio.testing.wait_all_tasks_blocked()
@@ -426,7 +424,7 @@
 
 
 class ScriptedDiscovery:
-    """Discovery by script: each query gets the next of `answers`; without one it gets none."""
+    """A discovery server that sends the next of `answers` to each query, while there are any."""
 
     def __init__(self, *answers: bytes) -> None:
         self.answers = list(answers)
@@ -498,9 +496,9 @@
 
 
 async def test_an_answer_in_the_turn_of_an_address_change_does_not_count() -> None:
-    """Who changes the address waits for the same bytes as the watcher, on a descriptor of its own.
+    """The task that changes the address waits for the same bytes as the watcher.
 
-    Both are woken in one turn, in random order.
+    It uses a duplicate of the descriptor, so that both are woken in one turn, in random order.
     """
     for _ in range(16):
         old, new = ScriptedDiscovery(list_body(5, "s-1")), ScriptedDiscovery(list_body(2, "s-2"))
@@ -535,7 +533,7 @@
 
 
 def _duplicate_own_socket(matches: Callable[[socket.socket], bool]) -> socket.socket:
-    """Return the one of this process' sockets that matches, on another descriptor."""
+    """Return a duplicate of the socket of this process that matches."""
     matching = []
     for descriptor in list(Path("/proc/self/fd").iterdir()):
         if descriptor.is_socket():
@@ -544,7 +542,7 @@
                 matching.append(one)
             else:
                 one.close()
-    # a number that was free while they were listed may have become a duplicate
+    # A duplicate made while the descriptors are listed may be listed itself.
     found, *duplicates = matching
     for one in duplicates:
         one.close()
@@ -552,22 +550,19 @@
 
 
 def _client_end(server: socket.socket) -> socket.socket:
-    """Return the client's end of this connection."""
+    """Return a duplicate of the client's end of this connection."""
     return _duplicate_own_socket(lambda one: one.getsockname() == server.getpeername())
 
 
 @pytest.mark.parametrize(
     ("answers", "min_pauses"),
     [
-        (
-            [list_body(5, "s-1")] + [list_body(5, reset=False)] * 20,
-            8,
-        ),  # at once, and without changes
-        ([list_body(5, "s-1")] * 20, 8),  # the complete list again and again
-        (
-            [list_body(5, "s-1"), list_body(4, reset=False)] * 10,
-            4,
-        ),  # a version that goes back each time
+        # Changes without entries, sent at once.
+        ([list_body(5, "s-1")] + [list_body(5, reset=False)] * 20, 8),
+        # The same complete list each time.
+        ([list_body(5, "s-1")] * 20, 8),
+        # A version that decreases at each watch.
+        ([list_body(5, "s-1"), list_body(4, reset=False)] * 10, 4),
     ],
 )
 async def test_discovery_that_answers_at_once_without_changes_is_queried_with_pauses(
--- a/tests/race_conditions/test_process_signals.py
+++ b/tests/race_conditions/test_process_signals.py
@@ -1,6 +1,8 @@
-"""Signals, reloads and restarts of the manager on the platform as a process, at critical points.
+"""Signals to a manager process on the platform, and its settings.
 
-A settings file that is a pipe, a stop under way, a file half written, an address that all dial.
+Guards against signals that are lost or end the process with a traceback when they arrive before
+the settings are read, during a shutdown, together with another signal or while the configuration
+file is half written. Also checks restarts under many connections, and errors of unusable settings.
 """
 
 import json
@@ -43,7 +45,7 @@
 
 
 async def open_pipe_for_settings(config: Path) -> int:
-    """Return a pipe's writing end once the manager waits for its settings at the other end."""
+    """Return the write end of a pipe once the manager has opened it to read its settings."""
     os.mkfifo(config)
     return await trio.to_thread.run_sync(
         lambda: os.open(config, os.O_WRONLY), abandon_on_cancel=True
@@ -51,7 +53,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-async def test_a_stop_before_the_settings_are_read_ends_the_manager_quietly(
+async def test_a_stop_before_the_settings_are_read_ends_the_manager_without_a_traceback(
     tmp_path: Path, number: int
 ) -> None:
     config, log, port = tmp_path / "config.json", tmp_path / "log", free_ports(1)[0]
@@ -68,7 +70,7 @@
         process.kill()
 
 
-async def test_a_reload_before_the_settings_are_read_is_done_once_the_manager_serves(
+async def test_a_reload_before_the_settings_are_read_is_done_after_the_start(
     tmp_path: Path,
 ) -> None:
     config, log, port = tmp_path / "config.json", tmp_path / "log", free_ports(1)[0]
@@ -92,7 +94,7 @@
 
 
 async def test_signals_after_a_stop_have_no_effect(tmp_path: Path) -> None:
-    """The stop lasts as long as proxies keep their ends open: the manager has closed its own."""
+    """The shutdown waits for proxies to close their ends; the manager has closed its own."""
     async with running_manager(tmp_path) as running:
         proxies = [await running.connect() for _ in range(3)]
         for n, proxy in enumerate(proxies):
@@ -157,10 +159,10 @@
         assert "Traceback" not in running.log.read_text()
 
 
-async def test_a_restart_is_ready_while_all_proxies_and_many_others_connect_and_discovery_is_silent(
+async def test_a_restart_is_ready_in_time_under_many_connections_without_discovery(
     tmp_path: Path,
 ) -> None:
-    """They connect from before the manager listens, so that all are there at once."""
+    """They try to connect before the manager listens, so that all connections arrive at once."""
     _, seconds_to_alive, _ = await once(tmp_path, 40, 300)
     assert (
         seconds_to_alive < 10 and "connection.internal_error" not in (tmp_path / "log").read_text()
@@ -208,7 +210,7 @@
     config = tmp_path / "config.json"
     settings = {**SETTINGS, "specifics": {**SETTINGS["specifics"], "egressPerS": 0}}
     config.write_text(json.dumps(manager_config(9, settings=settings)))
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "dunlinlug.platform"],
         cwd=ROOT,
         capture_output=True,
@@ -216,7 +218,11 @@
         env={"ROUTER_CONFIG": str(config)},
         timeout=20,
     )
-    assert ended.returncode == 2 and "egressPerS" in ended.stderr and ended.stderr.count("\n") == 1
+    assert (
+        completed.returncode == 2
+        and "egressPerS" in completed.stderr
+        and completed.stderr.count("\n") == 1
+    )
 
 
 async def test_an_unsupported_setting_is_logged_and_an_unknown_one_is_ignored(
@@ -245,7 +251,7 @@
 
 
 def test_the_listen_backlog_holds_every_proxy_of_a_large_fleet() -> None:
-    """No connection is accepted meanwhile, as during a long batch."""
+    """The server accepts no connection during the test, as during a long batch."""
     listener = server.listen("127.0.0.1", 0)
     connection_count = min(int(Path("/proc/sys/net/core/somaxconn").read_text()), 2 * 1600)
     for _ in range(connection_count):
--- a/tests/race_conditions/test_reload_then_shutdown.py
+++ b/tests/race_conditions/test_reload_then_shutdown.py
@@ -1,6 +1,8 @@
-"""A reload (SIGHUP) followed by a drain (SIGTERM) of a manager process, at once and later.
+"""A reload (SIGHUP) of a manager process that is followed by a drain (SIGTERM).
 
-In the states that a reload may have left behind; its proxies go to another manager.
+Guards against a reload in progress that delays the drain or makes it fail: the drain arrives while
+the configuration file is incomplete, while the new discovery's list is incomplete, or after the
+reload. The proxies then connect to the other manager.
 """
 
 import json
@@ -27,14 +29,14 @@
 )
 from tests.race_conditions.roaming_proxies import Proxy, Requests, Workers
 
-DRAIN_TIMEOUT_S = 0.7  # seconds from SIGTERM after which a planned restart is killed
+DRAIN_TIMEOUT_S = 0.7  # after SIGTERM; a planned restart kills the process then
 
 
 class TwoManagers:
-    """Two managers and the first one's proxies; `other` is the discovery that a reload names."""
+    """Two managers and the proxies of the first; `other` is the discovery set by the reload."""
 
     def __init__(
-        self, managers: Managers, nursery: trio.Nursery, other: "HalfwayDiscovery"
+        self, managers: Managers, nursery: trio.Nursery, other: "PartialListDiscovery"
     ) -> None:
         self.managers = managers
         self.nursery = nursery
@@ -52,8 +54,8 @@
         self.first.process.send_signal(number)
 
 
-class HalfwayDiscovery:
-    """Discovery that sends a part of its list, and the rest once `rest` is set."""
+class PartialListDiscovery:
+    """A discovery server that sends a part of its list, and the rest once `rest` is set."""
 
     def __init__(self) -> None:
         self.server = ScriptedDiscovery(self.respond)
@@ -68,8 +70,8 @@
         await stream.send_all(data[-60:])
 
 
-async def at_once(fleet: TwoManagers) -> None:
-    """Nothing happens between the two signals; the file names the new address."""
+async def reload_started(fleet: TwoManagers) -> None:
+    """Reload with the new address; the drain follows at once."""
     fleet.managers.config_path(0).write_text(
         fleet.managers.config_text(0, discovery=fleet.other_address)
     )
@@ -82,10 +84,11 @@
     fleet.signal(signal.SIGHUP)
 
 
-async def half_written_and_rejected(fleet: TwoManagers) -> None:
-    """Wait until the manager pauses between its readings of the file.
+async def file_half_written_and_rejected(fleet: TwoManagers) -> None:
+    """Wait until the manager pauses between two attempts to read the file.
 
-    The fifth reading is 0.8 s after the fourth. The file is a pipe, whose writer waits for each.
+    The fifth attempt is 0.8 s after the fourth. The file is a pipe, on which opening for writing
+    waits for each attempt.
     """
     text = fleet.managers.config_text(0, discovery=fleet.other_address)
     fleet.managers.config_path(0).unlink()
@@ -97,30 +100,30 @@
         )
         os.write(pipe, text[: len(text) // 2].encode())
         os.close(pipe)
-        with trio.fail_after(5), suppress(OSError):  # raised once nobody reads from it
+        with trio.fail_after(5), suppress(OSError):  # raised once the pipe has no reader
             while True:
                 os.close(os.open(fleet.managers.config_path(0), os.O_WRONLY | os.O_NONBLOCK))
                 await trio.sleep(0.002)
     await fleet.first.until_logged("reload.rejected")
 
 
-async def list_half_received(fleet: TwoManagers) -> None:
-    await at_once(fleet)
+async def list_partly_received(fleet: TwoManagers) -> None:
+    await reload_started(fleet)
     await fleet.other.server.until_queried(1, timeout=1.0)
 
 
 async def rest_of_list_together_with_the_stop(fleet: TwoManagers) -> None:
-    """The rest of the list and the stop are both there when the process runs again."""
-    await list_half_received(fleet)
+    """Suspend the process, so that it finds both the rest of the list and the drain on resuming."""
+    await list_partly_received(fleet)
     fleet.signal(signal.SIGSTOP)
     fleet.other.rest.set()
     await trio.testing.wait_all_tasks_blocked()
 
 
 async def list_installed(fleet: TwoManagers) -> None:
-    """The reload is done, and the proxies have its list."""
+    """Wait until the reload is done and the proxies have the new list."""
     fleet.other.rest.set()
-    await list_half_received(fleet)
+    await list_partly_received(fleet)
     for proxy in fleet.proxies:
         await proxy.until(lambda proxy=proxy: proxy.usable().keys() == {"s-0", "s-1", "s-2", "s-9"})
 
@@ -128,10 +131,10 @@
 @pytest.mark.parametrize(
     "state",
     [
-        at_once,
+        reload_started,
         file_half_written,
-        half_written_and_rejected,
-        list_half_received,
+        file_half_written_and_rejected,
+        list_partly_received,
         rest_of_list_together_with_the_stop,
         list_installed,
     ],
@@ -151,7 +154,7 @@
         settings=fleet_settings(),
     ) as (managers, nursery):
         await workers.open(nursery, *names)
-        fleet = TwoManagers(managers, nursery, HalfwayDiscovery())
+        fleet = TwoManagers(managers, nursery, PartialListDiscovery())
         requests = Requests(workers, rng)
         await fleet.serve_other_discovery()
         proxies = fleet.proxies = [
@@ -174,7 +177,9 @@
         assert json.loads(last_line)["event"] == "stopped"
         for proxy in proxies:
             await proxy.until(
-                lambda proxy=proxy: proxy.joined and proxy.joined.port == managers.ports[1]
+                lambda proxy=proxy: (
+                    proxy.updated_stream and proxy.updated_stream.port == managers.ports[1]
+                )
             )
             first_stream = proxy.streams[0]
             assert (
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -74,9 +74,9 @@
 
 # Changes to the first scenario under which each fault of a broken manager breaks its rule: a short
 # drain grace period, warming endpoints far below their capacity, non-idempotent requests, lost
-# answers, a slow channel. The correct manager keeps the rules with a margin: the work that a warming
-# endpoint receives within fall_after is the sum of many small requests, so that random variation
-# alone does not overload it.
+# answers, a slow channel. The correct manager keeps the rules with a margin: the work that a
+# warming endpoint receives within fall_after is the sum of many small requests, so that random
+# variation alone does not overload it.
 HARD_SCENARIO_CHANGES = (
     ("length = 12s", "length = 10s"),
     ("lines_per_s = 1200/s", "lines_per_s = 150/s"),
@@ -104,7 +104,7 @@
     "tables": "bare",
     "pace": "queue",
 }
-# The faults that the guard must stop. It receives the true endpoint list, not the module's altered one.
+# The faults that the guard must stop. It receives the true endpoint list, not the altered one.
 GUARDED_FAULTS = ("", "ramp", "retries", "tables")
 
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -39,9 +39,9 @@
 def package_of(module: str) -> str:
     """Return the package that a dotted name below dunlinlug belongs to.
 
-    It is the module itself if that is in no package. Subpackages of `decision` count as one package,
-    because `decision.state` uses the records of `decision.events`; import cycles inside it are found
-    by the test of modules.
+    It is the module itself if that is in no package. Subpackages of `decision` count as one
+    package, because `decision.state` uses the records of `decision.events`; import cycles inside it
+    are found by the test of modules.
     """
     names = module.split(".")
     while len(names) > 1 and not (ROOT / "dunlinlug" / Path(*names)).is_dir():
