--- a/tests/decision/histories.py
+++ b/tests/decision/histories.py
@@ -200,21 +200,23 @@
         self.balancer = balancer
 
     def owed_entries(self, ack_number: int) -> dict[int, float]:
-        owed: dict[int, float] = self.balancer.account.sent[ack_number].owed
+        owed: dict[int, float] = self.balancer.budget.pending_replies[ack_number].entries_by_proxy
         return owed
 
     def is_channel_constrained(self) -> bool:
-        return bool(self.balancer.scant)
+        return bool(self.balancer.is_channel_constrained)
 
     def has_subsets_in_use(self) -> bool:
-        return bool(self.balancer.seating.proxies) and any(
-            table.users for table in self.balancer.small
+        return bool(self.balancer.assignments.proxies) and any(
+            table.use_count for table in self.balancer.subset_tables
         )
 
     def admitted_fractions(self) -> set[float]:
-        if not self.balancer.admits:
+        if not self.balancer.controls_admission:
             return set()
-        return {n for table in self.balancer.current.values() for n, _ in table.levels}
+        return {
+            n for table in self.balancer.current_tables.values() for n, _ in table.admission_levels
+        }
 
 
 def observed(balancer: Any) -> ObservedState:
--- a/tests/reference_model/listing.py
+++ b/tests/reference_model/listing.py
@@ -1,4 +1,4 @@
-"""The list as known. Bookkeeping alone: nothing here is decided."""
+"""The endpoint list. Bookkeeping only: no decisions are made here."""
 
 from collections.abc import Iterable
 from math import inf
@@ -7,56 +7,71 @@
 
 
 class Fleet:
-    """The listed workers, in parallel arrays under an index that each keeps while listed or in use."""
+    """The listed endpoints, in parallel arrays.
+
+    An endpoint keeps its row while it is listed or in use.
+    """
 
     def __init__(self) -> None:
-        self.index: dict[str, int] = {}
+        self.row_by_id: dict[str, int] = {}
         self.ids: list[str] = []
         self.zones: list[str] = []
         self.ready: list[bool] = []
-        self.weight: list[float | None] = []
-        self.since: list[float] = []
-
-    def fold(self, news: EndpointsUpdated, held: set[int]) -> list[tuple[int, bool]]:
-        """Take in news of the list; tells who has a new start, and whether it is new itself. The row of one
-        that went passes on once over half of all are of such, `held` excepted: it may come back."""
-        if news.update_type in ("whole", "kept"):
-            self.ready = [False] * len(self.ids)  # whoever a whole list does not name is gone
-        named, fresh = {entry.id for entry in news.endpoints}, []
-        spare = [
-            i
-            for i, ready in enumerate(self.ready)
-            if not (ready or i in held or self.ids[i] in named)
+        self.listed_weights: list[float | None] = []
+        self.started_at: list[float] = []
+
+    def apply_update(
+        self, update: EndpointsUpdated, rows_in_use: set[int]
+    ) -> list[tuple[int, bool]]:
+        """Apply an update of the list; return the rows that started later than known.
+
+        Each row comes with whether its endpoint is new. Once more than half of all rows are not
+        ready, new endpoints reuse such rows, except those in `rows_in_use`, whose endpoint may be
+        listed again.
+        """
+        if update.update_type in ("whole", "kept"):
+            self.ready = [False] * len(self.ids)  # endpoints missing from a complete list are gone
+        listed_ids, restarted = {endpoint.id for endpoint in update.endpoints}, []
+        reusable_rows = [
+            row
+            for row, ready in enumerate(self.ready)
+            if not (ready or row in rows_in_use or self.ids[row] in listed_ids)
         ]
-        spare = spare if 2 * sum(self.ready) < len(self.ids) else []
-        for entry in news.endpoints:
-            since, new = (
-                -inf if entry.started_at is None else entry.started_at,
-                entry.id not in self.index,
+        reusable_rows = reusable_rows if 2 * sum(self.ready) < len(self.ids) else []
+        for endpoint in update.endpoints:
+            started_at, is_new = (
+                -inf if endpoint.started_at is None else endpoint.started_at,
+                endpoint.id not in self.row_by_id,
             )
-            if new:
-                i = self.index[entry.id] = spare.pop(0) if spare else len(self.ids)
-                self.index.pop(self.ids[i] if i < len(self.ids) else "", None)
-                self.ids[i : i + 1], self.zones[i : i + 1] = [entry.id], [entry.zone]
-                self.ready[i : i + 1], self.weight[i : i + 1], self.since[i : i + 1] = (
+            if is_new:
+                row = self.row_by_id[endpoint.id] = (
+                    reusable_rows.pop(0) if reusable_rows else len(self.ids)
+                )
+                self.row_by_id.pop(self.ids[row] if row < len(self.ids) else "", None)
+                self.ids[row : row + 1], self.zones[row : row + 1] = [endpoint.id], [endpoint.zone]
+                (
+                    self.ready[row : row + 1],
+                    self.listed_weights[row : row + 1],
+                    self.started_at[row : row + 1],
+                ) = (
                     [False],
                     [None],
-                    [since],
+                    [started_at],
                 )
-            i = self.index[entry.id]
-            if new or since > self.since[i]:
-                fresh.append((i, new))
-            self.zones[i], self.weight[i], self.ready[i] = (
-                entry.zone,
-                entry.weight,
-                entry.state == "ready",
+            row = self.row_by_id[endpoint.id]
+            if is_new or started_at > self.started_at[row]:
+                restarted.append((row, is_new))
+            self.zones[row], self.listed_weights[row], self.ready[row] = (
+                endpoint.zone,
+                endpoint.weight,
+                endpoint.state == "ready",
             )
-            self.since[i] = max(since, self.since[i])
-        return fresh
-
-    def by_zone(self, workers: Iterable[int]) -> dict[str, set[int]]:
-        """These workers parted by zone."""
-        parted: dict[str, set[int]] = {}
-        for i in workers:
-            parted.setdefault(self.zones[i], set()).add(i)
-        return parted
+            self.started_at[row] = max(started_at, self.started_at[row])
+        return restarted
+
+    def by_zone(self, rows: Iterable[int]) -> dict[str, set[int]]:
+        """Return these rows by zone."""
+        rows_by_zone: dict[str, set[int]] = {}
+        for row in rows:
+            rows_by_zone.setdefault(self.zones[row], set()).add(row)
+        return rows_by_zone
--- a/tests/reference_model/outstanding.py
+++ b/tests/reference_model/outstanding.py
@@ -1,84 +1,100 @@
-"""What was ordered on a channel and may still wait there. Bookkeeping alone: nothing here is decided.
+"""Unacknowledged replies, and the number of their entries that may still be queued.
 
-The channel keeps the order of replies, so that an answer to one shows that all before it have left. A proxy that has
-left takes its own lines out and shows nothing of the others'. Marks are kept by proxy too: an answer costs what that
-proxy still owes, not all that is under way.
+Bookkeeping only: no decisions are made here. The channel sends replies in order, so that the
+acknowledgement of one shows that all before it have left the queue. When a proxy disconnects, only
+its own entries are removed, as this shows nothing about those of others. Acknowledgement numbers
+are also indexed by proxy, so that the cost of an acknowledgement depends on that proxy's pending
+replies, not on all pending ones.
 """
 
 from collections import deque
 from collections.abc import Container, Iterable
 from dataclasses import dataclass
 
-NUMBERS = 65000  # table and mark numbers in turn, below the wire's bound
+# Highest table and acknowledgement number: below the limit of the wire format. Numbers wrap around
+# to 1 after it.
+MAX_NUMBER = 65000
 
 
-def free(last: int, taken: Container[int]) -> int:
-    """The number after the last one given that is not taken."""
-    return next(n for n in ((last + k) % NUMBERS + 1 for k in range(NUMBERS)) if n not in taken)
+def next_free_number(last_number: int, taken: Container[int]) -> int:
+    """Return the first number after `last_number` that is not taken, wrapping around."""
+    return next(
+        number
+        for number in ((last_number + offset) % MAX_NUMBER + 1 for offset in range(MAX_NUMBER))
+        if number not in taken
+    )
 
 
 @dataclass(eq=False)
-class Stretch:
-    """One reply's lines by proxy that has yet to answer; `ahead` is what waited once it was ordered, `waiting` whether
-    its lines may still wait."""
-
-    owed: dict[int, float]
-    ahead: float
-    waiting: bool = True
-
-
-class Outstanding:
-    """`waits` is the most that may wait, in lines. Times are seconds."""
-
-    def __init__(self, messages_kept: int) -> None:
-        self.kept, self.waits = messages_kept, 0.0
-        self.sent: dict[int, Stretch] = {}  # by mark, oldest first
-        self.queue: deque[int] = (
-            deque()
-        )  # marks whose lines may wait, oldest first, and some settled since
-        self.asked: dict[
-            int, dict[int, None]
-        ] = {}  # by joined proxy, the marks it has yet to answer, oldest first
-        self.written: dict[
-            int, deque[float]
-        ] = {}  # by proxy, joined or not, when it was written its last messages
-
-    def book(self, mark: int, now: float, lines: dict[int, float]) -> None:
-        """One reply's lines by proxy, under its mark."""
-        while self.queue and self.queue[0] not in self.sent:
-            self.queue.popleft()
-        self.waits += sum(lines.values())
-        self.sent[mark] = Stretch(dict(lines), self.waits)
-        self.queue.append(mark)
-        for proxy in lines:
-            self.asked.setdefault(proxy, {})[mark] = None
-            self.written.setdefault(proxy, deque(maxlen=self.kept)).append(now)
-
-    def answered(self, proxy: int, mark: int) -> list[int]:
-        """Settle this mark and all before it for the proxy; tells which."""
-        marks = list(self.asked[proxy])
-        passed = marks[: marks.index(mark) + 1]
-        while self.sent[mark].waiting and self.queue[0] != mark:
-            stretch = self.sent.get(self.queue.popleft())
-            if stretch is not None:
-                stretch.waiting = False
-                self.waits -= sum(stretch.owed.values())
-        self._settle(proxy, passed)
-        return passed
-
-    def _settle(self, proxy: int, marks: Iterable[int]) -> None:
-        for mark in marks:
-            del self.asked[proxy][mark]
-            stretch = self.sent[mark]
-            lines = stretch.owed.pop(proxy)
-            if stretch.waiting:
-                self.waits -= lines
-            if not stretch.owed:
-                del self.sent[mark]
-
-    def forget(self, proxy: int) -> None:
-        """It has left or joined anew: what waits for it is lost, and no answer comes for what it was sent."""
-        self._settle(proxy, list(self.asked.get(proxy, ())))
-        self.asked.pop(proxy, None)
-        # Danger: what it was written still counts. Forgotten with its stream, one that breaks off and comes back would
-        # be written twice what the bound allows. It is some times for each proxy there is, no more.
+class PendingReply:
+    """One reply's entries, by proxy that has yet to acknowledge it.
+
+    `queued_before` is the number of entries in the channel's queue after the reply was added,
+    including its own; `queued` is whether its entries may still be queued.
+    """
+
+    entries_by_proxy: dict[int, float]
+    queued_before: float
+    queued: bool = True
+
+
+class PendingAcks:
+    """Holds the replies that are not acknowledged, and an upper bound of the entries queued.
+
+    Times are seconds. The times of the last `message_history_length` messages to each proxy are
+    stored.
+    """
+
+    def __init__(self, message_history_length: int) -> None:
+        self.message_history_length, self.queued_entries = message_history_length, 0.0
+        self.pending_replies: dict[int, PendingReply] = {}  # by number, oldest first
+        # Numbers whose entries may be queued, oldest first, and some that are acknowledged by now.
+        self.queued_acks: deque[int] = deque()
+        # By connected proxy, the numbers that it has yet to acknowledge, oldest first.
+        self.awaited_acks: dict[int, dict[int, None]] = {}
+        # By proxy, connected or not, the times of the last messages sent to it.
+        self.sent_times: dict[int, deque[float]] = {}
+
+    def record(self, ack_number: int, now: float, entries_by_proxy: dict[int, float]) -> None:
+        """Record one reply's entries by proxy, under its acknowledgement number."""
+        while self.queued_acks and self.queued_acks[0] not in self.pending_replies:
+            self.queued_acks.popleft()
+        self.queued_entries += sum(entries_by_proxy.values())
+        self.pending_replies[ack_number] = PendingReply(dict(entries_by_proxy), self.queued_entries)
+        self.queued_acks.append(ack_number)
+        for proxy_id in entries_by_proxy:
+            self.awaited_acks.setdefault(proxy_id, {})[ack_number] = None
+            self.sent_times.setdefault(proxy_id, deque(maxlen=self.message_history_length)).append(
+                now
+            )
+
+    def acknowledge(self, proxy_id: int, ack_number: int) -> list[int]:
+        """Acknowledge this number and all before it for the proxy; return these numbers."""
+        awaited = list(self.awaited_acks[proxy_id])
+        acknowledged = awaited[: awaited.index(ack_number) + 1]
+        while self.pending_replies[ack_number].queued and self.queued_acks[0] != ack_number:
+            pending = self.pending_replies.get(self.queued_acks.popleft())
+            if pending is not None:
+                pending.queued = False
+                self.queued_entries -= sum(pending.entries_by_proxy.values())
+        self._remove(proxy_id, acknowledged)
+        return acknowledged
+
+    def _remove(self, proxy_id: int, ack_numbers: Iterable[int]) -> None:
+        """Remove a proxy's entries from these replies."""
+        for ack_number in ack_numbers:
+            del self.awaited_acks[proxy_id][ack_number]
+            pending = self.pending_replies[ack_number]
+            entries = pending.entries_by_proxy.pop(proxy_id)
+            if pending.queued:
+                self.queued_entries -= entries
+            if not pending.entries_by_proxy:
+                del self.pending_replies[ack_number]
+
+    def forget_proxy(self, proxy_id: int) -> None:
+        """Drop a disconnected or reconnected proxy's replies, which it will not acknowledge."""
+        self._remove(proxy_id, list(self.awaited_acks.get(proxy_id, ())))
+        self.awaited_acks.pop(proxy_id, None)
+        # `sent_times` is kept: if it were cleared with the connection, a proxy that reconnects
+        # could be sent twice as many messages as the limit allows. The cost is a few timestamps
+        # for each proxy.
--- a/tests/reference_model/state.py
+++ b/tests/reference_model/state.py
@@ -1,4 +1,4 @@
-"""The plain types of a manager's present and wanted state; `balance.py` decides what becomes of them."""
+"""Staged updates and the desired state; `balance.py` decides how they are used."""
 
 from dataclasses import dataclass
 
@@ -6,39 +6,49 @@
 
 
 @dataclass(eq=False)
-class Change:
-    """One product's staged change: laid and asked, ready once none is awaited, bound and asked, cleared."""
+class StagedUpdate:
+    """One class's update: installed, ready once acknowledged, assigned, done once acknowledged."""
 
     version: int
     table: Table
-    old: Table
-    mark: int  # of the first asking
-    asked_at: float
-    awaited: set[int]
-    bound: bool = False
+    old_table: Table
+    ack_number: int  # of the request by which the proxies acknowledge that they are ready
+    requested_at: float
+    awaited_proxies: set[int]
+    assigned: bool = False
 
 
 @dataclass
-class Wanted:
-    """What should be: by product each ready worker's share, its part of its weight, levels by product, who is
-    out. Products that no pin sets apart have one and the same record of shares."""
-
-    shares: list[dict[int, float]]
-    parts: dict[int, float]
-    levels: list[tuple[float, int]]
-    out: set[int]
-
-    def common(self) -> dict[int, float]:
-        """Lines for all products, where they need not be the same: the first one's for workers of all."""
-        first, *others = self.shares
-        same = {
-            i: share
-            for i, share in first.items()
-            if all(want is first or i in want for want in others)
+class DesiredState:
+    """Weights, admission and ejections as they should be now.
+
+    `weights` has by class the weight of each ready row; classes that no operator override sets
+    apart have one and the same dict. `weight_fractions` has for each row the fraction of its listed
+    weight that it gets, and `admission_levels` by class the admitted fraction and the retry policy.
+    """
+
+    weights: list[dict[int, float]]
+    weight_fractions: dict[int, float]
+    admission_levels: list[tuple[float, int]]
+    ejected: set[int]
+
+    def common_weights(self) -> dict[int, float]:
+        """Return weights that serve all classes, where one table has to.
+
+        They are those of the first class for the rows that all classes have, or those of the class
+        with most rows if there is no such row.
+        """
+        first, *others = self.weights
+        shared_weights = {
+            row: weight
+            for row, weight in first.items()
+            if all(weights is first or row in weights for weights in others)
         }
-        return same or max(self.shares, key=len)
-
-    def bears(self, table: Table) -> float:
-        """What a table's workers take, in weight; a little where there is nobody."""
-        want = self.shares[0]
-        return sum(want.get(i, 0.0) for i in table.shares if i not in self.out) or 1e-6
+        return shared_weights or max(self.weights, key=len)
+
+    def capacity(self, table: Table) -> float:
+        """Return the weight of a table's endpoints that are not ejected; above 0 if none are left."""
+        weights = self.weights[0]
+        return (
+            sum(weights.get(row, 0.0) for row in table.weights if row not in self.ejected) or 1e-6
+        )
