--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -17,7 +17,7 @@
 from dunlinlug.decision.events import DemandReported, EndpointReported
 from dunlinlug.net import http
 from dunlinlug.storage.store import read_rejections
-from tests.fixtures.manager_process import WORKERS, Running, bound, peer, running, until
+from tests.fixtures.manager_process import WORKERS, Running, has_tables, peer, running, until
 
 TOKEN = "a-token-of-the-tests"
 BOOK = "press-book"
@@ -69,7 +69,7 @@
     tmp_path: Path,
 ) -> None:
     async with running_with_admin_api(tmp_path) as (run, client), peer(run, "p0") as proxy:
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         proposal = {"product": BOOK, "lasts": 9, "only": FIRST_TWO}
         _, answer = await client.send("POST", "/pins/propose", proposal)
         assert answer["passes"] is True
@@ -98,13 +98,13 @@
             )
         )
         await proxy.until(lambda state: len(state.usable_weights(READ)) == 6)
-        reasons = [fields["why"] for fields in run.said("override.ended")]
+        reasons = [fields["why"] for fields in run.logged("override.ended")]
         assert reasons == ["an operator's word", "its time is up"]
 
 
 async def test_malformed_requests_are_answered_and_change_nothing(tmp_path: Path) -> None:
     async with running_with_admin_api(tmp_path) as (run, client), peer(run, "p0") as proxy:
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         valid = {"product": BOOK, "lasts": 9, "only": FIRST_TWO}
         for payload, message in [
             (b"{", "not JSON"),
@@ -146,16 +146,16 @@
             received = await slow.receive_some()
         assert received == b"", "a client that never completes its request is disconnected"
         assert len(proxy.holdings.usable_weights(BOOK)) == 6
-        assert not run.said("override.activated")
+        assert not run.logged("override.activated")
 
 
 async def test_an_override_that_overloads_a_warming_endpoint_is_rejected_and_recorded(
     tmp_path: Path,
 ) -> None:
     async with running_with_admin_api(tmp_path) as (run, client), peer(run, "p0") as proxy:
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         run.roster.workers[0] = replace(WORKERS[0], started_at=time.time())
-        run.roster.tell(w1="ready")
+        run.roster.update(w1="ready")
         validator = run.manager.components.validation.validator
         await until(lambda: bool(validator.endpoints.warming_up))
         run.manager.components.loop.pending_events += [
@@ -178,22 +178,22 @@
     tmp_path: Path,
 ) -> None:
     async with running_with_admin_api(tmp_path) as (run, client), peer(run, "p0") as proxy:
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         status, _ = await client.activate(only=FIRST_TWO)
         assert status == 200
         await proxy.until(lambda state: set(state.usable_weights(BOOK)) == set(FIRST_TWO))
-        run.roster.tell(w0="draining", w1="draining")
+        run.roster.update(w0="draining", w1="draining")
         remaining = {worker.id for worker in WORKERS[2:]}
         await proxy.until(lambda state: set(state.usable_weights(BOOK)) == remaining)
-        assert "may be used any more" in run.said("override.revoked")[0]["why"]
-        run.roster.tell(w0="ready", w1="ready")
+        assert "may be used any more" in run.logged("override.revoked")[0]["why"]
+        run.roster.update(w0="ready", w1="ready")
         await proxy.until(lambda state: len(state.usable_weights(BOOK)) == 6)
     assert read_rejections(tmp_path / "store")[-1].source == "guard, lifting a pin"
 
 
 async def test_an_override_outlives_its_manager_and_still_expires(tmp_path: Path) -> None:
     async with running_with_admin_api(tmp_path) as (run, client), peer(run, "p0") as proxy:
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         status, _ = await client.activate(lasts=4.0, only=FIRST_TWO)
         assert status == 200
     async with running_with_admin_api(tmp_path) as (run, _), peer(run, "p0") as proxy:
@@ -201,7 +201,7 @@
         assert len(proxy.holdings.usable_weights(READ)) == 6
         await proxy.until(lambda state: len(state.usable_weights(BOOK)) == 6)
     assert run.manager.components.store is not None
-    assert [fields["why"] for fields in run.said("override.ended")] == ["its time is up"]
+    assert [fields["why"] for fields in run.logged("override.ended")] == ["its time is up"]
 
 
 @pytest.mark.parametrize(
@@ -230,7 +230,7 @@
         return result.exit_code, result.output
 
     async with running_with_admin_api(tmp_path) as (run, _), peer(run, "p0") as proxy:
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         file = tmp_path / "with-address.ini"
         text = (tmp_path / "manager.ini").read_text()
         address = "listen = {}:{}\nquiet".format(*run.manager.admin_address)
--- a/tests/ads/test_grpc_clients.py
+++ b/tests/ads/test_grpc_clients.py
@@ -122,7 +122,7 @@
     try:
         async with running(tmp_path) as run:
             run.roster.workers = listed
-            run.roster.tell()
+            run.roster.update()
             module = run.manager.components.loop.module
             await until(
                 lambda: (
@@ -140,7 +140,7 @@
                 0.4 < counts[workers.ids[3]] / 800 < 0.6
                 and 0.07 < counts[workers.ids[0]] / 800 < 0.18
             )
-            run.roster.tell(w3="draining")
+            run.roster.update(w3="draining")
             await until(lambda: bool(run.manager.components.loop.module.state.ejected_rows))  # type: ignore[attr-defined]
             with trio.fail_after(5.0):
                 while workers.ids[3] in await client.send_requests(50):
@@ -155,7 +155,7 @@
                     for _, ack_number in tables
                 )
             )
-            assert not run.said("proxy.response_rejected")
+            assert not run.logged("proxy.response_rejected")
     finally:
         if client is not None:
             client.kill()
--- a/tests/ads/test_tls.py
+++ b/tests/ads/test_tls.py
@@ -14,7 +14,7 @@
 from dunlinlug import rpc
 from dunlinlug.net import grpc, tls
 from dunlinlug.xds import load_reports, names
-from tests.fixtures.manager_process import Peer, Running, bound, running, until
+from tests.fixtures.manager_process import Peer, Running, has_tables, running, until
 
 
 class Certificates:
@@ -71,7 +71,7 @@
             connect(run, context, "p0.proxies") as good,
             connect(run, context, "p1.proxies") as other,
         ):
-            await good.until(bound)
+            await good.until(has_tables)
             end = await call_end(other.call)
             assert end.status == rpc.Status.PERMISSION_DENIED and "p0.proxies" in end.reason
             report = other.link.start_call(names.LRS_METHOD)
@@ -81,7 +81,7 @@
                 )
             )
             assert (await call_end(report)).status == rpc.Status.PERMISSION_DENIED
-        assert len(run.said("proxy.connected")) == 1
+        assert len(run.logged("proxy.connected")) == 1
 
 
 async def test_a_peer_without_a_valid_certificate_is_not_served_and_harms_no_other(
@@ -92,7 +92,7 @@
         running(tmp_path, certificates.section) as run,
         connect(run, certificates.client("p0.proxies"), "p0.proxies") as good,
     ):
-        await good.until(bound)
+        await good.until(has_tables)
         for context in (
             certificates.client("p2.proxies", trustme.CA()),
             certificates.client("p3.proxies", lifetime=-60.0),
@@ -105,9 +105,9 @@
             with trio.fail_after(5.0):
                 while await plain.receive_some():
                     pass
-        await until(lambda: len(run.said("proxy.authentication_failed")) >= 3)
-        assert len(run.said("proxy.connected")) == 1
-        run.roster.tell(w1="draining")
+        await until(lambda: len(run.logged("proxy.authentication_failed")) >= 3)
+        assert len(run.logged("proxy.connected")) == 1
+        run.roster.update(w1="draining")
         await good.until(lambda h: len(h.usable_weights("press-book")) == 5)
 
 
@@ -117,24 +117,24 @@
         running(tmp_path, certificates.section) as run,
         connect(run, certificates.client("p0.proxies"), "p0.proxies") as old,
     ):
-        await old.until(bound)
+        await old.until(has_tables)
         previous_authority = certificates.authority
         certificates.authority = trustme.CA()
         certificates.authority.cert_pem.write_to_path(tmp_path / "clients.pem")
         (tmp_path / "manager.key").write_text("not a key")
         run.manager.reloader.reload()
-        assert "not a certificate and its key" in run.said("reload.rejected")[-1]["why"]
+        assert "not a certificate and its key" in run.logged("reload.rejected")[-1]["why"]
         certificates.issue_server_certificate()
         run.manager.reloader.reload()
-        assert run.said("reload.done")
+        assert run.logged("reload.done")
         async with connect(run, certificates.client("p1.proxies"), "p1.proxies") as new:
-            await new.until(bound)
+            await new.until(has_tables)
             with pytest.raises((OSError, grpc.CallEndedError, ExceptionGroup)):
                 async with connect(
                     run, certificates.client("p2.proxies", previous_authority), "p2.proxies"
                 ) as late:
                     raise await call_end(late.call)
-            run.roster.tell(w1="draining")
+            run.roster.update(w1="draining")
             for proxy in (old, new):
                 await proxy.until(lambda h: len(h.usable_weights("press-book")) == 5)
 
@@ -145,10 +145,10 @@
         async with connect(
             run, certificates.client("p0.proxies", lifetime=2.5), "p0.proxies"
         ) as short:
-            await short.until(bound)
+            await short.until(has_tables)
             assert (await call_end(short.call)).status is None
         await until(
             lambda: any(
-                "run out" in said["why"] for said in run.said("proxy.authentication_failed")
+                "run out" in said["why"] for said in run.logged("proxy.authentication_failed")
             )
         )
--- a/tests/decision/test_order_rejection.py
+++ b/tests/decision/test_order_rejection.py
@@ -27,7 +27,7 @@
 from dunlinlug.decision.slow_start import SLOW_START_INTERVAL
 from dunlinlug.storage.store import read_rejections
 from tests.decision.rules_model import endpoint, manager_settings
-from tests.fixtures.manager_process import WORKERS, bound, peer, running, until
+from tests.fixtures.manager_process import WORKERS, has_tables, peer, running, until
 
 BLOCKED_SECONDS = SLOW_START_INTERVAL
 
@@ -196,18 +196,18 @@
     """
     drained = WORKERS[3].id
     async with running(tmp_path, make=EmptyTableModule) as run, peer(run, "p0") as proxy:
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         run.manager.components.loop.module.is_rejecting = True  # type: ignore[attr-defined]
-        run.roster.tell(w3="draining")
+        run.roster.update(w3="draining")
         await proxy.until(lambda h: drained in h.ejected)
-        await until(lambda: bool(run.said("guard.order_rejected")))
+        await until(lambda: bool(run.logged("guard.order_rejected")))
         assert len(proxy.holdings.usable_weights("press-book")) == len(WORKERS) - 1, (
             "the table before stays in use, without the drained endpoint"
         )
         proxy_state = proxy.holdings
     assert {rejection.rule for rejection in read_rejections(tmp_path / "store")} == {"bare"}
     async with running(tmp_path) as run:
-        run.roster.tell(w3="draining")
+        run.roster.update(w3="draining")
         async with peer(run, "p0", proxy_state) as proxy:
             await proxy.until(
                 lambda h: (
@@ -215,4 +215,4 @@
                     and all(drained not in h.tables[t].weights for t, _ in h.routes.values())
                 )
             )
-            assert not run.said("guard.order_rejected")
+            assert not run.logged("guard.order_rejected")
--- a/tests/fleet/election/test_leadership.py
+++ b/tests/fleet/election/test_leadership.py
@@ -13,7 +13,7 @@
 from dunlinlug.fleet.election import messages as election_messages
 from dunlinlug.fleet.election.codec import NONCE_BYTES, FrameSealer
 from dunlinlug.xds.subscriber import ProxyState
-from tests.fixtures.manager_process import WORKERS, bound, until
+from tests.fixtures.manager_process import WORKERS, has_tables, until
 from tests.fixtures.manager_set import fleet
 
 
@@ -29,29 +29,29 @@
     tmp_path: Path,
 ) -> None:
     async with fleet(tmp_path) as run:
-        first = await run.led()
+        first = await run.wait_for_leader()
         for proxy in run.proxies:
-            await proxy.until(bound)
-        run.roster.tell(w2="draining")
+            await proxy.until(has_tables)
+        run.roster.update(w2="draining")
         for proxy in run.proxies:
             await proxy.until(lambda h: WORKERS[2].id in h.ejected)
         run.roster.fault = (
             "down"  # the successor must have the drain from the log, not from discovery
         )
-        run.cut(first.leadership.self_id)
-        second = await run.led(but=first.leadership.self_id)
+        run.partition(first.leadership.self_id)
+        second = await run.wait_for_leader(excluded=first.leadership.self_id)
         for proxy in run.proxies:
             await proxy.until(
                 lambda h: (
                     h.fencing_term.term == second.leadership.protocol.term and bound_without(h, 2)
                 )
             )
-        assert not first.leadership.protocol.is_leader and run.said("election.stepped_down")
+        assert not first.leadership.protocol.is_leader and run.logged("election.stepped_down")
         run.roster.fault = ""
-        run.roster.tell(w4="draining")
+        run.roster.update(w4="draining")
         for proxy in run.proxies:
             await proxy.until(lambda h: bound_without(h, 2, 4))
-        run.cut(first.leadership.self_id, on=False)
+        run.partition(first.leadership.self_id, blocked=False)
         await until(
             lambda: first.leadership.protocol.position == second.leadership.protocol.position
         )
@@ -63,16 +63,16 @@
 ) -> None:
     members = ("a", "b", "c", "d", "e")
     async with fleet(tmp_path, members=members) as run:
-        first = await run.led()
+        first = await run.wait_for_leader()
         for proxy in run.proxies:
-            await proxy.until(bound)
+            await proxy.until(has_tables)
         killed = []
         for _ in range(2):
-            leader = await run.led(but=killed[-1] if killed else "")
+            leader = await run.wait_for_leader(excluded=killed[-1] if killed else "")
             killed.append(leader.leadership.self_id)
             await run.stop(killed[-1])
-        third = await run.led()
-        run.roster.tell(w1="draining")
+        third = await run.wait_for_leader()
+        run.roster.update(w1="draining")
         for proxy in run.proxies:
             await proxy.until(
                 lambda h: (
@@ -92,18 +92,18 @@
 
 async def test_all_restarted_at_once_lead_again(tmp_path: Path) -> None:
     async with fleet(tmp_path) as run:
-        term = (await run.led()).leadership.protocol.term
+        term = (await run.wait_for_leader()).leadership.protocol.term
         for proxy in run.proxies:
-            await proxy.until(bound)
+            await proxy.until(has_tables)
         for member in run.members:
             await run.stop(member)
         for member in run.members:
             await run.start(run.nursery, member)
-        again = await run.led()
+        again = await run.wait_for_leader()
         assert again.leadership.protocol.term > term, "votes are on disk"
         for proxy in run.proxies:
             await proxy.until(
-                lambda h: h.fencing_term.term == again.leadership.protocol.term and bound(h)
+                lambda h: h.fencing_term.term == again.leadership.protocol.term and has_tables(h)
             )
 
 
@@ -111,18 +111,18 @@
     tmp_path: Path,
 ) -> None:
     async with fleet(tmp_path) as run:
-        first = await run.led()
+        first = await run.wait_for_leader()
         isolated = run.proxies[0]
         for proxy in run.proxies:
-            await proxy.until(bound)
+            await proxy.until(has_tables)
         isolated.reaches = {first.leadership.self_id}
-        run.cut(first.leadership.self_id)
-        await run.led(but=first.leadership.self_id)
-        run.roster.tell(w3="draining")
+        run.partition(first.leadership.self_id)
+        await run.wait_for_leader(excluded=first.leadership.self_id)
+        run.roster.update(w3="draining")
         await run.proxies[1].until(lambda h: bound_without(h, 3))
         await until(lambda: not first.leadership.protocol.is_leader)
         assert (
-            bound(isolated.holdings)
+            has_tables(isolated.holdings)
             and isolated.holdings.fencing_term.member == first.leadership.self_id
         )
         isolated.reaches = set(run.members)
@@ -133,10 +133,10 @@
     tmp_path: Path,
 ) -> None:
     members = ("a", "b", "c", "d", "e")
-    async with fleet(tmp_path, members=members, more="first = a, b, c") as run:
-        first = await run.led()
+    async with fleet(tmp_path, members=members, extra_config="first = a, b, c") as run:
+        first = await run.wait_for_leader()
         for proxy in run.proxies:
-            await proxy.until(bound)
+            await proxy.until(has_tables)
         with pytest.raises(ValueError, match="not another member"):
             await first.leadership.transfer_leadership(first.leadership.self_id)
         to = next(m for m in "abc" if m != first.leadership.self_id)
@@ -145,7 +145,7 @@
         assert not first.leadership.protocol.is_caught_up(to), "a batch must be in flight to it"
         began = trio.current_time()
         await first.leadership.transfer_leadership(to)
-        second = await run.led(but=first.leadership.self_id)
+        second = await run.wait_for_leader(excluded=first.leadership.self_id)
         assert second.leadership.self_id == to and trio.current_time() - began < 0.3, (
             "much less than a lease"
         )
@@ -169,17 +169,17 @@
             )
             assert (member in second.leadership.protocol.voter_set.members) == on
             assert len(second.leadership.protocol.voter_set.members) == (4, 5, 4)[step]
-        run.cut(to)
-        third = await run.led(but=to)
+        run.partition(to)
+        third = await run.wait_for_leader(excluded=to)
         assert third.leadership.self_id != "d", "d is no longer a voter"
-        run.roster.tell(w0="draining")
+        run.roster.update(w0="draining")
         for proxy in run.proxies:
             await proxy.until(lambda h: bound_without(h, 0))
 
 
 async def test_frames_with_a_wrong_key_change_nothing_and_are_logged_once(tmp_path: Path) -> None:
     async with fleet(tmp_path) as run, AsyncExitStack() as stack:
-        await run.led()
+        await run.wait_for_leader()
         for _ in range(5):
             stream = await stack.enter_async_context(
                 await trio.open_tcp_stream("127.0.0.1", run.peers[run.leader().leadership.self_id])
@@ -190,7 +190,7 @@
             )
             with trio.fail_after(5.0):
                 assert await stream.receive_some() == b""
-        said = run.said("peer.authentication_failed")
+        said = run.logged("peer.authentication_failed")
         assert len(said) == 1 and "unknown key" in said[0][1]["why"]
         assert run.leader().leadership.protocol.term == 1
 
@@ -202,8 +202,8 @@
     token.write_text("a-token-of-the-tests")
     token.chmod(0o600)
     more = f"\n[operators]\ntoken_file = {token}\nlisten = 127.0.0.1:0"
-    async with fleet(tmp_path, more=more) as run:
-        leader = await run.led()
+    async with fleet(tmp_path, extra_config=more) as run:
+        leader = await run.wait_for_leader()
         standby = next(m for m in run.managers.values() if m is not leader)
 
         def run_command(manager: object, *arguments: str) -> tuple[int, str]:
@@ -246,17 +246,17 @@
         "\n[members]\nme = ME\nkey_file = KEY\nbeat = 50ms\n"
         "\n[owner]\non = yes\nlease = 500ms\nbeat = 50ms\nexercise = 4\n"
     )
-    async with fleet(tmp_path, more=more) as run:
-        await run.led()
+    async with fleet(tmp_path, extra_config=more) as run:
+        await run.wait_for_leader()
         for proxy in run.proxies:
-            await proxy.until(bound)
+            await proxy.until(has_tables)
         await until(
             lambda: all(
                 m.membership and m.membership.partition_status == "all"
                 for m in run.managers.values()
             )
         )
-        leader, files = await run.led(), dict[str, Path]()
+        leader, files = await run.wait_for_leader(), dict[str, Path]()
         for name, manager in run.managers.items():
             listen_line = "listen = {}:{}\n".format(*manager.admin_address)
             files[name] = tmp_path / f"{name}.ini"
@@ -331,10 +331,12 @@
 async def test_a_successor_uses_its_own_partition_limits_and_not_the_previous_leaders(
     tmp_path: Path,
 ) -> None:
-    async with fleet(tmp_path, more="\n[members]\nme = ME\nkey_file = KEY\nbeat = 20ms\n") as run:
-        first = await run.led()
+    async with fleet(
+        tmp_path, extra_config="\n[members]\nme = ME\nkey_file = KEY\nbeat = 20ms\n"
+    ) as run:
+        first = await run.wait_for_leader()
         for proxy in run.proxies:
-            await proxy.until(bound)
+            await proxy.until(has_tables)
         await until(
             lambda: all(
                 m.membership and m.membership.partition_status == "all"
@@ -351,7 +353,7 @@
         )
         to = next(name for name in run.managers if name != first.leadership.self_id)
         await first.leadership.transfer_leadership(to)
-        assert await run.led(but=first.leadership.self_id) is run.managers[to]
+        assert await run.wait_for_leader(excluded=first.leadership.self_id) is run.managers[to]
         await until(
             lambda: (
                 run.managers[to].components.loop.module.state.partition_limits.may_change_weights
@@ -362,17 +364,17 @@
 async def test_a_successor_uses_its_own_service_discovery(tmp_path: Path) -> None:
     """The previous leader's list has one draining worker, the successor's a different one."""
     async with fleet(tmp_path) as run:
-        first = await run.led()
+        first = await run.wait_for_leader()
         for proxy in run.proxies:
-            await proxy.until(bound)
-        run.roster.tell(w2="draining")
+            await proxy.until(has_tables)
+        run.roster.update(w2="draining")
         for proxy in run.proxies:
             await proxy.until(lambda h: bound_without(h, 2))
         run.roster.fault = "down"
-        run.cut(first.leadership.self_id)
-        await run.led(but=first.leadership.self_id)
+        run.partition(first.leadership.self_id)
+        await run.wait_for_leader(excluded=first.leadership.self_id)
         run.roster.fault = ""
-        run.roster.tell(w2="ready", w3="draining")
+        run.roster.update(w2="ready", w3="draining")
         for proxy in run.proxies:
             await proxy.until(lambda h: bound_without(h, 3))
             assert WORKERS[3].id in proxy.holdings.ejected
@@ -382,9 +384,9 @@
     tmp_path: Path,
 ) -> None:
     async with fleet(tmp_path) as run:
-        leader = await run.led()
+        leader = await run.wait_for_leader()
         for proxy in run.proxies:
-            await proxy.until(bound)
+            await proxy.until(has_tables)
         restarted = next(m for m in run.members if m != leader.leadership.self_id)
         await run.stop(restarted)
         snapshot, truncations = leader.leadership.snapshot, list[int]()
@@ -396,7 +398,7 @@
             follower.protocol.position == election_messages.NO_POSITION
             and follower.describe()["behind"] is None
         )
-        assert [said["why"][:18] for member, said in run.said("election.replication_failed")] == [
+        assert [said["why"][:18] for member, said in run.logged("election.replication_failed")] == [
             "cannot be decoded:"
         ], "logged once"
         assert leader.leadership.describe()["lags"][restarted] is None
--- a/tests/fleet/ownership/test_shared_overrides.py
+++ b/tests/fleet/ownership/test_shared_overrides.py
@@ -78,7 +78,7 @@
         "\n[members]\nme = ME\nkey_file = KEY\nbeat = 50ms\n"
         "\n[owner]\non = yes\nlease = 500ms\nbeat = 50ms\n"
     )
-    async with fleet(tmp_path, proxies=0, more=extra_config, succession=False) as managers:
+    async with fleet(tmp_path, proxies=0, extra_config=extra_config, succession=False) as managers:
         await until_ready(managers)
         task = shared_overrides.task_of(TRAFFIC_CLASS)
         owner = owner_of(managers, task)
--- a/tests/manager/test_manager.py
+++ b/tests/manager/test_manager.py
@@ -19,13 +19,13 @@
 from dunlinlug.storage.store import Store, StoreError
 from dunlinlug.xds import load_reports, names
 from tests.config.test_manager_config import manager_file
-from tests.fixtures.manager_process import WORKERS, Running, bound, peer, running, until
+from tests.fixtures.manager_process import WORKERS, Running, has_tables, peer, running, until
 
 
 async def test_a_proxy_that_joins_is_assigned_tables_and_sees_a_drain(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
-        await proxy.until(bound)
-        run.roster.tell(w2="draining")
+        await proxy.until(has_tables)
+        run.roster.update(w2="draining")
         await proxy.until(lambda state: WORKERS[2].id not in state.usable_weights("press-book"))
         assert WORKERS[2].id in proxy.holdings.ejected
         await proxy.until(
@@ -35,7 +35,7 @@
             )
         )
         await until(
-            lambda: len([s for s in run.said("decided") if s["causes"].get("Acknowledged")]) > 1
+            lambda: len([s for s in run.logged("decided") if s["causes"].get("Acknowledged")]) > 1
         )
 
 
@@ -46,7 +46,7 @@
         peer(run, "valid") as valid,
         grpc.connect(*run.address) as invalid,
     ):
-        await valid.until(bound)
+        await valid.until(has_tables)
         for path, data, status in [
             (names.DELTA_ADS_METHOD, b"\xff\xff", rpc.Status.INVALID_ARGUMENT),
             ("/no/where", b"", rpc.Status.UNIMPLEMENTED),
@@ -64,7 +64,7 @@
             with trio.fail_after(5.0):
                 while await silent.receive_some():
                     pass
-        run.roster.tell(w1="draining")
+        run.roster.update(w1="draining")
         await valid.until(lambda state: WORKERS[1].id in state.ejected)
 
 
@@ -72,26 +72,26 @@
     tmp_path: Path,
 ) -> None:
     async with running(tmp_path) as run, peer(run, "valid") as valid, peer(run, "slow") as slow:
-        await valid.until(bound)
-        await slow.until(bound)
+        await valid.until(has_tables)
+        await slow.until(has_tables)
         service = run.manager.components.service
         session = service.sessions[service.proxy_numbers["slow"]]
         for number in range(30):
-            run.roster.tell(**{f"w{number % 3}": "draining" if number % 6 < 3 else "ready"})
+            run.roster.update(**{f"w{number % 3}": "draining" if number % 6 < 3 else "ready"})
             await until(
                 lambda: run.manager.components.endpoint_watcher.state.index == run.roster.index
             )
         await valid.until(lambda state: not state.ejected & {worker.id for worker in WORKERS[:3]})
         assert len(session.in_flight) <= 8, "the rest is merged"
-        await valid.until(bound)
-        await slow.until(lambda state: bound(state) and not state.ejected)
+        await valid.until(has_tables)
+        await slow.until(lambda state: has_tables(state) and not state.ejected)
 
 
 async def test_a_rejected_response_is_no_acknowledgement_and_is_not_sent_again(
     tmp_path: Path,
 ) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         await until(lambda: not run.manager.components.service.sessions[0].in_flight)
         tables_before = dict(proxy.holdings.tables)
         rejection_count = 0
@@ -117,13 +117,14 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(reject_tables)
-            run.roster.tell(w1="gone")
-            await until(lambda: bool(run.said("proxy.response_rejected")))
+            run.roster.update(w1="gone")
+            await until(lambda: bool(run.logged("proxy.response_rejected")))
             await trio.sleep(1.5)  # long enough for the response to be sent again
             nursery.cancel_scope.cancel()
-        assert run.said("proxy.response_rejected")[0]["why"] == "not today"
+        assert run.logged("proxy.response_rejected")[0]["why"] == "not today"
         assert (
-            rejection_count <= 4 and len(run.said("proxy.response_rejected")) <= 2 * rejection_count
+            rejection_count <= 4
+            and len(run.logged("proxy.response_rejected")) <= 2 * rejection_count
         ), "a rejected table leads to at most one rejected route to it"
         assert WORKERS[1].id in proxy.holdings.ejected, (
             "an ejection is not lost with tables in the same response"
@@ -146,11 +147,11 @@
                 while not first.holdings.tables:  # the tables, but not yet the routes
                     await first.take()
             holdings = first.holdings
-        await until(lambda: bool(run.said("proxy.disconnected")))
+        await until(lambda: bool(run.logged("proxy.disconnected")))
         holdings.tables["gone/1"] = next(iter(holdings.tables.values()))
         holdings.versions[names.ENDPOINTS_TYPE]["gone/1"] = "old"
         async with peer(run, "p0", holdings) as second:
-            await second.until(bound)
+            await second.until(has_tables)
             await second.until(lambda state: "gone/1" not in state.tables)
 
 
@@ -158,11 +159,11 @@
     tmp_path: Path,
 ) -> None:
     async with running(tmp_path) as run, peer(run, "stays") as remaining:
-        await remaining.until(bound)
+        await remaining.until(has_tables)
         async with peer(run, "dies") as disconnecting:
-            await disconnecting.until(bound)
-            run.roster.tell(w4="gone")
-            await until(lambda: bool(run.said("discovery.endpoints_changed")))
+            await disconnecting.until(has_tables)
+            run.roster.update(w4="gone")
+            await until(lambda: bool(run.logged("discovery.endpoints_changed")))
         await remaining.until(
             lambda state: all(
                 WORKERS[4].id not in state.tables[table].weights
@@ -173,9 +174,9 @@
 
 async def test_a_second_stream_of_one_node_replaces_the_first(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as first:
-        await first.until(bound)
+        await first.until(has_tables)
         async with peer(run, "p0") as second:
-            await second.until(bound)
+            await second.until(has_tables)
             with trio.fail_after(5.0), pytest.raises(grpc.CallEndedError):
                 while True:
                     await first.take()
@@ -184,7 +185,7 @@
 
 async def test_reports_reach_the_module_at_the_configured_rate(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         call = proxy.link.start_call(names.LRS_METHOD)
         call.send(
             load_reports.encode_report(load_reports.LoadReport("p0", "north", 0.0), is_first=True)
@@ -214,31 +215,31 @@
 
 async def test_a_lower_index_or_failure_of_discovery_does_not_stop_updates(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
-        await proxy.until(bound)
-        run.roster.tell(index=3, w0="draining")
+        await proxy.until(has_tables)
+        run.roster.update(index=3, w0="draining")
         await proxy.until(lambda state: WORKERS[0].id in state.ejected)
         run.roster.fault = "error"
-        run.roster.tell()
-        await until(lambda: bool(run.said("discovery.failed")))
+        run.roster.update()
+        await until(lambda: bool(run.logged("discovery.failed")))
         run.roster.fault = ""
-        run.roster.tell(w3="draining")
+        run.roster.update(w3="draining")
         await proxy.until(lambda state: WORKERS[3].id in state.ejected)
-        assert len(run.said("discovery.failed")) == 1 and run.said("discovery.recovered")
+        assert len(run.logged("discovery.failed")) == 1 and run.logged("discovery.recovered")
 
 
 async def test_a_wall_clock_that_is_set_back_restarts_no_slow_start(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
         run.roster.workers[5] = replace(WORKERS[5], started_at=1000.0)
-        run.roster.tell()
+        run.roster.update()
         await until(lambda: bool(run.manager.components.endpoint_watcher.start_times))
         fleet = run.manager.components.loop.module.state.fleet  # type: ignore[attr-defined]
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         run.manager.components.endpoint_watcher.clock_offset = lambda: (
             trio.current_time() - time.time() + 3600.0
         )
-        run.roster.tell(w0="draining")
+        run.roster.update(w0="draining")
         await proxy.until(lambda state: WORKERS[0].id in state.ejected)
-        assert run.said("discovery.endpoints_changed")[-1]["changed"] == [
+        assert run.logged("discovery.endpoints_changed")[-1]["changed"] == [
             f"{WORKERS[0].id} draining"
         ]
         assert fleet.started_at[fleet.row_by_id[WORKERS[5].id]] < trio.current_time() - 3600
@@ -246,7 +247,7 @@
 
 async def test_an_internal_error_with_one_peer_ends_that_connection_alone(tmp_path: Path) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         run.manager.components.service.proxy_numbers = None  # type: ignore[assignment]
         async with grpc.connect(*run.address) as other:
             call = other.start_call(names.DELTA_ADS_METHOD)
@@ -255,16 +256,16 @@
             call.send(request.SerializeToString())
             with trio.fail_after(5.0), pytest.raises(grpc.CallEndedError):
                 await call.receive()
-        run.roster.tell(w1="draining")
+        run.roster.update(w1="draining")
         await proxy.until(lambda state: WORKERS[1].id in state.ejected)
-        assert "TypeError" in run.said("connection.internal_error")[0]["why"]
+        assert "TypeError" in run.logged("connection.internal_error")[0]["why"]
 
 
 async def test_the_endpoint_list_outlives_the_manager_and_the_store_has_one_writer(
     tmp_path: Path,
 ) -> None:
     async with running(tmp_path) as run, peer(run, "p0") as proxy:
-        await proxy.until(bound)
+        await proxy.until(has_tables)
         with pytest.raises(StoreError, match="another manager"):
             Store(tmp_path / "store")
         assert run.manager.components.epoch == 1
