--- a/tests/recorded/record_decisions.py
+++ b/tests/recorded/record_decisions.py
@@ -76,19 +76,19 @@
 
 
 def read_day(file: Path) -> tuple[ManagerSettings, list[tuple[float, list[Event]]]]:
-    settings, *turns = map(json.loads, gzip.decompress(file.read_bytes()).splitlines())
+    settings, *batches = map(json.loads, gzip.decompress(file.read_bytes()).splitlines())
     return settings_from(settings), [
-        (turn["now"], [event_from(line) for line in turn["happened"]]) for turn in turns
+        (batch["now"], [event_from(line) for line in batch["happened"]]) for batch in batches
     ]
 
 
 def day_digest(file: Path) -> str:
-    settings, turns = read_day(file)
+    settings, batches = read_day(file)
     module = Balancer(settings)
     return digest_of(
         [
             text_of(neutral_settings(settings)),
-            *(batch_line(module, now, events) for now, events in turns),
+            *(batch_line(module, now, events) for now, events in batches),
         ]
     )
 
--- a/tests/recorded/record_operators.py
+++ b/tests/recorded/record_operators.py
@@ -360,7 +360,7 @@
     return found
 
 
-def _discard_event(event: str, **said: Any) -> None:
+def _discard_event(event: str, **fields: Any) -> None:
     """Discard a log event: the log is not recorded."""
 
 
--- a/tests/recorded/record_session.py
+++ b/tests/recorded/record_session.py
@@ -22,7 +22,7 @@
 Line = dict[str, Any]
 MANAGERS = {"north-1": "automatic", "south-1": "subscribe"}
 ZONES = ("north", "south")
-WORKERS, PROXIES, TURNS, STEP_US = 12, 5, 240, 125_000
+WORKERS, PROXIES, BATCHES, STEP_US = 12, 5, 240, 125_000
 
 
 class Session:
@@ -70,11 +70,11 @@
             "membersList": rows,
         }
 
-    def send_reports(self, now: int, turn: int) -> None:
+    def send_reports(self, now: int, batch_number: int) -> None:
         """Send reports about a few workers; two of them fail for a while."""
         for manager in MANAGERS:
             for number, worker in enumerate(self.random.sample(list(self.states), 4)):
-                failing = worker in ("10.1.0.3:80", "10.1.0.7:80") and 60 < turn < 130
+                failing = worker in ("10.1.0.3:80", "10.1.0.7:80") and 60 < batch_number < 130
                 attempts = self.random.randint(1, 20)
                 self.schedule(
                     now,
@@ -90,29 +90,36 @@
                         "usage": [self.random.choice([0, 1, 3]), 61.5],
                     },
                 )
-            demand = {"verb": "Traffic", "manager": manager, "proxy": turn % PROXIES}
-            demand |= {"service": "read", "count": 9, "errors": turn % 2, "windowUs": 500_000}
+            demand = {"verb": "Traffic", "manager": manager, "proxy": batch_number % PROXIES}
+            demand |= {
+                "service": "read",
+                "count": 9,
+                "errors": batch_number % 2,
+                "windowUs": 500_000,
+            }
             self.schedule(now, demand)
 
-    def send_incidents(self, now: int, turn: int) -> None:
+    def send_incidents(self, now: int, batch_number: int) -> None:
         """Change the endpoint list: drains, losses, a restart, a complete list, and a failure."""
         state_changes = {40: "leaving", 60: "left", 90: "active", 150: "leaving", 170: "active"}
-        if turn in state_changes:
+        if batch_number in state_changes:
             changed_workers = ["10.1.0.1:80", "10.1.0.2:80"]
-            self.states.update(dict.fromkeys(changed_workers, state_changes[turn]))
-            since = now if state_changes[turn] == "active" else None
+            self.states.update(dict.fromkeys(changed_workers, state_changes[batch_number]))
+            since = now if state_changes[batch_number] == "active" else None
             for manager in MANAGERS:
                 self.schedule(now, self.discovery_event(manager, "update", changed_workers, since))
-        if turn in (110, 200):
+        if batch_number in (110, 200):
             for manager in MANAGERS:
-                form = "replace" if turn == 200 else "unavailable"
+                form = "replace" if batch_number == 200 else "unavailable"
                 self.schedule(
                     now,
-                    self.discovery_event(manager, form, list(self.states) if turn == 200 else []),
+                    self.discovery_event(
+                        manager, form, list(self.states) if batch_number == 200 else []
+                    ),
                 )
-        if turn == 100:
+        if batch_number == 100:
             self.schedule(now, {"verb": "Left", "manager": "north-1", "proxy": 3})
-        if turn == 230:
+        if batch_number == 230:
             self.schedule(now, {"verb": "Detach", "manager": "south-1"})
 
     def follow_decision(self, now: int, decision: Line) -> None:
@@ -137,15 +144,15 @@
                     now + 100_000, self.discovery_event(manager, "replace", list(self.states))
                 )
 
-    def batch(self, turn: int) -> bytes:
-        now = (turn + 1) * STEP_US
-        if turn % 4 == 3:
-            self.send_reports(now, turn)
-        self.send_incidents(now, turn)
+    def batch(self, batch_number: int) -> bytes:
+        now = (batch_number + 1) * STEP_US
+        if batch_number % 4 == 3:
+            self.send_reports(now, batch_number)
+        self.send_incidents(now, batch_number)
         events = []
         while self.due and self.due[0][0] <= now:
             events.append(heapq.heappop(self.due)[2])
-        batch = {"nowUs": now, "n": turn, "happened": events}
+        batch = {"nowUs": now, "n": batch_number, "happened": events}
         return json.dumps(batch, separators=(",", ":")).encode() + b"\n"
 
 
@@ -154,13 +161,13 @@
     command = [sys.executable, "-m", "dunlinlug.drill"]
     with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE) as adapter:
         assert adapter.stdin is not None and adapter.stdout is not None
-        for turn in range(TURNS):
-            sent.append(session.batch(turn))
+        for batch_number in range(BATCHES):
+            sent.append(session.batch(batch_number))
             adapter.stdin.write(sent[-1])
             adapter.stdin.flush()
             for decision in json.loads(adapter.stdout.readline())["decisions"]:
                 decision_counts[decision["verb"]] = decision_counts.get(decision["verb"], 0) + 1
-                session.follow_decision((turn + 1) * STEP_US, decision)
+                session.follow_decision((batch_number + 1) * STEP_US, decision)
         adapter.stdin.close()
     SESSION.write_bytes(gzip.compress(b"".join(sent), mtime=0))
     print(decision_counts)
--- a/tests/recorded/record_store.py
+++ b/tests/recorded/record_store.py
@@ -135,14 +135,14 @@
     store.close()
 
 
-def _store_rejections(store: Store, batch: Plain, most: int) -> None:
+def _store_rejections(store: Store, batch: Plain, max_records: int) -> None:
     """Store rejections through the validation of a manager, as the guard does."""
     is_enforced = batch["obeyed"]
     validation = RecordingOrderValidation(
         OrderValidator(manager_settings(), is_enforced),
         is_enforced,
-        lambda event, **said: None,
-        lambda records: store.put_rejections(records, most),
+        lambda event, **fields: None,
+        lambda records: store.put_rejections(records, max_records),
     )
     rejections = [
         Rejection(
--- a/tests/recorded/record_xds.py
+++ b/tests/recorded/record_xds.py
@@ -86,8 +86,8 @@
 
 
 def responses() -> dict[str, bytes]:
-    made = resources()
-    tables = (made["table"], made["three are out"])
+    all_resources = resources()
+    tables = (all_resources["table"], all_resources["three are out"])
     term = fencing_term.format_identifier(7, "a")
     return {
         "response of tables": encoding.encode_response(names.ENDPOINTS_TYPE, tables, (), "1", "t1"),
@@ -95,19 +95,19 @@
             names.ENDPOINTS_TYPE, (), ("3/8", "3/9"), "22", "", term
         ),
         "response of routes": encoding.encode_response(
-            names.ROUTES_TYPE, (made["routes"],), (), "3", "t3", term
+            names.ROUTES_TYPE, (all_resources["routes"],), (), "3", "t3", term
         ),
     }
 
 
 def load_report(window: float = 0.5) -> xds_load_reports.LoadReport:
-    made = xds_load_reports.LoadReport("p1", "south", window)
-    made.workers["10.0.0.1:80"] = xds_load_reports.WorkerStatistics(
+    report = xds_load_reports.LoadReport("p1", "south", window)
+    report.workers["10.0.0.1:80"] = xds_load_reports.WorkerStatistics(
         12, 3, 1.1 + 2.2, {"queue": 2.0, "busy": 0.25}
     )
-    made.workers["host-a:443"] = xds_load_reports.WorkerStatistics(1, 0, 0.1)
-    made.traffic_classes.update({"read": (13, 3), "book": (0, 0)})
-    return made
+    report.workers["host-a:443"] = xds_load_reports.WorkerStatistics(1, 0, 0.1)
+    report.traffic_classes.update({"read": (13, 3), "book": (0, 0)})
+    return report
 
 
 def load_reports() -> dict[str, bytes]:
@@ -125,16 +125,16 @@
 
 def plain_client_report() -> bytes:
     """A report of a gRPC client without our extensions: sums by locality, and dropped requests."""
-    made = lrs_pb2.LoadStatsRequest()
-    made.node.id, made.node.locality.zone = "plain", "north"
-    stats = made.cluster_stats.add(cluster_name="3/1/read", total_dropped_requests=4)
+    request = lrs_pb2.LoadStatsRequest()
+    request.node.id, request.node.locality.zone = "plain", "north"
+    stats = request.cluster_stats.add(cluster_name="3/1/read", total_dropped_requests=4)
     stats.load_report_interval.FromNanoseconds(1_500_000_000)
     for worker, settled, failed in (("10.0.0.1:80", 9, 1), ("10.0.0.2:8080", 5, 0), ("", 2, 2)):
         group = stats.upstream_locality_stats.add(
             total_successful_requests=settled, total_error_requests=failed
         )
         group.locality.zone, group.locality.sub_zone = "north", worker
-    return made.SerializeToString(deterministic=True)
+    return request.SerializeToString(deterministic=True)
 
 
 def initial_requests() -> dict[str, bytes]:
@@ -165,20 +165,20 @@
 
 
 def encoded() -> dict[str, str]:
-    made = {name: resource.encoded for name, resource in resources().items()}
-    made |= {f"full {name}": body for name, (_, body, _) in full_resources().items()}
-    made |= responses() | load_reports() | initial_requests()
-    made["frame"] = framing.frame(b"hello")
-    made["frame of nothing"] = framing.frame(b"")
-    return {name: base64_of(data) for name, data in made.items()}
+    bytes_by_name = {name: resource.encoded for name, resource in resources().items()}
+    bytes_by_name |= {f"full {name}": body for name, (_, body, _) in full_resources().items()}
+    bytes_by_name |= responses() | load_reports() | initial_requests()
+    bytes_by_name["frame"] = framing.frame(b"hello")
+    bytes_by_name["frame of nothing"] = framing.frame(b"")
+    return {name: base64_of(data) for name, data in bytes_by_name.items()}
 
 
 def versions() -> dict[str, Plain]:
     """By resource its name and version, or in the full form its version and referenced cluster."""
-    found: dict[str, Plain] = {
+    names_and_versions: dict[str, Plain] = {
         name: [resource.name, resource.version] for name, resource in resources().items()
     }
-    return found | {
+    return names_and_versions | {
         f"full {name}": [version, cluster]
         for name, (version, _, cluster) in full_resources().items()
     }
@@ -204,11 +204,11 @@
     ]
 
 
-def plain_loads(found: xds_load_reports.LoadReport) -> Plain:
+def plain_loads(report: xds_load_reports.LoadReport) -> Plain:
     return {
-        "node": found.node_id,
-        "zone": found.zone,
-        "span": found.window,
+        "node": report.node_id,
+        "zone": report.zone,
+        "span": report.window,
         "workers": [
             [
                 worker,
@@ -218,9 +218,9 @@
                 list(map(list, at.load_metrics.items())),
                 at.untimed_successes,
             ]
-            for worker, at in found.workers.items()
+            for worker, at in report.workers.items()
         ],
-        "products": [[name, *sums] for name, sums in found.traffic_classes.items()],
+        "products": [[name, *sums] for name, sums in report.traffic_classes.items()],
     }
 
 
@@ -273,25 +273,25 @@
 def decoded(recorded_bytes: dict[str, str]) -> dict[str, Plain]:
     """The values that decoders give for recorded bytes."""
     data = {name: bytes_of(text) for name, text in recorded_bytes.items()}
-    found: dict[str, Plain] = {}
+    values: dict[str, Plain] = {}
     for name in ("table", "table without lines", "table of one line", *EJECTION_TABLES):
-        found[name] = plain_table(decoding.decode_table(resource_value(data[name])))
+        values[name] = plain_table(decoding.decode_table(resource_value(data[name])))
     for name in ("routes", "no routes"):
-        found[name] = plain_routes(decoding.decode_routes(resource_value(data[name])))
+        values[name] = plain_routes(decoding.decode_routes(resource_value(data[name])))
     for name in load_reports():
         if name.startswith("load report"):
-            found[name] = plain_loads(xds_load_reports.decode_report(data[name]))
+            values[name] = plain_loads(xds_load_reports.decode_report(data[name]))
     for name in ("load answer", "load answer, too quick"):
-        found[name] = xds_load_reports.decode_response(data[name])
+        values[name] = xds_load_reports.decode_response(data[name])
     for kind in ("greeting", "greeting with what is held,"):
         server = stream.DeltaStream()
         tables, routes = INITIAL_REQUESTS[kind]
         events = [
             plain_event(each) for name in (tables, routes) for each in server.receive(data[name])
         ]
-        found[kind] = [events, plain_server(server)]
-    found["frames"] = deframed([data["frame"], data["frame of nothing"]], MAX_MESSAGE_BYTES)
-    return found
+        values[kind] = [events, plain_server(server)]
+    values["frames"] = deframed([data["frame"], data["frame of nothing"]], MAX_MESSAGE_BYTES)
+    return values
 
 
 EJECTION_TABLES = ("nobody is out", "three are out")
@@ -320,16 +320,21 @@
     for request in proxy.initial_requests():
         events = [plain_event(each) for each in server.receive(request)]
         steps.append(["request", base64_of(canonical_request(request)), events])
-    made = resources()
+    all_resources = resources()
     twice = encoding.encode_routes((("read", "9/9", encoding.RetryPolicy(0)),))
     used_routes = encoding.encode_routes((("read", "3/1", encoding.RetryPolicy(3, 0.2)),))
     control = fencing_term.format_identifier(7, "a")
     script: list[tuple[str, str, tuple[encoding.EncodedResource, ...], tuple[str, ...]]] = [
-        (control, names.ENDPOINTS_TYPE, (made["table"], made["three are out"]), ()),
+        (
+            control,
+            names.ENDPOINTS_TYPE,
+            (all_resources["table"], all_resources["three are out"]),
+            (),
+        ),
         (control, names.ROUTES_TYPE, (twice,), ()),
         (control, names.ROUTES_TYPE, (used_routes,), ()),
         (control, names.ENDPOINTS_TYPE, (), ("3/1",)),
-        (control, names.ENDPOINTS_TYPE, (small_table("3/5"), made["nobody is out"]), ()),
+        (control, names.ENDPOINTS_TYPE, (small_table("3/5"), all_resources["nobody is out"]), ()),
         (control, names.ENDPOINTS_TYPE, (), ("3/5",)),
         (fencing_term.format_identifier(6, "b"), names.ENDPOINTS_TYPE, (small_table("3/6"),), ()),
         (fencing_term.format_identifier(7, "b"), names.ENDPOINTS_TYPE, (small_table("3/6"),), ()),
@@ -337,7 +342,7 @@
         (
             fencing_term.format_identifier(8, "b"),
             names.ENDPOINTS_TYPE,
-            (made["table without lines"],),
+            (all_resources["table without lines"],),
             (),
         ),
     ]
@@ -375,18 +380,22 @@
 
 def resources_of_table(number: int, weight: float) -> state_of_the_world.ResourcesByType:
     """The resources of two traffic classes whose tables have this number."""
-    made: state_of_the_world.ResourcesByType = {
+    resources_by_type: state_of_the_world.ResourcesByType = {
         type_url: {} for type_url in state_of_the_world.TYPE_ORDER
     }
     for product in ("read", "book"):
         name = names.cluster_name(names.table_name(3, number), product)
-        made[names.LISTENERS_TYPE][product] = state_of_the_world.encode_listener(product)
-        made[names.ROUTES_TYPE][product] = state_of_the_world.encode_routes(product, name)
-        made[names.CLUSTERS_TYPE][name] = state_of_the_world.encode_cluster(name)
-        made[names.ENDPOINTS_TYPE][name] = state_of_the_world.encode_endpoints(
+        resources_by_type[names.LISTENERS_TYPE][product] = state_of_the_world.encode_listener(
+            product
+        )
+        resources_by_type[names.ROUTES_TYPE][product] = state_of_the_world.encode_routes(
+            product, name
+        )
+        resources_by_type[names.CLUSTERS_TYPE][name] = state_of_the_world.encode_cluster(name)
+        resources_by_type[names.ENDPOINTS_TYPE][name] = state_of_the_world.encode_endpoints(
             name, {"10.0.0.1:80": weight}, {}, 1.0, ()
         )
-    return made
+    return resources_by_type
 
 
 def full_conversation() -> Plain:
@@ -400,12 +409,18 @@
         steps.append(["request", base64_of(request), events])
 
     def respond() -> None:
-        made = [
+        responses_sent = [
             [type_url, nonce, list(sent), base64_of(data)]
             for type_url, nonce, sent, data in server.pending_responses()
         ]
         steps.append(
-            ["responses", made, server.is_ready(), server.is_converged(), server.has_sent_all()]
+            [
+                "responses",
+                responses_sent,
+                server.is_ready(),
+                server.is_converged(),
+                server.has_sent_all(),
+            ]
         )
 
     server.resources = resources_of_table(1, 1.0)
@@ -608,11 +623,11 @@
 
 
 def recorded() -> dict[str, Plain]:
-    made = encoded()
+    encoded_bytes = encoded()
     return {
-        "written": made,
+        "written": encoded_bytes,
         "versions": versions(),
-        "read": decoded(made),
+        "read": decoded(encoded_bytes),
         "conversations": conversations(),
     }
 
--- a/tests/reference_model/balance.py
+++ b/tests/reference_model/balance.py
@@ -526,7 +526,7 @@
             * sum(self.request_rates)
             / sum(self.work_rates())
         )
-        # Failures reported seconds late come from an overload that is over if nothing waits.
+        # If no requests wait, failures reported seconds late are from an overload that has ended.
         queues_empty = (
             len(self.queue_lengths) == self.QUEUE_SAMPLES and median(self.queue_lengths) < 1.0
         )
@@ -1678,7 +1678,7 @@
         Entries to be removed come last: their endpoints are ejected by now.
         """
         installed = table.weights
-        # Ejected endpoints get no new entry: proxies may not have received their ejection.
+        # Ejected endpoints get no new entry, as proxies were possibly not sent their ejection.
         changed_rows = {
             row for row in {**installed, **weights} if installed.get(row) != weights.get(row)
         } - (ejected - installed.keys())
--- a/tests/reference_model/listing.py
+++ b/tests/reference_model/listing.py
@@ -25,9 +25,9 @@
     ) -> list[tuple[int, bool]]:
         """Apply an update of the list; return the rows that started later than known.
 
-        Each row comes with whether its endpoint is new. Once more than half of all rows are not
-        ready, new endpoints reuse such rows, except those in `rows_in_use`, whose endpoint may be
-        listed again.
+        The second value of each pair is whether the endpoint is new. Once more than half of all
+        rows are not ready, new endpoints reuse such rows, except those in `rows_in_use`, whose
+        endpoint may be listed again.
         """
         if update.update_type in ("whole", "kept"):
             self.ready = [False] * len(self.ids)  # endpoints missing from a complete list are gone
