--- a/bench/site_loss.py
+++ b/bench/site_loss.py
@@ -1,13 +1,14 @@
-"""Site loss: what is served when a zone dies amid rejections, by the mode of the guard.
+"""Site loss: fraction of requests served when a zone dies amid rejections, by mode of the guard.
 
     python -m bench.site_loss [--seeds 4] [--at-once 3]
 
-Plays, through sockets on loopback, a day with three zones of workers of which one dies unseen for
-9 s, under a decision module that is careless from 3 s on: of every reply that sets a table, four in
-ten have their lines left out or one worker's weight raised fifty times. The guard is on, off, or
-rejects all. The randomness is seeded, so that the same seed draws alike under each guard. Printed
-are the fraction served within the latency objective (of the whole day, and in the worst 10 s) and
-the rules broken; a day that breaks one counts for nothing.
+Runs, through sockets on loopback, a day with three zones of workers. One zone is lost for 9 s
+without notice from discovery. From 3 s on the decision module is faulty: of the replies that set a
+table, four in ten have the entries of a table removed or the weight of one worker multiplied by
+fifty. The guard is on, off, or rejects all. The faults are drawn from the seed, the same ones for
+each mode of the guard. Prints the fraction served within the latency objective (of the whole day,
+and in the worst 10 s) and the violated rules; the figures of a day that violates a rule do not
+count.
 """
 
 import argparse
@@ -31,31 +32,35 @@
 from dunlinlug.scenarios.runner import ScenarioRunner
 
 DAY = Path(__file__).parent.parent / "days" / "first.ini"
-CARELESS_FROM, CARELESS, HEAVIER = 3.0, 0.4, 50.0
+FAULTS_FROM_SECONDS, FAULT_PROBABILITY, WEIGHT_FACTOR = 3.0, 0.4, 50.0
 KINDS = {
-    "whole module, guard on": ("on", "good"),
-    "guard on": ("on", "careless"),
-    "guard off": ("off", "careless"),
-    "refusing all": ("on", "refused"),
+    "correct module, guard on": ("on", "correct"),
+    "guard on": ("on", "faulty"),
+    "guard off": ("off", "faulty"),
+    "rejecting all": ("on", "reject_all"),
 }
 
 
-class Careless:
-    """The module, and after a while some of its tables bent."""
+class FaultyBalancer:
+    """The decision module with faults in some of its tables after `FAULTS_FROM_SECONDS`."""
 
     def __init__(self, settings: ManagerSettings) -> None:
-        self.module, self.rng, self.first = (
+        self.module, self.rng, self.first_decided_at = (
             Balancer(settings),
             Random(f"{settings.seed} careless"),
             float("inf"),
         )
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
-        """Return the module's orders, with some of its tables bent."""
+        """Return the orders of the module, with some of its tables altered."""
         orders = self.module.decide(now, events)
-        self.first = min(self.first, now)
+        self.first_decided_at = min(self.first_decided_at, now)
         tables = sorted({order.table_id for order in orders if isinstance(order, SetWeight)})
-        if now < self.first + CARELESS_FROM or not tables or self.rng.random() >= CARELESS:
+        if (
+            now < self.first_decided_at + FAULTS_FROM_SECONDS
+            or not tables
+            or self.rng.random() >= FAULT_PROBABILITY
+        ):
             return orders
         table_id = self.rng.choice(tables)
         if self.rng.random() < 0.5:
@@ -64,37 +69,43 @@
                 for order in orders
                 if not (isinstance(order, SetWeight) and order.table_id == table_id)
             ]
-        bent = self.rng.choice(
-            [o for o in orders if isinstance(o, SetWeight) and o.table_id == table_id]
+        altered_order = self.rng.choice(
+            [
+                order
+                for order in orders
+                if isinstance(order, SetWeight) and order.table_id == table_id
+            ]
         )
         return [
-            replace(bent, weight=HEAVIER * bent.weight) if order is bent else order
+            replace(altered_order, weight=WEIGHT_FACTOR * altered_order.weight)
+            if order is altered_order
+            else order
             for order in orders
         ]
 
 
-class RefusingAll(OrderValidator):
-    """After the first tables, no order that it may refuse passes."""
+class RejectAllValidator(OrderValidator):
+    """Rejects all orders of the kinds that it validates after `FAULTS_FROM_SECONDS`."""
 
-    first = float("inf")
+    first_decided_at = float("inf")
 
     def validate(self, now: float, orders: list[Order]) -> tuple[list[Order], list[Rejection]]:
         """Reject every order of the kinds that the guard validates."""
-        self.first = min(self.first, now)
-        if now < self.first + CARELESS_FROM:
+        self.first_decided_at = min(self.first_decided_at, now)
+        if now < self.first_decided_at + FAULTS_FROM_SECONDS:
             return super().validate(now, orders)
-        refused = [
+        rejected = [
             Rejection(order, "all", "refused", "nothing")
             for order in orders
             if isinstance(order, VALIDATED_ORDERS)
         ]
-        passed = [order for order in orders if not isinstance(order, VALIDATED_ORDERS)]
-        self.usage.apply(passed)
-        return passed, refused
+        accepted = [order for order in orders if not isinstance(order, VALIDATED_ORDERS)]
+        self.usage.apply(accepted)
+        return accepted, rejected
 
 
 def day(seed: int, mode: str) -> str:
-    """Return the settings of a day with the loss of a zone, in this mode of the guard."""
+    """Return the configuration of a day with the loss of a zone, in this mode of the guard."""
     text = DAY.read_text().split("[trouble one out]")[0]
     for old, new in (
         ("seed = 3", f"seed = {seed}"),
@@ -119,38 +130,42 @@
 
 
 async def compare(seeds: int, at_once: int, folder: Path) -> None:
-    """Play every kind of guard by seed, and print the table of what was served."""
-    running, found = (
+    """Run every mode of the guard by seed, and print the table of fractions served."""
+    limiter, results = (
         trio.CapacityLimiter(at_once),
         dict[tuple[str, int], tuple[figures.Summary, list[str], int]](),
     )
 
-    async def one(name: str, seed: int) -> None:
+    async def run_day(name: str, seed: int) -> None:
         mode, module = KINDS[name]
-        place = folder / f"{module}-{mode}-{seed}"
-        place.mkdir()
-        (place / "day.ini").write_text(day(seed, mode))
-        async with running:
+        day_folder = folder / f"{module}-{mode}-{seed}"
+        day_folder.mkdir()
+        (day_folder / "day.ini").write_text(day(seed, mode))
+        async with limiter:
             await ScenarioRunner(
-                place / "day.ini",
-                place / "r",
+                day_folder / "day.ini",
+                day_folder / "r",
                 (sys.executable, "-m", "bench.site_loss", "manager", module),
             ).run()
-        read = records.read_records(place / "r")
-        broken = sorted({b.rule for b in rules.find_violations(read)})
-        log = (place / "r" / "manager.log").read_text()
-        found[name, seed] = figures.summarize(read), broken, log.count("guard.order_rejected")
+        recorded = records.read_records(day_folder / "r")
+        violated_rules = sorted({violation.rule for violation in rules.find_violations(recorded)})
+        log = (day_folder / "r" / "manager.log").read_text()
+        results[name, seed] = (
+            figures.summarize(recorded),
+            violated_rules,
+            log.count("guard.order_rejected"),
+        )
 
     async with trio.open_nursery() as nursery:
         for seed in range(1, seeds + 1):
             for name in KINDS:
-                nursery.start_soon(one, name, seed)
+                nursery.start_soon(run_day, name, seed)
     print(
-        "| guard | served, by seed | worst 10 s | refused | rules broken, by seed |\n| --- | --- "
-        "| --- | --- | --- |"
+        "| guard | served, by seed | worst 10 s | rejected | violated rules, by seed |\n| --- "
+        "| --- | --- | --- | --- |"
     )
     for name in KINDS:
-        lines = [found[name, seed] for seed in range(1, seeds + 1)]
+        lines = [results[name, seed] for seed in range(1, seeds + 1)]
         print(
             f"| {name} | {', '.join(f'{line[0].served_fraction:.3f}' for line in lines)} "
             f"| {', '.join(f'{line[0].worst_window_fraction:.3f}' for line in lines)} | "
@@ -160,20 +175,22 @@
 
 
 def main() -> None:
-    """Run the program, or a manager of it as the days start it."""
+    """Run the program, or one manager process of a day."""
     if sys.argv[1:2] == ["manager"]:
         kind, file = sys.argv[2], Path(sys.argv[3])
-        validator = RefusingAll if kind == "refused" else OrderValidator
+        validator = RejectAllValidator if kind == "reject_all" else OrderValidator
         exit_when_input_closes()
         sys.exit(
-            manager.serve(file, Balancer if kind == "good" else Careless, make_validator=validator)
+            manager.serve(
+                file, Balancer if kind == "correct" else FaultyBalancer, make_validator=validator
+            )
         )
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=4)
     parser.add_argument("--at-once", type=int, default=3)
-    given = parser.parse_args()
+    options = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="dunlinlug-loss-") as folder:
-        trio.run(compare, given.seeds, given.at_once, Path(folder))
+        trio.run(compare, options.seeds, options.at_once, Path(folder))
 
 
 if __name__ == "__main__":
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,9 +1,9 @@
-"""Soak: whether a manager's memory stays flat under load with streams breaking all the time.
+"""Soak: whether the memory of a manager stays flat under load with frequent broken streams.
 
     python -m bench.soak [--minutes 10] [--proxies 30]
 
 Plays a day made from `days/first.ini`: every 2 s half of all streams break at once, every 20 s a
-rolling deploy. Printed are the manager's resident memory by minute and the rules broken.
+rolling deploy. Prints the resident memory of the manager by minute and the violated rules.
 """
 
 import argparse
@@ -16,11 +16,11 @@
 from dunlinlug.scenarios.runner import ScenarioRunner
 
 DAY = Path(__file__).parent.parent / "days" / "first.ini"
-BREAK_INTERVAL, DEPLOY_INTERVAL = 2, 20  # seconds between breaks, and between deploys
+BREAK_INTERVAL_SECONDS, DEPLOY_INTERVAL_SECONDS = 2, 20
 
 
 def day(seconds: int, proxies: int) -> str:
-    """Return the settings of a day with breaking streams and rolling deploys."""
+    """Return the configuration of a day with broken streams and rolling deploys."""
     text = DAY.read_text().split("[trouble one out]")[0]
     for old, new in (
         ("length = 12s", f"length = {seconds}s"),
@@ -30,9 +30,9 @@
     ):
         assert old in text
         text = text.replace(old, new)
-    for at in range(3, seconds, BREAK_INTERVAL):
+    for at in range(3, seconds, BREAK_INTERVAL_SECONDS):
         text += f"\n[trouble break {at}]\nkind = reconnect\nat = {at}s\npart = 50%\n"
-    for at in range(5, seconds - DEPLOY_INTERVAL, DEPLOY_INTERVAL):
+    for at in range(5, seconds - DEPLOY_INTERVAL_SECONDS, DEPLOY_INTERVAL_SECONDS):
         text += (
             f"\n[trouble roll {at}]\nkind = deploy\nat = {at}s\nlasts = 6s\nevery = 3s\n"
             "part = 30%\nsize = 2\n"
@@ -40,37 +40,37 @@
     return text
 
 
-def resident(pid: int) -> float:
+def resident_mb(pid: int) -> float:
     """Return the resident memory of a process in megabytes."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS")) / 1024
 
 
 async def soak(seconds: int, proxies: int, folder: Path) -> None:
-    """Play the day, and print the manager's memory as it goes."""
+    """Run the day, and print the memory of the manager meanwhile."""
     (folder / "soak.ini").write_text(day(seconds, proxies))
-    player, samples = ScenarioRunner(folder / "soak.ini", folder / "records"), list[float]()
+    runner, samples = ScenarioRunner(folder / "soak.ini", folder / "records"), list[float]()
 
     async def sample() -> None:
-        while player.manager is None:
+        while runner.manager is None:
             await trio.sleep(0.5)
-        while player.manager.process.poll() is None:
-            samples.append(resident(player.manager.process.pid))
+        while runner.manager.process.poll() is None:
+            samples.append(resident_mb(runner.manager.process.pid))
             if len(samples) % 6 == 1:
                 print(f"{len(samples) // 6:3d} min  {samples[-1]:7.1f} MB", flush=True)
             await trio.sleep(10)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(sample)
-        await player.run()
+        await runner.run()
         nursery.cancel_scope.cancel()
-    found = records.read_records(folder / "records")
-    joins = len(found.lines_of("joined"))
+    recorded = records.read_records(folder / "records")
+    joins = len(recorded.lines_of("joined"))
     half = samples[len(samples) // 2 :]
     print(
-        f"{joins} joins in {seconds} s; second half: least {min(half):.1f} MB, most "
+        f"{joins} joins in {seconds} s; second half: min {min(half):.1f} MB, max "
         f"{max(half):.1f} MB; "
-        f"rules broken: {sorted({b.rule for b in rules.find_violations(found)}) or 'none'}"
+        f"violated rules: {sorted({v.rule for v in rules.find_violations(recorded)}) or 'none'}"
     )
 
 
@@ -79,9 +79,9 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--minutes", type=float, default=10)
     parser.add_argument("--proxies", type=int, default=30)
-    given = parser.parse_args()
+    options = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="dunlinlug-soak-") as folder:
-        trio.run(soak, int(given.minutes * 60), given.proxies, Path(folder))
+        trio.run(soak, int(options.minutes * 60), options.proxies, Path(folder))
 
 
 if __name__ == "__main__":
