--- a/bench/scale/__main__.py
+++ b/bench/scale/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m bench.scale run FILE.ini | sweep FOLDER_OR_FILES | report`."""
+"""Command line: `python -m bench.scale run FILE.ini | sweep FOLDER_OR_FILES | report`."""
 
 import argparse
 import importlib
@@ -14,75 +14,74 @@
 RESULTS = Path(__file__).parent / "results"
 
 
-def line(found: dict[str, Any]) -> str:
-    """A run in one line."""
-    hollow, real, told, times = (
-        found["roles"]["hollow"],
-        found["roles"]["real"],
-        found["truth"],
-        found["times"],
+def summary_line(result: dict[str, Any]) -> str:
+    """Return a summary of a run in one line."""
+    hollow, real, truth, times = (
+        result["roles"]["hollow"],
+        result["roles"]["real"],
+        result["truth"],
+        result["times"],
     )
-    own = found["validation"]["own"]
+    own = result["validation"]["own"]
     return (
-        f"{found['scenario']} {found['sizes']['members']} (clock {found['clock']:.0%}): {found['ended']}; "
+        f"{result['scenario']} {result['sizes']['members']} (clock {result['clock']:.0%}): {result['ended']}; "
         f"hollow {hollow['cpu_share_per_member'] * 1e3:.2f} ms/s, "
         f"{hollow['per_member_s']['bytes_out'] / 1e3:.2f} KB/s out, "
         f"{hollow['per_member_s']['out']:.1f} messages/s out; real control "
         f"{real['control_cpu_share_per_member'] * 1e3:.2f} ms/s, all {real['cpu_share_per_member'] * 1e3:.2f}, "
-        f"{real['rss_mb_per_member']:.0f} MB; peak {found['peak_mb']} MB; false {told['false_verdicts']}, missing "
-        f"{told['verdicts_missing']}, lost {len(told['list_lost'])}, views equal after {times['views_equal_s']}; "
-        f"apart {own['worst'] if own else 'not compared'}; valid {found['valid']}; "
-        f"load {found['machine']['load']}"
+        f"{real['rss_mb_per_member']:.0f} MB; peak {result['peak_mb']} MB; false {truth['false_verdicts']}, missing "
+        f"{truth['verdicts_missing']}, lost {len(truth['list_lost'])}, views equal after {times['views_equal_s']}; "
+        f"difference {own['worst'] if own else 'not compared'}; valid {result['valid']}; "
+        f"load {result['machine']['load']}"
     )
 
 
-def play(books: list[ConfigFile], sizes: list[int], results: Path, again: bool) -> int:
-    """Exit status: 1 if a run ended early."""
-    pairs = sweep.wanted(books, sizes, Path("/nonexistent") if again else results)
-    print(f"{len(pairs)} runs to play", file=sys.stderr, flush=True)
+def play(scenarios: list[ConfigFile], sizes: list[int], results: Path, again: bool) -> int:
+    """Run the scenarios, and return the exit status: 1 if a run ended early."""
+    pairs = sweep.pending_runs(scenarios, sizes, Path("/nonexistent") if again else results)
+    print(f"{len(pairs)} runs to do", file=sys.stderr, flush=True)
     status = 0
-    for book, size in pairs:
-        path, found = run.play(book, size, results)
-        print(f"{path.name}: {line(found)}", flush=True)
-        if found["ended"] != "whole":
-            print(f"ended early: {found['ended']}", file=sys.stderr, flush=True)
+    for scenario_file, size in pairs:
+        path, result = run.play(scenario_file, size, results)
+        print(f"{path.name}: {summary_line(result)}", flush=True)
+        if result["ended"] != "whole":
+            print(f"ended early: {result['ended']}", file=sys.stderr, flush=True)
             status = 1
-            if found["ended"].startswith("interrupted"):
+            if result["ended"].startswith("interrupted"):
                 break
     return status
 
 
 def report(results: Path) -> int:
-    """The page of slopes, where it can be made; else a line for each result."""
+    """Write the capacity page if its module is present, else print a line for each result."""
     if importlib.util.find_spec("bench.scale.page") is not None:
         importlib.import_module("bench.scale.page").main()
         return 0
     for path in sorted(results.glob("*.json")):
-        print(line(json.loads(path.read_text(encoding="utf-8"))))
+        print(summary_line(json.loads(path.read_text(encoding="utf-8"))))
     return 0
 
 
-def main(words: list[str] | None = None) -> int:
+def main(arguments: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="bench.scale")
     parser.add_argument("command", choices=("run", "sweep", "report"))
     parser.add_argument("files", nargs="*", type=Path)
-    parser.add_argument("--sizes", default="", help="only these, as 30,100")
+    parser.add_argument("--sizes", default="", help="only run these numbers of members, as 30,100")
     parser.add_argument("--results", type=Path, default=RESULTS)
-    given = parser.parse_intermixed_args(
-        words
-    )  # files may stand behind options as well as before them
-    if given.command == "report":
-        return report(given.results)
+    # Files may be given before or after the options.
+    options = parser.parse_intermixed_args(arguments)
+    if options.command == "report":
+        return report(options.results)
     try:
-        sizes = [int(size) for size in given.sizes.split(",") if size]
-        books = [scenario.read(path) for path in sweep.files(given.files)]
-    except (ConfigError, ValueError) as fault:
-        print(f"bench.scale: {fault}", file=sys.stderr)
+        sizes = [int(size) for size in options.sizes.split(",") if size]
+        scenarios = [scenario.read(path) for path in sweep.scenario_files(options.files)]
+    except (ConfigError, ValueError) as error:
+        print(f"bench.scale: {error}", file=sys.stderr)
         return 2
-    if not books:
-        print("bench.scale: no scenario file is named", file=sys.stderr)
+    if not scenarios:
+        print("bench.scale: no scenario file given", file=sys.stderr)
         return 2
-    return play(books, sizes, given.results, again=given.command == "run")
+    return play(scenarios, sizes, options.results, again=options.command == "run")
 
 
 if __name__ == "__main__":
--- a/bench/scale/accounting.py
+++ b/bench/scale/accounting.py
@@ -1,4 +1,4 @@
-"""Sums over processes and members by role, and simulated members compared with real ones.
+"""Sums over processes and members by role, and comparison of hollow members with real ones.
 
 Free of I/O.
 """
@@ -40,7 +40,7 @@
         }
 
 
-def less(
+def difference(
     after: Mapping[str, Mapping[str, int]], before: Mapping[str, Mapping[str, int]]
 ) -> dict[str, dict[str, int]]:
     """Return the difference of two snapshots of one meter."""
@@ -50,7 +50,7 @@
     }
 
 
-def together(meters: Iterable[Mapping[str, Mapping[str, int]]]) -> dict[str, dict[str, int]]:
+def sum_snapshots(meters: Iterable[Mapping[str, Mapping[str, int]]]) -> dict[str, dict[str, int]]:
     """Return the sums over the snapshots of several meters."""
     found: dict[str, dict[str, int]] = {}
     for snapshot in meters:
@@ -61,7 +61,7 @@
     return dict(sorted(found.items()))
 
 
-def turned(held: Mapping[str, int]) -> dict[str, int]:
+def mirror(held: Mapping[str, int]) -> dict[str, int]:
     """Return the same messages as counted at the other end."""
     return {
         "in": held["out"],
@@ -75,7 +75,7 @@
 class Reading:
     """Resource usage that one process reported at one moment.
 
-    `cpu_s`, `control_s` and kinds count from its start; `rss_mb` is what is resident now.
+    `cpu_s`, `control_s` and `kinds` count from its start; `rss_mb` is the current resident memory.
     """
 
     cpu_s: float
@@ -96,7 +96,7 @@
     rss_mb: float = 0.0
     kinds: list[Mapping[str, Mapping[str, int]]] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
-    queues: Counter[str] = field(default_factory=Counter)  # by name, the longest that was seen
+    queues: Counter[str] = field(default_factory=Counter)  # longest length seen, by name
 
     def add(self, before: Reading, after: Reading, members: int) -> None:
         """Add a process by its readings at the begin and the end of the interval."""
@@ -105,22 +105,22 @@
         self.cpu_s += after.cpu_s - before.cpu_s
         self.control_s += after.control_s - before.control_s
         self.rss_mb += after.rss_mb
-        self.kinds.append(less(after.kinds, before.kinds))
+        self.kinds.append(difference(after.kinds, before.kinds))
         for name, count in after.counts.items():
             self.counts[name] += count - before.counts.get(name, 0)
 
     def queue(self, lengths: Mapping[str, int]) -> None:
-        """Keep the longest length that was seen of each queue."""
+        """Keep the longest length seen of each queue."""
         for name, length in lengths.items():
             self.queues[name] = max(self.queues[name], length)
 
     def figures(self, span: float) -> dict[str, Any]:
         """Return the totals by the result file's keys.
 
-        `span` is the measured interval in seconds of the rig's clock.
+        `span` is the measured interval in seconds of the run's clock.
         """
-        per = 1 / (span * self.members) if span > 0 and self.members else 0.0
-        kinds = together(self.kinds)
+        per_second_and_member = 1 / (span * self.members) if span > 0 and self.members else 0.0
+        kinds = sum_snapshots(self.kinds)
         sums = {
             name: sum(held[name] for kind, held in kinds.items() if kind != LIST) for name in FIELDS
         }
@@ -128,20 +128,24 @@
             "processes": self.processes,
             "members": self.members,
             "cpu_s": round(self.cpu_s, 3),
-            "cpu_share_per_member": round(self.cpu_s * per, 6),
+            "cpu_share_per_member": round(self.cpu_s * per_second_and_member, 6),
             "control_cpu_s": round(self.control_s, 3),
-            "control_cpu_share_per_member": round(self.control_s * per, 6),
+            "control_cpu_share_per_member": round(self.control_s * per_second_and_member, 6),
             "rss_mb": round(self.rss_mb, 1),
             "rss_mb_per_member": round(self.rss_mb / self.members, 2) if self.members else 0.0,
             "messages": kinds,
-            "per_member_s": {name: round(total * per, 3) for name, total in sums.items()},
+            "per_member_s": {
+                name: round(total * per_second_and_member, 3) for name, total in sums.items()
+            },
             "counts": dict(sorted(self.counts.items())),
             "queues": dict(sorted(self.queues.items())),
         }
 
 
-def compared(real: Mapping[str, Any], hollow: Mapping[str, Any], error: float) -> dict[str, Any]:
-    """Compare messages and bytes of an average simulated member with an average real one.
+def compare_roles(
+    real: Mapping[str, Any], hollow: Mapping[str, Any], error: float
+) -> dict[str, Any]:
+    """Compare messages and bytes of an average hollow member with an average real one.
 
     The result is valid if all rows with enough messages differ by at most the fraction `error`. It
     is not valid without members of both roles, or with too few messages.
@@ -149,24 +153,24 @@
     rows: dict[str, dict[str, float]] = {}
     worst = 0.0
     judged = 0
-    everything = sum(_count(real, "all", direction) for direction in ("in", "out"))
+    total_messages = sum(_count(real, "all", direction) for direction in ("in", "out"))
     for kind in sorted({*real["messages"], *hollow["messages"], "all"}):
         for name in FIELDS:
             one, other = (_per_member(role, kind, name) for role in (real, hollow))
             messages = _count(real, kind, name.removeprefix("bytes_"))
-            is_frequent = messages >= MIN_COMPARED_FRACTION * everything / 2
+            is_frequent = messages >= MIN_COMPARED_FRACTION * total_messages / 2
             is_judged = messages >= MIN_COMPARED_MESSAGES and (kind in ("all", LIST) or is_frequent)
             if not one and not other:
                 continue
-            apart = abs(other - one) / one if one else float(other > 0)
+            relative_difference = abs(other - one) / one if one else float(other > 0)
             rows[f"{kind} {name}"] = {
                 "real": round(one, 3),
                 "hollow": round(other, 3),
-                "apart": round(apart, 4),
+                "apart": round(relative_difference, 4),
                 "judged": int(is_judged),
             }
             if is_judged:
-                worst = max(worst, apart)
+                worst = max(worst, relative_difference)
                 judged += 1
     return {
         "rows": rows,
@@ -188,12 +192,12 @@
     return _count(role, kind, name) / role["members"] if role["members"] else 0.0
 
 
-def spread(values: Sequence[float]) -> dict[str, float | int]:
+def summarize_durations(values: Sequence[float]) -> dict[str, float | int]:
     """Return count, median, 99th percentile and maximum of durations in seconds.
 
     The percentiles come from a histogram with three significant digits.
     """
-    from hdrh.histogram import HdrHistogram  # a library that only runs need
+    from hdrh.histogram import HdrHistogram  # only needed by runs
 
     if not values:
         return {"count": 0}
--- a/bench/scale/budget.py
+++ b/bench/scale/budget.py
@@ -9,22 +9,22 @@
 
 
 class RunError(Exception):
-    """The run could not continue; the text gives the reason in one line."""
+    """The run could not continue; the message gives the reason in one line."""
 
 
-def over(rss_mb: float, processes: int, memory_mb: int, max_processes: int) -> str:
-    """Return which limit is exceeded as a sentence, or an empty string.
+def exceeded_limit(rss_mb: float, processes: int, memory_mb: int, max_processes: int) -> str:
+    """Return a message about the exceeded limit, or an empty string.
 
     Shared pages count for each process that maps them.
     """
     if rss_mb > memory_mb:
-        return f"the run's processes hold {rss_mb:.0f} MB, over its bound of {memory_mb} MB"
+        return f"the run's processes hold {rss_mb:.0f} MB, over the limit of {memory_mb} MB"
     if processes > max_processes:
-        return f"the run has {processes} processes, over its bound of {max_processes}"
+        return f"the run has {processes} processes, over the limit of {max_processes}"
     return ""
 
 
-def resident(pid: int) -> float:
+def resident_mb(pid: int) -> float:
     """Return the resident megabytes of a process; 0 if it has ended."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_MB
@@ -52,7 +52,7 @@
         self.first: dict[tuple[str, str], int] = {}
         self.longest: dict[str, int] = {}
 
-    def look(self, lines: Iterable[str]) -> None:
+    def update(self, lines: Iterable[str]) -> None:
         """Read the socket lines of /proc/net/udp."""
         for line in lines:
             fields = line.split()
--- a/bench/scale/discovery.py
+++ b/bench/scale/discovery.py
@@ -18,20 +18,20 @@
 
 from bench.scale import part
 from bench.scale.accounting import Meter
-from bench.scale.hollow import PRINTS
+from bench.scale.hollow import LIST_DIGEST_HEADER
 from dunlinlug.decision.events import Endpoint
 from dunlinlug.discovery import entries
 from dunlinlug.discovery.blocking_query import INDEX_HEADER
 from dunlinlug.fleet.membership.list_digests import bucket_fingerprints
 from dunlinlug.net import http
 
-FIRST = 100
+FIRST_INDEX = 100
 ZONES = ("north", "south", "east", "west", "centre")
 
 
-def fleet(count: int) -> dict[str, Endpoint]:
-    """Return so many workers by id, at addresses that are never connected to."""
-    made = [
+def create_workers(count: int) -> dict[str, Endpoint]:
+    """Return this many workers by id, at addresses that are never connected to."""
+    workers = [
         Endpoint(
             f"10.{n // 62500}.{n // 250 % 250}.{n % 250 + 1}:8080",
             ZONES[n % len(ZONES)],
@@ -43,7 +43,7 @@
         )
         for n in range(count)
     ]
-    return {worker.id: worker for worker in made}
+    return {worker.id: worker for worker in workers}
 
 
 def churned(workers: dict[str, Endpoint], size: int, rng: Random) -> list[Endpoint]:
@@ -61,17 +61,17 @@
     def __init__(self, settings: Mapping[str, Any]) -> None:
         self.meter = Meter()
         self.rng = Random(f"{settings['seed']} workers")
-        self.workers = fleet(settings["workers"])
-        self.index = FIRST
+        self.workers = create_workers(settings["workers"])
+        self.index = FIRST_INDEX
         self.changed = trio.Event()
         self.changes: dict[int, float] = {}
-        self.states: dict[int, dict[str, str]] = {FIRST: {}}  # changed workers by version
+        self.states: dict[int, dict[str, str]] = {FIRST_INDEX: {}}  # changed workers by version
         self.waiting = 0
         self._write()
 
     def _write(self) -> None:
         self.body = entries.encode_workers(self.workers.values())
-        self.printed = json.dumps([len(self.workers), bucket_fingerprints(self.workers)])
+        self.digest = json.dumps([len(self.workers), bucket_fingerprints(self.workers)])
         self.changes[self.index] = time.monotonic()
 
     async def answer(self, request: http.Request) -> http.Response:
@@ -91,9 +91,11 @@
                 await self.changed.wait()
             self.waiting -= 1
         self.meter.add(f"list {role}", "out", len(self.body))
-        return http.Response(200, {INDEX_HEADER: str(self.index), PRINTS: self.printed}, self.body)
+        return http.Response(
+            200, {INDEX_HEADER: str(self.index), LIST_DIGEST_HEADER: self.digest}, self.body
+        )
 
-    async def obey(self, command: part.Command) -> dict[str, Any]:
+    async def handle_command(self, command: part.Command) -> dict[str, Any]:
         """Execute one command of the run and return its answer."""
         match command["do"]:
             case "churn":
@@ -121,7 +123,7 @@
                 return {
                     "did": "report",
                     "at": time.monotonic(),
-                    "reading": asdict(part.own_reading(self.meter)),
+                    "reading": asdict(part.process_reading(self.meter)),
                     "members": 1,
                     "queues": {"waiting": self.waiting},
                 }
@@ -134,16 +136,16 @@
     host, port = settings["discovery"]
     try:
         listeners = await trio.open_tcp_listeners(port, host=host, backlog=1024)
-    except OSError as fault:
-        part.say(did="failed", why=f"the place of discovery is taken: {fault}")
+    except OSError as error:
+        part.write_line(did="failed", why=f"the address of discovery is in use: {error}")
         return
     async with trio.open_nursery() as nursery:
         nursery.start_soon(http.serve, discovery.answer, listeners)
-        part.say(did="ready")
-        await part.commands(discovery.obey)
+        part.write_line(did="ready")
+        await part.serve_commands(discovery.handle_command)
         nursery.cancel_scope.cancel()
 
 
 if __name__ == "__main__":
-    given = json.loads(sys.stdin.readline())
-    trio.run(main, given, clock=part.Slowed(given["clock"]))
+    startup_settings = json.loads(sys.stdin.readline())
+    trio.run(main, startup_settings, clock=part.SlowedClock(startup_settings["clock"]))
--- a/bench/scale/fit.py
+++ b/bench/scale/fit.py
@@ -14,16 +14,16 @@
 
 import numpy as np
 
-Point = Mapping[str, float]  # the sizes of one run, and what it cost under `y`
+Point = Mapping[str, float]  # the sizes of one run, and its cost as `y`
 
 
 class FitError(ValueError):
-    """No model can be fitted to these points and terms; the text gives the reason."""
+    """No model can be fitted to these points and terms; the message gives the reason."""
 
 
 @dataclass(frozen=True)
 class Fit:
-    """A fitted model: terms, their coefficients and how sure these are.
+    """A fitted model: terms, their coefficients and standard errors.
 
     `errors` are standard errors of the coefficients, `spread` the typical residual as a fraction of
     the measured cost; both are 0 where there are as many terms as points. `largest` is the largest
@@ -39,7 +39,7 @@
     def at(self, sizes: Point) -> float:
         """Return the predicted cost at these sizes. Raises FitError if a needed size is missing."""
         return sum(
-            coefficient * value(term, sizes)
+            coefficient * term_value(term, sizes)
             for term, coefficient in zip(self.terms, self.coefficients, strict=True)
         )
 
@@ -49,12 +49,13 @@
         It is an upper bound, as the coefficients are correlated.
         """
         total_error = sum(
-            error * value(term, sizes) for term, error in zip(self.terms, self.errors, strict=True)
+            error * term_value(term, sizes)
+            for term, error in zip(self.terms, self.errors, strict=True)
         )
         return total_error / self.at(sizes)
 
 
-def value(term: str, sizes: Point) -> float:
+def term_value(term: str, sizes: Point) -> float:
     """Return the value of a term at these sizes. Raises FitError for a size that is missing."""
     found = 1.0
     for factor in term.split("*"):
@@ -63,7 +64,9 @@
         if name == "1":
             continue
         if inner not in sizes:
-            raise FitError(f"{inner} is not among the sizes {', '.join(sorted(sizes))}")
+            raise FitError(
+                f"term uses the size {inner}, which is not among {', '.join(sorted(sizes))}"
+            )
         size = float(sizes[inner])
         found *= (log2(size) if inner != name else size) ** float(power or 1)
     return found
@@ -87,18 +90,19 @@
     """
     rows = list(points)
     if len(rows) < len(terms):
-        raise FitError(f"{len(rows)} points do not fit {len(terms)} terms")
+        raise FitError(f"{len(rows)} points are too few for {len(terms)} terms")
     if any(row["y"] <= 0 for row in rows):
-        raise FitError("a cost that is not above 0")
+        raise FitError("all costs must be above 0")
     remaining = list(terms)
     while True:
         costs = np.array([row["y"] for row in rows])
         table = (
-            np.array([[value(term, row) for term in remaining] for row in rows]) / costs[:, None]
+            np.array([[term_value(term, row) for term in remaining] for row in rows])
+            / costs[:, None]
         )
         scale = np.abs(table).max(axis=0)
         if not scale.all() or np.linalg.matrix_rank(table / scale) < len(remaining):
-            raise FitError(f"the sizes do not vary enough to tell {', '.join(remaining)} apart")
+            raise FitError(f"the sizes do not vary enough to separate {', '.join(remaining)}")
         coefficients = np.linalg.lstsq(table / scale, np.ones(len(rows)), rcond=None)[0] / scale
         negative = [index for index, coefficient in enumerate(coefficients) if coefficient < 0]
         if not negative:
@@ -109,7 +113,7 @@
         )
         del remaining[worst]
         if not remaining:
-            raise FitError("no term is left that makes a cost")
+            raise FitError("no term has a positive coefficient")
     residuals = 1.0 - table @ coefficients
     degrees_of_freedom = len(rows) - len(remaining)
     spread = 0.0
@@ -127,6 +131,6 @@
     )
 
 
-def off(model: Fit, held_out: Point) -> float:
+def relative_error(model: Fit, held_out: Point) -> float:
     """Return the relative error of the prediction at a held-out point; positive if too high."""
     return model.at(held_out) / held_out["y"] - 1.0
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -1,10 +1,9 @@
-"""A process of hollow members: each speaks the members' real protocol and discovery's, and decides
-nothing.
+"""A process of hollow members, which speak the real protocols but make no decisions.
 
-Machine, codec, sockets, standing and the facts told each second are the project's own classes. Left
-out are the decision module, tables, proxies, probes, the store and the log; the list's body is read
-to its end and not parsed (the print of it that a member tells comes in a header of the stand-in
-discovery's), and no proxies' evidence is told.
+Protocol, codec, sockets, partition checks and the broadcasts of each second are the project's own
+classes. Left out are the decision module, tables, proxies, probes, the store and the log. The body
+of the endpoint list is read but not parsed: the digest that a member broadcasts comes in a header
+of the simulated discovery. Observations of proxies are not broadcast.
 """
 
 import json
@@ -32,21 +31,21 @@
 from dunlinlug.fleet.membership.service import Membership
 from dunlinlug.net import http
 
-# the stand-in discovery's header: how many workers, and the list's print by its parts
-PRINTS = "x-prints"
-WAIT, WITHIN = (
+# Header of the simulated discovery: number of workers, and the fingerprints of the list's buckets.
+LIST_DIGEST_HEADER = "x-prints"
+# Wait of a blocking query, as for the real managers, and the additional time for the answer.
+QUERY_WAIT_SECONDS, ANSWER_MARGIN_SECONDS = (
     10.0,
     3.0,
-)  # seconds as the real managers of a run wait for news, and beyond that for an answer
-TAKEN = (
-    4096  # versions of the list remembered with their times: a run changes it some hundred times
 )
+# Received versions of the list that are recorded: a run has some hundred changes.
+MAX_RECORDED_VERSIONS = 4096
 
 
 class PrecomputedListDigests(ListDigests):
-    """As a real manager tells its list's print, without going through the workers each second."""
+    """Broadcasts the list digest as a real manager does, without computing it each second."""
 
-    printed: tuple[int, tuple[int, ...]] | None = None
+    digest_values: tuple[int, tuple[int, ...]] | None = None
 
     def due_broadcast(
         self, now: float, listed_workers: Mapping[str, Endpoint] | None
@@ -54,112 +53,112 @@
         if now < self.next_broadcast_at:
             return None
         self.next_broadcast_at = now + BROADCAST_INTERVAL
-        if self.printed is None:
+        if self.digest_values is None:
             return None
         self.sequence += 1
-        digest = ListDigest(self.start_epoch, self.sequence, *self.printed)
+        digest = ListDigest(self.start_epoch, self.sequence, *self.digest_values)
         self.digests[self.self_id] = (digest, now)
         return Broadcast(f"list/{self.self_id}", msgspec.msgpack.encode(digest))
 
 
 class HollowMember:
-    """One member that may be stopped and started again; `born` counts its starts."""
+    """One member, which can be stopped and started again."""
 
     def __init__(
         self,
         name: str,
-        told: Mapping[str, Any],
+        settings: Mapping[str, Any],
         meter: Meter,
         watch: part.Stopwatch,
         verdicts: part.Verdicts,
     ) -> None:
-        self.name, self.told, self.meter, self.watch, self.verdicts = (
+        self.name, self.settings, self.meter, self.watch, self.verdicts = (
             name,
-            told,
+            settings,
             meter,
             watch,
             verdicts,
         )
-        self.places: dict[str, tuple[str, int]] = {
-            n: (p[0], p[1]) for n, p in told["places"].items()
+        self.addresses: dict[str, tuple[str, int]] = {
+            member: (address[0], address[1]) for member, address in settings["places"].items()
         }
-        self.by_place = {place: n for n, place in self.places.items()}
-        self.born, self.scope = 0, trio.CancelScope()
+        self.name_by_address = {address: member for member, address in self.addresses.items()}
+        self.start_count, self.scope = 0, trio.CancelScope()
         self.membership: Membership | None = None
-        self.taken: dict[
-            int, list[tuple[int, float]]
-        ] = {}  # by start, versions of the list and when they came
-        self.held: tuple[int, str] = (0, "")  # the list's version and its body's print
-        self.beyond: frozenset[str] = frozenset()
-        self.follows = name in told["followers"]
-        self.first: Membership | None = (
-            self._made()
-        )  # before any runs: it takes long where all know each other
-
-    def _made(self) -> Membership:
-        self.born += 1
-        names, beat = tuple(self.places), self.told["beat"]
-        chance = Random(f"{self.told['seed']} members {self.name} {self.born}")
-        made = Membership(
+        # By start number, the received versions of the list and when they arrived.
+        self.received_versions: dict[int, list[tuple[int, float]]] = {}
+        self.current_list: tuple[int, str] = (0, "")  # version and hash of the body
+        self.partitioned_members: frozenset[str] = frozenset()
+        self.follows = name in settings["followers"]
+        # Created before any member runs: with full knowledge of the others it takes long.
+        self.prepared: Membership | None = self._create_membership()
+
+    def _create_membership(self) -> Membership:
+        self.start_count += 1
+        names, beat = tuple(self.addresses), self.settings["beat"]
+        rng = Random(f"{self.settings['seed']} members {self.name} {self.start_count}")
+        membership = Membership(
             self.name,
-            self.born,
-            self.places,
-            [bytes.fromhex(self.told["key"])],
+            self.start_count,
+            self.addresses,
+            [bytes.fromhex(self.settings["key"])],
             beat,
-            chance,
-            self._note,
+            rng,
+            self._count_event,
             lambda: names,
         )
-        made.list_digests = PrecomputedListDigests(self.name, self.born)
-        made.current_load = lambda: ManagerLoad(4, 10.0, 0.0, 0.01)
-        made.on_member_change = self._changed
-        made.transport.is_blocked = lambda place: self.by_place.get(place) in self.beyond
-        self.opener = part.instrument(made, self.meter, self.watch)
-        if self.born == 1 and self.told["joined"]:
-            self._acquainted(made.protocol)
-        return made
-
-    def _acquainted(self, machine: MembershipProtocol) -> None:
-        """As after a long time together: all members are known, and nothing of them is left to be
-        told.
-        """
+        membership.list_digests = PrecomputedListDigests(self.name, self.start_count)
+        membership.current_load = lambda: ManagerLoad(4, 10.0, 0.0, 0.01)
+        membership.on_member_change = self._on_member_change
+        membership.transport.is_blocked = lambda address: (
+            self.name_by_address.get(address) in self.partitioned_members
+        )
+        self.opener = part.instrument(membership, self.meter, self.watch)
+        if self.start_count == 1 and self.settings["joined"]:
+            self._set_all_known(membership.protocol)
+        return membership
+
+    def _set_all_known(self, protocol: MembershipProtocol) -> None:
+        """Set the state after a long time together: all members known, nothing left to gossip."""
         now = trio.current_time()
-        for told in msgspec.msgpack.decode(self.told["acquaintance"], type=list[MemberState]):
-            if told.name != self.name:
-                machine.table.members[told.name] = told
-                machine.peers[told.name] = PeerState(now)
-        machine.table.pending_broadcasts.clear()
-        machine.state = Lifecycle.ALIVE
-
-    def _begin(self, machine: MembershipProtocol) -> None:
-        """From now on, each at its own time within a beat. Danger: made some seconds ago, it would
-        count that as time in which it was stopped, and distrust itself.
+        for state in msgspec.msgpack.decode(self.settings["acquaintance"], type=list[MemberState]):
+            if state.name != self.name:
+                protocol.table.members[state.name] = state
+                protocol.peers[state.name] = PeerState(now)
+        protocol.table.pending_broadcasts.clear()
+        protocol.state = Lifecycle.ALIVE
+
+    def _restart_timers(self, protocol: MembershipProtocol) -> None:
+        """Start the timers now, at a random offset within a probe interval.
+
+        The member was created some seconds ago; without the reset it would take that time for a
+        pause of its process and reduce its local health.
         """
         now = trio.current_time()
-        machine.next_sync_at += now - machine.now
-        machine.now = machine.next_due_at = now
-        machine.next_probe_at = now + machine.rng.uniform(0.0, machine.probe_interval)
-        machine.next_reconnect_at = machine.next_probe_at
+        protocol.next_sync_at += now - protocol.now
+        protocol.now = protocol.next_due_at = now
+        protocol.next_probe_at = now + protocol.rng.uniform(0.0, protocol.probe_interval)
+        protocol.next_reconnect_at = protocol.next_probe_at
 
-    def stand_beyond(self, names: frozenset[str]) -> None:
-        self.beyond = names
+    def set_partition(self, names: frozenset[str]) -> None:
+        self.partitioned_members = names
         if self.membership is not None:
-            self.opener.beyond = names
+            self.opener.partitioned_members = names
 
-    def _note(self, event: str, **said: Any) -> None:
+    def _count_event(self, event: str, **fields: Any) -> None:
         self.meter.counts[event] += 1
 
-    def _changed(self, change: MemberStateChanged) -> None:
+    def _on_member_change(self, change: MemberStateChanged) -> None:
         self.meter.counts[f"became {change.after}"] += 1
         if change.after == "failed":
             self.verdicts.add(self.name, change.name)
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Until stopped. Raises OSError if its place is taken."""
-        membership, self.first = self.first or self._made(), None
-        self._begin(membership.protocol)
+        """Run until stopped. Raises OSError if its address is in use."""
+        membership, self.prepared = self.prepared or self._create_membership(), None
+        self._restart_timers(membership.protocol)
         self.membership = membership
-        self.stand_beyond(self.beyond)
+        self.set_partition(self.partitioned_members)
         with trio.CancelScope() as self.scope:
             async with trio.open_nursery() as nursery:
                 await nursery.start(membership.run)
@@ -167,133 +166,152 @@
                 if self.follows:
                     nursery.start_soon(self._follow, membership)
 
-    def stop(self, goodbye: bool) -> None:
+    def stop(self, leaves: bool) -> None:
         if self.membership is not None:
-            if goodbye:
+            if leaves:
                 self.membership.leave()
             self.membership = None
         self.scope.cancel()
 
     async def _follow(self, membership: Membership) -> None:
-        """Blocking queries as a real manager makes them."""
-        client = http.Client(*self.told["discovery"], max_idle_connections=1)
+        """Follow the endpoint list by blocking queries, as a real manager does."""
+        client = http.Client(*self.settings["discovery"], max_idle_connections=1)
         state = BlockingQuery(
-            "hollow", WAIT, Random(f"{self.told['seed']} {self.name} follows").uniform
+            "hollow",
+            QUERY_WAIT_SECONDS,
+            Random(f"{self.settings['seed']} {self.name} follows").uniform,
         )
         while True:
             try:
-                await self._look(client, state, membership)
+                await self._query_list(client, state, membership)
                 await trio.sleep(MIN_QUERY_INTERVAL)
             except (http.HttpError, ValueError):
                 self.meter.counts["list failed"] += 1
                 await trio.sleep(state.next_backoff())
 
-    async def _look(
+    async def _query_list(
         self, client: http.Client, state: BlockingQuery, membership: Membership
     ) -> None:
         query = state.request_path()
         reply: http.Response | None = None
-        with trio.move_on_after(WITHIN + WAIT):
+        with trio.move_on_after(ANSWER_MARGIN_SECONDS + QUERY_WAIT_SECONDS):
             reply = await client.request("GET", query)
         if reply is None or reply.status != 200:
-            raise ValueError("no list in time" if reply is None else f"status {reply.status}")
+            raise ValueError("no answer in time" if reply is None else f"status {reply.status}")
         self.meter.add("list", "out", len(query))
         self.meter.add("list", "in", len(reply.body))
         if state.record_index(reply.headers.get(INDEX_HEADER)):
-            self.held = (state.index, xxhash.xxh64_hexdigest(reply.body))
-            taken = self.taken.setdefault(self.born, [])
-            if len(taken) < TAKEN:
-                taken.append((state.index, time.monotonic()))
-            found = json.loads(reply.headers[PRINTS])
-            lists = membership.list_digests
-            assert isinstance(lists, PrecomputedListDigests)
-            lists.printed = (found[0], tuple(found[1]))
+            self.current_list = (state.index, xxhash.xxh64_hexdigest(reply.body))
+            versions = self.received_versions.setdefault(self.start_count, [])
+            if len(versions) < MAX_RECORDED_VERSIONS:
+                versions.append((state.index, time.monotonic()))
+            found = json.loads(reply.headers[LIST_DIGEST_HEADER])
+            list_digests = membership.list_digests
+            assert isinstance(list_digests, PrecomputedListDigests)
+            list_digests.digest_values = (found[0], tuple(found[1]))
 
 
-class Crowd:
-    """The members of this process, and what is done to them."""
+class HollowMembers:
+    """The members of this process, and the commands for them."""
 
-    def __init__(self, told: Mapping[str, Any], nursery: trio.Nursery) -> None:
+    def __init__(self, settings: Mapping[str, Any], nursery: trio.Nursery) -> None:
         self.meter, self.watch, self.verdicts = Meter(), part.Stopwatch(), part.Verdicts()
         self.nursery = nursery
         known = [
             MemberState(
-                name, (1, 0), ALIVE, (told["places"][name][0], told["places"][name][1]), name
+                name,
+                (1, 0),
+                ALIVE,
+                (settings["places"][name][0], settings["places"][name][1]),
+                name,
             )
-            for name in told["known"]
+            for name in settings["known"]
         ]
-        told = {**told, "acquaintance": msgspec.msgpack.encode(known)}
+        settings = {**settings, "acquaintance": msgspec.msgpack.encode(known)}
         self.members = {
-            name: HollowMember(name, told, self.meter, self.watch, self.verdicts)
-            for name in told["names"]
+            name: HollowMember(name, settings, self.meter, self.watch, self.verdicts)
+            for name in settings["names"]
         }
 
-    async def obey(self, command: part.Command) -> dict[str, Any]:
-        mine = [self.members[name] for name in command.get("names", ()) if name in self.members]
+    async def handle_command(self, command: part.Command) -> dict[str, Any]:
+        selected = [self.members[name] for name in command.get("names", ()) if name in self.members]
         match command["do"]:
             case "up":
-                for member in mine:
+                for member in selected:
                     if member.membership is None:
                         await self.nursery.start(member.run)
             case "down" | "leave":
-                for member in mine:
-                    member.stop(goodbye=command["do"] == "leave")
+                for member in selected:
+                    member.stop(leaves=command["do"] == "leave")
             case "cut" | "heal":
-                behind = frozenset(command["names"])
+                smaller_side = frozenset(command["names"])
                 for name, member in self.members.items():
-                    other = {n for n in member.places if (n in behind) != (name in behind)}
-                    member.stand_beyond(frozenset(other) if command["do"] == "cut" else frozenset())
+                    other_side = {
+                        peer
+                        for peer in member.addresses
+                        if (peer in smaller_side) != (name in smaller_side)
+                    }
+                    member.set_partition(
+                        frozenset(other_side) if command["do"] == "cut" else frozenset()
+                    )
             case "report":
                 return self._report()
             case "final":
                 followers = [member for member in self.members.values() if member.follows]
                 return {
                     "did": "final",
-                    "taken": {m.name: m.taken for m in followers},
-                    "held": {m.name: m.held for m in followers if m.membership is not None},
+                    "taken": {member.name: member.received_versions for member in followers},
+                    "held": {
+                        member.name: member.current_list
+                        for member in followers
+                        if member.membership is not None
+                    },
                 }
         return {"did": command["do"]}
 
     def _report(self) -> dict[str, Any]:
         views, queues = Counter[str](), Counter[str]()
-        up = 0
+        running_count = 0
         for member in self.members.values():
             if member.membership is None:
                 continue
-            said, up = part.member_said(member.membership), up + 1
-            views[f"{said['digest']} {said['living']} {said['state']}"] += 1
-            queues["gossip"] = max(queues["gossip"], said["waiting"])
+            view, running_count = part.member_view(member.membership), running_count + 1
+            views[f"{view['digest']} {view['living']} {view['state']}"] += 1
+            queues["gossip"] = max(queues["gossip"], view["waiting"])
             queues["streams"] = max(
                 queues["streams"], *member.membership.transport.open_streams().values()
             )
-            for why in part.AT_THE_DOOR:
-                queues[f"refused {why}"] = max(
-                    queues[f"refused {why}"], member.membership.transport.rejections[why]
+            for reason in part.REJECTION_REASONS:
+                queues[f"refused {reason}"] = max(
+                    queues[f"refused {reason}"], member.membership.transport.rejections[reason]
                 )
-        reading = part.own_reading(self.meter, self.watch.spent)
+        reading = part.process_reading(self.meter, self.watch.spent)
         return {
             "did": "report",
             "at": time.monotonic(),
             "reading": asdict(reading),
-            "members": up,
+            "members": running_count,
             "views": dict(views),
             "queues": dict(queues),
-            "verdicts": self.verdicts.taken(),
+            "verdicts": self.verdicts.take(),
             "dropped": self.verdicts.dropped,
         }
 
 
-async def main(told: Mapping[str, Any]) -> None:
+async def main(settings: Mapping[str, Any]) -> None:
     async with trio.open_nursery() as nursery:
-        crowd = Crowd(told, nursery)
+        hollow_members = HollowMembers(settings, nursery)
         try:
-            part.say(did="ready")
-            await part.commands(crowd.obey)
-        except* OSError as faults:
-            part.say(did="failed", why=f"a place of hollow members is taken: {part.first(faults)}")
+            part.write_line(did="ready")
+            await part.serve_commands(hollow_members.handle_command)
+        except* OSError as error:
+            part.write_line(
+                did="failed",
+                why=f"an address of a hollow member is in use: {part.first_exception(error)}",
+            )
         nursery.cancel_scope.cancel()
 
 
 if __name__ == "__main__":
-    given = json.loads(sys.stdin.readline())
-    trio.run(main, given, clock=part.Slowed(given["clock"]))
+    startup_settings = json.loads(sys.stdin.readline())
+    trio.run(main, startup_settings, clock=part.SlowedClock(startup_settings["clock"]))
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -19,8 +19,7 @@
 
 from bench.decision_cost import CHANNEL_LINES_PER_S
 from bench.decision_loop_cost import TRANSIT_SECONDS
-from bench.scale.fit import Fit, FitError, fit, is_quadratic, off
-from bench.scale.fit import value as term_value
+from bench.scale.fit import Fit, FitError, fit, is_quadratic, relative_error, term_value
 from dunlinlug.platform.discovery_state import MIN_QUERY_INTERVAL_S
 
 RESULTS = Path(__file__).parent / "results"
@@ -75,7 +74,9 @@
 
     def worst(self) -> float | None:
         """Return the largest relative error at a held-out point; None without such points."""
-        return max((off(self.model, point) for point in self.held_out), key=abs, default=None)
+        return max(
+            (relative_error(self.model, point) for point in self.held_out), key=abs, default=None
+        )
 
 
 TURN_TERMS = ("1", "workers", "workers*products")
@@ -314,7 +315,7 @@
     )
     held = "; ".join(
         f"{format_sizes(point, slope)}: {format_amount(model.at(point), slope.unit)} said, "
-        f"{format_amount(point['y'], slope.unit)} measured, {off(model, point):+.0%}"
+        f"{format_amount(point['y'], slope.unit)} measured, {relative_error(model, point):+.0%}"
         for point in found.held_out
     )
     return [
--- a/bench/scale/part.py
+++ b/bench/scale/part.py
@@ -1,6 +1,6 @@
-"""What every process of a run shares: a slowed clock, JSON lines in and out, figures of itself, an
-end at the close of its input. Whoever started it is gone then, so nothing is left behind even if
-that was killed.
+"""Common parts of the processes of a run: slowed clock, JSON lines, and usage of the process.
+
+A process ends when its input closes. This leaves no process behind even if the parent was killed.
 """
 
 import json
@@ -21,17 +21,17 @@
 from dunlinlug.manager.skewed_clock import SkewedClock
 
 Command = dict[str, Any]
-Obey = Callable[[Command], Awaitable[dict[str, Any]]]
-LINE = (
-    2**24
-)  # bytes of one command or answer: a zone's verdicts by hundreds of members are a tenth of it
+CommandHandler = Callable[[Command], Awaitable[dict[str, Any]]]
+# Length limit of a command or answer: ten times the verdicts on a zone by hundreds of members.
+MAX_LINE_BYTES = 2**24
 PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 2**20
-AT_THE_DOOR = (
+# Reasons of the transport for rejecting messages unread at one of its limits.
+REJECTION_REASONS = (
     "rate",
     "streams",
     "calls",
-)  # what a member's bounds turned away unread, as its door counts it
-KINDS = {
+)
+MESSAGE_KINDS = {
     "Ping": "ping",
     "Ack": "ack",
     "PingRequest": "ask",
@@ -41,101 +41,101 @@
 }
 
 
-class Slowed(SkewedClock):
-    """So many seconds of the rig pass in one true second: beats, waits and bounds of a process all
-    go at this rate.
-    """
+class SlowedClock(SkewedClock):
+    """A clock at a fraction of real time, for all timers and timeouts of a process."""
 
     def __init__(self, rate: float) -> None:
         if not 0.01 <= rate <= 1.0:
-            raise ValueError("the rig's clock goes at 1% to 100% of true time")
-        self.rate, self.started_at = rate, time.monotonic()  # slower than clocks of days may drift
+            raise ValueError("the rate of the clock must be from 0.01 to 1.0")
+        self.rate, self.started_at = rate, time.monotonic()
 
 
-def first(faults: BaseException) -> BaseException:
-    """Out of all groups."""
-    while isinstance(faults, BaseExceptionGroup):
-        faults = faults.exceptions[0]
-    return faults
+def first_exception(error: BaseException) -> BaseException:
+    """Return the first exception inside nested exception groups."""
+    while isinstance(error, BaseExceptionGroup):
+        error = error.exceptions[0]
+    return error
 
 
-def own_reading(meter: Meter, control_s: float = 0.0) -> Reading:
+def process_reading(meter: Meter, control_s: float = 0.0) -> Reading:
     with open("/proc/self/statm", encoding="ascii") as file:
         resident = int(file.read().split()[1]) * PAGE_MB
     return Reading(time.process_time(), resident, meter.snapshot(), control_s, dict(meter.counts))
 
 
-def say(**said: Any) -> None:
-    sys.stdout.write(json.dumps(said) + "\n")
+def write_line(**fields: Any) -> None:
+    sys.stdout.write(json.dumps(fields) + "\n")
     sys.stdout.flush()
 
 
-async def commands(obey: Obey) -> None:
-    """Obey each line of standard input and answer it, until it closes."""
+async def serve_commands(handle_command: CommandHandler) -> None:
+    """Handle each command line of standard input and write its answer, until the input closes."""
     buffer = b""
     async with trio.lowlevel.FdStream(os.dup(sys.stdin.fileno())) as stream:
         async for data in stream:
             buffer += data
-            if len(buffer) > LINE:
-                raise ValueError("a command is over the bound")
+            if len(buffer) > MAX_LINE_BYTES:
+                raise ValueError("a command line is over the length limit")
             *lines, buffer = buffer.split(b"\n")
             for line in lines:
-                say(**await obey(json.loads(line)))
+                write_line(**await handle_command(json.loads(line)))
 
 
 class CountedSealer(codec.DatagramSealer):
-    """Counts what leaves, by kind; the four bytes of a frame's length are not counted."""
+    """Counts sent messages by kind, without the four bytes of a frame's length."""
 
     meter: Meter
 
     def seal(self, message: Message) -> bytes:
         data = super().seal(message)
-        self.meter.add(KINDS[type(message).__name__], "out", len(data))
+        self.meter.add(MESSAGE_KINDS[type(message).__name__], "out", len(data))
         return data
 
 
 class SimulatedRejectReason(StrEnum):
-    """Why a message is not taken that a real member would take."""
+    """Why a hollow member rejects a message that a real member would accept."""
 
     PARTITIONED = "cut"
 
 
 class CountedOpener(codec.DatagramOpener):
-    """Hears nothing of who is `beyond` a cut. Danger: real managers don't know of the cut and send
-    on.
+    """Counts received messages by kind, and rejects those of members beyond a partition.
+
+    The receiver must reject them, as real managers are not part of the simulated partition and
+    continue to send.
     """
 
     meter: Meter
-    beyond: frozenset[str] = frozenset()
+    partitioned_members: frozenset[str] = frozenset()
 
     def open(self, data: bytes) -> Message:
         try:
             message = super().open(data)
-        except AuthenticationError as fault:
-            self.meter.counts[f"refused {fault}"] += 1
+        except AuthenticationError as error:
+            self.meter.counts[f"refused {error}"] += 1
             raise
-        if message.sender.name in self.beyond:
+        if message.sender.name in self.partitioned_members:
             self.meter.counts["refused cut"] += 1
             raise AuthenticationError(SimulatedRejectReason.PARTITIONED)
-        self.meter.add(KINDS[type(message).__name__], "in", len(data))
+        self.meter.add(MESSAGE_KINDS[type(message).__name__], "in", len(data))
         return message
 
 
 class Stopwatch:
-    """This thread's processor time within what it is put round, nested calls counted once."""
+    """Processor time of this thread in the wrapped methods; nested calls count once."""
 
     def __init__(self) -> None:
         self.spent, self.depth = 0.0, 0
 
-    def put_round(self, holder: Any, name: str) -> None:
-        does = getattr(holder, name)
+    def wrap(self, holder: Any, name: str) -> None:
+        method = getattr(holder, name)
 
-        def timed(*words: Any) -> Any:
+        def timed(*arguments: Any) -> Any:
             if self.depth:
-                return does(*words)
+                return method(*arguments)
             self.depth, began = 1, time.thread_time()
             try:
-                return does(*words)
+                return method(*arguments)
             finally:
                 self.spent += time.thread_time() - began
                 self.depth = 0
@@ -144,56 +144,55 @@
 
 
 def instrument(membership: Membership, meter: Meter, watch: Stopwatch) -> CountedOpener:
-    """Count a member's words by kind, and time what it does for them: on a real and a hollow member
-    the same way.
+    """Count the messages of a member by kind, and measure the processor time spent on them.
 
-    Not timed is what trio does between: waiting, waking and scheduling of the member's tasks.
+    Works the same way for real and hollow members. The time of trio for waiting and scheduling the
+    member's tasks is not included.
     """
-    link = membership.transport
+    transport = membership.transport
     sealer, opener = (
-        CountedSealer(link.sealer.key, link.sealer.session_id),
-        CountedOpener(list(link.opener.keys.values())),
+        CountedSealer(transport.sealer.key, transport.sealer.session_id),
+        CountedOpener(list(transport.opener.keys.values())),
     )
     sealer.meter = opener.meter = meter
-    link.sealer, link.opener = sealer, opener
+    transport.sealer, transport.opener = sealer, opener
     for holder, names in (
-        (link, ("_drain_socket", "_execute", "_handle_datagram")),
-        (link.protocol, ("tick", "next_deadline", "receive")),
+        (transport, ("_drain_socket", "_execute", "_handle_datagram")),
+        (transport.protocol, ("tick", "next_deadline", "receive")),
         (membership, ("_update_partition", "_send_due_broadcasts")),
     ):
         for name in names:
-            watch.put_round(holder, name)
+            watch.wrap(holder, name)
     return opener
 
 
-def member_said(membership: Membership) -> dict[str, Any]:
-    """What one member knows now, for judging views."""
-    machine = membership.protocol
+def member_view(membership: Membership) -> dict[str, Any]:
+    """Return the current view of one member, for comparing views."""
+    protocol = membership.protocol
     return {
-        "digest": machine.table.digest().hex(),
-        "living": len(machine.table.live_members()),
-        "state": machine.state,
-        "waiting": len(machine.table.pending_broadcasts),
+        "digest": protocol.table.digest().hex(),
+        "living": len(protocol.table.live_members()),
+        "state": protocol.state,
+        "waiting": len(protocol.table.pending_broadcasts),
     }
 
 
 class Verdicts:
-    """Members said to have failed, as (true monotonic time, by, of), until they are asked for;
-    bounded.
-    """
+    """A bounded buffer of failure reports as (monotonic time, observer, subject)."""
 
-    MOST = 200_000  # two zones of a tenth of 940 members, each told of by all the others
+    # Two zones of a tenth of 940 members, each reported by all the others.
+    MAX_ROWS = 200_000
 
     def __init__(self) -> None:
         self.rows: list[tuple[float, str, str]] = []
         self.dropped = 0
 
-    def add(self, by: str, of: str) -> None:
-        if len(self.rows) >= self.MOST:
+    def add(self, observer: str, subject: str) -> None:
+        if len(self.rows) >= self.MAX_ROWS:
             self.dropped += 1
             return
-        self.rows.append((round(time.monotonic(), 4), by, of))
+        self.rows.append((round(time.monotonic(), 4), observer, subject))
 
-    def taken(self) -> list[tuple[float, str, str]]:
+    def take(self) -> list[tuple[float, str, str]]:
         rows, self.rows = self.rows, []
         return rows
--- a/bench/scale/proxies.py
+++ b/bench/scale/proxies.py
@@ -29,7 +29,7 @@
 OPEN_TIMEOUT = 30.0
 # The traffic classes of the managers' configuration files in this benchmark.
 TRAFFIC_CLASSES = ("read", "book")
-# Workers of its table that each proxy records each second as those it would send to.
+# Workers of its table that each proxy records each second as the targets of its attempts.
 RECORDED_WORKERS = 20
 # Record lines stored by the process: a run of an hour with the largest planned number of proxies.
 MAX_RECORD_LINES = 400_000
@@ -62,7 +62,7 @@
 
     def _write(self, event: str, **details: Any) -> None:
         if len(self.record) < MAX_RECORD_LINES:
-            self.record.append(rules.row(time.monotonic(), event, self.name, **details))
+            self.record.append(rules.record_line(time.monotonic(), event, self.name, **details))
         else:
             self.meter.counts["unrecorded"] += 1
 
@@ -75,7 +75,7 @@
                 self._write("bare", product=name, on=without_endpoint)
 
     async def _record_attempts(self) -> None:
-        """Record each second to which workers the proxy would send requests now."""
+        """Record each second some workers that the proxy would send requests to."""
         while True:
             await trio.sleep(1.0)
             usable = sorted(self.state.usable_weights(TRAFFIC_CLASSES[0]))
@@ -83,11 +83,11 @@
                 self._write("try", worker=worker)
 
     async def run(self) -> None:
-        """Connect to the manager, again whenever the stream ends, until cancelled."""
+        """Connect to the manager, and reconnect when the stream ends, until cancelled."""
         while True:
             try:
-                async with grpc.connect(*self.address) as link:
-                    await self._stream(link)
+                async with grpc.connect(*self.address) as connection:
+                    await self._stream(connection)
             except* (OSError, grpc.CallEndedError, trio.TooSlowError):
                 self.meter.counts["ended"] += 1
             if self.connected:
@@ -95,9 +95,9 @@
             self.connected = False
             await trio.sleep(RECONNECT_DELAY * self.rng.uniform(0.5, 1.5))
 
-    async def _stream(self, link: grpc.GrpcConnection) -> None:
-        call = link.start_call(names.DELTA_ADS_METHOD)
-        # Without this, a call that is accepted and never answered would wait for the run's end.
+    async def _stream(self, connection: grpc.GrpcConnection) -> None:
+        call = connection.start_call(names.DELTA_ADS_METHOD)
+        # A manager may accept a call and never answer it; the timeout makes the proxy reconnect.
         with trio.fail_after(OPEN_TIMEOUT):
             await call.headers_received.wait()
         if call.ended is not None:
@@ -111,15 +111,15 @@
         self._write("joined")
         self._record_availability()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._report, link.start_call(names.LRS_METHOD))
+            nursery.start_soon(self._report, connection.start_call(names.LRS_METHOD))
             nursery.start_soon(self._record_attempts)
             while True:
                 data = await call.receive()
                 self.meter.add("ads", "in", len(data))
-                answer, done = subscriber.receive(data)
-                self.meter.counts["refused"] += bool(done.rejection_reason)
+                answer, applied = subscriber.receive(data)
+                self.meter.counts["refused"] += bool(applied.rejection_reason)
                 if len(self.record) < MAX_RECORD_LINES:
-                    self.record.append(rules.applied(time.monotonic(), self.name, done))
+                    self.record.append(rules.applied_line(time.monotonic(), self.name, applied))
                 self._record_availability()
                 self._send(call, answer, "ads")
 
@@ -168,7 +168,7 @@
             for index in range(settings["count"])
         ]
 
-    async def obey(self, command: part.Command) -> dict[str, Any]:
+    async def handle_command(self, command: part.Command) -> dict[str, Any]:
         """Execute one command of the run and return its answer."""
         if command["do"] == "record":
             return {"did": "record", "lines": self.record}
@@ -177,7 +177,7 @@
         return {
             "did": command["do"],
             "at": time.monotonic(),
-            "reading": asdict(part.own_reading(self.meter)),
+            "reading": asdict(part.process_reading(self.meter)),
             "members": len(self.proxies),
             "queues": {"joined": joined, "with_table": tables},
         }
@@ -189,11 +189,11 @@
     async with trio.open_nursery() as nursery:
         for proxy in proxies.proxies:
             nursery.start_soon(proxy.run)
-        part.say(did="ready")
-        await part.commands(proxies.obey)
+        part.write_line(did="ready")
+        await part.serve_commands(proxies.handle_command)
         nursery.cancel_scope.cancel()
 
 
 if __name__ == "__main__":
-    given = json.loads(sys.stdin.readline())
-    trio.run(main, given, clock=part.Slowed(given["clock"]))
+    startup_settings = json.loads(sys.stdin.readline())
+    trio.run(main, startup_settings, clock=part.SlowedClock(startup_settings["clock"]))
--- a/bench/scale/real.py
+++ b/bench/scale/real.py
@@ -1,10 +1,9 @@
-"""A real manager, `dunlinlug manager FILE.ini` as it is, on the rig's clock, with its members'
-words counted.
+"""A real manager, as run by `dunlinlug manager FILE.ini`, on the slowed clock of a run.
 
-Added are the counts round its codec, the processor time of its members' part, and answers on
-standard output. Told that the fleet has settled, it drops what it has left to tell of its joining:
-that takes minutes with hundreds of members, and hollow ones begin without. It is stopped by SIGTERM
-or the close of its input, and reloads at SIGHUP, as any.
+Adds counts of the member messages, the processor time spent on them, and answers on standard
+output. On the command `settled` it drops its pending broadcasts about joining: sending them takes
+minutes with hundreds of members, and hollow members start without them. It stops on SIGTERM or when
+its input closes, and reloads on SIGHUP, as any manager.
 """
 
 import json
@@ -31,72 +30,75 @@
 from dunlinlug.manager.signals import SignalReceiver
 from dunlinlug.storage.store import StoreError
 
-TAKEN = 4096  # versions of the list remembered with their times
+MAX_RECORDED_VERSIONS = 4096  # received versions of the list that are recorded
 
 
-class Counted(Manager):
-    """The manager, telling of itself."""
+class MeasuredManager(Manager):
+    """The manager with measurements of itself."""
 
     def __init__(self, path: Path) -> None:
         self.meter, self.stopwatch, self.verdicts = Meter(), part.Stopwatch(), part.Verdicts()
-        self.taken: list[tuple[int, float]] = []
-        note = structured_logging.get_logger("manager").info
+        self.received_versions: list[tuple[int, float]] = []
+        log_info = structured_logging.get_logger("manager").info
 
-        def noted(event: str, **said: Any) -> None:
+        def count_and_log(event: str, **fields: Any) -> None:
             self.meter.counts[event] += 1
-            note(event, **said)
+            log_info(event, **fields)
 
-        super().__init__(path, manager_config.load_manager_config(path), log_event=noted)
-        tell = self.components.loop.submit
+        super().__init__(path, manager_config.load_manager_config(path), log_event=count_and_log)
+        submit = self.components.loop.submit
 
-        def told(event: Event) -> None:
+        def record_and_submit(event: Event) -> None:
             if (
                 isinstance(event, EndpointsUpdated)
                 and event.update_type in ("whole", "changes")
-                and len(self.taken) < TAKEN
+                and len(self.received_versions) < MAX_RECORDED_VERSIONS
             ):
-                self.taken.append((self.components.endpoint_watcher.state.index, time.monotonic()))
-            tell(event)
+                self.received_versions.append(
+                    (self.components.endpoint_watcher.state.index, time.monotonic())
+                )
+            submit(event)
 
-        self.components.endpoint_watcher.submit = told
+        self.components.endpoint_watcher.submit = record_and_submit
 
     def create_fleet(self, start_task: Callable[..., None]) -> FleetComponents:
         fleet = super().create_fleet(start_task)
         membership = fleet.membership
         assert membership is not None
         part.instrument(membership, self.meter, self.stopwatch)
-        changed = membership.on_member_change
+        forward_change = membership.on_member_change
 
-        def heard(change: MemberStateChanged) -> None:
+        def on_change(change: MemberStateChanged) -> None:
             self.meter.counts[f"became {change.after}"] += 1
             if change.after == "failed":
                 self.verdicts.add(membership.self_id, change.name)
-            changed(change)
+            forward_change(change)
 
-        membership.on_member_change = heard
+        membership.on_member_change = on_change
         return fleet
 
     @staticmethod
     def clock_at() -> tuple[float, float]:
-        """One moment on the clock of all processes, and on ours, by which its messages say when
-        they were ordered.
+        """Return the current time of the system clock and of the manager's own clock.
+
+        The manager's messages carry times of its own clock.
         """
         return time.monotonic(), trio.current_time()
 
-    async def obey(self, command: part.Command) -> dict[str, Any]:
-        known = self.components.endpoint_watcher.last_list
+    async def handle_command(self, command: part.Command) -> dict[str, Any]:
+        listed_workers = self.components.endpoint_watcher.last_list
         if command["do"] == "reloads":
             return {"did": "reloads", "reloads": self.meter.counts["reload.done"]}
         if command["do"] == "final":
             me = self.config.section(manager_config.MembershipConfig).me
             return {
                 "did": "final",
-                "taken": {me: {self.components.epoch: self.taken}},
+                "taken": {me: {self.components.epoch: self.received_versions}},
                 "clock_at": self.clock_at(),
                 "held": {
                     me: (
                         self.components.endpoint_watcher.state.index,
-                        json.dumps(bucket_fingerprints(known)) if known else "",
+                        json.dumps(bucket_fingerprints(listed_workers)) if listed_workers else "",
                     )
                 },
             }
@@ -105,68 +107,76 @@
         if command["do"] == "settled":
             membership.protocol.table.pending_broadcasts.clear()
             return {"did": "settled"}
-        said = part.member_said(membership)
-        reading = part.own_reading(self.meter, self.stopwatch.spent)
+        view = part.member_view(membership)
+        reading = part.process_reading(self.meter, self.stopwatch.spent)
         return {
             "did": "report",
             "at": time.monotonic(),
             "reading": asdict(reading),
             "members": 1,
-            "views": {f"{said['digest']} {said['living']} {said['state']}": 1},
+            "views": {f"{view['digest']} {view['living']} {view['state']}": 1},
             "queues": {
-                "gossip": said["waiting"],
+                "gossip": view["waiting"],
                 "streams": max(membership.transport.open_streams().values()),
                 "channel": round(self.components.channel.peak_queued_entries),
                 "events": len(self.components.loop.pending_events),
                 **{
-                    f"refused {why}": membership.transport.rejections[why]
-                    for why in part.AT_THE_DOOR
+                    f"refused {reason}": membership.transport.rejections[reason]
+                    for reason in part.REJECTION_REASONS
                 },
             },
-            "verdicts": self.verdicts.taken(),
+            "verdicts": self.verdicts.take(),
             "dropped": self.verdicts.dropped,
-            "listed": len(known) if known else 0,
+            "listed": len(listed_workers) if listed_workers else 0,
         }
 
 
-async def main(manager: Counted, signals: SignalReceiver) -> None:
+async def main(manager: MeasuredManager, signals: SignalReceiver) -> None:
     async with trio.open_nursery() as nursery:
 
-        async def whole() -> None:
+        async def run_manager() -> None:
             await manager.run(signals)
             nursery.cancel_scope.cancel()
 
-        async def talk() -> None:
+        async def answer_commands() -> None:
             while manager.membership is None or manager.membership.transport.udp_socket is None:
                 await trio.sleep(0.01)
-            part.say(did="ready")
-            await part.commands(manager.obey)
-            nursery.cancel_scope.cancel()  # whoever started us is gone
+            part.write_line(did="ready")
+            await part.serve_commands(manager.handle_command)
+            nursery.cancel_scope.cancel()  # the parent process is gone
+
+        nursery.start_soon(run_manager)
+        nursery.start_soon(answer_commands)
 
-        nursery.start_soon(whole)
-        nursery.start_soon(talk)
 
+def run(settings: dict[str, Any]) -> int:
+    """Run the manager, and return its exit status.
 
-def run(told: dict[str, Any]) -> int:
-    """Gives the exit status: 2 for a file or store that can't be used, 1 for a place that is taken."""
+    2 if its configuration, store or key file cannot be used, 1 if an address is in use.
+    """
     signals = SignalReceiver()
     signals.install_handlers()
     try:
-        path = Path(told["file"])
+        path = Path(settings["file"])
         structured_logging.configure_logging(
             manager_config.load_manager_config(path).section(manager_config.ServerConfig).log
         )
-        manager = Counted(path)
-    except (ConfigError, StoreError, KeyFileError) as fault:
-        part.say(did="failed", why=f"a manager cannot use what it was given: {fault}")
+        manager = MeasuredManager(path)
+    except (ConfigError, StoreError, KeyFileError) as error:
+        part.write_line(
+            did="failed", why=f"cannot use the configuration, store or key file: {error}"
+        )
         return 2
-    status = 0
+    exit_status = 0
     try:
-        trio.run(main, manager, signals, clock=part.Slowed(told["clock"]))
-    except* OSError as faults:
-        part.say(did="failed", why=f"a place of a manager is taken: {part.first(faults)}")
-        status = 1
-    return status
+        trio.run(main, manager, signals, clock=part.SlowedClock(settings["clock"]))
+    except* OSError as error:
+        part.write_line(
+            did="failed",
+            why=f"an address of the manager is in use: {part.first_exception(error)}",
+        )
+        exit_status = 1
+    return exit_status
 
 
 if __name__ == "__main__":
--- a/bench/scale/rules.py
+++ b/bench/scale/rules.py
@@ -1,9 +1,8 @@
-"""The rules at the real managers, by the project's own audit: bare proxies, late drains, the
-channel's pace.
+"""Checks rules at the real managers by the project's audit: bare proxies, drains, channel pace.
 
-Free of I/O. The rig has no txns: hollow proxies say each second what they would send to, a few
-drawn workers of their tables, as tries. So effects done twice, and cold workers that fall over,
-can't be told here; the days judge those.
+Free of I/O. A run has no requests: simulated proxies record some workers of their tables each
+second as attempts. Duplicate effects and overloaded cold workers can therefore not be detected
+here; the recorded days check those.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -15,25 +14,30 @@
 from dunlinlug.config import manager_config
 from dunlinlug.config.reader import ConfigFile
 
-SHOWN = 5
-JUDGED = ("bare", "drain", "queue")
+MAX_SHOWN = 5
+CHECKED_RULES = ("bare", "drain", "queue")
 
 
-def row(at: float, event: str, proxy: str, **said: Any) -> RecordLine:
-    """One line of a proxy's record, as the day's stand-ins write it."""
-    return {"at": at, "e": event, "proxy": proxy, "where": proxy, **said}
+def record_line(at: float, event: str, proxy: str, **details: Any) -> RecordLine:
+    """Return one line of a proxy's record, in the format of the recorded days."""
+    return {"at": at, "e": event, "proxy": proxy, "where": proxy, **details}
 
 
-def applied(at: float, proxy: str, done: AppliedResponse) -> RecordLine:
-    return row(
-        at, "applied", proxy, tag=done.tag, lines=done.entry_count, refused=done.rejection_reason
+def applied_line(at: float, proxy: str, response: AppliedResponse) -> RecordLine:
+    return record_line(
+        at,
+        "applied",
+        proxy,
+        tag=response.tag,
+        lines=response.entry_count,
+        refused=response.rejection_reason,
     )
 
 
-def states(
+def states_by_version(
     workers: Iterable[str], changes: Mapping[int, Mapping[str, str]]
 ) -> dict[int, dict[str, list[Any]]]:
-    """By version of the list, each worker's state; in the first all are ready."""
+    """Return the state of each worker by version of the list; in the first all are ready."""
     held: dict[str, list[Any]] = {worker: ["ready", None] for worker in workers}
     found = {}
     for index, changed in sorted(changes.items()):
@@ -42,17 +46,19 @@
     return found
 
 
-def judge(
-    book: ConfigFile,
+def find_violations(
+    config: ConfigFile,
     lines: Iterable[RecordLine],
     taken: Sequence[tuple[int, float]],
     listed: Mapping[int, Mapping[str, Any]],
-    ends: float,
+    ends_at: float,
 ) -> list[rules.Violation]:
-    """Of one manager that ran all the time: what its proxies recorded, and the versions of the list
-    that it took and when; all in seconds on the manager's clock, which began at 0.
+    """Return the violations at one manager that was never stopped.
+
+    `lines` are the records of its proxies, `taken` the versions of the list that it received and
+    when. All times are seconds on the manager's clock, which started at 0.
     """
-    records = Records(book)
+    records = Records(config)
     for line in sorted(lines, key=lambda line: float(line["at"])):
         records.by_event[line["e"]].append(line)
     records.by_event["manager"].append({"at": 0.0, "e": "manager", "do": "start"})
@@ -60,29 +66,32 @@
         records.by_event["served"].append(
             {"at": at, "e": "served", "index": index, "states": listed[index]}
         )
-    records.by_event["end"].append({"at": ends, "e": "end"})
-    managed = ManagerLifetimes(records)
-    told = EndpointHistory(records, managed)
+    records.by_event["end"].append({"at": ends_at, "e": "end"})
+    lifetimes = ManagerLifetimes(records)
+    history = EndpointHistory(records, lifetimes)
     return [
-        *rules.without_endpoint(records, managed, told),
-        *rules.drained_workers(records, managed, told),
+        *rules.without_endpoint(records, lifetimes, history),
+        *rules.drained_workers(records, lifetimes, history),
         *rules.channel_queue(records),
     ]
 
 
-def summed(found: Iterable[rules.Violation], lines: int, tries: int) -> dict[str, Any]:
-    """Danger: rules are kept where nothing was recorded, so it is said on how much this rests."""
-    breaks = sorted(found, key=lambda item: item.at)
+def summarize(found: Iterable[rules.Violation], lines: int, tries: int) -> dict[str, Any]:
+    """Summarize the violations.
+
+    Includes the number of checked lines, as a run without records has no violations either.
+    """
+    violations = sorted(found, key=lambda item: item.at)
     return {
         "lines": lines,
         "tries": tries,
-        **{rule: sum(item.rule == rule for item in breaks) for rule in JUDGED},
+        **{rule: sum(item.rule == rule for item in violations) for rule in CHECKED_RULES},
         "shown": [
             f"{item.at:.2f} s {item.rule} {item.proxy} {item.worker}: {item.description}"
-            for item in breaks[:SHOWN]
+            for item in violations[:MAX_SHOWN]
         ],
     }
 
 
-def book_of(path: Any) -> ConfigFile:
+def load_config(path: Any) -> ConfigFile:
     return manager_config.load_manager_config(path)
--- a/bench/scale/run.py
+++ b/bench/scale/run.py
@@ -1,5 +1,6 @@
-"""One run: starts all parts, walks the plan, judges, and leaves no process; gives its result as one
-dictionary.
+"""One run: starts all processes, executes the plan, checks the outcome, and stops all processes.
+
+The result is one dictionary.
 """
 
 import functools
@@ -24,79 +25,91 @@
 from bench.scale.budget import RunError
 from dunlinlug.config.reader import ConfigFile
 
-# the rig's seconds from one look at all parts to the next, and what times of views are told to
-POLL = 1.0
-NEAR = 0.25  # the same while something is waited for
-SHOWN = 5.0  # true seconds between lines of progress
-# part of the datagrams that may be dropped unread before the figures are the machine's, not the
-# fleet's
-DROPS = 0.01
-LISTED = 30.0  # the rig's seconds for the list's last change to reach all after the end
-Say = Callable[[str], None]
+# Seconds of the run's clock between two polls of all processes; the resolution of view times.
+POLL_SECONDS = 1.0
+WAIT_POLL_SECONDS = 0.25  # the same while waiting for a condition
+PROGRESS_SECONDS = 5.0  # real seconds between progress lines
+# Fraction of datagrams dropped unread above which the figures reflect the load of the machine.
+MAX_DROPPED_FRACTION = 0.01
+# Seconds of the run's clock after the end for the last change of the list to reach all followers.
+LIST_SETTLE_SECONDS = 30.0
+ProgressWriter = Callable[[str], None]
 
 
-def to_stderr(line: str) -> None:
+def print_to_stderr(line: str) -> None:
     print(line, file=sys.stderr, flush=True)
 
 
 class Run:
-    """One plan in a folder of its own, which is gone afterwards unless `keep`."""
+    """The execution of one plan, with its processes and a temporary folder."""
 
     def __init__(
-        self, book: ConfigFile, size: int, say: Say = to_stderr, hold: dict[str, int] | None = None
+        self,
+        config: ConfigFile,
+        size: int,
+        write_progress: ProgressWriter = print_to_stderr,
+        fixed_ports: dict[str, int] | None = None,
     ) -> None:
-        self.book, self.plan, self.say = book, scenario.plan(book, size), say
-        self.scale, self.bounds = book.section(scenario.Scale), book.section(scenario.Bounds)
-        self.members = book.section(scenario.Members)
+        self.config, self.plan, self.write_progress = (
+            config,
+            scenario.plan(config, size),
+            write_progress,
+        )
+        self.scale, self.bounds = config.section(scenario.Scale), config.section(scenario.Bounds)
+        self.members = config.section(scenario.Members)
         self.folder = Path(tempfile.mkdtemp(prefix="scale-"))
-        self.parts: list[stage.Part] = []
-        self.reals: dict[str, stage.Part] = {}
+        self.children: list[stage.ChildProcess] = []
+        self.real_processes: dict[str, stage.ChildProcess] = {}
         self.roles = {role: Role() for role in ("real", "hollow", "discovery", "proxies")}
-        self.before: dict[stage.Part, Reading] = {}
+        self.before: dict[stage.ChildProcess, Reading] = {}
         self.timeline, self.verdicts = truth.Timeline(), list[truth.Verdict]()
-        self.begun, self.measuring, self.ended = 0.0, False, 0.0
+        self.started_at, self.measuring, self.ended_at = 0.0, False, 0.0
         self.peak_mb, self.dropped_verdicts = 0.0, 0
         self.configured: list[float] = []
         self.equal_after: float | None = None
-        self.equal_at = -1.0  # when all views were equal for the first time after the last fault
+        self.equal_at = -1.0  # first time that all views were equal after the last fault
         self.final: dict[str, Any] = {}
         self.views: Counter[str] = Counter()
-        self.kept_rules: dict[str, Any] | None = None
-        self.fixed = hold or {}  # places that a test wants, by name
+        self.rule_summary: dict[str, Any] | None = None
+        self.fixed_ports = fixed_ports or {}  # chosen by a test, by name
 
     # Time.
 
-    def at(self, monotonic: float | None = None) -> float:
-        """The rig's seconds since the measured span began."""
+    def elapsed(self, monotonic: float | None = None) -> float:
+        """Return seconds of the run's clock since the start of the measured span."""
         return (
-            (time.monotonic() if monotonic is None else monotonic) - self.begun
+            (time.monotonic() if monotonic is None else monotonic) - self.started_at
         ) * self.plan.clock
 
     async def wait(self, span: float) -> None:
         await trio.sleep(span / self.plan.clock)
 
-    def most(self) -> float:
-        """True seconds for all of it."""
-        rig = self.scale.settle + self.scale.length + self.bounds.views_within + LISTED
-        return (rig + self.bounds.ready_within) / self.plan.clock + 4 * stage.ANSWER
+    def time_limit(self) -> float:
+        """Return the limit of the whole run in real seconds."""
+        run_seconds = (
+            self.scale.settle + self.scale.length + self.bounds.views_within + LIST_SETTLE_SECONDS
+        )
+        return (
+            run_seconds + self.bounds.ready_within
+        ) / self.plan.clock + 4 * stage.ANSWER_TIMEOUT_SECONDS
 
-    # The cast.
+    # Processes.
 
-    def _lay_out(self) -> None:
+    def _prepare(self) -> None:
         names = [
             *self.plan.real,
             *self.plan.hollow,
             "discovery",
-            *(f"serves {one}" for one in self.plan.real),
+            *(f"serves {name}" for name in self.plan.real),
         ]
-        self.places = stage.places(names)
-        self.places.update({name: (stage.HOST, port) for name, port in self.fixed.items()})
+        self.addresses = stage.assign_addresses(names)
+        self.addresses.update({name: (stage.HOST, port) for name, port in self.fixed_ports.items()})
         key = self.folder / "key"
         self.key = secrets.token_hex(32)
         key.touch(mode=0o600)
         key.write_text(self.key)
         roles = {
-            self.places[name][1]: "real" if name in self.plan.real else "hollow"
+            self.addresses[name][1]: "real" if name in self.plan.real else "hollow"
             for name in (*self.plan.real, *self.plan.hollow)
         }
         self.datagrams = budget.Datagrams(roles)
@@ -105,14 +118,14 @@
         return {
             "clock": self.plan.clock,
             "seed": self.scale.seed,
-            "discovery": self.places["discovery"],
+            "discovery": self.addresses["discovery"],
         }
 
-    def _manager_file(self, name: str, pace: int = scenario.PACE) -> Path:
+    def _manager_file(self, name: str, pace: int = scenario.CHANNEL_LINES_PER_S) -> Path:
         return stage.manager_file(
             self.folder,
             name,
-            self.places,
+            self.addresses,
             (*self.plan.real, *self.plan.hollow),
             self.scale.seed,
             self.scale.beat,
@@ -120,64 +133,66 @@
         )
 
     async def _start(
-        self, name: str, role: str, names: tuple[str, ...], told: dict[str, Any]
-    ) -> stage.Part:
-        if why := budget.over(
-            0.0, len(self.parts) + 2, self.bounds.memory_mb, self.bounds.processes
+        self, name: str, role: str, names: tuple[str, ...], settings: dict[str, Any]
+    ) -> stage.ChildProcess:
+        if reason := budget.exceeded_limit(
+            0.0, len(self.children) + 2, self.bounds.memory_mb, self.bounds.processes
         ):
-            raise RunError(why)
-        made = await stage.start(name, role, names, {**self._common(), **told}, self.folder)
-        self.parts.append(made)
-        return made
+            raise RunError(reason)
+        child = await stage.start(name, role, names, {**self._common(), **settings}, self.folder)
+        self.children.append(child)
+        return child
 
-    async def _start_real(self, name: str) -> stage.Part:
+    async def _start_real(self, name: str) -> stage.ChildProcess:
         path = self.folder / f"{name}.ini"
-        made = self.reals[name] = await self._start(name, "real", (name,), {"file": str(path)})
-        return made
+        child = self.real_processes[name] = await self._start(
+            name, "real", (name,), {"file": str(path)}
+        )
+        return child
 
     @asynccontextmanager
-    async def _cast(self) -> AsyncIterator[None]:
+    async def _running_processes(self) -> AsyncIterator[None]:
         try:
             discovery = await self._start(
                 "discovery",
                 "discovery",
                 (),
-                {"workers": self.book.section(scenario.Workers).workers},
+                {"workers": self.config.section(scenario.Workers).workers},
             )
-            await discovery.ready(stage.ANSWER)
+            await discovery.ready(stage.ANSWER_TIMEOUT_SECONDS)
             for name in self.plan.real:
                 self._manager_file(name)
                 await self._start_real(name)
             await self._start_hollow()
             ready = self.bounds.ready_within / self.plan.clock
             async with trio.open_nursery() as nursery:
-                for one in self.parts[1:]:
-                    nursery.start_soon(one.ready, ready)
-            # Danger: begun one process after the other, those that run would take those that don't
-            # yet for dead.
+                for child in self.children[1:]:
+                    nursery.start_soon(child.ready, ready)
+            # All hollow members start together: members that run would report those of processes
+            # that are not started yet as failed.
             await self._ask_all({"do": "up", "names": self.plan.hollow}, ("hollow",))
-            if self.plan.real and self.book.section(scenario.Proxies).count:
+            if self.plan.real and self.config.section(scenario.Proxies).count:
                 proxies = await self._start(
                     "proxies",
                     "proxies",
                     (),
                     {
-                        "managers": [self.places[f"serves {name}"] for name in self.plan.real],
-                        "count": self.book.section(scenario.Proxies).count,
+                        "managers": [self.addresses[f"serves {name}"] for name in self.plan.real],
+                        "count": self.config.section(scenario.Proxies).count,
                     },
                 )
-                await proxies.ready(stage.ANSWER)
+                await proxies.ready(stage.ANSWER_TIMEOUT_SECONDS)
             yield
         finally:
             with trio.CancelScope(shield=True):
                 async with trio.open_nursery() as nursery:
-                    for one in self.parts:
-                        nursery.start_soon(one.end)
+                    for child in self.children:
+                        nursery.start_soon(child.end)
 
     async def _start_hollow(self) -> None:
         hollow, per = self.plan.hollow, self.members.per_process
         following = frozenset(hollow[: round(self.members.follows * len(hollow))])
-        everyone = {name: self.places[name] for name in (*self.plan.real, *hollow)}
+        everyone = {name: self.addresses[name] for name in (*self.plan.real, *hollow)}
         for n, start in enumerate(range(0, len(hollow), per)):
             names = hollow[start : start + per]
             await self._start(
@@ -195,289 +210,319 @@
                 },
             )
 
-    # Looking.
+    # Polling.
 
     async def _ask_all(
         self, command: dict[str, Any], roles: Iterable[str]
-    ) -> dict[stage.Part, dict[str, Any]]:
-        found: dict[stage.Part, dict[str, Any]] = {}
+    ) -> dict[stage.ChildProcess, dict[str, Any]]:
+        found: dict[stage.ChildProcess, dict[str, Any]] = {}
 
-        async def one(asked: stage.Part) -> None:
+        async def ask_child(child: stage.ChildProcess) -> None:
             try:
-                found[asked] = await asked.ask(command)
+                found[child] = await child.ask(command)
             except RunError:
-                if not asked.ending:
+                if not child.is_ending:
                     raise
 
         async with trio.open_nursery() as nursery:
-            for asked in self.parts:
-                if asked.role in roles and not asked.ending:
-                    nursery.start_soon(one, asked)
+            for child in self.children:
+                if child.role in roles and not child.is_ending:
+                    nursery.start_soon(ask_child, child)
         return found
 
-    async def look(self) -> dict[stage.Part, dict[str, Any]]:
-        """All parts' figures now; raises RunFault where a bound is passed or a part died."""
+    async def poll(self) -> dict[stage.ChildProcess, dict[str, Any]]:
+        """Poll all processes. Raises RunError if a limit is exceeded or a process died."""
         found = await self._ask_all({"do": "report"}, self.roles)
         self.views = Counter[str]()
-        for asked, said in found.items():
-            self._take(asked, said)
-        self.note_equal()
-        self.datagrams.look(budget.udp_lines())
-        running = [one.process.pid for one in self.parts if one.process.returncode is None]
-        held = sum(budget.resident(pid) for pid in (*running, os.getpid()))
-        self.peak_mb = max(self.peak_mb, held)
-        if why := budget.over(held, len(running) + 1, self.bounds.memory_mb, self.bounds.processes):
-            raise RunError(why)
+        for child, answer in found.items():
+            self._record_report(child, answer)
+        self.record_equal_views()
+        self.datagrams.update(budget.udp_lines())
+        running = [child.process.pid for child in self.children if child.process.returncode is None]
+        resident_mb = sum(budget.resident_mb(pid) for pid in (*running, os.getpid()))
+        self.peak_mb = max(self.peak_mb, resident_mb)
+        if reason := budget.exceeded_limit(
+            resident_mb, len(running) + 1, self.bounds.memory_mb, self.bounds.processes
+        ):
+            raise RunError(reason)
         return found
 
-    def _take(self, asked: stage.Part, said: dict[str, Any]) -> None:
-        self.views.update(said.get("views", {}))
-        self.dropped_verdicts += said.get("dropped", 0)
+    def _record_report(self, child: stage.ChildProcess, answer: dict[str, Any]) -> None:
+        self.views.update(answer.get("views", {}))
+        self.dropped_verdicts += answer.get("dropped", 0)
         if self.measuring:
-            self.roles[asked.role].queue(said.get("queues", {}))
+            self.roles[child.role].queue(answer.get("queues", {}))
             self.verdicts += [
-                truth.Verdict(self.at(at), by, of) for at, by, of in said.get("verdicts", ())
+                truth.Verdict(self.elapsed(at), by, of) for at, by, of in answer.get("verdicts", ())
             ]
 
-    def equal(self) -> bool:
-        """Whether all members are up and have one view, in which all are alive."""
+    def views_equal(self) -> bool:
+        """Return whether all members are up and have one view with every member alive."""
         if len(self.views) != 1 or sum(self.views.values()) != self.plan.size:
             return False
         _, living, state = next(iter(self.views)).split()
         return int(living) == self.plan.size and state == "alive"
 
-    def note_equal(self) -> None:
-        """Views may be equal while a fault stands, of which they then know nothing yet."""
-        if self.measuring and self.equal() and self.at() >= self.timeline.ended() > self.equal_at:
-            self.equal_at = self.at()
+    def record_equal_views(self) -> None:
+        """Record the first time that all views were equal after the last fault.
+
+        Views may also be equal during a fault that no member has detected yet.
+        """
+        if (
+            self.measuring
+            and self.views_equal()
+            and self.elapsed() >= self.timeline.last_fault_ended_at() > self.equal_at
+        ):
+            self.equal_at = self.elapsed()
 
     async def _until_equal(self, within: float) -> float | None:
-        """The rig's seconds until all views are equal; None if they were not within that time."""
+        """Return seconds of the run's clock until all views are equal; None after the time limit."""
         began = time.monotonic()
         while True:
-            await self.look()
+            await self.poll()
             took = (time.monotonic() - began) * self.plan.clock
-            if self.equal():
+            if self.views_equal():
                 return took
             if took > within:
                 return None
-            await self.wait(NEAR)
+            await self.wait(WAIT_POLL_SECONDS)
 
-    def _views(self) -> str:
+    def _describe_views(self) -> str:
         living = [int(view.split()[1]) for view in self.views]
         return f"{len(self.views)} views of {min(living, default=0)} to {max(living, default=0)} members"
 
-    async def _show(self) -> None:
+    async def _print_progress(self) -> None:
         while True:
-            await trio.sleep(SHOWN)
-            self.say(self._progress())
+            await trio.sleep(PROGRESS_SECONDS)
+            self.write_progress(self._progress())
 
     def _progress(self) -> str:
-        now = f"{self.at():.0f} of {self.scale.length:g} s" if self.measuring else "getting ready"
+        now = f"{self.elapsed():.0f} of {self.scale.length:g} s" if self.measuring else "starting"
         return (
             f"{self.scale.name} {self.plan.size}: {now}, {sum(self.views.values())} members up, "
-            f"{self._views()}, {self.peak_mb:.0f} MB, load {os.getloadavg()[0]:.1f}"
+            f"{self._describe_views()}, {self.peak_mb:.0f} MB, load {os.getloadavg()[0]:.1f}"
         )
 
-    # Doing.
+    # Actions.
 
-    async def _act(self, act: scenario.Act) -> None:
-        names, hollow = set(act.names), [name for name in act.names if name in self.plan.hollow]
-        command = {"do": act.do, "names": hollow, "value": act.value}
-        match act.do:
+    async def _perform(self, action: scenario.Action) -> None:
+        names, hollow = (
+            set(action.names),
+            [name for name in action.names if name in self.plan.hollow],
+        )
+        command = {"do": action.do, "names": hollow, "value": action.value}
+        match action.do:
             case "churn":
                 await self._ask_all(command, ("discovery",))
             case "configure":
-                self.nursery.start_soon(self._configure, act)
+                self.nursery.start_soon(self._configure, action)
             case "down" | "leave":
-                self.timeline.down(self.at(), act.names, planned=act.do == "leave")
-                for name in sorted(names & self.reals.keys()):
+                self.timeline.down(self.elapsed(), action.names, planned=action.do == "leave")
+                for name in sorted(names & self.real_processes.keys()):
                     await self._stop_real(name)
                 await self._ask_all(command, ("hollow",))
             case "up":
                 await self._ask_all(command, ("hollow",))
-                for name in sorted(names & self.reals.keys()):
-                    if self.reals[name].ending:
+                for name in sorted(names & self.real_processes.keys()):
+                    if self.real_processes[name].is_ending:
                         again = await self._start_real(name)
                         self.before[again] = Reading(0.0, 0.0, {})
                         await again.ready(self.bounds.ready_within / self.plan.clock)
-                self.timeline.up(self.at(), act.names)
+                self.timeline.up(self.elapsed(), action.names)
             case "cut":
-                self.timeline.cut(self.at(), act.names)
+                self.timeline.cut(self.elapsed(), action.names)
                 await self._ask_all(command, ("hollow",))
             case "heal":
                 await self._ask_all(command, ("hollow",))
-                self.timeline.heal(self.at(), act.names)
+                self.timeline.heal(self.elapsed(), action.names)
 
     async def _stop_real(self, name: str) -> None:
-        """Its figures count up to here. SIGTERM is a planned stop: it says goodbye."""
-        stopped = self.reals[name]
-        if stopped.ending:
+        """Stop a real manager by SIGTERM, so that it leaves, after counting its usage up to here."""
+        stopped = self.real_processes[name]
+        if stopped.is_ending:
             return
-        said = await stopped.ask({"do": "report"})
-        self._take(stopped, said)
-        stopped.ending = True
-        self.roles["real"].add(self.before[stopped], Reading(**said["reading"]), 0)
+        answer = await stopped.ask({"do": "report"})
+        self._record_report(stopped, answer)
+        stopped.is_ending = True
+        self.roles["real"].add(self.before[stopped], Reading(**answer["reading"]), 0)
         self.roles["real"].processes -= 1
-        self.roles["real"].rss_mb -= said["reading"]["rss_mb"]
+        self.roles["real"].rss_mb -= answer["reading"]["rss_mb"]
         stopped.process.terminate()
         await stopped.end()
 
-    async def _configure(self, act: scenario.Act) -> None:
-        """A reload of all real managers; until the last of them has done it."""
+    async def _configure(self, action: scenario.Action) -> None:
+        """Reload all real managers, and measure the time until the last of them has finished."""
         began = time.monotonic()
-        asked = [
-            self.reals[name]
-            for name in act.names
-            if name in self.reals and not self.reals[name].ending
+        children = [
+            self.real_processes[name]
+            for name in action.names
+            if name in self.real_processes and not self.real_processes[name].is_ending
         ]
-        before = {one: (await one.ask({"do": "reloads"}))["reloads"] for one in asked}
-        for one in asked:
-            self._manager_file(one.name, act.value)
-            one.process.send_signal(signal.SIGHUP)
+        before = {child: (await child.ask({"do": "reloads"}))["reloads"] for child in children}
+        for child in children:
+            self._manager_file(child.name, action.value)
+            child.process.send_signal(signal.SIGHUP)
         last = began
-        for one in asked:
-            while not one.ending and (await one.ask({"do": "reloads"}))["reloads"] <= before[one]:
+        for child in children:
+            while (
+                not child.is_ending
+                and (await child.ask({"do": "reloads"}))["reloads"] <= before[child]
+            ):
                 await trio.sleep(0.01)
-                if time.monotonic() > began + stage.ANSWER:
-                    raise RunError(f"{one.name} has not reloaded within {stage.ANSWER:g} s")
+                if time.monotonic() > began + stage.ANSWER_TIMEOUT_SECONDS:
+                    raise RunError(
+                        f"{child.name} did not reload within {stage.ANSWER_TIMEOUT_SECONDS:g} s"
+                    )
             last = time.monotonic()
         self.configured.append((last - began) * self.plan.clock)
 
     async def _measure(self) -> None:
-        found = await self.look()
-        self.before = {asked: Reading(**said["reading"]) for asked, said in found.items()}
+        found = await self.poll()
+        self.before = {child: Reading(**answer["reading"]) for child, answer in found.items()}
         self.datagrams.begin()
-        self.begun, self.measuring = time.monotonic(), True
-        self.say(self._progress())
-        acts, next_look = list(self.plan.acts), POLL
-        while acts:
-            due = min(acts[0].at, next_look)
-            await self.wait(max(due - self.at(), 0.0))
-            if acts[0].at <= self.at():
-                await self._act(acts.pop(0))
+        self.started_at, self.measuring = time.monotonic(), True
+        self.write_progress(self._progress())
+        actions, next_poll = list(self.plan.actions), POLL_SECONDS
+        while actions:
+            due = min(actions[0].at, next_poll)
+            await self.wait(max(due - self.elapsed(), 0.0))
+            if actions[0].at <= self.elapsed():
+                await self._perform(actions.pop(0))
             else:
-                next_look = self.at() + POLL
-                await self.look()
-        found = await self.look()
-        self.ended = self.at()
-        for asked, said in found.items():
-            members = len(asked.names) or said["members"]
-            self.roles[asked.role].add(self.before[asked], Reading(**said["reading"]), members)
-
-    async def _judge(self) -> None:
-        """After the span: all views equal in time, and the list's last version everywhere."""
-        waited = self.at() - self.timeline.ended()
+                next_poll = self.elapsed() + POLL_SECONDS
+                await self.poll()
+        found = await self.poll()
+        self.ended_at = self.elapsed()
+        for child, answer in found.items():
+            members = len(child.names) or answer["members"]
+            self.roles[child.role].add(self.before[child], Reading(**answer["reading"]), members)
+
+    async def _check_outcome(self) -> None:
+        """Check after the span that all views become equal and all followers get the last list."""
+        waited = self.elapsed() - self.timeline.last_fault_ended_at()
         took = await self._until_equal(max(self.bounds.views_within - waited, 0.0))
-        self.equal_after = None if took is None else max(self.equal_at - self.timeline.ended(), 0.0)
-        began = self.at()
-        found: dict[stage.Part, dict[str, Any]] = {}
-        while self.at() < began + LISTED:
+        self.equal_after = (
+            None if took is None else max(self.equal_at - self.timeline.last_fault_ended_at(), 0.0)
+        )
+        began = self.elapsed()
+        found: dict[stage.ChildProcess, dict[str, Any]] = {}
+        while self.elapsed() < began + LIST_SETTLE_SECONDS:
             found = await self._ask_all({"do": "final"}, ("real", "hollow", "discovery"))
-            self.final = self._finals(found)
+            self.final = self._follower_outcome(found)
             if not self.final["lost"]:
                 break
-            await self.wait(POLL)
-        await self._rules(found)
+            await self.wait(POLL_SECONDS)
+        await self._check_rules(found)
 
-    async def _rules(self, found: dict[stage.Part, dict[str, Any]]) -> None:
-        """What the project's audit says of each real manager, by what its proxies recorded."""
-        told = await self._ask_all({"do": "record"}, ("discovery", "proxies"))
-        by_role = {asked.role: said for asked, said in told.items()}
+    async def _check_rules(self, found: dict[stage.ChildProcess, dict[str, Any]]) -> None:
+        """Check the rules at each real manager by the records of its proxies."""
+        answers = await self._ask_all({"do": "record"}, ("discovery", "proxies"))
+        by_role = {child.role: answer for child, answer in answers.items()}
         if "proxies" not in by_role:
             return
         changes = {int(index): changed for index, changed in by_role["discovery"]["states"].items()}
-        listed = rules.states(by_role["discovery"]["workers"], changes)
+        listed = rules.states_by_version(by_role["discovery"]["workers"], changes)
         lines = by_role["proxies"]["lines"]
         breaks = []
         for n, name in enumerate(self.plan.real):
-            said = found.get(self.reals[name])
-            if said is None or name in self.timeline.downs:
-                # its proxies' records tell of two managers, of which each has a clock of its own
+            answer = found.get(self.real_processes[name])
+            if answer is None or name in self.timeline.down_intervals:
+                # A restarted manager has a new clock, and its proxies recorded both processes.
                 continue
-            monotonic, own = said["clock_at"]
-            theirs = [
-                {**line, "at": own + (line["at"] - monotonic) * self.plan.clock}
+            monotonic, manager_time = answer["clock_at"]
+            own_lines = [
+                {**line, "at": manager_time + (line["at"] - monotonic) * self.plan.clock}
                 for line in lines
                 if int(line["proxy"][1:]) % len(self.plan.real) == n
             ]
-            [versions] = said["taken"][name].values()
-            taken = [(index, own + (at - monotonic) * self.plan.clock) for index, at in versions]
+            [versions] = answer["taken"][name].values()
+            received = [
+                (index, manager_time + (at - monotonic) * self.plan.clock) for index, at in versions
+            ]
             path = self.folder / f"{name}.ini"
             breaks += await trio.to_thread.run_sync(
-                rules.judge, rules.book_of(path), theirs, taken, listed, own
+                rules.find_violations,
+                rules.load_config(path),
+                own_lines,
+                received,
+                listed,
+                manager_time,
             )
-        self.kept_rules = rules.summed(
+        self.rule_summary = rules.summarize(
             breaks, len(lines), sum(line["e"] == "try" for line in lines)
         )
 
-    def _finals(self, found: dict[stage.Part, dict[str, Any]]) -> dict[str, Any]:
-        told = next(said for asked, said in found.items() if asked.role == "discovery")
+    def _follower_outcome(self, found: dict[stage.ChildProcess, dict[str, Any]]) -> dict[str, Any]:
+        discovery = next(answer for child, answer in found.items() if child.role == "discovery")
         lost, taken = list[str](), dict[str, list[tuple[int, float]]]()
-        for asked, said in found.items():
-            if asked.role == "discovery":
+        for child, answer in found.items():
+            if child.role == "discovery":
                 continue
-            held = {name: (index, digest) for name, (index, digest) in said["held"].items()}
-            lost += truth.lost(held, told["index"], told["digests"][asked.role == "real"])
+            held = {name: (index, digest) for name, (index, digest) in answer["held"].items()}
+            lost += truth.outdated_followers(
+                held, discovery["index"], discovery["digests"][child.role == "real"]
+            )
             taken.update(
                 {
                     f"{name} {born}": versions
-                    for name, starts in said["taken"].items()
+                    for name, starts in answer["taken"].items()
                     for born, versions in starts.items()
                 }
             )
         steady = {
-            name: [(index, self.at(at)) for index, at in versions]
+            name: [(index, self.elapsed(at)) for index, at in versions]
             for name, versions in taken.items()
-            if name.split()[0] not in self.timeline.downs
+            if name.split()[0] not in self.timeline.down_intervals
         }
         changes = {
-            int(index): self.at(at) for index, at in told["changes"].items() if self.at(at) > 0
+            int(index): self.elapsed(at)
+            for index, at in discovery["changes"].items()
+            if self.elapsed(at) > 0
         }
         return {
             "lost": lost,
             "changes": len(changes),
             "followers": len({name.split()[0] for name in taken}),
-            "disordered": truth.disordered(
+            "disordered": truth.out_of_order_followers(
                 {name: [index for index, _ in versions] for name, versions in taken.items()}
             ),
-            "reached": truth.reached(changes, steady),
+            "reached": truth.propagation_seconds(changes, steady),
         }
 
     async def play(self) -> str:
-        """The whole run; gives why it ended early, in words, or nothing."""
+        """Execute the run, and return the reason why it ended early, or an empty string."""
         self.load = [os.getloadavg()[0]]
-        why = ""
+        reason = ""
         try:
-            self._lay_out()
-            with trio.fail_after(self.most()):
+            self._prepare()
+            with trio.fail_after(self.time_limit()):
                 async with trio.open_nursery() as guard:
                     guard.start_soon(self._interrupted)
-                    async with self._cast(), trio.open_nursery() as self.nursery:
-                        self.nursery.start_soon(self._show)
-                        await self._walk()
+                    async with self._running_processes(), trio.open_nursery() as self.nursery:
+                        self.nursery.start_soon(self._print_progress)
+                        await self._execute_plan()
                         self.nursery.cancel_scope.cancel()
                     guard.cancel_scope.cancel()
         except* trio.TooSlowError:
-            why = f"the run did not end within {self.most():.0f} s"
-        except* RunError as faults:
-            why = str(part.first(faults))
+            reason = f"the run did not end within {self.time_limit():.0f} s"
+        except* RunError as error:
+            reason = str(part.first_exception(error))
         finally:
             self.load.append(os.getloadavg()[0])
-        return why
+        return reason
 
-    async def _walk(self) -> None:
+    async def _execute_plan(self) -> None:
         took = await self._until_equal(self.bounds.ready_within)
         if took is None:
             raise RunError(
-                f"members did not find each other within {self.bounds.ready_within:g} s: {self._views()}"
+                f"members had no common view within {self.bounds.ready_within:g} s: {self._describe_views()}"
             )
         self.joined_after = took
         await self.wait(self.scale.settle)
         if self.members.joined:
             await self._ask_all({"do": "settled"}, ("real",))
         await self._measure()
-        await self._judge()
+        await self._check_outcome()
 
     async def _interrupted(self) -> None:
         with trio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
@@ -485,16 +530,16 @@
                 raise RunError(f"interrupted by {signal.Signals(number).name}")
 
 
-def figures(run: Run, why: str, validated: dict[str, bool]) -> dict[str, Any]:
-    """The result of a run. `validated` tells of earlier runs, by size, whether hollow members did
-    as real ones.
+def build_result(run: Run, reason: str, validated: dict[str, bool]) -> dict[str, Any]:
+    """Return the result of a run.
+
+    `validated` maps sizes of earlier runs to whether hollow members matched real ones.
     """
-    span = run.ended or (run.at() if run.measuring else 0.0)
-    asked = accounting.together(run.roles["discovery"].kinds).get("list actual")
-    if (
-        asked is not None and run.roles["real"].kinds
-    ):  # its queries are counted where they are answered
-        run.roles["real"].kinds.append({"list": accounting.turned(asked)})
+    span = run.ended_at or (run.elapsed() if run.measuring else 0.0)
+    list_queries = accounting.sum_snapshots(run.roles["discovery"].kinds).get("list actual")
+    # Queries of real managers are counted by the discovery that answers them.
+    if list_queries is not None and run.roles["real"].kinds:
+        run.roles["real"].kinds.append({"list": accounting.mirror(list_queries)})
     roles = {name: role.figures(span) for name, role in run.roles.items()}
     for name in ("real", "hollow"):
         dropped = run.datagrams.dropped(name) if run.measuring else 0
@@ -502,16 +547,22 @@
             "dropped": dropped,
             "longest_unread_bytes": run.datagrams.longest.get(name, 0),
         }
-    late = truth.grace(run.scale.beat, run.plan.size)
-    wrong = truth.false(run.verdicts, run.timeline, late)
-    seen = truth.seen(run.verdicts, run.timeline, (*run.plan.real, *run.plan.hollow))
-    same = not run.timeline.downs and not run.timeline.cuts
-    own = accounting.compared(roles["real"], roles["hollow"], run.bounds.error) if same else None
-    heard = sum(
+    grace = truth.grace_seconds(run.scale.beat, run.plan.size)
+    false_verdicts = truth.false_verdicts(run.verdicts, run.timeline, grace)
+    detection = truth.detection_times(
+        run.verdicts, run.timeline, (*run.plan.real, *run.plan.hollow)
+    )
+    is_comparable = not run.timeline.down_intervals and not run.timeline.partitions
+    comparison = (
+        accounting.compare_roles(roles["real"], roles["hollow"], run.bounds.error)
+        if is_comparable
+        else None
+    )
+    received = sum(
         held["in"] for name in ("real", "hollow") for held in roles[name]["messages"].values()
     )
-    drops = sum(roles[name]["datagrams"]["dropped"] for name in ("real", "hollow"))
-    strained = drops > DROPS * heard
+    dropped_datagrams = sum(roles[name]["datagrams"]["dropped"] for name in ("real", "hollow"))
+    strained = dropped_datagrams > MAX_DROPPED_FRACTION * received
     at_small = all(validated.get(size, False) for size in ("5", "30"))
     return {
         "scenario": run.scale.name,
@@ -520,92 +571,91 @@
         "machine": {
             "cores": os.cpu_count(),
             "memory_gb": budget.memory_gb(),
-            "load": [round(x, 1) for x in run.load],
+            "load": [round(load, 1) for load in run.load],
         },
         "sizes": {
             "members": run.plan.size,
             "real": len(run.plan.real),
             "hollow": len(run.plan.hollow),
-            "workers": run.book.section(scenario.Workers).workers,
+            "workers": run.config.section(scenario.Workers).workers,
             "followers": run.final.get("followers", 0),
-            "proxies": run.book.section(scenario.Proxies).count,
+            "proxies": run.config.section(scenario.Proxies).count,
         },
         "clock": run.plan.clock,
         "beat_s": run.scale.beat,
         "span_s": round(span, 2),
-        "ended": why or "whole",
+        "ended": reason or "whole",
         "peak_mb": round(run.peak_mb),
         "steps": {name: step.kind for name, step in run.plan.steps.items()},
         "roles": roles,
         "times": {
             "joined_s": round(getattr(run, "joined_after", 0.0), 2),
             "views_equal_s": run.equal_after,
-            "failed_seen_s": accounting.spread(seen["each"]),
-            "failed_seen_by_last_s": accounting.spread(seen["last"]),
-            "list_at_last_s": accounting.spread(run.final.get("reached", [])),
-            "configured_at_last_s": accounting.spread(run.configured),
+            "failed_seen_s": accounting.summarize_durations(detection["each"]),
+            "failed_seen_by_last_s": accounting.summarize_durations(detection["last"]),
+            "list_at_last_s": accounting.summarize_durations(run.final.get("reached", [])),
+            "configured_at_last_s": accounting.summarize_durations(run.configured),
         },
         "truth": {
-            "false_verdicts": len(wrong),
-            "false_shown": truth.shown(wrong),
+            "false_verdicts": len(false_verdicts),
+            "false_shown": truth.format_verdicts(false_verdicts),
             "verdicts": len(run.verdicts),
-            "verdicts_missing": seen["missing"],
+            "verdicts_missing": detection["missing"],
             "verdicts_uncounted": run.dropped_verdicts,
             "views_equal": run.equal_after is not None,
             "views_within_s": run.bounds.views_within,
-            "rules": run.kept_rules,
-            "grace_s": round(late, 2),
+            "rules": run.rule_summary,
+            "grace_s": round(grace, 2),
             "list_changes": run.final.get("changes", 0),
             "list_lost": run.final.get("lost", []) or [],
             "list_disordered": run.final.get("disordered", []),
         },
-        "validation": {"own": own, "earlier": validated},
+        "validation": {"own": comparison, "earlier": validated},
         "strained": strained,
-        "valid": not why
+        "valid": not reason
         and not strained
         and not run.dropped_verdicts
-        and ((at_small or run.scale.name == "validate") and (own is None or own["valid"])),
+        and (
+            (at_small or run.scale.name == "validate")
+            and (comparison is None or comparison["valid"])
+        ),
     }
 
 
 def validated(results: Path) -> dict[str, bool]:
-    """Of runs at 5 and 30 members that compare hollow members with real ones, whether they were
-    valid.
-    """
+    """Return by size whether the runs that compare hollow with real members were valid."""
     found: dict[str, bool] = {}
     for path in sorted(results.glob("validate-*.json")):
         with path.open(encoding="utf-8") as file:
-            told = json.load(file)
-        size = str(told["sizes"]["members"])
-        found[size] = found.get(size, True) and bool(told["valid"])
+            result = json.load(file)
+        size = str(result["sizes"]["members"])
+        found[size] = found.get(size, True) and bool(result["valid"])
     return found
 
 
-def name_of(book: ConfigFile, size: int) -> str:
-    scale = book.section(scenario.Scale)
+def name_of(config: ConfigFile, size: int) -> str:
+    scale = config.section(scenario.Scale)
     return f"{scale.name}-{size}-s{scale.seed}.json"
 
 
 def play(
-    book: ConfigFile, size: int, results: Path, say: Say = to_stderr
+    config: ConfigFile, size: int, results: Path, write_progress: ProgressWriter = print_to_stderr
 ) -> tuple[Path, dict[str, Any]]:
-    """Play one size and write its result; one that ended early is written as `.partial` and counts
-    as not played.
-    """
-    run = Run(book, size, say)
+    """Run one size and write its result; an early end writes a `.partial` file instead."""
+    run = Run(config, size, write_progress)
     try:
-        why = trio.run(run.play)
-        found = figures(run, why, validated(results))
+        reason = trio.run(run.play)
+        found = build_result(run, reason, validated(results))
     finally:
         shutil.rmtree(run.folder, ignore_errors=True)
     results.mkdir(parents=True, exist_ok=True)
-    path = results / name_of(book, size)
+    path = results / name_of(config, size)
     partial = path.with_name(path.name.replace(".json", ".partial"))
-    written = partial if why else path
+    written = partial if reason else path
     fresh = written.with_suffix(".new")
     fresh.write_text(json.dumps(found, indent=1, sort_keys=True) + "\n", encoding="utf-8")
     fresh.replace(written)
-    if not why:
+    if not reason:
         partial.unlink(missing_ok=True)
     return written, found
 
--- a/bench/scale/sweep.py
+++ b/bench/scale/sweep.py
@@ -9,17 +9,17 @@
 from dunlinlug.config.reader import ConfigFile
 
 
-def files(named: list[Path]) -> list[Path]:
+def scenario_files(paths: list[Path]) -> list[Path]:
     """Return the named INI files and those in named folders, each once, in order."""
     found: dict[Path, None] = {}
-    for path in named:
+    for path in paths:
         scenario_paths = sorted(path.glob("*.ini")) if path.is_dir() else [path]
         for scenario_path in scenario_paths:
             found[scenario_path] = None
     return list(found)
 
 
-def wanted(
+def pending_runs(
     scenarios: list[ConfigFile], sizes: list[int], results: Path
 ) -> list[tuple[ConfigFile, int]]:
     """Return the runs without a result, as pairs of a scenario and a number of members.
--- a/bench/scale/truth.py
+++ b/bench/scale/truth.py
@@ -1,9 +1,8 @@
-"""What was so, beside what members said: who was down when, who was cut from whom, and which
-verdicts were false.
+"""Ground truth of a run: which members were down or partitioned when, and which verdicts are false.
 
-Free of I/O. Times are the rig's seconds from the begin of the measured span. A member counts as
-down from when it was told to stop until it has said that it runs again, and a verdict may still
-come in for a while after the fault's end.
+A verdict is a member's report that another one has failed. Free of I/O. Times are seconds of the
+run's clock from the start of the measured span. A member counts as down from the stop command until
+it confirms that it runs again. Verdicts may still arrive for some time after the end of a fault.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -13,12 +12,14 @@
 
 from dunlinlug.fleet.membership.suspicions import MAX_SUSPICION_INTERVALS
 
-SHOWN = 10  # false verdicts that a result shows in full
+MAX_SHOWN = 10  # false verdicts listed in a result
 
 
-def grace(beat: float, size: int) -> float:
-    """Seconds after a fault's end in which a verdict may still be told of it: a suspicion without
-    witnesses and with some distrust of oneself, then the rounds in which all hear of a verdict.
+def grace_seconds(beat: float, size: int) -> float:
+    """Return the seconds after the end of a fault in which a verdict may still arrive.
+
+    Covers an unconfirmed suspicion of a member with reduced local health, and then the gossip
+    rounds until all members receive the verdict.
     """
     return beat * (
         1.5 * MAX_SUSPICION_INTERVALS * max(1.0, log10(max(size, 1))) + 2 * log2(size + 1)
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """At `at`, `by` had `of` as failed."""
+    """At `at`, the member `by` considered `of` failed."""
 
     at: float
     by: str
@@ -35,115 +36,138 @@
 
 
 @dataclass
-class Spell:
+class Interval:
+    """An interval of time; without an end while it lasts."""
+
     begin: float
     end: float = inf
 
 
 @dataclass
 class Timeline:
-    """What was done to whom."""
+    """The faults of a run: members that were down, and partitions."""
 
-    downs: dict[str, list[Spell]] = field(default_factory=dict)
-    planned: set[tuple[str, float]] = field(
-        default_factory=set
-    )  # of the spells, those with a goodbye, by their begin
-    cuts: list[tuple[Spell, frozenset[str]]] = field(
-        default_factory=list
-    )  # who stood behind each cut
+    down_intervals: dict[str, list[Interval]] = field(default_factory=dict)
+    # Members that left on purpose, by the start of their down time.
+    planned: set[tuple[str, float]] = field(default_factory=set)
+    # Partitions, with the members on the smaller side.
+    partitions: list[tuple[Interval, frozenset[str]]] = field(default_factory=list)
 
     def down(self, at: float, names: Iterable[str], planned: bool = False) -> None:
         for name in names:
-            spells = self.downs.setdefault(name, [])
-            if spells and spells[-1].end == inf:
-                continue  # an overlap: it is down already
-            spells.append(Spell(at))
+            intervals = self.down_intervals.setdefault(name, [])
+            if intervals and intervals[-1].end == inf:
+                continue  # already down because of an overlapping fault
+            intervals.append(Interval(at))
             if planned:
                 self.planned.add((name, at))
 
     def up(self, at: float, names: Iterable[str]) -> None:
         for name in names:
-            spells = self.downs.get(name)
-            if spells and spells[-1].end == inf:
-                spells[-1].end = at
+            intervals = self.down_intervals.get(name)
+            if intervals and intervals[-1].end == inf:
+                intervals[-1].end = at
 
     def cut(self, at: float, names: Iterable[str]) -> None:
-        self.cuts.append((Spell(at), frozenset(names)))
+        self.partitions.append((Interval(at), frozenset(names)))
 
     def heal(self, at: float, names: Iterable[str]) -> None:
-        behind = frozenset(names)
-        for spell, held in self.cuts:
-            if held == behind and spell.end == inf:
-                spell.end = at
-
-    def ended(self) -> float:
-        """When the last fault ended; infinite while one stands."""
-        ends = [spell.end for spells in self.downs.values() for spell in spells]
-        return max([0.0, *ends, *(spell.end for spell, _ in self.cuts)])
+        smaller_side = frozenset(names)
+        for interval, members in self.partitions:
+            if members == smaller_side and interval.end == inf:
+                interval.end = at
+
+    def last_fault_ended_at(self) -> float:
+        """Return when the last fault ended; infinite while one lasts."""
+        ends = [
+            interval.end for intervals in self.down_intervals.values() for interval in intervals
+        ]
+        return max([0.0, *ends, *(interval.end for interval, _ in self.partitions)])
 
     def is_down(self, name: str, at: float) -> bool:
-        return any(spell.begin <= at < spell.end for spell in self.downs.get(name, ()))
+        return any(
+            interval.begin <= at < interval.end for interval in self.down_intervals.get(name, ())
+        )
+
+    def explains(self, verdict: Verdict, late_seconds: float) -> bool:
+        """Return whether `of` was down or partitioned from `by`.
 
-    def excuses(self, verdict: Verdict, late: float) -> bool:
-        """Whether `of` was down, or a cut stood between the two. For a while after a cut's end
-        anyone may pass on what was said behind it.
+        For `late` seconds after the end of a partition any member may still pass on verdicts from
+        its other side.
         """
-        downs = any(
-            spell.begin <= verdict.at <= spell.end + late
-            for spell in self.downs.get(verdict.of, ())
+        down_intervals = any(
+            interval.begin <= verdict.at <= interval.end + late_seconds
+            for interval in self.down_intervals.get(verdict.of, ())
         )
-        return downs or any(
-            spell.end <= verdict.at <= spell.end + late
-            or spell.begin <= verdict.at < spell.end
-            and (verdict.by in behind) != (verdict.of in behind)
-            for spell, behind in self.cuts
+        return down_intervals or any(
+            interval.end <= verdict.at <= interval.end + late_seconds
+            or interval.begin <= verdict.at < interval.end
+            and (verdict.by in smaller_side) != (verdict.of in smaller_side)
+            for interval, smaller_side in self.partitions
         )
 
 
-def false(verdicts: Iterable[Verdict], timeline: Timeline, late: float) -> list[Verdict]:
-    """Verdicts on members that were up and reachable."""
+def false_verdicts(
+    verdicts: Iterable[Verdict], timeline: Timeline, late_seconds: float
+) -> list[Verdict]:
+    """Return the verdicts on members that were up and reachable."""
     return [
         verdict
         for verdict in verdicts
-        if verdict.by != verdict.of and not timeline.excuses(verdict, late)
+        if verdict.by != verdict.of and not timeline.explains(verdict, late_seconds)
     ]
 
 
-def seen(
-    verdicts: Sequence[Verdict], timeline: Timeline, everyone: Iterable[str]
+def detection_times(
+    verdicts: Sequence[Verdict], timeline: Timeline, all_members: Iterable[str]
 ) -> dict[str, Any]:
-    """For each member that went down without a goodbye and stayed so: seconds until each other says
-    that it has failed, until the last does, and how many never did before it was back.
+    """Return the detection times of members that failed without leaving.
+
+    Seconds until each other member reports the failure (`each`), until the last does (`last`), and
+    the number of reports that were not made before the member was back (`missing`).
     """
     first = dict[tuple[str, str, float], float]()
-    spells = {
+    intervals = {
         name: [s for s in found if (name, s.begin) not in timeline.planned]
-        for name, found in timeline.downs.items()
+        for name, found in timeline.down_intervals.items()
     }
     for verdict in sorted(verdicts, key=lambda verdict: verdict.at):
-        for spell in spells.get(verdict.of, ()):
-            if spell.begin <= verdict.at < spell.end:
-                first.setdefault((verdict.of, verdict.by, spell.begin), verdict.at - spell.begin)
+        for interval in intervals.get(verdict.of, ()):
+            if interval.begin <= verdict.at < interval.end:
+                first.setdefault(
+                    (verdict.of, verdict.by, interval.begin), verdict.at - interval.begin
+                )
     each, last, missing = list[float](), list[float](), 0
-    watchers = sorted(everyone)
-    for name, found in sorted(spells.items()):
-        for spell in found:
-            able = [by for by in watchers if by != name and not _struck(timeline, by, spell)]
-            took = [first[name, by, spell.begin] for by in able if (name, by, spell.begin) in first]
-            each += took
-            missing += len(able) - len(took)
-            last += [max(took)] if took and len(took) == len(able) else []
+    observers = sorted(all_members)
+    for name, found in sorted(intervals.items()):
+        for interval in found:
+            expected_observers = [
+                by for by in observers if by != name and not _was_affected(timeline, by, interval)
+            ]
+            delays = [
+                first[name, by, interval.begin]
+                for by in expected_observers
+                if (name, by, interval.begin) in first
+            ]
+            each += delays
+            missing += len(expected_observers) - len(delays)
+            last += [max(delays)] if delays and len(delays) == len(expected_observers) else []
     return {"each": each, "last": last, "missing": missing}
 
 
-def _struck(timeline: Timeline, name: str, spell: Spell) -> bool:
-    """Whether something else was done to it meanwhile, so that it owes no verdict."""
-    own = any(s.begin < spell.end and s.end > spell.begin for s in timeline.downs.get(name, ()))
-    return own or any(s.begin < spell.end and s.end > spell.begin for s, _ in timeline.cuts)
+def _was_affected(timeline: Timeline, name: str, interval: Interval) -> bool:
+    """Return whether the member itself was affected by a fault, so that no verdict is expected."""
+    own = any(
+        s.begin < interval.end and s.end > interval.begin
+        for s in timeline.down_intervals.get(name, ())
+    )
+    return own or any(
+        s.begin < interval.end and s.end > interval.begin for s, _ in timeline.partitions
+    )
 
 
-def disordered(indexes: Mapping[str, Sequence[int]]) -> list[str]:
-    """Followers of the list that took an older version after a newer one."""
+def out_of_order_followers(indexes: Mapping[str, Sequence[int]]) -> list[str]:
+    """Return followers of the list that received an older version after a newer one."""
     return sorted(
         name
         for name, taken in indexes.items()
@@ -151,16 +175,17 @@
     )
 
 
-def lost(last: Mapping[str, tuple[int, str]], index: int, digest: str) -> list[str]:
-    """Followers whose list at the end is not discovery's."""
+def outdated_followers(last: Mapping[str, tuple[int, str]], index: int, digest: str) -> list[str]:
+    """Return followers whose list at the end differs from discovery's."""
     return sorted(name for name, held in last.items() if held != (index, digest))
 
 
-def reached(
+def propagation_seconds(
     changes: Mapping[int, float], taken: Mapping[str, Sequence[tuple[int, float]]]
 ) -> list[float]:
-    """Of each change of the list, seconds until the last follower held it, or one after it; changes
-    that some never got are left out here, as `lost` tells of them.
+    """Return for each change of the list the seconds until the last follower had it or a later one.
+
+    Changes that some follower never received are left out; `outdated_followers` reports those.
     """
     found = []
     for index, at in sorted(changes.items()):
@@ -173,5 +198,8 @@
     return found
 
 
-def shown(verdicts: Sequence[Verdict]) -> list[dict[str, Any]]:
-    return [{"at": round(v.at, 2), "by": v.by, "of": v.of} for v in verdicts[:SHOWN]]
+def format_verdicts(verdicts: Sequence[Verdict]) -> list[dict[str, Any]]:
+    return [
+        {"at": round(verdict.at, 2), "by": verdict.by, "of": verdict.of}
+        for verdict in verdicts[:MAX_SHOWN]
+    ]
--- a/tests/bench/test_capacity_page.py
+++ b/tests/bench/test_capacity_page.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bench.scale import page, slopes
-from bench.scale.fit import FitError, fit, is_quadratic, off, value
+from bench.scale.fit import FitError, fit, is_quadratic, relative_error, term_value
 from dunlinlug.decision.events import Acknowledged
 
 TERMS = ("1", "workers", "workers*products", "members*log2(members)")
@@ -27,7 +27,7 @@
                     "products": float(products),
                     "members": float(members),
                 }
-                cost = sum(c * value(term, sizes) for term, c in COEFFICIENTS.items())
+                cost = sum(c * term_value(term, sizes) for term, c in COEFFICIENTS.items())
                 points.append({**sizes, "y": cost * (1.0 + rng.gauss(0.0, noise))})
     return points
 
@@ -85,19 +85,19 @@
 
 def test_a_held_out_size_is_predicted_from_smaller_sizes_and_its_error_has_a_sign() -> None:
     sizes = {"workers": 5000.0, "products": 270.0, "members": 940.0}
-    cost = sum(c * value(term, sizes) for term, c in COEFFICIENTS.items())
+    cost = sum(c * term_value(term, sizes) for term, c in COEFFICIENTS.items())
     found = fit(generated_costs(3, 0.02), TERMS)
-    assert abs(off(found, {**sizes, "y": cost})) < 0.1
-    assert off(found, {**sizes, "y": cost / 2}) > 0.8
-    assert off(found, {**sizes, "y": cost * 2}) < -0.4
+    assert abs(relative_error(found, {**sizes, "y": cost})) < 0.1
+    assert relative_error(found, {**sizes, "y": cost / 2}) > 0.8
+    assert relative_error(found, {**sizes, "y": cost * 2}) < -0.4
 
 
 def test_a_missing_product_term_shows_in_the_spread_and_at_the_held_out_size() -> None:
     found = fit(generated_costs(3, 0.0), ("1", "workers", "members*log2(members)"))
     sizes = {"workers": 5000.0, "products": 270.0, "members": 940.0}
-    cost = sum(c * value(term, sizes) for term, c in COEFFICIENTS.items())
+    cost = sum(c * term_value(term, sizes) for term, c in COEFFICIENTS.items())
     assert found.spread > 0.2
-    assert off(found, {**sizes, "y": cost}) < -page.MAX_HELD_OUT_ERROR
+    assert relative_error(found, {**sizes, "y": cost}) < -page.MAX_HELD_OUT_ERROR
 
 
 def test_a_term_with_a_negative_coefficient_is_left_out() -> None:
@@ -110,10 +110,10 @@
 @pytest.mark.parametrize(
     ("points", "terms", "why"),
     [
-        ([{"workers": 1.0, "y": 1.0}], ("1", "workers"), "do not fit"),
+        ([{"workers": 1.0, "y": 1.0}], ("1", "workers"), "too few"),
         ([{"workers": 1.0, "y": 1.0}, {"workers": 1.0, "y": 2.0}], ("1", "workers"), "do not vary"),
         ([{"workers": 1.0, "y": 0.0}, {"workers": 2.0, "y": 1.0}], ("1",), "above 0"),
-        ([{"workers": 1.0, "y": 1.0}], ("members",), "members is not among"),
+        ([{"workers": 1.0, "y": 1.0}], ("members",), "members, which is not among"),
     ],
 )
 def test_points_that_cannot_be_fitted_are_rejected_with_the_reason(
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -1,6 +1,4 @@
-"""The scale rig: its pure parts beside slow plain models, its faults, and short runs judged by
-counts.
-"""
+"""The scale benchmark: pure parts against simple models, failing runs, and short runs by counts."""
 
 import json
 import os
@@ -59,11 +57,11 @@
 
 @pytest.fixture(autouse=True)
 def own_temporary_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What a run that is only made leaves behind goes with the test."""
+    """Put temporary folders under the test's own, as a run that is not played leaves its folder."""
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
 
 
-def book_of(folder: Path, text: str) -> scenario.ConfigFile:
+def read_scenario(folder: Path, text: str) -> scenario.ConfigFile:
     path = folder / "scenario.ini"
     path.write_text(text)
     return scenario.read(path)
@@ -83,7 +81,7 @@
         (
             "[scale]\nname = a\nsizes = 6\n[step x]\nkind = rack\nat = 1s\nlasts = 2s\n",
             3,
-            "and hollow ones to take down",
+            "and hollow ones to stop",
         ),
         (
             "[scale]\nname = a\nsizes = 10\n[step x]\nkind = quake\nat = 1s\nlasts = 2s\n",
@@ -103,7 +101,7 @@
         (
             "[scale]\nname = a\nsizes = 10\n[bounds]\nmemory_mb = 64000\n",
             4,
-            "memory_mb is at most 12000",
+            "memory_mb must be at most 12000",
         ),
         (
             "[scale]\nname = a\nsizes = 10\n[step x]\nkind = rack\nat = 1s\n",
@@ -112,7 +110,7 @@
         ),
     ],
 )
-def test_a_mistake_is_one_line_with_file_and_line_and_status_2(
+def test_an_invalid_scenario_is_reported_with_file_and_line_and_status_2(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, line: int, said: str
 ) -> None:
     path = tmp_path / "a.ini"
@@ -128,73 +126,75 @@
         assert capsys.readouterr().err == f"bench.scale: {caught.value}\n"
 
 
-def test_scenarios_that_are_kept_can_be_read_and_planned() -> None:
-    files = sweep.files([ROOT / "bench" / "scale" / "scenarios"])
+def test_the_stored_scenarios_can_be_read_and_planned() -> None:
+    files = sweep.scenario_files([ROOT / "bench" / "scale" / "scenarios"])
     assert len(files) >= 8
     for path in files:
-        book = scenario.read(path)
-        for size in map(int, book.section(scenario.Scale).sizes):
-            plan = scenario.plan(book, size)
+        config = scenario.read(path)
+        for size in map(int, config.section(scenario.Scale).sizes):
+            plan = scenario.plan(config, size)
             assert len(plan.real) + len(plan.hollow) == size
-            assert plan == scenario.plan(book, size)
-            assert all(before.at <= after.at for before, after in pairwise(plan.acts))
+            assert plan == scenario.plan(config, size)
+            assert all(before.at <= after.at for before, after in pairwise(plan.actions))
 
 
-def test_a_plan_leaves_seeds_alone_and_real_managers_on_the_larger_side(tmp_path: Path) -> None:
+def test_a_plan_protects_seeds_and_keeps_real_managers_on_the_larger_side(tmp_path: Path) -> None:
     steps = "".join(
         f"[step {kind}]\nkind = {kind}\nat = 1s\nlasts = 9s\npart = 40%\nsize = 20\nevery = 1s\n"
         for kind in ("rack", "zone", "split", "restart")
     )
     for seed in range(30):
-        book = book_of(tmp_path, f"[scale]\nname = a\nsizes = 100\nseed = {seed}\n{steps}")
-        plan = scenario.plan(book, 100)
-        struck = {act.do: act.names for act in plan.acts if act.do in ("cut", "heal")}
+        config = read_scenario(tmp_path, f"[scale]\nname = a\nsizes = 100\nseed = {seed}\n{steps}")
+        plan = scenario.plan(config, 100)
+        struck = {
+            action.do: action.names for action in plan.actions if action.do in ("cut", "heal")
+        }
         assert (
             struck["cut"] == struck["heal"]
             and len(struck["cut"]) == 40
             and not {*struck["cut"]} & {*plan.real}
         )
-        downs = [act.names for act in plan.acts if act.do == "down"]
-        assert sorted(map(len, downs)) in ([9, 20], [10, 20])  # a seed may stand in the zone
+        downs = [action.names for action in plan.actions if action.do == "down"]
+        assert sorted(map(len, downs)) in ([9, 20], [10, 20])  # a protected seed may be in the zone
         assert not {"h0", "h1"} & {name for names in downs for name in names}
-        left = [name for act in plan.acts if act.do == "leave" for name in act.names]
+        left = [name for action in plan.actions if action.do == "leave" for name in action.names]
         assert sorted(left) == sorted([*plan.real, *plan.hollow])
 
 
-# What was true, beside a model that looks at each moment by itself.
+# The timeline of faults, against a model that evaluates each moment separately.
 
 NAMES = tuple(f"m{n}" for n in range(6))
-Deed = tuple[float, str, tuple[str, ...]]
+Fault = tuple[float, str, tuple[str, ...]]
 
 
-def deeds(chance: Random) -> list[Deed]:
-    """Downs, ups, one cut at a time, and its heal, at whole seconds."""
-    found: list[Deed] = []
+def draw_faults(rng: Random) -> list[Fault]:
+    """Return random faults at whole seconds, with at most one partition at a time."""
+    found: list[Fault] = []
     behind: tuple[str, ...] = ()
-    for at in sorted(chance.sample(range(200), 20)):
-        names = tuple(chance.sample(NAMES, chance.randint(1, 3)))
-        do = chance.choice(["down", "up", "cut"])
-        if do == "cut" and behind:
-            do, names, behind = "heal", behind, ()
-        elif do == "cut":
+    for at in sorted(rng.sample(range(200), 20)):
+        names = tuple(rng.sample(NAMES, rng.randint(1, 3)))
+        kind_of_fault = rng.choice(["down", "up", "cut"])
+        if kind_of_fault == "cut" and behind:
+            kind_of_fault, names, behind = "heal", behind, ()
+        elif kind_of_fault == "cut":
             behind = names
-        found.append((float(at), do, names))
+        found.append((float(at), kind_of_fault, names))
     return found
 
 
-def told(made: list[Deed], kind: type[truth.Timeline] = truth.Timeline) -> truth.Timeline:
+def timeline_of(made: list[Fault], kind: type[truth.Timeline] = truth.Timeline) -> truth.Timeline:
     timeline = kind()
-    for at, do, names in made:
-        getattr(timeline, do)(at, names)
+    for at, kind_of_fault, names in made:
+        getattr(timeline, kind_of_fault)(at, names)
     return timeline
 
 
-def stood(made: list[Deed], at: float) -> tuple[set[str], set[str]]:
-    """Who was down and who behind the cut at a moment, by going through all that was done before."""
+def state_at(made: list[Fault], at: float) -> tuple[set[str], set[str]]:
+    """Return the members that were down and those on the smaller side, from all earlier faults."""
     down, behind = set[str](), set[str]()
-    for when, do, names in made:
+    for when, kind_of_fault, names in made:
         if when <= at:
-            match do:
+            match kind_of_fault:
                 case "down":
                     down |= {*names}
                 case "up":
@@ -206,14 +206,14 @@
     return down, behind
 
 
-def excused(made: list[Deed], verdict: truth.Verdict, late: float) -> bool:
-    """The slow way: each half second from `late` before the verdict up to it."""
-    down, behind = stood(made, verdict.at)
+def is_explained(made: list[Fault], verdict: truth.Verdict, late_seconds: float) -> bool:
+    """Check each half second in the `late` seconds before the verdict."""
+    down, behind = state_at(made, verdict.at)
     if verdict.of in down or behind and (verdict.by in behind) != (verdict.of in behind):
         return True
     at = verdict.at
-    while at >= verdict.at - late:
-        down, before = stood(made, at)
+    while at >= verdict.at - late_seconds:
+        down, before = state_at(made, at)
         if verdict.of in down or before and before != behind:
             return True
         at -= 0.5
@@ -223,52 +223,52 @@
 def disagreements(kind: type[truth.Timeline], runs: int = 150) -> int:
     found = 0
     for seed in range(runs):
-        chance = Random(seed)
-        made = deeds(chance)
-        timeline = told(made, kind)
+        rng = Random(seed)
+        made = draw_faults(rng)
+        timeline = timeline_of(made, kind)
         for _ in range(40):
-            by, of = chance.sample(NAMES, 2)
-            verdict = truth.Verdict(chance.randrange(200) + 0.25, by, of)
-            found += timeline.excuses(verdict, 3.0) != excused(made, verdict, 3.25)
-            found += timeline.is_down(of, verdict.at) != (of in stood(made, verdict.at)[0])
+            by, of = rng.sample(NAMES, 2)
+            verdict = truth.Verdict(rng.randrange(200) + 0.25, by, of)
+            found += timeline.explains(verdict, 3.0) != is_explained(made, verdict, 3.25)
+            found += timeline.is_down(of, verdict.at) != (of in state_at(made, verdict.at)[0])
     return found
 
 
-class StartsAgain(truth.Timeline):
-    """Without the guard on overlaps: who is down is taken down once more, and never comes back from
-    the first.
-    """
+class OverlappingDown(truth.Timeline):
+    """A faulty timeline: a member that is already down gets a second, never ending interval."""
 
     def down(self, at: float, names: Any, planned: bool = False) -> None:
         for name in names:
-            self.downs.setdefault(name, []).append(truth.Spell(at))
+            self.down_intervals.setdefault(name, []).append(truth.Interval(at))
 
 
-class OneSided(truth.Timeline):
-    """Without the guard on sides: during a cut everything is excused."""
+class IgnoresSides(truth.Timeline):
+    """A faulty timeline: during a partition every verdict is accepted."""
 
-    def excuses(self, verdict: truth.Verdict, late: float) -> bool:
-        return super().excuses(verdict, late) or any(
-            s.begin <= verdict.at < s.end for s, _ in self.cuts
+    def explains(self, verdict: truth.Verdict, late_seconds: float) -> bool:
+        return super().explains(verdict, late_seconds) or any(
+            s.begin <= verdict.at < s.end for s, _ in self.partitions
         )
 
 
 class NoGrace(truth.Timeline):
-    def excuses(self, verdict: truth.Verdict, late: float) -> bool:
-        return super().excuses(verdict, 0.0)
+    """A faulty timeline: verdicts after the end of a fault are false."""
 
+    def explains(self, verdict: truth.Verdict, late_seconds: float) -> bool:
+        return super().explains(verdict, 0.0)
 
-def test_the_timeline_says_what_a_plain_model_says() -> None:
+
+def test_the_timeline_agrees_with_a_simple_model() -> None:
     assert disagreements(truth.Timeline) == 0
 
 
-@pytest.mark.parametrize("kind", [StartsAgain, OneSided, NoGrace])
-def test_a_timeline_with_a_guard_out_is_caught(kind: type[truth.Timeline]) -> None:
+@pytest.mark.parametrize("kind", [OverlappingDown, IgnoresSides, NoGrace])
+def test_a_faulty_timeline_is_detected(kind: type[truth.Timeline]) -> None:
     assert disagreements(kind) > 0
 
 
 def test_false_verdicts_are_those_on_members_that_were_up_and_reachable() -> None:
-    timeline = told(
+    timeline = timeline_of(
         [
             (10.0, "down", ("a",)),
             (20.0, "up", ("a",)),
@@ -291,7 +291,7 @@
             (5.0, "a", "a"),
         )
     ]
-    assert truth.false(verdicts, timeline, 3.0) == [
+    assert truth.false_verdicts(verdicts, timeline, 3.0) == [
         verdicts[0],
         verdicts[3],
         verdicts[6],
@@ -299,10 +299,10 @@
     ]
 
 
-def test_who_saw_a_death_is_told_by_each_other_member_once_and_none_is_owed_by_the_struck() -> None:
+def test_each_unaffected_member_is_expected_to_report_a_death_once() -> None:
     for seed in range(100):
-        chance = Random(seed)
-        timeline = told(
+        rng = Random(seed)
+        timeline = timeline_of(
             [
                 (10.0, "down", ("m0",)),
                 (30.0, "up", ("m0",)),
@@ -311,13 +311,11 @@
             ]
         )
         timeline.down(15.0, ["m2"], planned=True)
-        verdicts = [
-            truth.Verdict(chance.uniform(0.0, 60.0), *chance.sample(NAMES, 2)) for _ in range(60)
-        ]
-        found = truth.seen(verdicts, timeline, NAMES)
+        verdicts = [truth.Verdict(rng.uniform(0.0, 60.0), *rng.sample(NAMES, 2)) for _ in range(60)]
+        found = truth.detection_times(verdicts, timeline, NAMES)
         each, missing = [], 0
         for victim, begin, end in (("m0", 10.0, 30.0), ("m1", 12.0, 50.0)):
-            for by in ("m3", "m4", "m5"):  # m0, m1 and m2 are down in the same span themselves
+            for by in ("m3", "m4", "m5"):  # m0, m1 and m2 are down themselves meanwhile
                 times = [
                     v.at for v in verdicts if (v.by, v.of) == (by, victim) and begin <= v.at < end
                 ]
@@ -327,24 +325,31 @@
         assert len(found["last"]) <= 2 and all(last in each for last in found["last"])
 
 
-def test_lists_lost_or_out_of_order_are_named() -> None:
-    assert truth.disordered({"a": [1, 2, 5], "b": [1, 3, 2], "c": [4, 4], "d": []}) == ["b", "c"]
-    assert truth.lost({"a": (7, "x"), "b": (6, "x"), "c": (7, "y"), "d": (0, "")}, 7, "x") == [
+def test_followers_with_outdated_or_out_of_order_lists_are_named() -> None:
+    assert truth.out_of_order_followers({"a": [1, 2, 5], "b": [1, 3, 2], "c": [4, 4], "d": []}) == [
+        "b",
+        "c",
+    ]
+    assert truth.outdated_followers(
+        {"a": (7, "x"), "b": (6, "x"), "c": (7, "y"), "d": (0, "")}, 7, "x"
+    ) == [
         "b",
         "c",
         "d",
     ]
     taken = {"a": [(1, 0.5), (3, 2.5)], "b": [(1, 0.7), (2, 1.5), (3, 2.2)]}
-    assert truth.reached({1: 0.0, 2: 1.0, 3: 2.0}, taken) == [0.7, 1.5, 0.5]
-    assert truth.reached({4: 3.0}, taken) == [] == truth.reached({1: 0.0}, {})
+    assert truth.propagation_seconds({1: 0.0, 2: 1.0, 3: 2.0}, taken) == [0.7, 1.5, 0.5]
+    assert (
+        truth.propagation_seconds({4: 3.0}, taken) == [] == truth.propagation_seconds({1: 0.0}, {})
+    )
 
 
 # Sums.
 
 
-def test_sums_over_processes_are_those_of_a_plain_list_of_all_messages() -> None:
+def test_sums_over_processes_equal_those_of_a_list_of_all_messages() -> None:
     for seed in range(50):
-        chance = Random(seed)
+        rng = Random(seed)
         meters, log = [accounting.Meter() for _ in range(3)], list[tuple[str, str, int, bool]]()
         role = accounting.Role()
         for counted in (False, True):
@@ -354,21 +359,23 @@
                     for n, meter in enumerate(meters)
                 ]
             for _ in range(100):
-                kind, way, size = (
-                    chance.choice("pang"),
-                    chance.choice(["in", "out"]),
-                    chance.randrange(1400),
+                kind, direction, size = (
+                    rng.choice("pang"),
+                    rng.choice(["in", "out"]),
+                    rng.randrange(1400),
                 )
-                chance.choice(meters).add(kind, way, size)
-                log.append((kind, way, size, counted))
+                rng.choice(meters).add(kind, direction, size)
+                log.append((kind, direction, size, counted))
         for n, meter in enumerate(meters):
             role.add(before[n], accounting.Reading(n + 2.0, 20.0 + n, meter.snapshot(), 1.0), 4)
         found = role.figures(10.0)
         for kind in "pang":
-            for way in ("in", "out"):
-                sizes = [size for k, w, size, counted in log if counted and (k, w) == (kind, way)]
-                assert found["messages"][kind][way] == len(sizes)
-                assert found["messages"][kind][f"bytes_{way}"] == sum(sizes)
+            for direction in ("in", "out"):
+                sizes = [
+                    size for k, w, size, counted in log if counted and (k, w) == (kind, direction)
+                ]
+                assert found["messages"][kind][direction] == len(sizes)
+                assert found["messages"][kind][f"bytes_{direction}"] == sum(sizes)
         assert (found["processes"], found["members"], found["rss_mb"]) == (3, 12, 63.0)
         assert (found["cpu_s"], found["cpu_share_per_member"], found["control_cpu_s"]) == (
             6.0,
@@ -403,55 +410,59 @@
             role_of(2, ping=1000, ack=500),
             role_of(9, ping=1060, ack=500),
             False,
-        ),  # one kind too often
+        ),  # one kind is sent too often
         (role_of(2, ping=1000, ack=500), role_of(9, ping=1000, ack=440), False),
-        (role_of(2, ping=1000, ack=500), role_of(9, ping=1000), False),  # one kind is never said
-        (role_of(2, ping=1000, ask=30), role_of(9, ping=1000, ask=12), True),  # too rare to tell
-        (role_of(2, ping=50), role_of(9, ping=50), False),  # too little to tell anything
+        (role_of(2, ping=1000, ack=500), role_of(9, ping=1000), False),  # one kind is never sent
+        (
+            role_of(2, ping=1000, ask=30),
+            role_of(9, ping=1000, ask=12),
+            True,
+        ),  # too rare to be compared
+        (role_of(2, ping=50), role_of(9, ping=50), False),  # too few messages to compare
         (role_of(2, ping=1000), role_of(0, ping=1000), False),
         (role_of(2, ping=1000, list=300), role_of(9, ping=1000, list=200), False),
     ],
 )
-def test_hollow_members_are_valid_only_where_all_that_tells_enough_agrees(
+def test_hollow_members_are_valid_only_if_all_frequent_kinds_agree(
     real: dict[str, Any], hollow: dict[str, Any], valid: bool
 ) -> None:
-    assert accounting.compared(real, hollow, 0.05)["valid"] is valid
+    assert accounting.compare_roles(real, hollow, 0.05)["valid"] is valid
 
 
-def test_a_spread_tells_three_figures() -> None:
-    found = accounting.spread([n / 100 for n in range(1, 101)])
+def test_durations_are_summarized_by_two_percentiles_and_maximum() -> None:
+    found = accounting.summarize_durations([n / 100 for n in range(1, 101)])
     assert found == {
         "count": 100,
         "p50": pytest.approx(0.5, rel=2e-3),
         "p99": pytest.approx(0.99, rel=2e-3),
         "most": 1.0,
     }
-    assert accounting.spread([]) == {"count": 0}
+    assert accounting.summarize_durations([]) == {"count": 0}
 
 
 # The machine.
 
 
-def test_bounds_are_judged_by_what_is_held() -> None:
-    assert budget.over(12000.0, 200, 12000, 200) == ""
-    assert "12001 MB, over its bound of 12000" in budget.over(12001.0, 1, 12000, 200)
-    assert "201 processes" in budget.over(1.0, 201, 12000, 200)
-    assert budget.resident(os.getpid()) > 5.0 and budget.resident(2**30) == 0.0
+def test_limits_of_memory_and_processes() -> None:
+    assert budget.exceeded_limit(12000.0, 200, 12000, 200) == ""
+    assert "12001 MB, over the limit of 12000" in budget.exceeded_limit(12001.0, 1, 12000, 200)
+    assert "201 processes" in budget.exceeded_limit(1.0, 201, 12000, 200)
+    assert budget.resident_mb(os.getpid()) > 5.0 and budget.resident_mb(2**30) == 0.0
 
 
-def test_what_waits_and_drops_at_sockets_is_read_from_the_kernel() -> None:
+def test_unread_and_dropped_datagrams_are_read_from_the_kernel() -> None:
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as here,
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as there,
     ):
         here.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         here.bind(("127.0.0.1", 0))
-        looked = budget.Datagrams({here.getsockname()[1]: "hollow"})
-        looked.look(budget.udp_lines())
-        looked.begin()
+        datagrams = budget.Datagrams({here.getsockname()[1]: "hollow"})
+        datagrams.update(budget.udp_lines())
+        datagrams.begin()
         for _ in range(100):
             there.sendto(bytes(1000), here.getsockname())
-        looked.look(budget.udp_lines())
+        datagrams.update(budget.udp_lines())
         got = 0
         here.setblocking(False)
         try:
@@ -460,13 +471,15 @@
         except BlockingIOError:
             pass
         assert (
-            0 < got < 100 and looked.dropped("hollow") == 100 - got and looked.dropped("real") == 0
+            0 < got < 100
+            and datagrams.dropped("hollow") == 100 - got
+            and datagrams.dropped("real") == 0
         )
-        assert looked.longest["hollow"] >= 1000
+        assert datagrams.longest["hollow"] >= 1000
 
 
-def test_the_rigs_clock_goes_slower() -> None:
-    clock = part.Slowed(0.1)
+def test_the_clock_of_a_run_is_slower_than_real_time() -> None:
+    clock = part.SlowedClock(0.1)
     clock.start_clock()
     began = time.monotonic()
     while time.monotonic() < began + 0.05:
@@ -475,10 +488,10 @@
     assert clock.deadline_to_sleep_time(clock.current_time() + 1.0) == pytest.approx(10.0, abs=0.1)
     for rate in (0.0, 1.5):
         with pytest.raises(ValueError):
-            part.Slowed(rate)
+            part.SlowedClock(rate)
 
 
-def test_a_stopwatch_counts_nested_calls_once_and_goes_on_after_a_fault() -> None:
+def test_a_stopwatch_counts_nested_calls_once_and_continues_after_an_exception() -> None:
     watch, spent = part.Stopwatch(), []
 
     class Work:
@@ -498,14 +511,14 @@
 
     work = Work()
     for name in ("outer", "inner", "fails"):
-        watch.put_round(work, name)
+        watch.wrap(work, name)
     with pytest.raises(KeyError):
         work.fails()
     work.outer()
     assert spent[0] <= watch.spent < 1.5 * spent[0] and watch.depth == 0
 
 
-def test_who_is_beyond_a_cut_is_not_heard_and_all_else_is_counted() -> None:
+def test_messages_from_beyond_a_partition_are_rejected_and_others_are_counted() -> None:
     meter, key = accounting.Meter(), bytes(32)
     sealer, opener = part.CountedSealer(key, bytes(8)), part.CountedOpener([key])
     sealer.meter = opener.meter = meter
@@ -514,7 +527,7 @@
     assert opener.open(data) == ping
     with pytest.raises(AuthenticationError, match="replay"):
         opener.open(data)
-    opener.beyond = frozenset({"a"})
+    opener.partitioned_members = frozenset({"a"})
     with pytest.raises(AuthenticationError, match="cut"):
         opener.open(sealer.seal(ping))
     assert meter.snapshot() == {
@@ -523,8 +536,8 @@
     assert meter.counts == {"refused replay": 1, "refused cut": 1}
 
 
-def test_churn_turns_as_many_drawn_workers_as_told_and_nothing_else() -> None:
-    workers = discovery.fleet(500)
+def test_churn_changes_exactly_the_requested_number_of_workers() -> None:
+    workers = discovery.create_workers(500)
     assert len(workers) == 500
     for seed in range(20):
         changed = discovery.churned(workers, 20, Random(seed))
@@ -538,33 +551,37 @@
         )
 
 
-def test_verdicts_are_bounded_and_what_did_not_fit_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(part.Verdicts, "MOST", 3)
+def test_verdicts_are_bounded_and_dropped_ones_are_counted(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(part.Verdicts, "MAX_ROWS", 3)
     kept = part.Verdicts()
     for n in range(5):
         kept.add("a", f"m{n}")
     assert (
-        [of for _, _, of in kept.taken()] == ["m0", "m1", "m2"]
+        [of for _, _, of in kept.take()] == ["m0", "m1", "m2"]
         and kept.dropped == 2
-        and kept.taken() == []
+        and kept.take() == []
     )
 
 
-def test_a_sweep_passes_over_what_has_a_result_and_not_over_what_ended_early(
+def test_a_sweep_skips_runs_with_a_result_but_not_those_that_ended_early(
     tmp_path: Path,
 ) -> None:
-    book = book_of(tmp_path, "[scale]\nname = a\nsizes = 10, 300, 30\n")
-    first = book_of(tmp_path, "[scale]\nname = validate\nsizes = 30\n")
-    (tmp_path / run.name_of(book, 10)).write_text("{}")
-    (tmp_path / run.name_of(book, 300).replace(".json", ".partial")).write_text("{}")
-    assert sweep.wanted([book, first], [], tmp_path) == [(first, 30), (book, 30), (book, 300)]
-    assert sweep.wanted([book, first], [300], tmp_path) == [(book, 300)]
+    config = read_scenario(tmp_path, "[scale]\nname = a\nsizes = 10, 300, 30\n")
+    first = read_scenario(tmp_path, "[scale]\nname = validate\nsizes = 30\n")
+    (tmp_path / run.name_of(config, 10)).write_text("{}")
+    (tmp_path / run.name_of(config, 300).replace(".json", ".partial")).write_text("{}")
+    assert sweep.pending_runs([config, first], [], tmp_path) == [
+        (first, 30),
+        (config, 30),
+        (config, 300),
+    ]
+    assert sweep.pending_runs([config, first], [300], tmp_path) == [(config, 300)]
 
 
 # Hollow members.
 
 
-async def test_hollow_members_begin_as_old_acquaintances_and_none_takes_its_making_for_a_stop(
+async def test_hollow_members_start_knowing_each_other_and_do_not_detect_a_pause(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     names = [f"h{n}" for n in range(40)]
@@ -580,8 +597,8 @@
         "discovery": None,
     }
     async with trio.open_nursery() as nursery:
-        crowd = hollow.Crowd(given, nursery)
-        made = [member.first for member in crowd.members.values()]
+        fleet = hollow.HollowMembers(given, nursery)
+        made = [member.prepared for member in fleet.members.values()]
         assert all(membership is not None for membership in made)
         machines = [membership.protocol for membership in made if membership is not None]
         assert len({machine.table.digest() for machine in machines}) == 1
@@ -589,72 +606,82 @@
             len(machine.table.live_members()) == 40 and not machine.table.has_unsent()
             for machine in machines
         )
-        late = machines[0]
-        await trio.sleep(30.0)  # as long as the making of all the others takes
-        assert any(isinstance(order, ProcessPaused) for order in late.tick(trio.current_time()))
+        late_seconds = machines[0]
+        await trio.sleep(30.0)  # as long as the creation of all the others takes
+        assert any(
+            isinstance(order, ProcessPaused) for order in late_seconds.tick(trio.current_time())
+        )
         beats = set[float]()
-        for member, machine in list(zip(crowd.members.values(), machines, strict=True))[1:]:
-            member._begin(machine)
+        for member, machine in list(zip(fleet.members.values(), machines, strict=True))[1:]:
+            member._restart_timers(machine)
             beats.add(machine.next_probe_at)
             assert 0.0 <= machine.next_probe_at - trio.current_time() <= 0.2
             orders = machine.tick(machine.next_probe_at)
             assert not any(isinstance(order, ProcessPaused) for order in orders) and any(
                 isinstance(order, Send) and isinstance(order.message, Ping) for order in orders
             )
-        assert len(beats) > 30  # a process of them does not probe as one
-        assert (await crowd.obey({"do": "report"}))["members"] == 0
-    assert [name for name, member in crowd.members.items() if member.follows] == names[:3]
+        assert len(beats) > 30  # members of one process do not probe at the same time
+        assert (await fleet.handle_command({"do": "report"}))["members"] == 0
+    assert [name for name, member in fleet.members.items() if member.follows] == names[:3]
 
 
-# The rules, by the audit.
+# The rules, checked by the audit.
 
 
-def breaks(
+def violated_rules(
     folder: Path,
     tries: list[tuple[float, str]],
     bare: tuple[float, float] = (0.0, 0.0),
     sets: int = 1,
 ) -> list[str]:
-    """One proxy that joined at 1 s; worker w1 drains from 10 s and is ready again from 30 s."""
+    """Return the rules violated by one proxy.
+
+    It joined at 1 s; worker w1 drains from 10 s and is ready again from 30 s.
+    """
     at = {"serves r0": ("127.0.0.1", 1), "discovery": ("127.0.0.1", 2), "r0": ("127.0.0.1", 3)}
-    path = stage.manager_file(folder, "r0", at, ("r0",), 1, 0.2, scenario.PACE)
-    listed = rules.states(["w0", "w1"], {100: {}, 101: {"w1": "draining"}, 102: {"w1": "ready"}})
+    path = stage.manager_file(folder, "r0", at, ("r0",), 1, 0.2, scenario.CHANNEL_LINES_PER_S)
+    listed = rules.states_by_version(
+        ["w0", "w1"], {100: {}, 101: {"w1": "draining"}, 102: {"w1": "ready"}}
+    )
     lines = [
-        rules.row(1.0, "joined", "p0"),
-        *(rules.row(when, "try", "p0", worker=worker) for when, worker in tries),
-        rules.row(bare[0], "bare", "p0", product="read", on=True),
-        rules.row(bare[1], "bare", "p0", product="read", on=False),
+        rules.record_line(1.0, "joined", "p0"),
+        *(rules.record_line(when, "try", "p0", worker=worker) for when, worker in tries),
+        rules.record_line(bare[0], "bare", "p0", product="read", on=True),
+        rules.record_line(bare[1], "bare", "p0", product="read", on=False),
         *(
-            rules.row(5.0, "applied", "p0", tag="4.900000 900 1", lines=900, refused="")
+            rules.record_line(5.0, "applied", "p0", tag="4.900000 900 1", lines=900, refused="")
             for _ in range(sets)
         ),
     ]
     return [
         found.rule
-        for found in rules.judge(
-            rules.book_of(path), lines, [(100, 0.5), (101, 10.0), (102, 30.0)], listed, 60.0
+        for found in rules.find_violations(
+            rules.load_config(path), lines, [(100, 0.5), (101, 10.0), (102, 30.0)], listed, 60.0
         )
     ]
 
 
-def test_rules_are_judged_by_the_audit_and_breaks_are_seen(tmp_path: Path) -> None:
+def test_the_audit_detects_violations_of_the_rules(tmp_path: Path) -> None:
     assert (
-        breaks(tmp_path, [(9.0, "w1"), (13.9, "w1"), (20.0, "w0"), (31.0, "w1")], (2.0, 7.9)) == []
+        violated_rules(
+            tmp_path, [(9.0, "w1"), (13.9, "w1"), (20.0, "w0"), (31.0, "w1")], (2.0, 7.9)
+        )
+        == []
     )
-    assert breaks(tmp_path, [(14.5, "w1"), (29.0, "w1")]) == ["drain", "drain"]
-    assert breaks(tmp_path, [], (2.0, 9.0)) == ["bare"]
-    assert breaks(tmp_path, [], sets=2) == [
+    assert violated_rules(tmp_path, [(14.5, "w1"), (29.0, "w1")]) == ["drain", "drain"]
+    assert violated_rules(tmp_path, [], (2.0, 9.0)) == ["bare"]
+    assert violated_rules(tmp_path, [], sets=2) == [
         "queue"
     ]  # 1,800 lines at once, at a pace of 1,200 a second
-    found = rules.summed([], 4, 3)
+    found = rules.summarize([], 4, 3)
     assert found == {"lines": 4, "tries": 3, "bare": 0, "drain": 0, "queue": 0, "shown": []}
 
 
-# Runs that go wrong: each ends with its cause, and leaves no process.
+# Failing runs: each ends with its reason and leaves no process.
 
 
-def gone(pids: list[int]) -> bool:
-    """Whether all have ended. One that ended and was not waited for yet is as good as gone."""
+def all_ended(pids: list[int]) -> bool:
+    """Return whether all processes have ended; zombies count as ended."""
 
     def is_gone(pid: int) -> bool:
         try:
@@ -666,11 +693,13 @@
 
 
 def played(
-    book: scenario.ConfigFile,
-    hold: dict[str, int] | None = None,
+    config: scenario.ConfigFile,
+    fixed_ports: dict[str, int] | None = None,
     meanwhile: Callable[[run.Run], Any] | None = None,
 ) -> tuple[run.Run, str]:
-    made = run.Run(book, int(book.section(scenario.Scale).sizes[0]), lambda line: None, hold)
+    made = run.Run(
+        config, int(config.section(scenario.Scale).sizes[0]), lambda line: None, fixed_ports
+    )
 
     async def both() -> str:
         async with trio.open_nursery() as nursery:
@@ -681,7 +710,7 @@
         return why
 
     why = trio.run(both)
-    assert gone([one.process.pid for one in made.parts])
+    assert all_ended([one.process.pid for one in made.children])
     return made, why
 
 
@@ -693,34 +722,34 @@
 @pytest.mark.parametrize(
     ("name", "said"),
     [
-        ("h1", "hollow-0: a place of hollow members is taken"),
-        ("discovery", "the place of discovery is taken"),
-        ("serves r0", "r0: a place of a manager is taken"),
-        ("r0", "r0: a place of a manager is taken"),
+        ("h1", "hollow-0: an address of a hollow member is in use"),
+        ("discovery", "the address of discovery is in use"),
+        ("serves r0", "r0: an address of the manager is in use"),
+        ("r0", "r0: an address of the manager is in use"),
     ],
 )
-def test_a_port_that_is_taken_ends_the_run(tmp_path: Path, name: str, said: str) -> None:
+def test_a_port_in_use_ends_the_run(tmp_path: Path, name: str, said: str) -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
-        made, why = played(book_of(tmp_path, SMALL), {name: taken.getsockname()[1]})
+        made, why = played(read_scenario(tmp_path, SMALL), {name: taken.getsockname()[1]})
     assert said in why
-    assert run.figures(made, why, {})["ended"] == why
+    assert run.build_result(made, why, {})["ended"] == why
 
 
 @pytest.mark.parametrize("which", ["hollow-0", "r0", "discovery", "proxies"])
-def test_a_process_that_dies_ends_the_run_with_what_was_measured_until_then(
+def test_a_process_that_dies_ends_the_run_with_the_figures_so_far(
     tmp_path: Path, which: str
 ) -> None:
     async def kill(made: run.Run) -> None:
         await until_measuring(made)
         while not made.roles["hollow"].queues:
             await trio.sleep(0.02)
-        next(one for one in made.parts if one.name == which).process.kill()
+        next(one for one in made.children if one.name == which).process.kill()
 
-    made, why = played(book_of(tmp_path, SMALL), meanwhile=kill)
+    made, why = played(read_scenario(tmp_path, SMALL), meanwhile=kill)
     assert f"{which} ended during the run (status -9)" in why
-    found = run.figures(made, why, {"5": True, "30": True})
+    found = run.build_result(made, why, {"5": True, "30": True})
     assert found["ended"] == why and not found["valid"]
     assert (
         0.0 < found["span_s"] < 20.0
@@ -729,37 +758,39 @@
     )
 
 
-def test_memory_over_the_bound_ends_the_run(tmp_path: Path) -> None:
-    _, why = played(book_of(tmp_path, SMALL + "[bounds]\nmemory_mb = 50\n"))
-    assert "over its bound of 50 MB" in why
+def test_memory_over_the_limit_ends_the_run(tmp_path: Path) -> None:
+    _, why = played(read_scenario(tmp_path, SMALL + "[bounds]\nmemory_mb = 50\n"))
+    assert "over the limit of 50 MB" in why
 
 
 def test_too_many_processes_are_not_started(tmp_path: Path) -> None:
-    made, why = played(book_of(tmp_path, SMALL + "[bounds]\nprocesses = 3\n"))
-    assert "4 processes, over its bound of 3" in why and len(made.parts) == 2
+    made, why = played(read_scenario(tmp_path, SMALL + "[bounds]\nprocesses = 3\n"))
+    assert "4 processes, over the limit of 3" in why and len(made.children) == 2
 
 
-def test_a_manager_that_does_not_get_ready_ends_the_run(tmp_path: Path) -> None:
-    _, why = played(book_of(tmp_path, SMALL + "[bounds]\nready_within = 10ms\n"))
-    assert "did not get ready within 0.01 s" in why
+def test_a_manager_that_is_not_ready_in_time_ends_the_run(tmp_path: Path) -> None:
+    _, why = played(read_scenario(tmp_path, SMALL + "[bounds]\nready_within = 10ms\n"))
+    assert "was not ready within 0.01 s" in why
 
 
-def test_a_part_that_is_stuck_ends_the_run_and_is_ended(
+def test_a_process_that_does_not_answer_ends_the_run_and_is_killed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(stage, "ANSWER", 3.0)
-    monkeypatch.setattr(stage, "ENDING", 0.5)
+    monkeypatch.setattr(stage, "ANSWER_TIMEOUT_SECONDS", 3.0)
+    monkeypatch.setattr(stage, "EXIT_TIMEOUT_SECONDS", 0.5)
 
     async def stop(made: run.Run) -> None:
         await until_measuring(made)
-        next(one for one in made.parts if one.role == "hollow").process.send_signal(signal.SIGSTOP)
+        next(one for one in made.children if one.role == "hollow").process.send_signal(
+            signal.SIGSTOP
+        )
 
-    _, why = played(book_of(tmp_path, SMALL), meanwhile=stop)
+    _, why = played(read_scenario(tmp_path, SMALL), meanwhile=stop)
     assert "hollow-0 did not answer report within 3 s" in why
 
 
 def children(pid: int) -> list[int]:
-    """Of all its threads: who started a process is its parent whichever thread did."""
+    """Return the child processes of a process."""
     found = []
     for stat in Path("/proc").glob("[0-9]*/stat"):
         try:
@@ -771,13 +802,13 @@
     return found
 
 
-def wait_for(true: Callable[[], bool], within: float) -> bool:
+def wait_for(condition: Callable[[], bool], within: float) -> bool:
     deadline = time.monotonic() + within
     while time.monotonic() < deadline:
-        if true():
+        if condition():
             return True
         time.sleep(0.02)
-    return true()
+    return condition()
 
 
 @pytest.mark.parametrize(
@@ -815,13 +846,13 @@
             assert wait_for(lambda: len(children(process.pid)) >= 2, 20.0)
         while (
             not early and " of 20 s" not in process.stderr.readline()
-        ):  # it is measuring; readline has an end
+        ):  # measuring has begun; readline returns at the end of the output
             assert process.poll() is None
         pids = children(process.pid)
         assert early or len(pids) == 4
         process.send_signal(number)
         assert process.wait(30) == status
-        assert wait_for(lambda: gone(pids) and not children(process.pid), 10.0)
+        assert wait_for(lambda: all_ended(pids) and not children(process.pid), 10.0)
         said = process.stderr.read()
     finally:
         process.kill()
@@ -831,10 +862,10 @@
     if status == 1:
         assert f"ended early: interrupted by {number.name}" in said
         assert (json.loads(partial.read_text())["span_s"] > 0) is not early
-        assert not list(tmp_path.glob("scale-*"))  # its own folder is gone
+        assert not list(tmp_path.glob("scale-*"))  # the run removed its folder
 
 
-# Short runs, judged by counts.
+# Short runs, checked by counts.
 
 STEADY = """[scale]
 name = validate
@@ -859,8 +890,8 @@
 """
 
 
-def test_hollow_members_say_and_hear_what_real_ones_do(tmp_path: Path) -> None:
-    path, found = run.play(book_of(tmp_path, STEADY), 6, tmp_path, lambda line: None)
+def test_hollow_members_send_and_receive_as_much_as_real_ones(tmp_path: Path) -> None:
+    path, found = run.play(read_scenario(tmp_path, STEADY), 6, tmp_path, lambda line: None)
     assert found["ended"] == "whole" and path.name == "validate-6-s1.json"
     assert json.loads(path.read_text()) == json.loads(json.dumps(found))
     own = found["validation"]["own"]
@@ -876,8 +907,8 @@
         pings = found["roles"][role]["messages"]["ping"]["out"]
         assert (
             3 * 9 / 0.2 / 2 <= pings <= 3 * (9 / 0.2 + 3) * 1.5
-        )  # one each beat; the rest on others' behalf
-        # Facts go to each of five others once a second, both in one message or each in its own.
+        )  # one per probe interval; the rest are for ping requests
+        # Load and list digest go to each of five others once a second, in one message or two.
         assert 3 * 5 * 8 / 2 <= found["roles"][role]["messages"]["news"]["out"] <= 3 * 5 * 11 * 2
     assert found["roles"]["discovery"]["messages"]["list hollow"]["out"] >= 3 * 3
     assert found["roles"]["proxies"]["queues"] == {"joined": 3, "with_table": 3}
@@ -886,7 +917,7 @@
     assert (kept["bare"], kept["drain"], kept["queue"]) == (0, 0, 0), kept["shown"]
 
 
-CROWD = """[scale]
+FLEET = """[scale]
 name = crowd
 sizes = 30
 settle = 1s
@@ -924,26 +955,28 @@
 
 
 @pytest.fixture(scope="module")
-def crowd(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[str, Any]]:
+def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[str, Any]]:
     folder = tmp_path_factory.mktemp("crowd")
-    yield run.play(book_of(folder, CROWD), 30, folder, lambda line: None)[1]
+    yield run.play(read_scenario(folder, FLEET), 30, folder, lambda line: None)[1]
 
 
-def test_a_crowd_sees_a_rack_die_and_comes_together_after_a_cut(crowd: dict[str, Any]) -> None:
-    said = crowd["truth"]
+def test_a_fleet_detects_a_dead_rack_and_has_one_view_after_a_partition(
+    fleet: dict[str, Any],
+) -> None:
+    said = fleet["truth"]
     assert (
-        crowd["ended"] == "whole" and not crowd["valid"]
-    )  # without runs that validate it its figures don't count
+        fleet["ended"] == "whole" and not fleet["valid"]
+    )  # the figures do not count without validating runs
     assert said["false_verdicts"] == 0, said["false_shown"]
-    assert crowd["times"]["failed_seen_s"]["count"] + said["verdicts_missing"] == 5 * 25
+    assert fleet["times"]["failed_seen_s"]["count"] + said["verdicts_missing"] == 5 * 25
     assert said["verdicts_missing"] == 0 and said["verdicts_uncounted"] == 0
-    assert said["views_equal"] and 0 < crowd["times"]["views_equal_s"] <= said["views_within_s"]
+    assert said["views_equal"] and 0 < fleet["times"]["views_equal_s"] <= said["views_within_s"]
     assert not said["list_lost"] and not said["list_disordered"]
-    assert said["list_changes"] == 6 and crowd["times"]["configured_at_last_s"]["count"] == 3
+    assert said["list_changes"] == 6 and fleet["times"]["configured_at_last_s"]["count"] == 3
 
 
-def test_a_crowds_costs_by_counts(crowd: dict[str, Any]) -> None:
-    roles, beats = crowd["roles"], 17 / 0.3
+def test_the_message_counts_of_a_fleet(fleet: dict[str, Any]) -> None:
+    roles, beats = fleet["roles"], 17 / 0.3
     assert (roles["real"]["members"], roles["hollow"]["members"], roles["hollow"]["processes"]) == (
         3,
         27,
@@ -952,8 +985,7 @@
     for role in ("real", "hollow"):
         messages, members = roles[role]["messages"], roles[role]["members"]
         assert {"ping", "ack", "news", "whole", "list"} <= messages.keys()
-        # A ping each beat; with deaths and a cut some more for others and at once, never as many
-        # again.
+        # A ping per probe interval; deaths and a partition add fewer than that again.
         assert members * beats / 3 <= messages["ping"]["out"] <= members * beats * 2
         assert (
             messages["ack"]["out"]
@@ -961,15 +993,15 @@
         )
         assert messages["news"]["out"] <= members * (17 + 2) * (
             2 * 29 + 3 * 8
-        )  # facts to all, and what is new
+        )  # broadcasts to all, and gossip
         assert messages["list"]["in"] <= members * 8
-        # No datagram is over what a path carries.
+        # No datagram exceeds the path MTU.
         for kind in messages.keys() - {"whole", "list"}:
             assert messages[kind]["bytes_out"] <= 1500 * messages[kind]["out"]
     assert roles["discovery"]["messages"]["list hollow"]["out"] >= 27 * 4
     assert (
         roles["hollow"]["counts"]["refused cut"] > 0
-    )  # the cut was in force on what real managers sent on
+    )  # hollow members rejected messages of real managers
     dead = Counter(
         {
             name: count
@@ -980,15 +1012,15 @@
     assert dead["became failed"] >= 5 * 22
 
 
-def test_the_real_managers_seats_are_all_taken(crowd: dict[str, Any]) -> None:
-    assert crowd["roles"]["proxies"]["queues"] == {"joined": 3, "with_table": 3}
-    assert crowd["roles"]["real"]["queues"]["channel"] <= 4000
+def test_every_proxy_is_served_by_the_real_managers(fleet: dict[str, Any]) -> None:
+    assert fleet["roles"]["proxies"]["queues"] == {"joined": 3, "with_table": 3}
+    assert fleet["roles"]["real"]["queues"]["channel"] <= 4000
 
 
-def test_views_that_never_meet_end_a_run_before_it_is_measured(tmp_path: Path) -> None:
-    made = run.Run(book_of(tmp_path, SMALL), 4, lambda line: None)
+def test_views_are_equal_only_if_all_members_are_up_and_alive_in_one_view(tmp_path: Path) -> None:
+    made = run.Run(read_scenario(tmp_path, SMALL), 4, lambda line: None)
     made.views = Counter({"aa 4 alive": 4})
-    assert made.equal()
+    assert made.views_equal()
     for views in (
         {"aa 4 alive": 3},
         {"aa 3 alive": 4},
@@ -997,12 +1029,12 @@
         {},
     ):
         made.views = Counter(views)
-        assert not made.equal()
+        assert not made.views_equal()
 
 
-def test_views_are_told_equal_from_the_first_look_after_the_last_fault(tmp_path: Path) -> None:
-    made = run.Run(book_of(tmp_path, SMALL), 4, lambda line: None)
-    made.measuring, made.begun = True, time.monotonic() - 10.0
+def test_views_count_as_equal_from_the_first_poll_after_the_last_fault(tmp_path: Path) -> None:
+    made = run.Run(read_scenario(tmp_path, SMALL), 4, lambda line: None)
+    made.measuring, made.started_at = True, time.monotonic() - 10.0
     views = [{"aa 4 alive": 4}, {"aa 4 alive": 3}, {"aa 4 alive": 4}, {"aa 4 alive": 4}]
 
     def take() -> None:
@@ -1011,26 +1043,29 @@
     made.timeline.down(1.0, ["h1"])
     for expected in ("before", "apart", "equal", "later"):
         if expected == "apart":
-            made.timeline.up(made.at(), ["h1"])
+            made.timeline.up(made.elapsed(), ["h1"])
         take()
-        made.note_equal()
+        made.record_equal_views()
         if expected == "before":
-            assert made.equal_at == -1.0  # a fault stands
+            assert made.equal_at == -1.0  # a fault lasts
         if expected == "equal":
             first = made.equal_at
-            assert first >= made.timeline.ended()
+            assert first >= made.timeline.last_fault_ended_at()
     assert made.equal_at == first
 
 
-def test_figures_without_anything_measured_are_not_valid(tmp_path: Path) -> None:
-    made = run.Run(book_of(tmp_path, SMALL), 4, lambda line: None)
+def test_a_result_without_measurements_is_not_valid(tmp_path: Path) -> None:
+    made = run.Run(read_scenario(tmp_path, SMALL), 4, lambda line: None)
     made.load, made.datagrams = [0.0, 0.0], budget.Datagrams({})
-    found = run.figures(made, "", {"5": True, "30": True})
+    found = run.build_result(made, "", {"5": True, "30": True})
     assert not found["valid"] and found["roles"]["hollow"]["cpu_share_per_member"] == 0.0
-    assert truth.Timeline().ended() == 0.0 and told([(1.0, "down", ("a",))]).ended() == inf
+    assert (
+        truth.Timeline().last_fault_ended_at() == 0.0
+        and timeline_of([(1.0, "down", ("a",))]).last_fault_ended_at() == inf
+    )
 
 
-def test_earlier_runs_validate_only_if_all_of_a_size_agreed(tmp_path: Path) -> None:
+def test_earlier_runs_validate_only_if_all_of_a_size_were_valid(tmp_path: Path) -> None:
     for n, (size, valid) in enumerate([(5, True), (30, True), (30, False)]):
         (tmp_path / f"validate-{size}-s{n}.json").write_text(
             json.dumps({"sizes": {"members": size}, "valid": valid})
@@ -1039,32 +1074,32 @@
     assert SimpleNamespace(**run.validated(tmp_path / "none")) == SimpleNamespace()
 
 
-async def test_a_proxy_dials_again_where_its_stream_is_taken_and_never_opened(
+async def test_a_proxy_reconnects_if_its_stream_is_accepted_but_never_opened(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Danger: it would wait for the run's end, and its manager's rules would be judged on nobody."""
+    """Otherwise it would wait until the end of the run, and nothing would check its manager's rules."""
     monkeypatch.setattr(proxies, "OPEN_TIMEOUT", 0.05)
-    taken, again = list[trio.SocketStream](), trio.Event()
+    taken, reconnected = list[trio.SocketStream](), trio.Event()
 
     async def silent(stream: trio.SocketStream) -> None:
         taken.append(stream)
         if len(taken) > 1:
-            again.set()
+            reconnected.set()
         await trio.sleep_forever()
 
     async with trio.open_nursery() as nursery:
-        doors = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        nursery.start_soon(trio.serve_listeners, silent, doors)
+        listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
+        nursery.start_soon(trio.serve_listeners, silent, listeners)
         made = proxies.SimulatedProxy(
             "p0",
             "a",
-            ("127.0.0.1", doors[0].socket.getsockname()[1]),
+            ("127.0.0.1", listeners[0].socket.getsockname()[1]),
             accounting.Meter(),
             Random(1),
             [],
         )
         nursery.start_soon(made.run)
         with trio.fail_after(10):
-            await again.wait()
+            await reconnected.wait()
         assert made.meter.counts["ended"] >= 1 and not made.connected
         nursery.cancel_scope.cancel()
