--- a/bench/scale/__main__.py
+++ b/bench/scale/__main__.py
@@ -63,6 +63,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Run the command line and return its exit status."""
     parser = argparse.ArgumentParser(prog="bench.scale")
     parser.add_argument("command", choices=("run", "sweep", "report"))
     parser.add_argument("files", nargs="*", type=Path)
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -50,6 +50,7 @@
     def due_broadcast(
         self, now: float, listed_workers: Mapping[str, Endpoint] | None
     ) -> Broadcast | None:
+        """Return the broadcast of the list digest if it is due."""
         if now < self.next_broadcast_at:
             return None
         self.next_broadcast_at = now + BROADCAST_INTERVAL
@@ -141,6 +142,7 @@
         protocol.next_reconnect_at = protocol.next_probe_at
 
     def set_partition(self, names: frozenset[str]) -> None:
+        """Block all messages to and from these members."""
         self.partitioned_members = names
         if self.membership is not None:
             self.opener.partitioned_members = names
@@ -167,6 +169,7 @@
                     nursery.start_soon(self._follow, membership)
 
     def stop(self, leaves: bool) -> None:
+        """Stop the member, after leaving the membership if `leaves`."""
         if self.membership is not None:
             if leaves:
                 self.membership.leave()
@@ -234,6 +237,7 @@
         }
 
     async def handle_command(self, command: part.Command) -> dict[str, Any]:
+        """Execute one command of the run and return its answer."""
         selected = [self.members[name] for name in command.get("names", ()) if name in self.members]
         match command["do"]:
             case "up":
@@ -299,6 +303,7 @@
 
 
 async def main(settings: Mapping[str, Any]) -> None:
+    """Run the members of this process until the input closes."""
     async with trio.open_nursery() as nursery:
         hollow_members = HollowMembers(settings, nursery)
         try:
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -259,6 +259,7 @@
 
 
 def format_amount(value: float, unit: str) -> str:
+    """Format a value with a unit of suitable magnitude."""
     if unit == "s":
         for least, name, times in ((1.0, "s", 1.0), (1e-3, "ms", 1e3), (0.0, "µs", 1e6)):
             if value >= least:
@@ -271,6 +272,7 @@
 
 
 def markdown_table(head: Iterable[str], rows: Iterable[Iterable[str]]) -> str:
+    """Return a Markdown table."""
     names = list(head)
     lines = [names, ["---"] * len(names), *(list(cells) for cells in rows)]
     return "".join(f"| {' | '.join(line)} |\n" for line in lines)
@@ -280,6 +282,7 @@
 
 
 def format_term(term: str) -> str:
+    """Format a term of a slope."""
     return term.replace("others", "(members - 1)").replace("*", " × ")
 
 
@@ -307,6 +310,7 @@
 
 
 def slope_cells(key: str, found: Fitted) -> list[str]:
+    """Return the table cells of a fitted slope."""
     slope, model = found.slope, found.model
     coefficients = " + ".join(
         f"{format_number(c)} ± {format_number(e)}"
@@ -328,6 +332,7 @@
 
 
 def slopes(data: Data) -> str:
+    """Return the table of all fitted slopes."""
     rows = [slope_cells(key, found) for key in SLOPES if (found := data.fitted(key)) is not None]
     return markdown_table(("slope", "fit", "points", "spread", "held out"), rows)
 
@@ -391,6 +396,7 @@
 
 
 def contribution(key: str, times: float = 1.0, **sizes: float) -> Contribution:
+    """Return a multiple of a slope, with sizes that differ from the planned ones."""
     return Contribution(times, key, sizes)
 
 
@@ -554,6 +560,7 @@
     mechanism: str,
     everywhere: bool = True,
 ) -> Row:
+    """Return a figure with the unit of its kind."""
     units = {
         "CPU": "s",
         "bytes": "bytes",
@@ -566,6 +573,7 @@
 
 
 def unknown(role: str, when: str, what: str, why: str) -> Row:
+    """Return a figure that is not known, with the reason."""
     return Row(role, when, what, "", "", (), "", why)
 
 
@@ -573,6 +581,7 @@
 
 
 def module_rows(version: str) -> tuple[Row, ...]:
+    """Return the figures of one version of the decision module."""
     suffix, version_note = f" ({version})", f", text {version}"
     return (
         figure(
@@ -1112,11 +1121,13 @@
 
 
 def ratio(data: Data, entry: Row) -> float | None:
+    """Return the figure as a multiple of its budget; None if unknown or without a budget."""
     found = figure_value(data, entry)
     return found / BUDGET[entry.kind] if found is not None and entry.kind in BUDGET else None
 
 
 def figure_cells(data: Data, entry: Row) -> list[str]:
+    """Return the table cells of a figure."""
     found, times = figure_value(data, entry), ratio(data, entry)
     if found is None:
         return [
@@ -1160,6 +1171,7 @@
 
 
 def role(data: Data, rows: Iterable[Row]) -> str:
+    """Return the table of figures of one role."""
     return markdown_table(
         ("when", "what", "at that size", "budget", "ratio", "held-out size was off", "mechanism"),
         [
@@ -1172,6 +1184,7 @@
 
 
 def others(data: Data) -> str:
+    """Return the table of figures of the other roles."""
     return markdown_table(
         (
             "role",
@@ -1547,6 +1560,7 @@
 
 
 def main() -> None:
+    """Write the page, or check it."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--check", action="store_true")
     text = PAGE.read_text()
--- a/bench/scale/part.py
+++ b/bench/scale/part.py
@@ -58,12 +58,14 @@
 
 
 def process_reading(meter: Meter, control_s: float = 0.0) -> Reading:
+    """Return the resource usage of this process and the messages of its meter."""
     with open("/proc/self/statm", encoding="ascii") as file:
         resident = int(file.read().split()[1]) * PAGE_MB
     return Reading(time.process_time(), resident, meter.snapshot(), control_s, dict(meter.counts))
 
 
 def write_line(**fields: Any) -> None:
+    """Write the fields as one line of JSON to standard output."""
     sys.stdout.write(json.dumps(fields) + "\n")
     sys.stdout.flush()
 
@@ -87,6 +89,7 @@
     meter: Meter
 
     def seal(self, message: Message) -> bytes:
+        """Seal a message and count it."""
         data = super().seal(message)
         self.meter.add(MESSAGE_KINDS[type(message).__name__], "out", len(data))
         return data
@@ -109,6 +112,7 @@
     partitioned_members: frozenset[str] = frozenset()
 
     def open(self, data: bytes) -> Message:
+        """Open a datagram and count its message. Raises AuthenticationError."""
         try:
             message = super().open(data)
         except AuthenticationError as error:
@@ -128,6 +132,7 @@
         self.spent, self.depth = 0.0, 0
 
     def wrap(self, holder: Any, name: str) -> None:
+        """Replace a method of an object by one that adds its processor time."""
         method = getattr(holder, name)
 
         def timed(*arguments: Any) -> Any:
@@ -188,11 +193,13 @@
         self.dropped = 0
 
     def add(self, observer: str, subject: str) -> None:
+        """Store a report, or count it as dropped if the buffer is full."""
         if len(self.rows) >= self.MAX_ROWS:
             self.dropped += 1
             return
         self.rows.append((round(time.monotonic(), 4), observer, subject))
 
     def take(self) -> list[tuple[float, str, str]]:
+        """Return the stored reports and clear the buffer."""
         rows, self.rows = self.rows, []
         return rows
--- a/bench/scale/real.py
+++ b/bench/scale/real.py
@@ -62,6 +62,7 @@
         self.components.endpoint_watcher.submit = record_and_submit
 
     def create_fleet(self, start_task: Callable[..., None]) -> FleetComponents:
+        """Create the fleet components, with the membership instrumented."""
         fleet = super().create_fleet(start_task)
         membership = fleet.membership
         assert membership is not None
@@ -86,6 +87,7 @@
         return time.monotonic(), trio.current_time()
 
     async def handle_command(self, command: part.Command) -> dict[str, Any]:
+        """Execute one command of the run and return its answer."""
         listed_workers = self.components.endpoint_watcher.last_list
         if command["do"] == "reloads":
             return {"did": "reloads", "reloads": self.meter.counts["reload.done"]}
@@ -132,6 +134,7 @@
 
 
 async def main(manager: MeasuredManager, signals: SignalReceiver) -> None:
+    """Run the manager and answer commands until either ends."""
     async with trio.open_nursery() as nursery:
 
         async def run_manager() -> None:
--- a/bench/scale/rules.py
+++ b/bench/scale/rules.py
@@ -24,6 +24,7 @@
 
 
 def applied_line(at: float, proxy: str, response: AppliedResponse) -> RecordLine:
+    """Return the record line of a response that a proxy applied."""
     return record_line(
         at,
         "applied",
@@ -94,4 +95,5 @@
 
 
 def load_config(path: Any) -> ConfigFile:
+    """Load the configuration of a real manager."""
     return manager_config.load_manager_config(path)
--- a/bench/scale/run.py
+++ b/bench/scale/run.py
@@ -37,6 +37,7 @@
 
 
 def print_to_stderr(line: str) -> None:
+    """Print a progress line to standard error."""
     print(line, file=sys.stderr, flush=True)
 
 
@@ -82,6 +83,7 @@
         ) * self.plan.clock
 
     async def wait(self, span: float) -> None:
+        """Sleep for a span in seconds of the run's clock."""
         await trio.sleep(span / self.plan.clock)
 
     def time_limit(self) -> float:
@@ -634,6 +636,7 @@
 
 
 def name_of(config: ConfigFile, size: int) -> str:
+    """Return the file name of the result of a scenario with this number of members."""
     scale = config.section(scenario.Scale)
     return f"{scale.name}-{size}-s{scale.seed}.json"
 
--- a/bench/scale/scenario.py
+++ b/bench/scale/scenario.py
@@ -111,7 +111,7 @@
     def __attrs_post_init__(self) -> None:
         if self.memory_mb > 12000 or self.processes > 200:
             raise ValueError(
-                "memory_mb must be at most 12000 and processes at most 200: the machine is shared"
+                "memory_mb must be at most 12000 and processes at most 200: half of the machine is for others"
             )
 
 
@@ -228,6 +228,7 @@
 
 
 def zone_of(name: str) -> int:
+    """Return the zone of a member, which follows from its name."""
     return int(name[1:]) % ZONES
 
 
--- a/bench/scale/slopes.py
+++ b/bench/scale/slopes.py
@@ -150,6 +150,7 @@
         self.drain_seconds = list[float]()
 
     def schedule_events(self, seconds: float) -> None:
+        """Schedule the events of the run: joins, replacements and reports."""
         self.schedule(0.0, EndpointsUpdated("kept", tuple(self.workers)))
         for proxy in range(self.proxies):
             self.schedule(
@@ -181,6 +182,7 @@
                 self.schedule((n + self.rng.random()) * cycle, event)
 
     def run(self, seconds: float) -> None:
+        """Simulate this many seconds."""
         self.schedule_events(seconds)
         now = 0.0
         while now < seconds:
@@ -211,6 +213,7 @@
                     del self.pending_drains[event.ack_number]
 
     def process_batch(self, now: float, events: list[Event]) -> None:
+        """Decide on and render one batch of events, and record its CPU time."""
         second = int(now)
         began = time.process_time()
         reply = self.module.decide(now, events)
@@ -254,6 +257,7 @@
         self.by_second["xds_installer"] = defaultdict(float)
 
     def handle_reply(self, now: float, events: list[Event], reply: list[Order]) -> None:
+        """Render the orders with the xDS table installer, and record its CPU time."""
         for event in events:
             if isinstance(event, ProxyConnected):
                 self.xds_installer.add_proxy(event.proxy, True, ())
@@ -269,6 +273,7 @@
 
 
 def play_module(case: Case) -> Figures:
+    """Measure the decision module and the rendering of its orders."""
     before = resident_bytes()
     fleet = SizedFleet(case)
     fleet.run(END_SECONDS)
@@ -301,6 +306,7 @@
 
 
 def play_desk(case: Case) -> Figures:
+    """Measure the xDS table installer."""
     fleet = XdsFleet(case)
     fleet.run(END_SECONDS)
     spent = fleet.by_second["xds_installer"]
@@ -319,6 +325,7 @@
     proxies: float = 20,
     reports: float = REPORT_LINES_PER_S,
 ) -> Case:
+    """Return the sizes of a case, with defaults."""
     return {"workers": workers, "products": products, "proxies": proxies, "reports": reports}
 
 
@@ -412,6 +419,7 @@
         gc.freeze()
 
     def start(self, name: str, *given: Any, **details: Any) -> Node:
+        """Start a member and its broadcasts."""
         node = super().start(name, *given, **details)
         if self.sends_broadcasts:
             self.broadcast_sources[name] = (
@@ -486,6 +494,7 @@
             self._push(due, Delivery(node.name, place, body))
 
     def clear(self) -> None:
+        """Reset all counters."""
         for counter in (
             self.sent,
             self.sent_bytes,
@@ -512,6 +521,7 @@
 
 
 def play_members(case: Case) -> Figures:
+    """Measure settled members without changes."""
     size = int(case["members"])
     net = SealedNetwork(3)
     net.start_settled(size)
@@ -563,6 +573,7 @@
 
 
 def play_owner(case: Case) -> Figures:
+    """Measure the ownership log without changes."""
     size = int(case["members"])
     net = MeasuredOwners(size)
     net.run(8.0)
@@ -625,7 +636,7 @@
 def seconds_to_one_view(net: SealedNetwork, size: int) -> float:
     """Return the seconds until all members have one view with every member alive.
 
-    At most `AGAIN`.
+    At most `MAX_HEAL_SECONDS`.
     """
     began = net.now
     while net.now < began + MAX_HEAL_SECONDS:
@@ -638,6 +649,7 @@
 
 
 def restart_member(net: SealedNetwork, name: str) -> None:
+    """Start a failed member with its next start epoch."""
     net.start(name, born=2, seeds=SEEDS, place=(name, 1))
 
 
@@ -732,6 +744,7 @@
 
 
 def known_members(size: int) -> dict[str, MemberState]:
+    """Return the states of this many alive members."""
     return {
         name: MemberState(name, (1, 0), ALIVE, (name, 1), name)
         for name in map(member_name, range(size))
@@ -740,8 +753,8 @@
 
 def membership_of(size: int, clock: Callable[[], float]) -> Membership:
     """Return the membership service of a manager that knows all members; no socket is open."""
-    told = known_members(size)
-    places = {name: word.address for name, word in told.items()}
+    states = known_members(size)
+    places = {name: state.address for name, state in states.items()}
     me = member_name(0)
     host = Membership(
         me,
@@ -754,8 +767,8 @@
         lambda: tuple(places),
         clock=clock,
     )
-    host.protocol.table.members = told
-    host.protocol.peers = {name: PeerState(0.0, 0.0) for name in told if name != me}
+    host.protocol.table.members = states
+    host.protocol.peers = {name: PeerState(0.0, 0.0) for name in states if name != me}
     return host
 
 
@@ -774,7 +787,7 @@
     """Measure a manager's checks of partition, loads, lists and observations without changes."""
     size, workers, at = int(case["members"]), int(case["workers"]), 0.0
     host = membership_of(size, lambda: at)
-    me, told = host.self_id, host.protocol.table.members
+    me, states = host.self_id, host.protocol.table.members
     listed = {
         f"10.0.0.{n}:80": Endpoint(f"10.0.0.{n}:80", "a", "", 0, "ready", 1.0, None)
         for n in range(workers)
@@ -783,7 +796,7 @@
     list_broadcast = ListDigests(me, 1).due_broadcast(0.0, listed)
     assert list_broadcast is not None
     digest = msgspec.msgpack.decode(list_broadcast.payload, type=ListDigest)
-    for name in told:
+    for name in states:
         host.loads.loads[name] = ReceivedLoad((1, 1), ManagerLoad(20, 85.1, 0.2, 0.01), 0.0)
         host.list_digests.digests[name] = (digest, 0.0)
     best = float("inf")
@@ -792,7 +805,7 @@
         for n in range(1, 26):  # five seconds: a check each probe interval, broadcasts each second
             at = first + n * PROBE_INTERVAL_SECONDS * TIMER_DELAY_FACTOR
             if not n % 5:
-                for name in told:
+                for name in states:
                     load = ManagerLoad(20, 85.1, 0.2, 0.01)
                     host.loads.loads[name] = ReceivedLoad((1, 2 + trial), load, at)
                     host.list_digests.digests[name] = (digest, at)
@@ -981,7 +994,7 @@
 
 
 class ReplicationFleet(replication_cost.ReplicatedFleet):
-    """Counts from `USUAL` on, after the full list and the joins."""
+    """Counts from `ORDINARY_FROM_SECONDS` on, after the full list and the joins."""
 
     began = False
 
@@ -1033,6 +1046,7 @@
 
 
 def play_guard(case: Case) -> Figures:
+    """Measure the guard."""
     guarded = guard_cost.GuardedFleet(int(case["proxies"]), int(case["workers"]))
     span = 8.0
     guarded.run(span)
@@ -1110,14 +1124,17 @@
 
 
 def size_cases(name: str, *numbers: float, **details: float) -> list[Case]:
+    """Return a case for each value of one size."""
     return [{name: number, **details} for number in numbers]
 
 
 def lost_cases(*pairs: tuple[int, int]) -> list[Case]:
+    """Return cases of a number of members and of lost ones."""
     return [{"members": size, "lost": gone} for size, gone in pairs]
 
 
 def table_cases(*rows: tuple[int, int, int]) -> list[Case]:
+    """Return cases of workers, products and proxies."""
     return [
         {"workers": workers, "products": products, "proxies": proxies}
         for workers, products, proxies in rows
@@ -1254,6 +1271,7 @@
 
 
 def run_with_pace(play: Callable[[Case], Figures], case: Case) -> Figures:
+    """Run a case, and add the pace of the machine during it."""
     before = pace()
     found = play(case)
     return {**found, "pace": (before + pace()) / 2}
@@ -1282,6 +1300,7 @@
 
 
 def measure(name: str, text: str) -> Path:
+    """Measure a series and write its file."""
     series, began = SERIES[name], time.time()
     rows: dict[str, list[Figures]] = {
         "points": [{} for _ in series.points],
@@ -1314,6 +1333,7 @@
 
 
 def main() -> None:
+    """Run the program."""
     parser = argparse.ArgumentParser()
     parser.add_argument("names", nargs="*", choices=[*SERIES, []], metavar="NAME")
     parser.add_argument(
--- a/bench/scale/stage.py
+++ b/bench/scale/stage.py
@@ -102,6 +102,7 @@
 
 
 def format_address(address: tuple[str, int]) -> str:
+    """Return the address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
@@ -172,6 +173,7 @@
         return f": {lines[-1][-300:]}" if lines else ""
 
     async def ready(self, within: float) -> None:
+        """Wait until the process reports that it is ready. Raises RunError after the time limit."""
         with trio.move_on_after(within):
             if (await self._line())["did"] == "ready":
                 return
--- a/bench/scale/truth.py
+++ b/bench/scale/truth.py
@@ -48,12 +48,13 @@
     """The faults of a run: members that were down, and partitions."""
 
     down_intervals: dict[str, list[Interval]] = field(default_factory=dict)
-    # Members that left on purpose, by the start of their down time.
+    # Planned leaves: name of the member, and start of its down time.
     planned: set[tuple[str, float]] = field(default_factory=set)
     # Partitions, with the members on the smaller side.
     partitions: list[tuple[Interval, frozenset[str]]] = field(default_factory=list)
 
     def down(self, at: float, names: Iterable[str], planned: bool = False) -> None:
+        """Record that members stopped; `planned` if they left first."""
         for name in names:
             intervals = self.down_intervals.setdefault(name, [])
             if intervals and intervals[-1].end == inf:
@@ -63,15 +64,18 @@
                 self.planned.add((name, at))
 
     def up(self, at: float, names: Iterable[str]) -> None:
+        """Record that members run again."""
         for name in names:
             intervals = self.down_intervals.get(name)
             if intervals and intervals[-1].end == inf:
                 intervals[-1].end = at
 
     def cut(self, at: float, names: Iterable[str]) -> None:
+        """Record the start of a partition with these members on the smaller side."""
         self.partitions.append((Interval(at), frozenset(names)))
 
     def heal(self, at: float, names: Iterable[str]) -> None:
+        """Record the end of the partition of these members."""
         smaller_side = frozenset(names)
         for interval, members in self.partitions:
             if members == smaller_side and interval.end == inf:
@@ -85,6 +89,7 @@
         return max([0.0, *ends, *(interval.end for interval, _ in self.partitions)])
 
     def is_down(self, name: str, at: float) -> bool:
+        """Return whether the member was down at this time."""
         return any(
             interval.begin <= at < interval.end for interval in self.down_intervals.get(name, ())
         )
@@ -92,14 +97,14 @@
     def explains(self, verdict: Verdict, late_seconds: float) -> bool:
         """Return whether `of` was down or partitioned from `by`.
 
-        For `late` seconds after the end of a partition any member may still pass on verdicts from
+        For `late_seconds` after the end of a partition any member may still pass on verdicts from
         its other side.
         """
-        down_intervals = any(
+        was_down = any(
             interval.begin <= verdict.at <= interval.end + late_seconds
             for interval in self.down_intervals.get(verdict.of, ())
         )
-        return down_intervals or any(
+        return was_down or any(
             interval.end <= verdict.at <= interval.end + late_seconds
             or interval.begin <= verdict.at < interval.end
             and (verdict.by in smaller_side) != (verdict.of in smaller_side)
@@ -128,7 +133,7 @@
     """
     first = dict[tuple[str, str, float], float]()
     intervals = {
-        name: [s for s in found if (name, s.begin) not in timeline.planned]
+        name: [interval for interval in found if (name, interval.begin) not in timeline.planned]
         for name, found in timeline.down_intervals.items()
     }
     for verdict in sorted(verdicts, key=lambda verdict: verdict.at):
@@ -199,6 +204,7 @@
 
 
 def format_verdicts(verdicts: Sequence[Verdict]) -> list[dict[str, Any]]:
+    """Return the first verdicts in the format of the result."""
     return [
         {"at": round(verdict.at, 2), "by": verdict.by, "of": verdict.of}
         for verdict in verdicts[:MAX_SHOWN]
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -118,11 +118,11 @@
     with pytest.raises(ConfigError, match=said.replace("'", ".")) as caught:
         scenario.read(path)
     assert str(caught.value).startswith(f"{path}:{line}: ")
-    for words in (
+    for fields in (
         ["run", str(path), "--results", str(tmp_path)],
         ["sweep", "--results", str(tmp_path), str(path)],
     ):
-        assert main(words) == 2
+        assert main(fields) == 2
         assert capsys.readouterr().err == f"bench.scale: {caught.value}\n"
 
 
@@ -146,13 +146,13 @@
     for seed in range(30):
         config = read_scenario(tmp_path, f"[scale]\nname = a\nsizes = 100\nseed = {seed}\n{steps}")
         plan = scenario.plan(config, 100)
-        struck = {
+        partitions = {
             action.do: action.names for action in plan.actions if action.do in ("cut", "heal")
         }
         assert (
-            struck["cut"] == struck["heal"]
-            and len(struck["cut"]) == 40
-            and not {*struck["cut"]} & {*plan.real}
+            partitions["cut"] == partitions["heal"]
+            and len(partitions["cut"]) == 40
+            and not {*partitions["cut"]} & {*plan.real}
         )
         downs = [action.names for action in plan.actions if action.do == "down"]
         assert sorted(map(len, downs)) in ([9, 20], [10, 20])  # a protected seed may be in the zone
@@ -170,14 +170,14 @@
 def draw_faults(rng: Random) -> list[Fault]:
     """Return random faults at whole seconds, with at most one partition at a time."""
     found: list[Fault] = []
-    behind: tuple[str, ...] = ()
+    smaller_side: tuple[str, ...] = ()
     for at in sorted(rng.sample(range(200), 20)):
         names = tuple(rng.sample(NAMES, rng.randint(1, 3)))
         kind_of_fault = rng.choice(["down", "up", "cut"])
-        if kind_of_fault == "cut" and behind:
-            kind_of_fault, names, behind = "heal", behind, ()
+        if kind_of_fault == "cut" and smaller_side:
+            kind_of_fault, names, smaller_side = "heal", smaller_side, ()
         elif kind_of_fault == "cut":
-            behind = names
+            smaller_side = names
         found.append((float(at), kind_of_fault, names))
     return found
 
@@ -191,7 +191,7 @@
 
 def state_at(made: list[Fault], at: float) -> tuple[set[str], set[str]]:
     """Return the members that were down and those on the smaller side, from all earlier faults."""
-    down, behind = set[str](), set[str]()
+    down, smaller_side = set[str](), set[str]()
     for when, kind_of_fault, names in made:
         if when <= at:
             match kind_of_fault:
@@ -200,21 +200,25 @@
                 case "up":
                     down -= {*names}
                 case "cut":
-                    behind = {*names}
+                    smaller_side = {*names}
                 case "heal":
-                    behind = set()
-    return down, behind
+                    smaller_side = set()
+    return down, smaller_side
 
 
 def is_explained(made: list[Fault], verdict: truth.Verdict, late_seconds: float) -> bool:
-    """Check each half second in the `late` seconds before the verdict."""
-    down, behind = state_at(made, verdict.at)
-    if verdict.of in down or behind and (verdict.by in behind) != (verdict.of in behind):
+    """Check each half second in `late_seconds` before the verdict."""
+    down, smaller_side = state_at(made, verdict.at)
+    if (
+        verdict.of in down
+        or smaller_side
+        and (verdict.by in smaller_side) != (verdict.of in smaller_side)
+    ):
         return True
     at = verdict.at
     while at >= verdict.at - late_seconds:
         down, before = state_at(made, at)
-        if verdict.of in down or before and before != behind:
+        if verdict.of in down or before and before != smaller_side:
             return True
         at -= 0.5
     return False
@@ -277,8 +281,8 @@
         ]
     )
     verdicts = [
-        truth.Verdict(*words)
-        for words in (
+        truth.Verdict(*fields)
+        for fields in (
             (9.9, "c", "a"),
             (11.0, "c", "a"),
             (21.0, "c", "a"),
@@ -794,10 +798,10 @@
     found = []
     for stat in Path("/proc").glob("[0-9]*/stat"):
         try:
-            words = stat.read_text().rpartition(")")[2].split()
+            fields = stat.read_text().rpartition(")")[2].split()
         except OSError:
             continue
-        if int(words[1]) == pid:
+        if int(fields[1]) == pid:
             found.append(int(stat.parent.name))
     return found
 
