--- a/tests/race_conditions/test_process_signals.py
+++ b/tests/race_conditions/test_process_signals.py
@@ -15,7 +15,7 @@
 import pytest
 import trio
 
-from bench.restart_time import once
+from bench.restart_time import measure_start
 from dunlinlug.net import http
 from dunlinlug.platform import environment, server
 from dunlinlug.standins.platform import DiscoveryServer
@@ -161,7 +161,7 @@
     tmp_path: Path,
 ) -> None:
     """They connect from before the manager listens, so that all are there at once."""
-    _, seconds_to_alive, _ = await once(tmp_path, 40, 300)
+    _, seconds_to_alive, _ = await measure_start(tmp_path, 40, 300)
     assert (
         seconds_to_alive < 10 and "connection.internal_error" not in (tmp_path / "log").read_text()
     )
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -19,8 +19,8 @@
 TESTS = DRAW.format(module="tests.fixtures.ports", function="free_ports", call="*free_ports(3)")
 SCALE = DRAW.format(
     module="bench.scale.stage",
-    function="places",
-    call="*(port for _, port in places(['a', 'b', 'c']).values())",
+    function="assign_addresses",
+    call="*(port for _, port in assign_addresses(['a', 'b', 'c']).values())",
 )
 
 
