--- a/bench/scale/scenario.py
+++ b/bench/scale/scenario.py
@@ -39,7 +39,7 @@
         for size in self.sizes:
             if not size.isdecimal() or not 2 <= int(size) <= MAX_MEMBERS:
                 raise ValueError(
-                    f"sizes holds {size!r}; expected a whole number of members from 2 to {MAX_MEMBERS}"
+                    f"sizes holds {size!r}; each is to be a whole number of members from 2 to {MAX_MEMBERS}"
                 )
         if not self.sizes:
             raise ValueError("sizes is empty; expected numbers of members")
@@ -73,7 +73,7 @@
     def __attrs_post_init__(self) -> None:
         if not 0 <= self.real <= MAX_REAL_MANAGERS or not 1 <= self.per_process <= 500:
             raise ValueError(
-                f"real must be from 0 to {MAX_REAL_MANAGERS}, per_process from 1 to 500"
+                f"real is to be at most {MAX_REAL_MANAGERS}, per_process from 1 to 500"
             )
 
 
@@ -85,7 +85,7 @@
 
     def __attrs_post_init__(self) -> None:
         if not 10 <= self.workers <= 20000:
-            raise ValueError("workers must be from 10 to 20000")
+            raise ValueError("workers is to be from 10 to 20000")
 
 
 @attrs.frozen
@@ -177,7 +177,7 @@
     for name, step in config.sections(Step).items():
         if step.at + step.lasts > scale.length:
             raise ConfigError(
-                f"{path}:{_line(path, f'[step {name}]')}: [step {name}] lasts: the step ends at "
+                f"{path}:{_line(path, f'[step {name}]')}: [step {name}] lasts: it ends at "
                 f"{step.at + step.lasts:g} s, after the run's length of {scale.length:g} s"
             )
         steps = -(-max(map(int, scale.sizes)) // step.size)
@@ -197,7 +197,7 @@
     ):
         raise ConfigError(
             f"{path}:{_line(path, 'sizes')}: [scale] sizes: {smallest_size} members leave no room for "
-            f"{members.real} real ones" + (" and hollow ones to stop" if needs_hollow else "")
+            f"{members.real} real ones" + (" and hollow ones to take down" if needs_hollow else "")
         )
     return config
 
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -81,7 +81,7 @@
         (
             "[scale]\nname = a\nsizes = 6\n[step x]\nkind = rack\nat = 1s\nlasts = 2s\n",
             3,
-            "and hollow ones to stop",
+            "and hollow ones to take down",
         ),
         (
             "[scale]\nname = a\nsizes = 10\n[step x]\nkind = quake\nat = 1s\nlasts = 2s\n",
