--- a/bench/scale/scenario.py
+++ b/bench/scale/scenario.py
@@ -60,9 +60,10 @@
 
 @attrs.frozen
 class Members:
-    """[members]: `real` managers among all members; fraction `follows` of the hollow ones that
-    query discovery for the endpoint list. With `joined` hollow members start with full knowledge of
-    each other.
+    """[members]: the number of real managers, and properties of the hollow members.
+
+    The fraction `follows` of the hollow members queries discovery for the endpoint list. With
+    `joined` they start with full knowledge of each other.
     """
 
     real: Count = Count(5)
@@ -97,9 +98,10 @@
 
 @attrs.frozen
 class Bounds:
-    """[bounds]: limits at which the run stops. `error` is the fraction by which a hollow member may
-    differ from a real one; `views_within` the seconds after the end of a fault within which all
-    views must be equal.
+    """[bounds]: limits at which the run stops, and limits of its checks.
+
+    `error` is the fraction by which a hollow member may differ from a real one; `views_within` the
+    seconds after the end of a fault within which all views must be equal.
     """
 
     memory_mb: Count = Count(12000)
@@ -111,15 +113,17 @@
     def __attrs_post_init__(self) -> None:
         if self.memory_mb > 12000 or self.processes > 200:
             raise ValueError(
-                "memory_mb must be at most 12000 and processes at most 200: half of the machine is for others"
+                "memory_mb is at most 12000 and processes at most 200: half of the machine is others'"
             )
 
 
 @attrs.frozen
 class Step:
-    """[step NAME]. `size` is the number of workers of each churn, or of members of a rack or restart
-    step; `part` the fraction of members on the smaller side of a partition; `every` the seconds
-    between churns, restart steps or changes of configuration.
+    """[step NAME]: a fault or a change.
+
+    `size` is the number of workers of each churn, or of members of a rack or restart step; `part`
+    the fraction of members on the smaller side of a partition; `every` the seconds between churns,
+    restart steps or changes of configuration.
     """
 
     kind: Literal["churn", "rack", "zone", "split", "restart", "configure"]
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -101,7 +101,7 @@
         (
             "[scale]\nname = a\nsizes = 10\n[bounds]\nmemory_mb = 64000\n",
             4,
-            "memory_mb must be at most 12000",
+            "memory_mb is at most 12000",
         ),
         (
             "[scale]\nname = a\nsizes = 10\n[step x]\nkind = rack\nat = 1s\n",
