--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -21,8 +21,8 @@
 )
 SCALE_SCRIPT = ALLOCATION_SCRIPT.format(
     module="bench.scale.stage",
-    function="places",
-    call="*(port for _, port in places(['a', 'b', 'c']).values())",
+    function="assign_addresses",
+    call="*(port for _, port in assign_addresses(['a', 'b', 'c']).values())",
 )
 
 
