--- a/dunlinlug/admin/token.py
+++ b/dunlinlug/admin/token.py
@@ -15,7 +15,7 @@
 
 
 def read_token(path: Path) -> str:
-    """Read the token, the only word of a file that only its owner can access.
+    """Read the token from a file that contains nothing else and only its owner can access.
 
     Raises:
         TokenFileError: The file cannot be read, its mode gives others access, or its token is
--- a/dunlinlug/ads/membership_callbacks.py
+++ b/dunlinlug/ads/membership_callbacks.py
@@ -1,4 +1,4 @@
-"""Callbacks of the membership: this manager's load and list, and reactions to member changes."""
+"""Callbacks of the membership: load and endpoint list of this manager, and changes of members."""
 
 from collections.abc import Mapping
 
@@ -60,7 +60,7 @@
         submit_partition_limits(self.components.loop, limits)
 
     def on_member_change(self, change: MemberStateChanged) -> None:
-        """Notify the leader election and the shard ownership of a member's new state."""
+        """Notify the leader election of a failure, and the shard ownership of any change."""
         has_failed = change.after == "failed"
         reachable = self.membership.reachable_voters()
         if self.leadership is not None and has_failed:
--- a/dunlinlug/ads/service.py
+++ b/dunlinlug/ads/service.py
@@ -73,7 +73,7 @@
         self._on_higher_term = on_higher_term
 
     def close_streams(self, reason: str) -> None:
-        """End every stream and hold new calls back, as another manager leads."""
+        """End every stream and keep new calls waiting, as another manager leads."""
         self.leading = trio.Event()
         for session in list(self.sessions.values()):
             self.close_session(session)
@@ -155,7 +155,11 @@
         return SessionCallbacks(self.loop.submit, self.log_event, self._notify_higher_term)
 
     def _end_previous_session(self, proxy: int) -> None:
-        """Close a session that an earlier stream of the same node left open."""
+        """End the session of the node's earlier stream, if it is still open.
+
+        A node uses one stream at a time: if it opens another, the earlier one is broken or about to
+        end.
+        """
         previous = self.sessions.get(proxy)
         if previous is not None:
             self.close_session(previous)
--- a/dunlinlug/ads/stored_endpoint_list.py
+++ b/dunlinlug/ads/stored_endpoint_list.py
@@ -1,4 +1,10 @@
-"""Restores the endpoint list of an earlier run from the store."""
+"""Restores the endpoint list of an earlier run from the store.
+
+It is the first endpoint list that the decision module receives: it is submitted before the decision
+loop and the queries to service discovery start. With leader election, it is submitted when this
+manager becomes leader without replicated state, before the queries start. Events of other kinds,
+such as restored overrides, can precede it.
+"""
 
 from dunlinlug.ads.composition import ManagerComponents, module_clock_offset
 from dunlinlug.decision.events import Endpoint, EndpointsUpdated, UpdateType
--- a/dunlinlug/audit/channel_rules.py
+++ b/dunlinlug/audit/channel_rules.py
@@ -9,20 +9,20 @@
 from dunlinlug.audit.violations import Violation, connected_intervals, interval_at
 from dunlinlug.config.manager_config import ChannelConfig
 
-# Seconds of the channel's rate that may arrive together: the channel catches up after a delay, and
-# readers are slow.
+# Size of the allowed burst, in seconds of the channel's rate: after a delay the channel catches up,
+# and a slow reader receives several updates together.
 BURST_ALLOWANCE = 0.4
-# Seconds after a proxy resumes reading in which updates may still arrive that were ordered while it
-# did not read.
+# Seconds after a proxy resumes reading. Updates ordered until then are not checked, as unread ones
+# may delay them.
 UNREAD_GRACE = 1.0
 
 
 @dataclass(frozen=True)
 class ArrivedUpdate:
-    """A table update that reached a proxy; its tag has the time, entries and messages.
+    """A table update that reached a proxy.
 
     Attributes:
-        line: The record line of its arrival.
+        line: The record line of its arrival; the line's tag has the other values.
         ordered_at: When the manager ordered it, in seconds.
         entries: Number of table entries.
         messages: Number of messages that it consisted of.
@@ -60,7 +60,7 @@
 
 
 def _arrived_updates(records: Records) -> list[ArrivedUpdate]:
-    """The updates that reached proxies while these were reading."""
+    """The updates, without those that were under way while their proxy did not read."""
     unread_intervals = records.intervals(
         "obeyed",
         "proxy",
@@ -99,7 +99,7 @@
 ) -> Iterator[Violation]:
     """Check arrivals against a leaky bucket.
 
-    It drains at the channel's rate and holds a burst and the largest update.
+    The bucket drains at the channel's rate; its capacity is a burst and the largest update.
     """
     largest = max((update.entries for update in updates), default=0.0)
     backlog = 0.0
@@ -123,6 +123,7 @@
 def _message_violations(
     records: Records, updates: list[ArrivedUpdate], channel_config: ChannelConfig
 ) -> Iterator[Violation]:
+    """Count each proxy's messages that were ordered within the window and on its current stream."""
     streams = connected_intervals(records)
     ordered_times = defaultdict[str, deque[float]](deque)
     for update in updates:
--- a/dunlinlug/audit/figures.py
+++ b/dunlinlug/audit/figures.py
@@ -7,10 +7,10 @@
 from dunlinlug.audit.records import EndpointHistory, ManagerLifetimes, RecordLine, Records
 from dunlinlug.config.manager_config import TrafficClassConfig
 
-WORST_WINDOW = 10.0  # seconds
+WORST_WINDOW = 10.0  # length in seconds
 # Seconds after a list update within which an order counts as a reaction to it.
 REACTION_TIME = 1.0
-MIN_OFFERED = 1e-9  # priority weight; replaces a divisor of zero
+MIN_OFFERED = 1e-9  # priority weight; avoids a division by zero
 
 
 class LatencyPercentiles(NamedTuple):
@@ -35,12 +35,12 @@
         served_fraction: Priority weight of the requests answered within the latency objective over
             that of all requests; late requests count for a part of their weight.
         worst_window_fraction: The served fraction in the worst `WORST_WINDOW` seconds.
-        by_traffic_class: The served fraction by traffic class.
+        by_traffic_class: The served fraction by traffic class, for classes with requests.
         outcomes: Number of requests by outcome.
         latencies: Latency percentiles by traffic class.
         propagation_times: Propagation times of list updates.
         max_queued_entries: The largest number of table entries ordered and not yet arrived.
-        message_count: Number of messages that arrived at proxies.
+        message_count: Number of table updates that arrived at proxies.
     """
 
     served_fraction: float
@@ -91,7 +91,7 @@
 def _worst_window(
     requests: list[RecordLine], traffic_classes: dict[str, TrafficClassConfig]
 ) -> float:
-    """The least served fraction of any window, by arrival time, in steps of a second."""
+    """The lowest served fraction of any window, by requests' start times; 0 without requests."""
     offered: dict[int, float] = defaultdict(float)
     earned: dict[int, float] = defaultdict(float)
     for line in requests:
--- a/dunlinlug/audit/records.py
+++ b/dunlinlug/audit/records.py
@@ -87,7 +87,7 @@
         ("served", "no endpoint list served to the manager"),
     ):
         if not records.lines_of(event):
-            raise RecordError(f"{folder}: the scenario has {missing}; it cannot be judged")
+            raise RecordError(f"{folder}: the scenario has {missing}; it cannot be audited")
     return records
 
 
--- a/dunlinlug/audit/report.py
+++ b/dunlinlug/audit/report.py
@@ -8,7 +8,7 @@
 
 
 def report(folder: Path) -> tuple[str, bool]:
-    """The text of the report, and whether every rule was kept. Raises RecordError."""
+    """The text of the report, and whether no rule was violated. Raises RecordError."""
     scenario_records = records.read_records(folder)
     violations = rules.find_violations(scenario_records)
     lines = [
--- a/dunlinlug/audit/rules.py
+++ b/dunlinlug/audit/rules.py
@@ -31,7 +31,7 @@
     "without_endpoint",
 ]
 
-MAX_REPORTED = 3  # violations per rule and proxy, so that one cause does not flood the report
+MAX_REPORTED = 3  # violations per rule and proxy, so that one cause does not fill the report
 # Fraction of the work of an overloaded endpoint that must come from proxies informed of its start.
 INFORMED_FRACTION = 2 / 3
 # Seconds before the overload within which the endpoint must have started.
--- a/dunlinlug/audit/violations.py
+++ b/dunlinlug/audit/violations.py
@@ -6,7 +6,7 @@
 
 from dunlinlug.audit.records import Interval, Records
 
-# Seconds that a record may be written after its event, due to scheduling on a busy machine.
+# Maximum delay of a record after its event in seconds, due to scheduling on a busy machine.
 RECORDING_DELAY = 0.15
 
 
--- a/dunlinlug/command_line/answer_text.py
+++ b/dunlinlug/command_line/answer_text.py
@@ -130,7 +130,7 @@
     """For each member, the members that it does not reach; empty if all reach each other."""
     if not any(_not_reached(member) for member in members):
         return []
-    lines = ["  who has whom:"]
+    lines = ["  reachability:"]
     for member in members:
         missing = "; ".join(_not_reached(member)) or "all"
         lines.append(f"    {member.name:<{name_width}}  {missing}")
--- a/dunlinlug/command_line/table_commands.py
+++ b/dunlinlug/command_line/table_commands.py
@@ -34,7 +34,10 @@
 @click.argument("file", type=FILE_PATH)
 @click.option("--last", default=20, help="Number of rejections to show, the newest.")
 def table_explain(file: Path, last: int) -> None:
-    """Show the orders that a manager's guard rejected, with reasons; works without the manager."""
+    """Show the orders that a manager's guard rejected, with reasons.
+
+    They are read from the store, so the manager need not be running.
+    """
     try:
         config = manager_config.load_manager_config(file).section(manager_config.ServerConfig)
         rejections = read_rejections(Path(config.store))
@@ -63,7 +66,9 @@
             "--for", "lasts", required=True, help="Duration with its unit, such as 10min."
         ),
         click.option("--without", multiple=True, help="A worker to exclude; can be repeated."),
-        click.option("--only", multiple=True, help="A worker to keep to; can be repeated."),
+        click.option(
+            "--only", multiple=True, help="A worker to use, and no others; can be repeated."
+        ),
         click.option(
             "--weight",
             multiple=True,
@@ -77,7 +82,7 @@
 
 
 def _override_payload(options: OverrideOptions) -> dict[str, object]:
-    """The request's body, in the form of `admin.requests.OverrideRequest`."""
+    """Return the body of a request, in the form of `admin.requests.OverrideRequest`."""
     weights = _parse_weights(options["weight"])
     try:
         duration = units.parse_seconds(options["lasts"])
@@ -128,7 +133,7 @@
 @table.command("pin")
 @_override_options
 def table_activate_override(file: Path, **options: Unpack[OverrideOptions]) -> None:
-    """Override a product's weights, keep to a subset, or exclude workers, for a limited time.
+    """Override a product's weights, restrict it to some workers, or exclude some, for a time.
 
     The exit status is 1 if the guard rejects it.
     """
--- a/dunlinlug/decision/ejections.py
+++ b/dunlinlug/decision/ejections.py
@@ -74,7 +74,7 @@
     That is all of them or, if they are too many, as many as fit behind a short queue. None are
     ordered while the queue has no room for that many.
 
-    Ordering rows one at a time, as capacity comes free in a full channel, would pay the message
+    Ordering rows one at a time, as a full channel gets free capacity, would pay the message
     overhead to every proxy for each row, and the last rows would exceed their drain grace period.
     """
     if not rows:
--- a/dunlinlug/decision/order_rejection.py
+++ b/dunlinlug/decision/order_rejection.py
@@ -1,7 +1,8 @@
 """Handles orders that the host or its guard rejected and did not execute.
 
-The state is set back to what is actually installed. The same order is not retried for the duration
-of a slow start step, so that it is not rejected again in every batch.
+The state was changed when the order was decided. It is set back to what is installed, as far as
+that is known. The same order is not retried for the duration of a slow start step, so that it is
+not rejected again in every batch.
 """
 
 from dunlinlug.decision.decision_state import DecisionState
@@ -36,7 +37,10 @@
 
 
 def _handle_rejected_weight(state: DecisionState, now: float, order: SetWeight) -> None:
-    """Record that the table has no entry for the endpoint."""
+    """Treat the endpoint as without an entry in the table, so that a weight is ordered again.
+
+    The table may still have the endpoint's earlier weight, which the state does not keep.
+    """
     row = state.fleet.row_by_id.get(order.worker)
     if row is None:
         return
@@ -72,7 +76,7 @@
 
 
 def _handle_rejected_admission(state: DecisionState, now: float, order: SetAdmission) -> None:
-    """Record that the class is still admitted at its previous level."""
+    """Restore the admission level that the class had in the table before the order."""
     if order.traffic_class >= state.parameters.class_count:
         return
     state.blocked.classes[order.traffic_class] = now + SLOW_START_INTERVAL
--- a/dunlinlug/decision/orders.py
+++ b/dunlinlug/decision/orders.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class SetEjected:
-    """Start or end an ejection: no proxy may use the endpoint, whatever its tables contain."""
+    """Start or end an ejection: no proxy may use an ejected endpoint, even if tables contain it."""
 
     worker: str
     ejected: bool
--- a/dunlinlug/decision/outlier_detection.py
+++ b/dunlinlug/decision/outlier_detection.py
@@ -112,8 +112,8 @@
         )
         self._update_baseline(now, peers)
         if peers.overloaded and not self.baseline_latency:
-            # A manager that started during an overload has no baseline latency and cannot tell
-            # overloaded endpoints from unresponsive ones.
+            # A manager that started during an overload has no baseline latency and cannot
+            # distinguish overloaded endpoints from unresponsive ones.
             return
         candidates = self._candidates(now, peers)
         for row in candidates:
--- a/dunlinlug/decision/planner.py
+++ b/dunlinlug/decision/planner.py
@@ -236,7 +236,7 @@
 
     Returns the remaining rows to eject, and whether some current table would have had no endpoint.
 
-    If all ready endpoints of a table are to be ejected, its warming and probation endpoints stay in
+    If all ready endpoints of a table would be ejected, its warming and probation endpoints stay in
     use, or all of them if it has none of these. If there are same-zone classes, one warm endpoint
     of each zone stays in use.
     """
--- a/dunlinlug/decision/table_orders.py
+++ b/dunlinlug/decision/table_orders.py
@@ -96,7 +96,7 @@
     """
     installed = table.weights
     # Rows that are ejected and not in the table are excluded: adding an entry would expose an
-    # endpoint that must not be used to proxies that may not have received its ejection.
+    # endpoint that must not be used to proxies that might not have received its ejection.
     changed = state.desired_weights.differing_rows(table, weights) - (ejected - installed.keys())
     return sorted(
         changed,
@@ -117,8 +117,8 @@
 ) -> bool:
     """Whether these changes can wait until their proxies are sent a message for another reason.
 
-    That is so if they only concern removed or ejected endpoints, which receive no requests whatever
-    their entry is.
+    That is so if they only concern removed or ejected endpoints, which receive no requests with any
+    entry.
     """
     weight_limits = state.outlier_detector.weight_limits
     if any(row in weights and weight_limits[row] for row in changed_rows):
--- a/dunlinlug/fleet/election/messages.py
+++ b/dunlinlug/fleet/election/messages.py
@@ -34,10 +34,11 @@
     Attributes:
         term: The term of the election.
         sender: The candidate.
-        position: The candidate's last log entry.
-        pre_vote: Only asks whether the voter would grant its vote.
-        leadership_transfer: The leader has stepped down in favour of the candidate, which releases
-            the voters from their promises to that leader.
+        position: Position of the candidate's last log entry.
+        pre_vote: Whether this is a pre-vote, in which the voter only answers whether it would grant
+            its vote.
+        leadership_transfer: Whether the leader has stepped down in favour of the candidate, which
+            releases the voters from their promises to that leader.
     """
 
     WIRE_NAME: ClassVar[str] = "Ask"
@@ -58,7 +59,8 @@
         request_term: The term of the request.
         pre_vote: Whether the request was a pre-vote.
         granted: Whether the vote is granted.
-        recovering: The voter has an empty log and may have lost entries in a recent restart.
+        recovering: Whether the voter has an empty log and restarted recently, so that it may have
+            lost entries.
     """
 
     WIRE_NAME: ClassVar[str] = "Answer"
@@ -79,8 +81,8 @@
         sender: The leader.
         sent_at: The send time in seconds on the leader's clock; the response repeats it.
         voter_set: The leader's voter set.
-        previous_position: The log entry before `entries`.
-        entries: The entries that follow it, oldest first.
+        previous_position: Position of the log entry before `entries`.
+        entries: New log entries, oldest first.
     """
 
     WIRE_NAME: ClassVar[str] = "Beat"
@@ -101,7 +103,7 @@
         sender: The leader.
         sent_at: The send time in seconds on the leader's clock; the response repeats it.
         voter_set: The leader's voter set.
-        position: The last log entry that the state includes.
+        position: Position of the last log entry that the state includes.
         body: The state as serialized by the service.
     """
 
@@ -122,8 +124,8 @@
         term: The member's own term.
         sender: The member.
         sent_at: The `sent_at` of the message to which this responds.
-        position: The member's last log entry.
-        accepted: The member's log matches the leader's; if not, it needs a snapshot.
+        position: Position of the member's last log entry.
+        accepted: Whether the member's log matches the leader's; if not, it needs a snapshot.
     """
 
     WIRE_NAME: ClassVar[str] = "Heard"
@@ -197,7 +199,7 @@
 
 @dataclass(frozen=True)
 class Committed:
-    """A majority has all entries up to this position; their effects may take place."""
+    """A majority has all entries up to this position; their effects may now be carried out."""
 
     position: LogPosition
 
--- a/dunlinlug/fleet/election/model.py
+++ b/dunlinlug/fleet/election/model.py
@@ -263,7 +263,7 @@
         return ""
 
     def canonical_form(self, state: ElectionState) -> int:
-        """A digest, which is equal for states that no later step can tell apart."""
+        """A digest, which is equal for states with the same possible futures."""
         return model_state.canonical_form(state)
 
 
--- a/dunlinlug/fleet/election/model_state.py
+++ b/dunlinlug/fleet/election/model_state.py
@@ -82,7 +82,7 @@
 
 
 def canonical_form(state: ElectionState) -> int:
-    """A digest, which is equal for states that no later step can tell apart."""
+    """A digest, which is equal for states with the same possible futures."""
     in_flight = sorted(repr(_delivery_form(state, delivery)) for delivery in state.in_flight)
     forms = [
         protocol_form(protocol, local_time(state, index), EARLIEST_TICK)
--- a/dunlinlug/fleet/election/serialization.py
+++ b/dunlinlug/fleet/election/serialization.py
@@ -1,9 +1,12 @@
-"""Serializes objects of declared classes to msgpack and back; shared references stay shared.
+"""Serializes objects of declared classes to msgpack and back.
 
 The format contains no code. A scalar is written as itself. Anything else is a list that begins with
 a letter: `l` list, `t` tuple, `s` set, `d` dict (alternating keys and values), `q` deque (its
 maximum length first), `o` a new object (number, class name, alternating field names and values),
 `r` a reference to an object written before (its number).
+
+An object that is referenced several times is written once and is a single object again when read.
+Containers are written at each reference. A frozenset is read as a set.
 """
 
 from collections import deque
@@ -80,8 +83,8 @@
         """Returns values by attribute, from decoded pairs of wire name and value.
 
         Raises:
-            FieldFormError: A field is unknown, missing or duplicated, as an object must be read
-                with exactly its fields.
+            FieldFormError: A field is unknown, missing or duplicated; only an object with exactly
+                its declared fields is read.
         """
         values = dict(pairs)
         for name, _ in pairs:
@@ -91,12 +94,12 @@
             if name not in values:
                 raise FieldFormError(self, name, "missing")
         if len(pairs) != len(self.fields):
-            raise FieldFormError(self, pairs[-1][0], "there twice")
+            raise FieldFormError(self, pairs[-1][0], "duplicated")
         return {self.fields[name]: value for name, value in pairs}
 
 
 class ObjectSerializer:
-    """Serializes scalars, standard containers and objects of the classes of these forms.
+    """Serializes scalars, standard containers and objects of the classes that have a form.
 
     Raises:
         TypeError: Two forms have the same name or the same class.
@@ -125,45 +128,45 @@
             ) from None
 
     def _encode(  # noqa: PLR0911 - one return for each kind of value
-        self, value: Any, object_ids: dict[int, int]
+        self, value: Any, object_numbers: dict[int, int]
     ) -> Any:
-        """Encodes a value; `object_ids` has the numbers of the objects written so far by `id`."""
+        """Encodes a value; `object_numbers` maps the `id`s of objects written so far to numbers."""
         match value:
             case None | bool() | int() | float() | str() | bytes():
                 return value
             case dict():
-                return ["d", *self._encode_pairs(value.items(), object_ids)]
+                return ["d", *self._encode_pairs(value.items(), object_numbers)]
             case deque():
-                return ["q", value.maxlen, *self._encode_all(value, object_ids)]
+                return ["q", value.maxlen, *self._encode_all(value, object_numbers)]
             case list():
-                return ["l", *self._encode_all(value, object_ids)]
+                return ["l", *self._encode_all(value, object_numbers)]
             case tuple():
-                return ["t", *self._encode_all(value, object_ids)]
+                return ["t", *self._encode_all(value, object_numbers)]
             case set() | frozenset():
-                return ["s", *self._encode_all(sorted(value), object_ids)]
-        return self._encode_object(value, object_ids)
+                return ["s", *self._encode_all(sorted(value), object_numbers)]
+        return self._encode_object(value, object_numbers)
 
-    def _encode_all(self, values: Iterable[Any], object_ids: dict[int, int]) -> list[Any]:
-        return [self._encode(value, object_ids) for value in values]
+    def _encode_all(self, values: Iterable[Any], object_numbers: dict[int, int]) -> list[Any]:
+        return [self._encode(value, object_numbers) for value in values]
 
     def _encode_pairs(
-        self, pairs: Iterable[tuple[Any, Any]], object_ids: dict[int, int]
+        self, pairs: Iterable[tuple[Any, Any]], object_numbers: dict[int, int]
     ) -> list[Any]:
-        return [self._encode(item, object_ids) for pair in pairs for item in pair]
+        return [self._encode(item, object_numbers) for pair in pairs for item in pair]
 
-    def _encode_object(self, value: Any, object_ids: dict[int, int]) -> list[Any]:
+    def _encode_object(self, value: Any, object_numbers: dict[int, int]) -> list[Any]:
         form = self.by_class.get(type(value))
         if form is None:
             raise SerializationError(f"class {type(value).__name__} has no wire form")
-        if id(value) in object_ids:
-            return ["r", object_ids[id(value)]]
-        number = len(object_ids)
-        object_ids[id(value)] = number
+        if id(value) in object_numbers:
+            return ["r", object_numbers[id(value)]]
+        number = len(object_numbers)
+        object_numbers[id(value)] = number
         fields = form.extract_fields(value)
-        return ["o", number, form.name, *self._encode_pairs(fields.items(), object_ids)]
+        return ["o", number, form.name, *self._encode_pairs(fields.items(), object_numbers)]
 
     def _decode(self, encoded: Any, objects: dict[int, Any]) -> Any:
-        """Decodes a value; `objects` has the objects read so far by number."""
+        """Decodes a value; `objects` maps numbers to the objects read so far."""
         if not isinstance(encoded, list):
             return encoded
         tag, *items = encoded
@@ -181,7 +184,7 @@
                 return objects[items[0]]
             case "o":
                 return self._decode_object(items, objects)
-        raise SerializationError(f"unknown letter {tag!r}")
+        raise SerializationError(f"unknown type letter {tag!r}")
 
     def _decode_pairs(self, items: list[Any], objects: dict[int, Any]) -> list[tuple[Any, Any]]:
         values = [self._decode(item, objects) for item in items]
--- a/dunlinlug/fleet/election/voting.py
+++ b/dunlinlug/fleet/election/voting.py
@@ -24,7 +24,7 @@
     # As candidate.
 
     def _start_pre_vote(self, now: float) -> list[Order]:
-        """Asks the other voters whether they would elect us.
+        """Requests pre-votes from the other voters: whether they would elect us.
 
         The next attempt follows soon: a pre-vote does not increment the term, and a voter may have
         received the leader's last message up to a heartbeat later than we did.
--- a/dunlinlug/fleet/membership/bans.py
+++ b/dunlinlug/fleet/membership/bans.py
@@ -1,4 +1,4 @@
-"""Operators' bans: a banned member is excluded from the cluster, whatever state it reports."""
+"""Operators' bans: a banned member is excluded from the cluster in any state that it reports."""
 
 from dunlinlug.fleet.membership.local_member import Lifecycle, LocalMember
 from dunlinlug.fleet.membership.messages import (
--- a/dunlinlug/fleet/membership/model.py
+++ b/dunlinlug/fleet/membership/model.py
@@ -2,12 +2,13 @@
 
 python -m dunlinlug.fleet.membership.model [--depth 5] [--walks 2000] [--seed 1]
 
-Explores all sequences of this many steps from a converged cluster, without continuing from a state
-visited before, then random walks of forty steps. Faults are lost and duplicated messages, a kill, a
-restart and a partition. After each sequence, messages flow without faults for a while. Then each
-running member must be alive in all views, with its newest start epoch; each stopped one must have
-failed; and all views must agree. At any step, no member may hold a start epoch that never existed.
-The protocol is the class used in production, with a random number generator of fixed results.
+Explores all sequences of `--depth` steps from a converged cluster, without continuing from a state
+visited before, then `--walks` random walks of forty steps. Faults are lost and duplicated messages,
+a kill, a restart and a partition. After each sequence, messages flow without faults for a while.
+Then each running member must be alive in all views, with its newest start epoch; each stopped one
+must have failed; and all views must agree. In no state may a member hold a start epoch that never
+existed.
+The protocol class is the one used in production; its random numbers are constants.
 """
 
 import pickle
@@ -35,7 +36,7 @@
 
 
 class Fault(StrEnum):
-    """Faults, each as often as `FAULT_BUDGET` allows; the values are also kinds of steps."""
+    """Faults; `FAULT_BUDGET` limits how often each occurs. The values are also kinds of steps."""
 
     LOSE = "lose"
     DUPLICATE = "double"
@@ -114,7 +115,7 @@
         )
 
     def execute(self, name: str, orders: list[Any]) -> None:
-        """Put the messages that a member sends in flight; its other orders have no effect here."""
+        """Add a member's messages to those in flight; its other orders have no effect here."""
         for order in orders:
             if isinstance(order, Send) and order.address[0] in NAMES:
                 self.in_flight.append(Delivery(name, order.address[0], order.message))
@@ -128,11 +129,14 @@
                 self.execute(name, protocol.tick(self.now))
 
     def deliver(self, index: int) -> None:
-        """Deliver a message, unless its recipient is stopped or isolated."""
+        """Remove a message from the network and deliver it; see `arrive`."""
         self.arrive(self.in_flight.pop(index))
 
     def arrive(self, delivery: Delivery) -> None:
-        """Deliver a message that was taken off the network, or stays there as a duplicate."""
+        """Deliver a message, whether or not it stays on the network as a duplicate.
+
+        It is lost if its recipient is stopped or a partition separates sender and recipient.
+        """
         sender, recipient, message = delivery
         if recipient in self.protocols and self.isolated_member not in (sender, recipient):
             self.execute(recipient, self.protocols[recipient].receive(self.now, message))
@@ -160,7 +164,7 @@
         for name in NAMES:
             state.start(name)
         for protocol in state.protocols.values():
-            protocol.next_deadline()
+            protocol.next_deadline()  # sets the due time by which the protocol detects pauses
         state.recover()
         return state
 
@@ -284,6 +288,8 @@
 
 
 def _protocol_form(name: str, protocol: MembershipProtocol, now: float) -> tuple[Any, ...]:
+    """Return the part of a protocol's state that its future depends on, with relative times."""
+
     def relative(at: float) -> float:
         return round(at - now, 3)
 
--- a/dunlinlug/fleet/membership/simulated_network.py
+++ b/dunlinlug/fleet/membership/simulated_network.py
@@ -193,7 +193,7 @@
         self.nodes.pop(node.address)
 
     def freeze(self, name: str, frozen: bool = True) -> None:
-        """Pause a process, or resume it, upon which it handles the queued messages."""
+        """Pause a process, or resume it and let it handle the queued messages."""
         node = self.node(name)
         node.frozen = frozen
         if frozen:
--- a/dunlinlug/fleet/ownership/history.py
+++ b/dunlinlug/fleet/ownership/history.py
@@ -100,7 +100,10 @@
 
 
 def _read_records(path: Path) -> Iterator[dict[str, Any]]:
-    """Yields the JSON records of a log; skips the incomplete last line of a killed process."""
+    """Yields the JSON records of a log, and skips lines that are not valid JSON.
+
+    The last line of a killed process can be incomplete.
+    """
     for line in path.read_text(encoding="utf-8").splitlines():
         try:
             yield json.loads(line)
--- a/dunlinlug/fleet/ownership/log.py
+++ b/dunlinlug/fleet/ownership/log.py
@@ -42,7 +42,7 @@
 
 
 class Revoke(LogEntry, frozen=True, tag="c"):
-    """Asks the owners of shards to release them, each for another member."""
+    """Requires the owners of shards to release them, each for another member."""
 
     targets: tuple[tuple[Shard, MemberName], ...]
 
--- a/dunlinlug/fleet/ownership/messages.py
+++ b/dunlinlug/fleet/ownership/messages.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class RenewLease:
-    """Asks the coordinator to extend the lease on all shards of the sender."""
+    """Requests an extension of the lease on all shards of the sender from the coordinator."""
 
     WIRE_NAME: ClassVar[str] = "Renew"
     term: int = field(metadata=wire("term"))
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True)
 class Effect:
-    """Asks an executor to carry out an effect of a task."""
+    """Requests that an executor carry out an effect of a task."""
 
     WIRE_NAME: ClassVar[str] = "Effect"
     term: int = field(metadata=wire("term"))
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True)
 class WorkRequest:
-    """Asks the owner of a task to do its work, on behalf of the sender."""
+    """Requests work on a task from its owner, on behalf of the sender."""
 
     WIRE_NAME: ClassVar[str] = "Want"
     term: int = field(metadata=wire("term"))
--- a/dunlinlug/fleet/ownership/protocol.py
+++ b/dunlinlug/fleet/ownership/protocol.py
@@ -226,7 +226,7 @@
         return self.tick(now)
 
     def token_rejected(self, now: float, shard: int, token: int) -> Orders:
-        """Handles an executor's rejection: stops acting for the shard and asks for a higher token.
+        """Handles an executor's rejection: stops acting for the shard and requests a higher token.
 
         `token` is the token that the executor requires an owner to exceed. It can equal this
         member's own token if another owner was granted the same number.
--- a/dunlinlug/fleet/ownership/release.py
+++ b/dunlinlug/fleet/ownership/release.py
@@ -1,7 +1,7 @@
 """Shards that this member no longer acts for although the log still lists it as their owner.
 
-A planned move is a revocation: a log entry asks the owner to release the shard, the owner stops
-acting for it and reports the release, and a second entry assigns the shard to another member.
+A planned move is a revocation: a log entry instructs the owner to release the shard, the owner
+stops acting for it and reports the release, and a second entry assigns the shard to another member.
 """
 
 from collections.abc import Iterable
--- a/dunlinlug/fleet/ownership/service.py
+++ b/dunlinlug/fleet/ownership/service.py
@@ -179,7 +179,7 @@
         return True
 
     def request_work(self, task: str, body: bytes) -> bool:
-        """Asks a task's owner to do its work; returns False if the task has no known owner."""
+        """Requests work on a task from its owner; returns False if the task has no known owner."""
         owner = self.owner_of(task)
         request = WorkRequest(self.protocol.log.term, self.self_id, task, body)
         if owner == self.self_id:
--- a/dunlinlug/fleet/ownership/shared_overrides.py
+++ b/dunlinlug/fleet/ownership/shared_overrides.py
@@ -2,8 +2,8 @@
 
 The owner of the task `pin/PRODUCT` validates a change and writes it to the members' log. The log
 holds the desired state, and each manager applies its differences from the active overrides. The end
-of an override is logged as a record too. Without a record, an ended override could not be told from
-one whose record was lost with the log, which the owner writes again from its active overrides.
+of an override is logged as a record too, so an active override has no record only if the log was
+lost or has just started. Its owner then writes the record.
 """
 
 import json
--- a/dunlinlug/guard/overrides.py
+++ b/dunlinlug/guard/overrides.py
@@ -2,7 +2,7 @@
 
 An override temporarily sets other weights for a traffic class, restricts it to some endpoints or
 excludes some. Slow start, outlier detection and ejections stay in effect. The decision module
-applies an override by the ordinary staged update, and the validator validates every order of it.
+applies an override by the usual staged update, and the validator validates each resulting order.
 This module evaluates the overridden table as if all proxies used it, before the decision module is
 notified of the override. Times are seconds on the caller's clock.
 """
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class OverrideEvaluation:
-    """The result of evaluating an override: rejections prevent it, warnings (texts) do not."""
+    """The result of evaluating an override: rejections prevent activation, warnings do not."""
 
     rejections: list[Rejection] = field(default_factory=list)
     warnings: list[str] = field(default_factory=list)
@@ -99,7 +99,7 @@
                 raise OverrideError(f"{worker} was never listed")
 
     def evaluate(self, now: float, override: Override) -> OverrideEvaluation:
-        """Return what would be rejected if all proxies used the overridden table besides their own.
+        """Return what would be rejected if all proxies used this table in addition to their own.
 
         Warnings name warm endpoints that would be sent much more than they recently served, which
         no rule forbids.
@@ -147,7 +147,7 @@
     def _warnings(self, now: float, workers: Iterable[str], usage: TentativeUsage) -> list[str]:
         """Name endpoints that would be sent more than a multiple of what they recently served.
 
-        The multiple is the one above which a warming endpoint overloads.
+        The multiple is the one at which an endpoint that is warming up fails.
         """
         warnings = []
         estimates = self.validator.estimates
@@ -199,7 +199,7 @@
         self, now: float, override: Override, reason_by_worker: Mapping[str, str]
     ) -> EndedOverride | None:
         if now >= override.expires_at:
-            return EndedOverride(override, "its time is up", revoked=False)
+            return EndedOverride(override, "expired", revoked=False)
         if not self._has_usable_endpoint(override):
             return EndedOverride(override, "none of its workers may be used any more", revoked=True)
         for worker, weight in override.weights.items():
@@ -238,7 +238,7 @@
         return weights
 
     def _default_weight(self) -> float:
-        """The weight of endpoints listed without one: the mean listed weight of ready ones."""
+        """The weight of endpoints listed without one: the mean of ready ones; 1 without any."""
         listed_weights = [
             endpoint.weight
             for endpoint in self.validator.endpoints.by_id.values()
--- a/dunlinlug/platform/discovery.py
+++ b/dunlinlug/platform/discovery.py
@@ -80,7 +80,7 @@
             # arrived: it must not be handled as a response from the new address.
             return
         if reply is None:
-            raise discovery_state.DiscoveryError("no answer in time")
+            raise discovery_state.DiscoveryError("no answer within the timeout")
         if reply.status != 200:
             raise discovery_state.DiscoveryError(f"status {reply.status}")
         response = discovery_state.decode_response(reply.body)
--- a/dunlinlug/platform/load_metrics.py
+++ b/dunlinlug/platform/load_metrics.py
@@ -4,7 +4,7 @@
 
 from dunlinlug.config.settings_json import LOAD_FIELD_NAMES, MILLISECOND_FIELDS
 
-# The module's metric names by the platform's; names not listed are kept.
+# Maps the platform's metric names to the module's; other names stay the same.
 METRIC_NAMES = {
     "queue": "queue",
     "latency_ms": "service_s",
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -99,7 +99,7 @@
         )
         await proxy.until(lambda state: len(state.usable_weights(READ)) == 6)
         reasons = [fields["why"] for fields in run.said("override.ended")]
-        assert reasons == ["an operator's word", "its time is up"]
+        assert reasons == ["an operator's word", "expired"]
 
 
 async def test_invalid_requests_get_an_error_answer_and_change_nothing(tmp_path: Path) -> None:
@@ -201,7 +201,7 @@
         assert len(proxy.holdings.usable_weights(READ)) == 6
         await proxy.until(lambda state: len(state.usable_weights(BOOK)) == 6)
     assert run.manager.components.store is not None
-    assert [fields["why"] for fields in run.said("override.ended")] == ["its time is up"]
+    assert [fields["why"] for fields in run.said("override.ended")] == ["expired"]
 
 
 @pytest.mark.parametrize(
--- a/tests/ads/test_tls.py
+++ b/tests/ads/test_tls.py
@@ -30,9 +30,10 @@
             b"".join(blob.bytes() for blob in issued.cert_chain_pems)
         )
 
-    def client(
+    def client_context(
         self, name: str, authority: trustme.CA | None = None, lifetime: float = 3600.0
     ) -> object:
+        """A TLS context with a certificate for `name`, by default from this CA."""
         expires_at = datetime.now(UTC) + timedelta(seconds=lifetime)
         issued = (authority or self.authority).issue_cert(name, not_after=expires_at)
         cert, key = self.folder / f"{name}.pem", self.folder / f"{name}.key"
@@ -42,6 +43,7 @@
 
     @property
     def section(self) -> tuple[str, str]:
+        """A replacement in the manager's file that adds the [tls] section."""
         return "[roster]", (
             f"[tls]\ncert = {self.folder}/manager.pem\nkey = {self.folder}/manager.key\n"
             f"clients = {self.folder}/clients.pem\n\n[roster]"
@@ -64,7 +66,7 @@
 async def test_a_node_name_must_match_its_certificate(tmp_path: Path) -> None:
     certificates = Certificates(tmp_path)
     async with running(tmp_path, certificates.section) as run:
-        context = certificates.client("p0.proxies")
+        context = certificates.client_context("p0.proxies")
         async with (
             connect(run, context, "p0.proxies") as good,
             connect(run, context, "p1.proxies") as other,
@@ -88,12 +90,12 @@
     certificates = Certificates(tmp_path)
     async with (
         running(tmp_path, certificates.section) as run,
-        connect(run, certificates.client("p0.proxies"), "p0.proxies") as good,
+        connect(run, certificates.client_context("p0.proxies"), "p0.proxies") as good,
     ):
         await good.until(bound)
         for context in (
-            certificates.client("p2.proxies", trustme.CA()),
-            certificates.client("p3.proxies", lifetime=-60.0),
+            certificates.client_context("p2.proxies", trustme.CA()),
+            certificates.client_context("p3.proxies", lifetime=-60.0),
         ):
             with pytest.raises((OSError, grpc.CallEndedError, ExceptionGroup)):
                 async with connect(run, context, "p2.proxies") as bad:
@@ -113,7 +115,7 @@
     certificates = Certificates(tmp_path)
     async with (
         running(tmp_path, certificates.section) as run,
-        connect(run, certificates.client("p0.proxies"), "p0.proxies") as old,
+        connect(run, certificates.client_context("p0.proxies"), "p0.proxies") as old,
     ):
         await old.until(bound)
         previous_authority = certificates.authority
@@ -125,11 +127,11 @@
         certificates.issue_server_certificate()
         run.manager.reloader.reload()
         assert run.said("reload.done")
-        async with connect(run, certificates.client("p1.proxies"), "p1.proxies") as new:
+        async with connect(run, certificates.client_context("p1.proxies"), "p1.proxies") as new:
             await new.until(bound)
             with pytest.raises((OSError, grpc.CallEndedError, ExceptionGroup)):
                 async with connect(
-                    run, certificates.client("p2.proxies", previous_authority), "p2.proxies"
+                    run, certificates.client_context("p2.proxies", previous_authority), "p2.proxies"
                 ) as late:
                     raise await call_end(late.call)
             run.roster.tell(w1="draining")
@@ -141,9 +143,10 @@
     certificates = Certificates(tmp_path)
     async with running(tmp_path, certificates.section) as run:
         async with connect(
-            run, certificates.client("p0.proxies", lifetime=2.5), "p0.proxies"
+            run, certificates.client_context("p0.proxies", lifetime=2.5), "p0.proxies"
         ) as short:
             await short.until(bound)
+            # The connection was closed, so the call has no status.
             assert (await call_end(short.call)).status is None
         await until(
             lambda: any(
--- a/tests/command_line/test_answer_text.py
+++ b/tests/command_line/test_answer_text.py
@@ -75,7 +75,7 @@
         "  a    alive     start 4, word 1  127.0.0.1:18100  2 proxies, 41.5 txns/s, "
         "channel 25%, processor 50%",
         "  bee  alive     start 4, word 1  127.0.0.1:18100; cut",
-        "  who has whom:",
+        "  reachability:",
         "    a    all",
         "    bee  a: no answer",
         "  bee has another list of workers (9) for 2 s",
@@ -85,4 +85,4 @@
 
 def test_members_that_all_reach_each_other_are_shown_without_reachability() -> None:
     status = parse_answer({**MEMBERSHIP, "members": [MEMBER]}, schemas.MembershipStatus)
-    assert "who has whom" not in answer_text.membership(status)
+    assert "reachability:" not in answer_text.membership(status)
--- a/tests/fleet/election/test_model.py
+++ b/tests/fleet/election/test_model.py
@@ -1,4 +1,4 @@
-"""The model checker finds no violation of the protocol, and one of each mutant."""
+"""The model checker finds no violation by the protocol, and a violation by each of its mutants."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_each_safety_rule_taken_out_is_caught_with_a_shortest_trace(name: str) -> None:
+def test_a_protocol_without_one_safety_rule_is_detected_with_a_shortest_trace(name: str) -> None:
     mutant = MUTANTS[name]
     mutated = ElectionModel(mutant.protocol_factory, mutant.limits, **mutant.host_options)
     result = explore_breadth_first(mutated, 20_000, 30.0, prefix=mutant.prefix)
--- a/tests/recorded/test_wire_forms.py
+++ b/tests/recorded/test_wire_forms.py
@@ -152,7 +152,7 @@
     pairs = [part for wire_name in FORMS[name].fields for part in (wire_name, 1)]
     cases = {"unknown here": [*pairs, "surplus", 1], "missing": pairs[2:]}
     if len(pairs) > 2:
-        cases["there twice"] = [*pairs, *pairs[:2]]
+        cases["duplicated"] = [*pairs, *pairs[:2]]
     for problem, found in cases.items():
         with pytest.raises(FieldFormError, match=problem) as caught:
             reader.deserialize(msgpack.packb(["o", 0, name, *found]))
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -232,5 +232,5 @@
     command = (sys.executable, "-c", "raise SystemExit(3)")
     with pytest.raises(ScenarioError, match="manager ended during the scenario"):
         await play(SCENARIOS / "first.ini", tmp_path, command)
-    with pytest.raises(records.RecordError, match="cannot be judged"):
+    with pytest.raises(records.RecordError, match="cannot be audited"):
         records.read_records(tmp_path)
--- a/tests/xds/test_state_of_the_world.py
+++ b/tests/xds/test_state_of_the_world.py
@@ -1,4 +1,4 @@
-"""The server's state of a state-of-the-world stream, without sockets."""
+"""The server's side of a state-of-the-world stream, without sockets."""
 
 import pytest
 from envoy.service.discovery.v3 import discovery_pb2
@@ -11,6 +11,7 @@
 def resources_of(
     table: str, *previous: str, weight: float = 1.0
 ) -> state_of_the_world.ResourcesByType:
+    """All resources of one traffic class on `table`; clusters of `previous` tables remain."""
     resources: state_of_the_world.ResourcesByType = {
         type_url: {} for type_url in state_of_the_world.TYPE_ORDER
     }
