--- a/dunlinlug/ads/service.py
+++ b/dunlinlug/ads/service.py
@@ -157,8 +157,8 @@
     def _end_previous_session(self, proxy: int) -> None:
         """End the session of the node's earlier stream, if it is still open.
 
-        A node uses one stream at a time: if it opens another, the earlier one is broken or about to
-        end.
+        A node has one session at a time: if it opens another, the stream of the earlier one is
+        broken or about to end.
         """
         previous = self.sessions.get(proxy)
         if previous is not None:
--- a/dunlinlug/command_line/table_commands.py
+++ b/dunlinlug/command_line/table_commands.py
@@ -67,7 +67,7 @@
         ),
         click.option("--without", multiple=True, help="A worker to exclude; can be repeated."),
         click.option(
-            "--only", multiple=True, help="A worker to use, and no others; can be repeated."
+            "--only", multiple=True, help="Restrict the product to this worker; can be repeated."
         ),
         click.option(
             "--weight",
@@ -133,7 +133,7 @@
 @table.command("pin")
 @_override_options
 def table_activate_override(file: Path, **options: Unpack[OverrideOptions]) -> None:
-    """Override a product's weights, restrict it to some workers, or exclude some, for a time.
+    """Temporarily override a product's weights, restrict it to some workers, or exclude some.
 
     The exit status is 1 if the guard rejects it.
     """
