--- a/dunlinlug/decision/table_orders.py
+++ b/dunlinlug/decision/table_orders.py
@@ -117,8 +117,7 @@
 ) -> bool:
     """Whether these changes can wait until their proxies are sent a message for another reason.
 
-    That is so if they only concern removed or ejected endpoints, which receive no requests with any
-    entry.
+    That is so if they only concern removed or ejected endpoints, whose entries have no effect.
     """
     weight_limits = state.outlier_detector.weight_limits
     if any(row in weights and weight_limits[row] for row in changed_rows):
--- a/dunlinlug/fleet/membership/model.py
+++ b/dunlinlug/fleet/membership/model.py
@@ -8,7 +8,7 @@
 Then each running member must be alive in all views, with its newest start epoch; each stopped one
 must have failed; and all views must agree. In no state may a member hold a start epoch that never
 existed.
-The protocol class is the one used in production; its random numbers are constants.
+The protocol class is the one used in production; its random number generator has fixed results.
 """
 
 import pickle
--- a/dunlinlug/guard/overrides.py
+++ b/dunlinlug/guard/overrides.py
@@ -99,7 +99,7 @@
                 raise OverrideError(f"{worker} was never listed")
 
     def evaluate(self, now: float, override: Override) -> OverrideEvaluation:
-        """Return what would be rejected if all proxies used this table in addition to their own.
+        """Return what would be rejected if proxies could use the overridden table and their own.
 
         Warnings name warm endpoints that would be sent much more than they recently served, which
         no rule forbids.
