--- a/tests/recorded/test_wire_forms.py
+++ b/tests/recorded/test_wire_forms.py
@@ -152,7 +152,7 @@
     pairs = [part for wire_name in FORMS[name].fields for part in (wire_name, 1)]
     cases = {"unknown here": [*pairs, "surplus", 1], "missing": pairs[2:]}
     if len(pairs) > 2:
-        cases["there twice"] = [*pairs, *pairs[:2]]
+        cases["duplicated"] = [*pairs, *pairs[:2]]
     for problem, found in cases.items():
         with pytest.raises(FieldFormError, match=problem) as caught:
             reader.deserialize(msgpack.packb(["o", 0, name, *found]))
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -236,5 +236,5 @@
     command = (sys.executable, "-c", "raise SystemExit(3)")
     with pytest.raises(ScenarioError, match="manager ended during the scenario"):
         await run_scenario(SCENARIOS / "first.ini", tmp_path, command)
-    with pytest.raises(records.RecordError, match="cannot be judged"):
+    with pytest.raises(records.RecordError, match="cannot be audited"):
         records.read_records(tmp_path)
