--- a/bench/scale/part.py
+++ b/bench/scale/part.py
@@ -47,6 +47,7 @@
     def __init__(self, rate: float) -> None:
         if not 0.01 <= rate <= 1.0:
             raise ValueError("the rate of the clock must be from 0.01 to 1.0")
+        # The parent's constructor is not called, as it rejects rates below 0.5.
         self.rate, self.started_at = rate, time.monotonic()
 
 
--- a/bench/scale/scenario.py
+++ b/bench/scale/scenario.py
@@ -14,7 +14,7 @@
 from dunlinlug.config.reader import ConfigError, ConfigFile, load_config
 from dunlinlug.config.units import Count, Fraction, NameList, Seconds
 
-ZONES = 10
+ZONES = 10  # each has a tenth of the members
 MAX_MEMBERS = 940  # hollow and real members: the largest fleet that is required
 MAX_REAL_MANAGERS = 20  # on one machine
 # Channel rate of a real manager; a changed configuration has up to half less.
