--- a/dunlinlug/admin/__init__.py
+++ b/dunlinlug/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Administration: a manager's local HTTP endpoint for operators, and the client side of it."""
+"""Administration: a manager's HTTP endpoint for operators on loopback, and its client."""
--- a/dunlinlug/admin/api.py
+++ b/dunlinlug/admin/api.py
@@ -1,18 +1,18 @@
-"""The administration endpoint: who may ask, what may be asked, and the answer.
+"""The administration endpoint: authorization of requests, routing, and answers.
 
-There is no socket here; the manager serves `AdminApi.handle` on loopback.
+This module opens no socket; the manager serves `AdminApi.handle` on a loopback address.
 
-    GET /health                        counts; the only request that needs no token
+    GET /health                        counters; the only request that needs no token
     GET /tables[?product=NAME]         the tables in use, by traffic class
-    POST /pins/propose                 whether an override could be activated; changes nothing
-    PUT /pins, DELETE /pins/NAME       activate an override, end one
-    GET /fleet                         who leads, since when and why, terms, who lags
-    POST /fleet/hand-over              {"to": MEMBER}: let another lead, without a gap in orders
-    PUT, DELETE /fleet/members/NAME    add a voter, remove one
+    POST /pins/propose                 validate an override without activating it
+    PUT /pins, DELETE /pins/NAME       activate an override, end an override
+    GET /fleet                         the leader, its term, the last change, lag by member
+    POST /fleet/hand-over              {"to": MEMBER}: transfer leadership without a gap in orders
+    PUT, DELETE /fleet/members/NAME    add a voter, remove a voter
     GET /members                       the members of the fleet
-    PUT, DELETE /members/bars/NAME     ban a member, admit it again
-    GET /work                          who owns which task of the fleet
-    POST /work/TASK                    {"to": MEMBER}: let another own it; at the coordinator
+    PUT, DELETE /members/bars/NAME     ban a member, lift the ban
+    GET /work                          the owner of each task of the fleet
+    POST /work/TASK                    {"to": MEMBER}: move a task; only at the coordinator
 """
 
 import hmac
@@ -42,10 +42,10 @@
     """Answers operators' requests.
 
     Attributes:
-        token: The secret that requests must bear.
+        token: The bearer token that requests must have.
         overrides: The operator overrides of this manager.
-        leadership, membership, ownership, coordinator: What a manager among others offers; None for
-            a part that it does not have.
+        leadership, membership, ownership, coordinator: The parts of a manager that is a member of a
+            fleet; None for each part that is not configured.
     """
 
     def __init__(
@@ -56,15 +56,15 @@
         list_tables: Callable[[], Sequence[Mapping[str, object]]],
         get_health: Callable[[], Mapping[str, object]],
     ) -> None:
-        """Serve a manager.
+        """Create the endpoint of a manager.
 
         Args:
-            token: The secret that requests must bear.
+            token: The bearer token that requests must have.
             traffic_classes: In the order of their indexes.
             overrides: The operator overrides of this manager.
-            list_tables: Gives the answer to `GET /tables`, an item for each traffic class; the
-                fields are those of `schemas.TrafficClassStatus`.
-            get_health: Gives the answer to `GET /health`.
+            list_tables: Returns the answer to `GET /tables`, one item for each traffic class with
+                the fields of `schemas.TrafficClassStatus`.
+            get_health: Returns the answer to `GET /health`.
         """
         self.token = token
         self.traffic_classes = traffic_classes
@@ -84,23 +84,23 @@
         ownership: OwnershipAdmin | None,
         coordinator: OverrideCoordinator | None,
     ) -> None:
-        """Serve what these parts of a manager among others offer; None for a part it has not."""
+        """Serve requests to these parts of a fleet member; None for a part not configured."""
         self.leadership = leadership
         self.membership = membership
         self.ownership = ownership
         self.coordinator = coordinator
 
     def replace_token(self, token: str) -> None:
-        """Accept this token from now on, and no longer the one before."""
+        """Accept this token from now on, and the previous one no longer."""
         self.token = token
 
     def _is_authorized(self, request: Request) -> bool:
-        """Compares in constant time, so that a token cannot be found byte by byte."""
+        """Compare tokens in constant time, so that timing does not reveal them byte by byte."""
         authorization = request.headers.get("authorization", "")
         return hmac.compare_digest(authorization.encode(), f"Bearer {self.token}".encode())
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request; a caller's mistake is an answer too and never ends the connection."""
+        """Answer one request; an invalid one gets an error answer and keeps the connection open."""
         if (request.method, request.path) == ("GET", "/health"):
             return Response.json(self.get_health())
         if not self._is_authorized(request):
--- a/dunlinlug/admin/client.py
+++ b/dunlinlug/admin/client.py
@@ -1,4 +1,4 @@
-"""The commands' side of the administration endpoint: one request to the manager of an INI file."""
+"""Client of the administration endpoint: sends one request to the manager of an INI file."""
 
 import json
 from collections.abc import Sequence
@@ -14,13 +14,13 @@
 from dunlinlug.errors import DunlinlugError
 from dunlinlug.net import http
 
-REQUEST_TIMEOUT = 10.0  # seconds; a heavily loaded decision loop answers within one
+REQUEST_TIMEOUT = 10.0  # seconds; a heavily loaded decision loop answers within one second
 
 Answer = TypeVar("Answer")
 
 
 class AdminRequestError(DunlinlugError):
-    """The manager did not do as asked; has the guard's rejections if these are the reason."""
+    """A request that failed; `rejections` are the guard's, if it rejected the request."""
 
     def __init__(self, text: str, rejections: Sequence[RejectionReport] = ()) -> None:
         super().__init__(text)
@@ -28,16 +28,16 @@
 
 
 def send_request(file: Path, method: str, path: str, payload: object = None) -> object:
-    """Send a request to the manager of an INI file and give the JSON of its answer.
+    """Send a request to the manager of an INI file and return the decoded JSON of its answer.
 
     Raises:
         ConfigError: The file cannot be used.
-        AdminRequestError: The manager cannot be reached, or it did not do as asked.
+        AdminRequestError: The manager cannot be reached, or it answered with an error.
     """
     config = manager_config.load_manager_config(file).section(manager_config.AdminConfig)
     if not config.token_file:
         raise AdminRequestError(
-            f"{file}: [operators] names no token_file, so the manager opens no endpoint"
+            f"{file}: [operators] has no token_file, so the manager serves no admin endpoint"
         )
     body = b"" if payload is None else json.dumps(payload).encode()
     try:
@@ -46,7 +46,9 @@
     except (TokenFileError, http.HttpError) as error:
         raise AdminRequestError(str(error)) from None
     except trio.TooSlowError:
-        raise AdminRequestError(f"no answer within {REQUEST_TIMEOUT:g} s") from None
+        raise AdminRequestError(
+            f"the manager did not answer within {REQUEST_TIMEOUT:g} s"
+        ) from None
     answer: object = json.loads(response.body)
     if response.status != 200:
         error_answer = parse_answer(answer, ErrorAnswer)
@@ -55,16 +57,17 @@
 
 
 def parse_answer(answer: object, answer_type: type[Answer]) -> Answer:
-    """Read an answer's JSON into its record.
+    """Convert an answer's decoded JSON to its record.
 
     Raises:
-        AdminRequestError: It does not fit, as that of a manager of another version may not.
+        AdminRequestError: The answer does not match the record, for example because the manager
+            runs another version.
     """
     try:
         return msgspec.convert(answer, answer_type)
     except msgspec.ValidationError as error:
         raise AdminRequestError(
-            f"the manager's answer is not a {answer_type.__name__}: {error}"
+            f"the manager's answer is not a valid {answer_type.__name__}: {error}"
         ) from None
 
 
--- a/dunlinlug/admin/interfaces.py
+++ b/dunlinlug/admin/interfaces.py
@@ -1,47 +1,47 @@
-"""What the administration endpoint needs of the parts of a manager that runs among others."""
+"""Interfaces of a fleet member's parts that the administration endpoint uses."""
 
 from collections.abc import Mapping
 from typing import Protocol
 
 
 class LeadershipAdmin(Protocol):
-    """The election of a leader, as operators see and change it."""
+    """The state of the leader election, and an operator's changes to it."""
 
     def describe(self) -> Mapping[str, object]:
         """The answer to `GET /fleet`; `schemas.LeadershipStatus` declares its fields."""
 
     async def transfer_leadership(self, target: str) -> None:
-        """Let another member lead. Raises ValueError if it cannot, with the reason."""
+        """Transfer leadership to another member. Raises ValueError with the reason if it fails."""
 
     def change_voter(self, member: str, add: bool) -> None:
-        """Add a voter or remove one. Raises ValueError if that is not possible, with the reason."""
+        """Add or remove a voter. Raises ValueError with the reason if that is not possible."""
 
 
 class MembershipAdmin(Protocol):
-    """The members that know each other, as operators see and change them."""
+    """The membership of the fleet, and an operator's changes to it."""
 
     def describe(self) -> Mapping[str, object]:
         """The answer to `GET /members`; `schemas.MembershipStatus` declares its fields."""
 
     def set_banned(self, name: str, banned: bool) -> None:
-        """Ban a member or admit it again. Raises ValueError if it is unknown."""
+        """Ban a member or lift its ban. Raises ValueError if the member is unknown."""
 
 
 class OwnershipAdmin(Protocol):
-    """Who owns which task of the fleet, as operators see and change it."""
+    """The owners of the fleet's tasks, and an operator's changes to them."""
 
     def describe(self) -> Mapping[str, object]:
         """The answer to `GET /work`; `schemas.OwnershipStatus` declares its fields."""
 
     def move_task(self, task: str, target: str) -> None:
-        """Let another member own a task. Raises ValueError if it cannot, with the reason."""
+        """Move a task to another member. Raises ValueError with the reason if it fails."""
 
 
 class OverrideCoordinator(Protocol):
-    """Operator overrides that hold for the whole fleet."""
+    """Coordinates operator overrides across the fleet."""
 
     def require_ownership(self, traffic_class: str) -> None:
-        """Raises ValueError if another manager decides on overrides of this traffic class."""
+        """Raise ValueError if another manager owns the overrides of this traffic class."""
 
     def publish(self, traffic_class: str) -> None:
-        """Give all members the override as it is here. Raises ValueError if that fails."""
+        """Replicate this manager's override to all members. Raises ValueError if that fails."""
--- a/dunlinlug/admin/override_registry.py
+++ b/dunlinlug/admin/override_registry.py
@@ -1,7 +1,8 @@
-"""The active operator overrides of a manager: evaluated, stored, applied, and ended.
+"""The active operator overrides of a manager: validation, storage, activation and end.
 
-An override ends by an operator's request, when it expires, or when it is no longer valid. Other
-members of a fleet and the store get overrides with wall-clock times, as those outlive a process.
+An override ends at an operator's request, when it expires, or when it is no longer valid. In the
+store and in messages to other members its expiry is a wall-clock time, because a monotonic time has
+no meaning in another process.
 """
 
 import time
@@ -27,7 +28,7 @@
 
 
 class OverrideRejectedError(DunlinlugError):
-    """The guard rejects the table that an override would make; has the rejections."""
+    """The guard rejected the table that an override would produce, for `rejections`."""
 
     def __init__(self, rejections: list[Rejection]) -> None:
         super().__init__(rejections[0].reason)
@@ -35,12 +36,12 @@
 
 
 class OverrideRegistry:
-    """Owns when overrides take effect: on disk first, then in the decision module.
+    """Activates and ends overrides: stores each change first, then submits it for decision.
 
-    All times are seconds on trio's clock, but for those of `StoredOverride`.
+    All times are seconds on trio's clock, except those of `StoredOverride`.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917  # all that it works with, given once
+    def __init__(  # noqa: PLR0913, PLR0917  # all dependencies, injected
         self,
         overrides: Overrides,
         enforced: bool,
@@ -49,15 +50,16 @@
         persist: Callable[[Sequence[StoredOverride]], None],
         record_rejections: Callable[[list[Rejection], str], None],
     ) -> None:
-        """Let overrides of this manager take effect.
+        """Manage the overrides of a manager.
 
         Args:
-            overrides: Those that are active.
-            enforced: Whether a rejected override is held back; if not, it is only recorded.
-            submit: Notifies the decision module.
-            log_event: Writes a line of the log.
-            persist: Stores all active overrides; called whenever one is activated or ends.
-            record_rejections: Logs and stores rejections, with a text that says whose orders.
+            overrides: The active overrides.
+            enforced: Whether a rejected override is refused; if not, the rejection is only
+                recorded.
+            submit: Submits an event to the decision module.
+            log_event: Writes a log line.
+            persist: Stores all active overrides; called on each activation and end.
+            record_rejections: Logs and stores rejections, with the source of the rejected orders.
         """
         self.overrides = overrides
         self.enforced = enforced
@@ -71,23 +73,23 @@
         self.changed = trio.Event()
 
     def replace_validator(self, validator: OrderValidator) -> None:
-        """Evaluate overrides by another validator from now on, as a new leader does."""
+        """Evaluate overrides with another validator from now on; a new leader has its own."""
         self.overrides.validator = validator
 
     def propose(self, now: float, override: Override) -> OverrideEvaluation:
-        """What speaks against an override; changes nothing.
+        """Evaluate an override without activating it.
 
         Raises:
-            OverrideError: The override cannot be right in any state of the fleet.
+            OverrideError: The override is invalid in every state of the fleet.
         """
         self.overrides.validate(override, now)
         return self.overrides.evaluate(now, override)
 
     def activate(self, now: float, override: Override) -> list[str]:
-        """Let an override take effect once it is on disk; gives the warnings about it.
+        """Store and activate an override; returns the warnings about it.
 
         Raises:
-            OverrideError: The override cannot be right in any state of the fleet.
+            OverrideError: The override is invalid in every state of the fleet.
             OverrideRejectedError: The guard rejects it.
         """
         evaluation = self.propose(now, override)
@@ -109,7 +111,7 @@
         return evaluation.warnings
 
     def end(self, now: float, traffic_class: int) -> bool:  # noqa: ARG002  # a protocol's signature
-        """End an override as an operator wishes; false if none is active."""
+        """End an override at an operator's request; returns false if none is active."""
         event = self.overrides.end(traffic_class)
         if event is None:
             return False
@@ -123,7 +125,7 @@
         return True
 
     def end_invalid(self, now: float, rejections: list[Rejection]) -> None:
-        """End what has expired or is no longer valid; called after each validated batch."""
+        """End overrides that expired or are no longer valid; called after each validated batch."""
         all_ended = self.overrides.end_invalid(now, rejections)
         for ended in all_ended:
             self.submit(OverrideChanged(ended.override.traffic_class))
@@ -161,7 +163,7 @@
         ]
 
     def to_plain(self) -> list[dict[str, object]]:
-        """All active overrides with wall-clock times, as other members get them."""
+        """All active overrides in plain values with wall-clock times, for other members."""
         return [override.to_plain() for override in self._active()]
 
     def _persist(self) -> None:
@@ -177,7 +179,10 @@
         )
 
     def replace_all(self, plain_overrides: list[dict[str, object]]) -> None:
-        """Take over the overrides of the leader, whose module has told ours already."""
+        """Replace all overrides by the leader's.
+
+        Nothing is submitted: the replicated state of the decision module already has them.
+        """
         all_stored = [StoredOverride.from_plain(plain) for plain in plain_overrides]
         self.overrides.active.clear()
         wall_clock_offset = time.time() - trio.current_time()
@@ -189,27 +194,28 @@
         self.changed.set()
 
     def activate_plain(self, now: float, plain: dict[str, object]) -> None:
-        """Activate an override as another member of the fleet has it.
+        """Activate an override that another member of the fleet sent.
 
         Raises:
-            OverrideError: The override cannot be right in any state of the fleet.
-            OverrideRejectedError: Our own guard rejects it.
+            OverrideError: The override is invalid in every state of the fleet.
+            OverrideRejectedError: The guard of this manager rejects it.
         """
         stored = StoredOverride.from_plain(plain)
         self.activate(now, self._to_override(stored, self._local_expiry(now, stored)))
 
     def _local_expiry(self, now: float, stored: StoredOverride) -> float:
-        """When it ends on our clock.
+        """The expiry time on trio's clock.
 
-        Without the limit, a wall clock that was set back would prolong it.
+        It is limited to the longest duration of an override, because a wall clock that was set
+        back would prolong the override.
         """
         wall_clock_offset = time.time() - now
         return min(stored.expires_at - wall_clock_offset, now + self.overrides.max_duration)
 
     def restore(self, now: float, all_stored: Sequence[StoredOverride]) -> None:
-        """Activate what an earlier process has stored and what has not expired since.
+        """Activate the overrides that an earlier process stored and that have not expired.
 
-        It is not evaluated again; the guard sees every order that comes of it.
+        They are not evaluated again; the guard validates each order that results from them.
         """
         for stored in all_stored:
             expires_at = self._local_expiry(now, stored)
@@ -222,7 +228,7 @@
                 )
 
     async def run(self) -> None:
-        """End overrides when they expire, also while no batch is validated; never returns."""
+        """End overrides when they expire, even while no batch is validated; never returns."""
         while True:
             self.changed = trio.Event()
             with trio.move_on_at(self.overrides.next_expiry()):
--- a/dunlinlug/admin/requests.py
+++ b/dunlinlug/admin/requests.py
@@ -1,4 +1,4 @@
-"""Reads the bodies of requests: an override as an operator writes it, and the name of a member."""
+"""Parses the bodies of requests: an operator's override, or the name of a member."""
 
 import json
 
@@ -12,19 +12,19 @@
 
 
 class InvalidRequestError(DunlinlugError, ValueError):
-    """A request that cannot be read; the text names the mistake."""
+    """A request with an invalid body; the message names the field and the fault."""
 
 
 @attrs.frozen
 class OverrideRequest:
-    """An override as written in JSON; the field names are its keys.
+    """An override in its JSON form; the field names are the keys.
 
     Attributes:
         product: Name of the traffic class.
-        lasts: Seconds.
-        weights: Weight by endpoint id; goes with either of `only` and `without`.
-        only: The endpoints to use; not together with `without`.
-        without: Endpoints that are not to be used.
+        lasts: Duration in seconds.
+        weights: Weight by endpoint id; can be combined with `only` or `without`.
+        only: The only endpoints to use; cannot be combined with `without`.
+        without: Endpoints to exclude.
     """
 
     product: str
@@ -42,12 +42,12 @@
 
 def _structure_text(value: object, _type: object) -> str:
     if not isinstance(value, str):
-        raise ValueError(f"{value!r} is not a text")
+        raise ValueError(f"{value!r} is not a string")
     return value
 
 
 def _make_converter() -> cattrs.Converter:
-    """A converter that takes no value of another type and no unknown key."""
+    """A converter that rejects values of another type and unknown keys."""
     converter = cattrs.Converter(forbid_extra_keys=True)
     converter.register_structure_hook(float, _structure_number)
     converter.register_structure_hook(str, _structure_text)
@@ -62,10 +62,10 @@
 
 
 def _reject_duplicate_keys(pairs: list[tuple[str, object]]) -> dict[str, object]:
-    """Make an object of its pairs of key and value.
+    """Build an object from its pairs of key and value.
 
-    Without this, the last of two equal keys would hold, although the operator meant something with
-    the first as well.
+    By default `json` keeps only the last of two equal keys, which would silently drop a part of the
+    operator's request.
     """
     values = dict[str, object]()
     for key, value in pairs:
@@ -86,7 +86,7 @@
 
 
 def parse_override(body: bytes, traffic_classes: tuple[TrafficClass, ...], now: float) -> Override:
-    """Read an override; whether it may be activated is for the guard to say.
+    """Parse an override; the guard decides later whether it can be activated.
 
     Raises:
         InvalidRequestError: Not JSON, a missing or unknown key, a value of the wrong type, an
@@ -113,7 +113,7 @@
 
 
 def _merged_weights(request: OverrideRequest) -> dict[str, float | None]:
-    """Weight by endpoint: 0 for those left out, None for the listed weight."""
+    """Weight by endpoint: 0 for an excluded endpoint, None for the listed weight."""
     if request.only and request.without:
         raise InvalidRequestError("only and without shut each other out")
     weights: dict[str, float | None] = dict(request.weights)
@@ -133,10 +133,10 @@
 
 
 def parse_member(body: bytes) -> str:
-    """Read the name of a member, `{"to": NAME}`.
+    """Parse the name of a member, `{"to": NAME}`.
 
     Raises:
-        InvalidRequestError: The body is anything else.
+        InvalidRequestError: The body has another form.
     """
     payload = _parse_json(body)
     if isinstance(payload, dict) and set(payload) == {"to"}:
--- a/dunlinlug/admin/schemas.py
+++ b/dunlinlug/admin/schemas.py
@@ -1,7 +1,7 @@
-"""The records that the administration endpoint answers with; JSON keys stand beside the fields.
+"""Records of the administration endpoint's answers; `rename` maps fields to their JSON keys.
 
-The manager makes an answer of them, the commands read it back into them. An answer may have more
-keys than its record has fields: programs may use those, the commands do not.
+The manager encodes its answers from them, and the command line decodes answers into them. An answer
+may have more keys than its record has fields; the command line ignores those.
 """
 
 import msgspec
@@ -14,9 +14,9 @@
 
 
 class OverrideStatus(msgspec.Struct, frozen=True, rename={"expires_in": "ends_in"}):
-    """An active override: `expires_in` in seconds, weights by endpoint (None: as listed).
+    """An active override: `expires_in` in seconds, weights by endpoint (None: the listed weight).
 
-    `others` says whether endpoints that it does not name keep their listed weights.
+    `others` is true if endpoints that the override does not name keep their listed weights.
     """
 
     product: str
@@ -28,9 +28,9 @@
 class RejectionReport(
     msgspec.Struct, frozen=True, rename={"reason": "why", "remedy": "would_pass"}
 ):
-    """A rejected order: the rule, the reason, what would be accepted, and the proxies concerned.
+    """A rejected order: the rule, the reason, what would be accepted, and the affected proxies.
 
-    `worker` is the endpoint that the order names; the key is missing if it names none.
+    `worker` is the endpoint that the order names; the key is absent if it names none.
     """
 
     rule: str
@@ -45,7 +45,7 @@
     frozen=True,
     rename={"is_valid": "passes", "warnings": "cautions", "rejections": "refusals"},
 ):
-    """Whether an override could be activated, and what speaks against it."""
+    """Whether an override could be activated, with the warnings and rejections."""
 
     is_valid: bool
     warnings: list[str]
@@ -70,14 +70,14 @@
 class ErrorAnswer(
     msgspec.Struct, frozen=True, rename={"message": "error", "rejections": "refusals"}
 ):
-    """Why a request was not carried out, with the rejections if the guard is the reason."""
+    """Why a request failed, with the rejections if the guard rejected it."""
 
     message: str
     rejections: list[RejectionReport] = []
 
 
 class EntryStatus(msgspec.Struct, frozen=True, rename={"is_ejected": "withdrawn"}):
-    """One entry of a table in use, and the listed state of its endpoint."""
+    """One entry of a table in use, with the listed state of its endpoint."""
 
     worker: str
     weight: float
@@ -96,7 +96,7 @@
         "entries": "lines",
     },
 ):
-    """A table in use for a traffic class, by `proxies` many proxies."""
+    """A table in use for a traffic class, and the number of proxies that use it."""
 
     name: str
     proxies: int
@@ -106,7 +106,7 @@
 
 
 class TrafficClassStatus(msgspec.Struct, frozen=True, rename={"override": "pin"}):
-    """The tables of a traffic class, most used first, its override, and counts of proxies."""
+    """The tables of a traffic class (most used first), its override, and counts of proxies."""
 
     product: str
     proxies: int
@@ -128,10 +128,10 @@
         "lag_by_member": "lags",
     },
 ):
-    """Who leads, as one member sees it; times in seconds.
+    """The leader election as one member sees it; times in seconds.
 
-    `missing_entries` is None if the member needs a whole snapshot (and on the leader);
-    `lag_by_member` has the entries that others lack, on the leader only.
+    `missing_entries` is None on the leader, and on a member that needs a whole snapshot.
+    `lag_by_member` has the number of entries that each other member lacks; only on the leader.
     """
 
     member: str
@@ -158,10 +158,11 @@
         "connection": "between",
     },
 ):
-    """A member as another one knows it.
+    """A member as the answering member sees it.
 
-    `reachable_members` says for every member whether this one reaches it ("yes", "-" or why not);
-    `connection` is how the member and the one that answers reach each other.
+    `reachable_members` maps each member to whether this one reaches it: "yes", "-" for itself, or
+    the reason why not. `connection` describes the connectivity of the answering member and this
+    one.
     """
 
     name: str
@@ -174,7 +175,7 @@
 
 
 class LoadStatus(msgspec.Struct, frozen=True, rename={"requests_per_second": "txns_per_s"}):
-    """A member's load; channel and processor as fractions of what they can do."""
+    """A member's load; channel and processor as fractions of their capacity."""
 
     proxies: int
     requests_per_second: float
@@ -185,7 +186,7 @@
 class ListDivergence(
     msgspec.Struct, frozen=True, rename={"endpoint_count": "workers", "seconds": "for"}
 ):
-    """A member whose endpoint list differs: how many it has, and since how many seconds."""
+    """A member whose endpoint list differs: its number of endpoints, and for how many seconds."""
 
     endpoint_count: int
     seconds: float
@@ -218,7 +219,7 @@
         "changes": "verdicts",
     },
 ):
-    """The members as one of them sees them; times in seconds, `local_health` as in Lifeguard."""
+    """The membership as one member sees it; times in seconds, `local_health` as in Lifeguard."""
 
     member: str
     state: str
@@ -244,7 +245,7 @@
         "checkpoint": "body",
     },
 ):
-    """A task of the fleet: its owner and fencing token, and its last checkpoint and that token."""
+    """A task of the fleet: owner, fencing token, last checkpoint, and the checkpoint's token."""
 
     task: str
     shard: int
@@ -259,7 +260,7 @@
     frozen=True,
     rename={"seconds_ago": "ago", "shard": "slot", "token": "number", "reason": "why"},
 ):
-    """When and why a shard went to another owner."""
+    """When and why a shard moved to another owner."""
 
     seconds_ago: float
     shard: int
@@ -281,7 +282,7 @@
         "counters": "counts",
     },
 ):
-    """Who owns which shards and tasks, as one member knows it."""
+    """The owners of shards and tasks as one member sees them."""
 
     member: str
     coordinator: str | None
@@ -298,7 +299,7 @@
 def override_status(
     override: Override, traffic_classes: tuple[TrafficClass, ...], now: float
 ) -> OverrideStatus:
-    """The record of an active override; `now` in seconds on its clock."""
+    """The record of an active override; `now` in seconds on the override's clock."""
     return OverrideStatus(
         product=traffic_classes[override.traffic_class].name,
         expires_in=round(override.expires_at - now, 3),
@@ -310,13 +311,13 @@
 def override_to_json(
     override: Override, traffic_classes: tuple[TrafficClass, ...], now: float
 ) -> dict[str, object]:
-    """An active override as plain values for JSON."""
+    """An active override as values for JSON."""
     plain: dict[str, object] = msgspec.to_builtins(override_status(override, traffic_classes, now))
     return plain
 
 
 def rejection_reports(rejections: list[Rejection]) -> list[RejectionReport]:
-    """The records of the first rejections; a change of a whole table can cause very many."""
+    """The records of the first rejections; replacing a whole table can cause very many."""
     return [_rejection_report(rejection) for rejection in rejections[:MAX_REJECTIONS_SHOWN]]
 
 
--- a/dunlinlug/admin/token.py
+++ b/dunlinlug/admin/token.py
@@ -1,4 +1,4 @@
-"""The secret that admits an operator to a manager's administration endpoint."""
+"""The bearer token of a manager's administration endpoint."""
 
 import os
 import stat
@@ -6,19 +6,20 @@
 
 from dunlinlug.errors import DunlinlugError
 
-MIN_TOKEN_LENGTH = 16  # characters; a shorter one could be found by trying
-OTHERS_MAY_ACCESS = 0o077  # mode bits for the group and for everybody
+MIN_TOKEN_LENGTH = 16  # characters; a shorter token could be guessed
+GROUP_AND_OTHER_PERMISSIONS = 0o077  # file mode bits
 
 
 class TokenFileError(DunlinlugError, ValueError):
-    """A token file that cannot be used; the text names the file and says why."""
+    """A token file that cannot be used; the message names the file and the fault."""
 
 
 def read_token(path: Path) -> str:
-    """The token: the one word of a file that only its owner may read.
+    """Read the token, the only word of a file that only its owner can access.
 
     Raises:
-        TokenFileError: The file cannot be read, others may read it, or it holds no usable token.
+        TokenFileError: The file cannot be read, its mode gives others access, or its token is
+            invalid.
     """
     try:
         with path.open(encoding="utf-8") as file:
@@ -26,7 +27,7 @@
             token = file.read().strip()
     except (OSError, UnicodeDecodeError) as error:
         raise TokenFileError(f"{path}: cannot be read: {error}") from None
-    if stat.S_IMODE(mode) & OTHERS_MAY_ACCESS:
+    if stat.S_IMODE(mode) & GROUP_AND_OTHER_PERMISSIONS:
         raise TokenFileError(f"{path}: others may read it; only its owner should (chmod 600)")
     if len(token) < MIN_TOKEN_LENGTH or not token.isascii() or len(token.split()) != 1:
         raise TokenFileError(
--- a/dunlinlug/audit/__init__.py
+++ b/dunlinlug/audit/__init__.py
@@ -1,1 +1,1 @@
-"""Judges a scenario by the records of its processes alone."""
+"""Checks the rules of a scenario, from the records of its processes alone."""
--- a/dunlinlug/client/__init__.py
+++ b/dunlinlug/client/__init__.py
@@ -1,4 +1,4 @@
-"""A client library: follows whichever manager leads, sends requests by its tables, reports results.
+"""A client library: follows the leading manager, routes requests by its tables, reports results.
 
     state, accumulator = ProxyState(), ReportAccumulator("p1", "north")
     subscriber = TableSubscriber("p1", "north", [("127.0.0.1", 18000)], state, accumulator)
@@ -9,8 +9,8 @@
         result = await dispatcher.dispatch("press-book", trio.current_time() + 2.0, attempt)
 
 `attempt(worker, remaining, attempt_number)` sends the request to `worker` once, within `remaining`
-seconds, and gives an `AttemptResult`. With no manager in reach all goes on by the tables last
-received; `subscriber.silence_duration()` tells for how long nothing has been received.
+seconds, and returns an `AttemptResult`. While no manager is reachable, requests are routed by the
+tables last received; `subscriber.silence_duration()` returns for how long nothing was received.
 """
 
 from dunlinlug.client.report_accumulator import ReportAccumulator
--- a/dunlinlug/client/report_accumulator.py
+++ b/dunlinlug/client/report_accumulator.py
@@ -1,10 +1,10 @@
-"""Sums what a proxy observed since its last load report."""
+"""Accumulates a proxy's observations since its last load report."""
 
 from dunlinlug.xds.load_reports import LoadReport, WorkerStatistics
 
 
 class ReportAccumulator:
-    """Requests by traffic class and attempts by worker; times are the caller's clock in seconds."""
+    """Counts requests by traffic class and attempts by worker; `now` is the caller's clock."""
 
     def __init__(self, node_id: str, zone: str, now: float = 0.0) -> None:
         self.node_id = node_id
@@ -20,10 +20,10 @@
     def record_attempt(
         self, worker: str, succeeded: bool, latency: float, load_metrics: dict[str, float]
     ) -> None:
-        """Count an attempt at a worker; its latency counts only if it succeeded.
+        """Count an attempt at a worker; its latency (seconds) counts only if it succeeded.
 
-        `load_metrics` are what the worker's response said of its own load; the newest value of each
-        metric is reported.
+        `load_metrics` is the worker's own load from its response; the newest value of each metric
+        is reported.
         """
         statistics = self.report.workers.setdefault(worker, WorkerStatistics())
         statistics.attempts += 1
@@ -32,7 +32,7 @@
         statistics.load_metrics.update(load_metrics)
 
     def take_report(self, now: float) -> LoadReport:
-        """The sums since the last call, and begin anew."""
+        """Return the report since the last call, and start a new one."""
         report = self.report
         self.report = LoadReport(self.node_id, self.zone, 0.0)
         report.window = now - self.period_started_at
--- a/dunlinlug/client/request_dispatcher.py
+++ b/dunlinlug/client/request_dispatcher.py
@@ -1,6 +1,6 @@
-"""Sends one request by the tables held: admission, weighted choice of a worker, retries.
+"""Dispatches a request by the current tables: admission, weighted choice of a worker, retries.
 
-How an attempt is made is the caller's; this decides whether, where and how often.
+The caller makes the attempts; this module decides whether, where and how often to attempt.
 """
 
 from collections.abc import Awaitable, Callable
@@ -14,9 +14,9 @@
 from dunlinlug.xds.subscriber import ProxyState
 
 MAX_RETRIES = (0, 1, 1, 2)  # attempts beyond the first, by the mode of the retry policy
-RETRY_IF_NOT_EXECUTED = 1  # the mode that retries only what surely was not executed
+RETRY_IF_NOT_EXECUTED = 1  # the mode that retries only if the request certainly did not run
 
-# Reasons why a request was not even attempted.
+# Reasons why a request was not attempted.
 NO_TABLE = "starting"
 NOT_ADMITTED = "level"
 NO_ENDPOINT = "nobody"
@@ -27,8 +27,8 @@
     """The result of one attempt.
 
     Attributes:
-        succeeded: Whether the worker carried the request out.
-        may_have_run: Whether the request may have been executed there, whatever was answered.
+        succeeded: Whether the worker executed the request successfully.
+        may_have_run: Whether the worker may have executed the request, regardless of its response.
         load_report: The worker's own load metrics, from its response.
         response: The response, for the caller.
     """
@@ -45,9 +45,9 @@
 
     Attributes:
         succeeded: Whether an attempt succeeded.
-        not_executed: The request surely was executed nowhere, so that it may be sent again.
-        reason: Why it was not even attempted (`NO_TABLE`, `NOT_ADMITTED`, `NO_ENDPOINT`), or empty.
-        last_attempt: None if there was none.
+        not_executed: Whether no worker can have executed the request, so that it is safe to repeat.
+        reason: Why it was not attempted (`NO_TABLE`, `NOT_ADMITTED`, `NO_ENDPOINT`), or empty.
+        last_attempt: The result of the last attempt; None if there was none.
     """
 
     succeeded: bool
@@ -56,12 +56,12 @@
     last_attempt: AttemptResult | None = None
 
 
-# Makes one attempt: gets the worker, the seconds left for it, and its number from 0.
+# Makes one attempt. Arguments: the worker, the seconds left, and the attempt's number from 0.
 AttemptFunction = Callable[[str, float, int], Awaitable[AttemptResult]]
 
 
 class RequestDispatcher:
-    """Dispatches requests by one proxy's tables, and records the results for its load reports."""
+    """Dispatches requests by a proxy's tables, and records the results for its load reports."""
 
     def __init__(
         self, proxy_state: ProxyState, accumulator: ReportAccumulator, rng: Random
@@ -73,7 +73,7 @@
     async def dispatch(
         self, traffic_class: str, deadline: float, attempt: AttemptFunction
     ) -> RequestResult:
-        """Send one request; at `deadline` (trio's clock) it is given up and answered at once."""
+        """Send one request; it is abandoned at `deadline` (trio's clock)."""
         route = self.proxy_state.routes.get(traffic_class)
         if route is None:
             return RequestResult(False, True, NO_TABLE)
@@ -91,7 +91,7 @@
         deadline: float,
         attempt: AttemptFunction,
     ) -> RequestResult:
-        """Attempt at one worker after another, as far as the policy and the time allow."""
+        """Attempt at one worker after another, within the retry policy and the deadline."""
         not_executed = True
         last_attempt: AttemptResult | None = None
         attempted: set[str] = set()
@@ -105,14 +105,14 @@
             not_executed = not_executed and not last_attempt.may_have_run
             if last_attempt.succeeded:
                 return RequestResult(True, False, "", last_attempt)
-            # Without this, a request that must not be repeated could take effect twice.
+            # A request that must not be repeated could take effect twice if it were retried here.
             if retry_policy.mode == RETRY_IF_NOT_EXECUTED and last_attempt.may_have_run:
                 break
         reason = NO_ENDPOINT if last_attempt is None else ""
         return RequestResult(False, not_executed, reason, last_attempt)
 
     def _pick_worker(self, traffic_class: str, attempted: set[str]) -> str:
-        """A worker by weight, other than those attempted; empty if there is none."""
+        """Draw a worker by weight among those not attempted yet; empty if there is none."""
         weights = {
             worker: weight
             for worker, weight in self.proxy_state.usable_weights(traffic_class).items()
@@ -124,14 +124,14 @@
 
     @staticmethod
     def _time_limit(retry_policy: RetryPolicy, deadline: float) -> float:
-        """Seconds for an attempt that begins now."""
+        """Time limit in seconds for an attempt that starts now."""
         remaining = deadline - trio.current_time()
         return min(remaining, retry_policy.attempt_timeout or remaining)
 
     async def _attempt(
         self, worker: str, time_limit: float, attempt_number: int, attempt: AttemptFunction
     ) -> AttemptResult:
-        """One attempt; one that is given up at its time limit may have been executed."""
+        """Make one attempt; an attempt that exceeds its time limit may have been executed."""
         started = trio.current_time()
         result = AttemptResult(succeeded=False, may_have_run=True)
         with trio.move_on_after(time_limit):
--- a/dunlinlug/client/table_subscriber.py
+++ b/dunlinlug/client/table_subscriber.py
@@ -1,6 +1,6 @@
-"""Follows whichever manager leads: applies its tables, acknowledges them, sends it load reports.
+"""Follows the leading manager: applies and acknowledges its tables, and sends it load reports.
 
-A connection and a call stand open at each manager; only the leader answers its call.
+The subscriber keeps a connection and a call open to each manager; only the leader answers its call.
 """
 
 import ssl
@@ -25,24 +25,26 @@
     """One proxy's subscription to its managers; `run` starts it.
 
     Attributes:
-        node_id: The proxy's name, `zone` its zone.
-        managers: Addresses of all managers, of which one leads.
-        proxy_state: What responses are applied to; it may outlive subscriptions.
-        accumulator: Where load reports are taken from.
-        request_rate: Requests a second that the proxy expects to get.
-        reconnect_interval: Mean seconds between connections to one manager; `connect_timeout`
-            seconds for one.
-        random_uniform: Draws by `rng`, by default one seeded with the node's name.
+        node_id: The proxy's name.
+        zone: The proxy's zone.
+        managers: Addresses of all managers, one of which leads.
+        proxy_state: The state that responses are applied to; it can outlive the subscription.
+        accumulator: The source of load reports.
+        request_rate: Requests per second that the proxy expects to receive.
+        reconnect_interval: Mean seconds between attempts to connect to a manager.
+        connect_timeout: Seconds allowed for an attempt to connect.
+        random_uniform: The `uniform` method of `rng`, which is by default seeded with `node_id`.
         tls_context: None for plain text.
-        current_manager: The manager that answers, or None.
+        current_manager: The manager that answers the subscription, or None.
         last_received_at: When a manager last sent anything (trio's clock), or None.
-        on_connected: Called when a manager begins to answer.
-        on_disconnected: Called when it no longer does.
-        on_applied: Called with what became of each response.
-        is_reachable: Whether managers can be reached; a test may cut them off.
+        resume_reading: While set to an event, nothing is read until that event is set.
+        on_connected: Called when a manager starts to answer the subscription.
+        on_disconnected: Called when that manager's subscription has ended.
+        on_applied: Called with the outcome of each response.
+        is_reachable: Whether managers are reachable; tests replace it to simulate a partition.
     """
 
-    def __init__(  # noqa: PLR0913 - who the proxy is, what it fills, and how it connects
+    def __init__(  # noqa: PLR0913 - the proxy's identity, its state, and connection settings
         self,
         node_id: str,
         zone: str,
@@ -69,20 +71,20 @@
         self.connections: dict[Address, grpc.GrpcConnection] = {}
         self.current_manager: Address | None = None
         self.last_received_at: float | None = None
-        self.resume_reading: trio.Event | None = None  # nothing is read until it is set
+        self.resume_reading: trio.Event | None = None
         self.on_connected: Callable[[], None] = _do_nothing
         self.on_disconnected: Callable[[], None] = _do_nothing
         self.on_applied: Callable[[AppliedResponse], None] = _do_nothing
         self.is_reachable: Callable[[], bool] = lambda: True
 
     def silence_duration(self) -> float | None:
-        """Seconds since a manager last sent anything; None if none has yet."""
+        """Seconds since a manager last sent anything; None if none has sent anything yet."""
         if self.last_received_at is None:
             return None
         return trio.current_time() - self.last_received_at
 
     async def run(self) -> None:
-        """Follow the managers until cancelled; without one the proxy keeps what it has."""
+        """Follow the managers until cancelled; without a leader the proxy keeps its tables."""
         async with trio.open_nursery() as nursery:
             for address in self.managers:
                 nursery.start_soon(self._maintain_connection, address)
@@ -103,9 +105,9 @@
             await trio.sleep(self.reconnect_interval * self.random_uniform(0.5, 1.5))
 
     async def _run_calls(self, connection: grpc.GrpcConnection, address: Address) -> None:
-        """One call after another while the connection lasts.
+        """Make one call after another while the connection is open.
 
-        A manager that no longer leads ends the call with a status, not the connection.
+        A manager that loses leadership ends the call with a status and keeps the connection open.
         """
         while not connection.protocol.closed:
             try:
@@ -120,7 +122,7 @@
             await trio.sleep(0)
 
     async def _run_stream(self, connection: grpc.GrpcConnection, address: Address) -> None:
-        """Subscribe at one manager; its response headers tell that it leads."""
+        """Subscribe to one manager; response headers without a status mean that it leads."""
         call = connection.start_call(names.DELTA_ADS_METHOD)
         await call.headers_received.wait()
         if call.ended is not None:
@@ -140,7 +142,7 @@
                 self.on_applied(applied)
 
     def _switch_manager(self, address: Address) -> None:
-        """This manager leads now; end the calls at the one before."""
+        """Switch to a new leader, and end the calls to the previous one."""
         if self.current_manager is not None:
             self.on_disconnected()
             self.disconnect(self.current_manager)
@@ -148,7 +150,7 @@
         self.on_connected()
 
     async def _send_reports(self, call: grpc.Call) -> None:
-        """Send load reports at about the interval that the manager answers the first one with."""
+        """Send load reports at about the interval that the manager sets in its first response."""
         first_report = load_reports.LoadReport(self.node_id, self.zone, 0.0)
         call.send(load_reports.encode_report(first_report, is_first=True))
         interval = load_reports.decode_response(await call.receive())
@@ -158,18 +160,18 @@
             call.send(load_reports.encode_report(report, is_first=False))
 
     def disconnect(self, address: Address | None) -> None:
-        """End the calls of a manager's connection, as if the network had."""
+        """End the calls of a manager's connection as a broken network would."""
         if address in self.connections:
             for call in list(self.connections[address].calls.values()):
                 call.end(None, "broken")
 
     def pause_reading(self, resume_reading: trio.Event | None) -> None:
-        """Read nothing more until this event is set; None to read on."""
+        """Stop reading until this event is set; None resumes reading."""
         self.resume_reading = resume_reading
         for connection in self.connections.values():
             connection.resume_reading = resume_reading
 
 
 def _ended_without_status(error: BaseException) -> bool:
-    """Whether a call ended because its connection broke, not by the manager's word."""
+    """Whether a call ended because its connection broke, not with a status of the manager."""
     return isinstance(error, grpc.CallEndedError) and error.status is None
--- a/dunlinlug/command_line/__init__.py
+++ b/dunlinlug/command_line/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of `dunlinlug`, a module for each group; `dunlinlug/cli.py` is the entry point."""
+"""The commands of `dunlinlug`, one module per group; `dunlinlug/cli.py` is the entry point."""
--- a/dunlinlug/command_line/admin_request.py
+++ b/dunlinlug/command_line/admin_request.py
@@ -1,4 +1,4 @@
-"""Requests of the commands to a running manager, with its errors as click shows them."""
+"""Sends the requests of commands to a running manager, and raises its errors as click errors."""
 
 from pathlib import Path
 from typing import TypeVar
@@ -14,11 +14,11 @@
 
 
 def request_json(file: Path, method: str, path: str, payload: object = None) -> object:
-    """The JSON of the manager's answer.
+    """Send a request and return the decoded JSON of the manager's answer.
 
     Raises:
         InvalidFileError: The INI file cannot be used.
-        click.ClickException: The manager did not do as asked; rejections are printed before.
+        click.ClickException: The request failed; the guard's rejections are printed before.
     """
     try:
         return send_request(file, method, path, payload)
@@ -31,7 +31,7 @@
 
 
 def read_answer(answer: object, answer_type: type[Answer]) -> Answer:
-    """The record of an answer's JSON. Raises click.ClickException if it does not fit."""
+    """The record of an answer's JSON. Raises click.ClickException if it does not match."""
     try:
         return parse_answer(answer, answer_type)
     except AdminRequestError as error:
@@ -41,5 +41,5 @@
 def request(
     file: Path, method: str, path: str, answer_type: type[Answer], payload: object = None
 ) -> Answer:
-    """The record of the manager's answer; raises as `request_json` and `read_answer` do."""
+    """Send a request and return the record of its answer; raises as the functions above do."""
     return read_answer(request_json(file, method, path, payload), answer_type)
--- a/dunlinlug/command_line/answer_text.py
+++ b/dunlinlug/command_line/answer_text.py
@@ -1,4 +1,4 @@
-"""Answers of a manager as text for people; each function gives one or several whole lines."""
+"""Formats a manager's answers as text; each function returns one or more whole lines."""
 
 import time
 
@@ -17,7 +17,7 @@
 from dunlinlug.storage.records import StoredRejection
 
 MAX_CHANGES_SHOWN = 5
-IS_REACHED = ("yes", "-")  # what a member says of those that it reaches, and of itself
+REACHABLE = ("yes", "-")  # a member's report on members that it reaches, and on itself
 
 
 def rejection(report: RejectionReport) -> str:
@@ -26,7 +26,7 @@
 
 
 def stored_rejection(stored: StoredRejection) -> str:
-    """Two lines: when which order was rejected, and why."""
+    """Two lines: the time, source and order of a rejection, and its reason."""
     rejected_at = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(stored.rejected_at))
     return (
         f"{rejected_at}  {stored.source}, {stored.outcome}: {stored.order}\n"
@@ -58,7 +58,7 @@
 
 
 def leadership(status: LeadershipStatus) -> str:
-    """Who leads, and each member with what it lacks."""
+    """The leader, and each member with its lag."""
     headline = (
         f"{status.member}: term {status.term}, master {status.leader or 'none'} "
         f"for {status.leader_for:.1f} s; "
@@ -80,7 +80,7 @@
 
 
 def membership(status: MembershipStatus) -> str:
-    """Who is there, who reaches whom, whose endpoint lists differ, and the last changes."""
+    """The members, their reachability, endpoint lists that differ, and the last changes."""
     headline = (
         f"{status.member}: {status.state}, standing {status.partition_status} "
         f"for {status.partition_status_for:.1f} s "
@@ -127,7 +127,7 @@
 
 
 def _reachability(members: list[MemberStatus], name_width: int) -> list[str]:
-    """Whom each member does not reach; nothing if all reach each other."""
+    """For each member, the members that it does not reach; empty if all reach each other."""
     if not any(_not_reached(member) for member in members):
         return []
     lines = ["  who has whom:"]
@@ -141,12 +141,12 @@
     return [
         f"{other}: {reachability}"
         for other, reachability in member.reachable_members.items()
-        if reachability not in IS_REACHED
+        if reachability not in REACHABLE
     ]
 
 
 def ownership(status: OwnershipStatus) -> str:
-    """Who owns how many shards and which tasks, what moves, and the last changes."""
+    """The owners of shards and tasks, the shards being moved, and the last changes."""
     owners = ", ".join(f"{owner} {count}" for owner, count in status.shards_by_owner.items())
     lines = [
         f"{status.member}: steward {status.coordinator or 'none'} of term {status.term}; "
--- a/dunlinlug/command_line/common.py
+++ b/dunlinlug/command_line/common.py
@@ -1,4 +1,4 @@
-"""What all commands share: files as arguments, and the error for one that cannot be used."""
+"""Shared by all commands: the type of file arguments, and the error for an invalid file."""
 
 from pathlib import Path
 
--- a/dunlinlug/command_line/fleet_commands.py
+++ b/dunlinlug/command_line/fleet_commands.py
@@ -1,4 +1,4 @@
-"""`dunlinlug fleet`: managers among others: who leads, who is there, and who owns which task."""
+"""`dunlinlug fleet`: leadership, membership, and ownership of tasks in a fleet of managers."""
 
 import json
 import time
@@ -19,16 +19,16 @@
 
 @click.group()
 def fleet() -> None:
-    """Managers among others. FILE is the INI of a member; changes are the leader's to make."""
+    """A fleet of managers. FILE is a member's INI file; changes need that of the leader."""
 
 
 @fleet.command("show")
 @click.argument("file", type=FILE_PATH)
-@click.option("--json", "as_json", is_flag=True, help="All of it, for programs.")
-@click.option("--watch", is_flag=True, help="Again each second, until interrupted.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole answer as JSON.")
+@click.option("--watch", is_flag=True, help="Repeat every second until interrupted.")
 @click.option("--times", default=0, hidden=True)
 def fleet_show(file: Path, as_json: bool, watch: bool, times: int) -> None:
-    """Show who leads and who lags, who is there and who reaches whom, and the last changes."""
+    """Show the leader, lag, members and their reachability, and the last changes."""
     try:
         config = manager_config.load_manager_config(file)
     except ConfigError as error:
@@ -69,7 +69,7 @@
 @click.argument("file", type=FILE_PATH)
 @click.argument("member")
 def fleet_ban(file: Path, member: str) -> None:
-    """Ban this member, whatever it says, until it is admitted again."""
+    """Ban a member until it is admitted again; its own messages do not lift the ban."""
     path = f"/members/bars/{quote(member, safe='')}"
     click.echo(answer_text.membership(request(file, "PUT", path, MembershipStatus)))
 
@@ -86,8 +86,8 @@
 @fleet.command("hand-over")
 @click.argument("file", type=FILE_PATH)
 @click.argument("to")
-def fleet_hand_over(file: Path, to: str) -> None:
-    """Let another member lead from now on, without a gap in orders."""
+def fleet_transfer_leadership(file: Path, to: str) -> None:
+    """Transfer leadership to another member, without a gap in orders."""
     request_json(file, "POST", "/fleet/hand-over", {"to": to})
     click.echo(f"handed over to {to}")
 
@@ -95,8 +95,8 @@
 @fleet.command("enrol")
 @click.argument("file", type=FILE_PATH)
 @click.argument("member")
-def fleet_enrol(file: Path, member: str) -> None:
-    """Add a voter, which has its section in every member's file."""
+def fleet_add_voter(file: Path, member: str) -> None:
+    """Add a voter; every member's INI file must have its section."""
     path = f"/fleet/members/{quote(member, safe='')}"
     click.echo(answer_text.leadership(request(file, "PUT", path, LeadershipStatus)))
 
@@ -104,7 +104,7 @@
 @fleet.command("dismiss")
 @click.argument("file", type=FILE_PATH)
 @click.argument("member")
-def fleet_dismiss(file: Path, member: str) -> None:
+def fleet_remove_voter(file: Path, member: str) -> None:
     """Remove a voter."""
     path = f"/fleet/members/{quote(member, safe='')}"
     click.echo(answer_text.leadership(request(file, "DELETE", path, LeadershipStatus)))
@@ -112,9 +112,9 @@
 
 @fleet.command("work")
 @click.argument("file", type=FILE_PATH)
-@click.option("--json", "as_json", is_flag=True, help="All of it, for programs.")
-def fleet_work(file: Path, as_json: bool) -> None:
-    """Show who owns which task of the fleet, how far it has come, and the last changes."""
+@click.option("--json", "as_json", is_flag=True, help="Print the whole answer as JSON.")
+def fleet_show_tasks(file: Path, as_json: bool) -> None:
+    """Show the owner and progress of each task of the fleet, and the last changes."""
     answer = request_json(file, "GET", "/work")
     if as_json:
         click.echo(json.dumps(answer, indent=2))
@@ -126,7 +126,7 @@
 @click.argument("file", type=FILE_PATH)
 @click.argument("task", metavar="PIECE")
 @click.argument("member")
-def fleet_move(file: Path, task: str, member: str) -> None:
-    """Let another member own a task, with all of its shard. FILE is the coordinator's."""
+def fleet_move_task(file: Path, task: str, member: str) -> None:
+    """Move a task, with its whole shard, to another member. FILE is the coordinator's."""
     request_json(file, "POST", f"/work/{quote(task, safe='')}", {"to": member})
     click.echo(f"{task} is on its way to {member}")
--- a/dunlinlug/command_line/manager_commands.py
+++ b/dunlinlug/command_line/manager_commands.py
@@ -20,10 +20,10 @@
     type=click.FloatRange(0.5, 2.0),
     default=1.0,
     hidden=True,
-    help="For scenarios: seconds of its clock for one true second.",
+    help="For scenarios: seconds of the manager's clock per real second.",
 )
 def manager(file: Path, until_input_closes: bool, clock_rate: float) -> None:
-    """Run a manager by its INI file until SIGTERM; SIGHUP reloads what may change."""
+    """Run a manager until SIGTERM; SIGHUP reloads the settings that need no restart."""
     if until_input_closes:
         exit_when_input_closes()
     sys.exit(serve(file, clock_rate=clock_rate))
--- a/dunlinlug/command_line/parent_process.py
+++ b/dunlinlug/command_line/parent_process.py
@@ -1,4 +1,4 @@
-"""Ties the life of a process to that of the one that started it."""
+"""Ends a process when its parent process ends."""
 
 import os
 import signal
@@ -8,7 +8,7 @@
 
 
 def exit_when_input_closes() -> None:
-    """Send this process SIGTERM once standard input closes: whoever started it is gone then."""
+    """Send SIGTERM to this process when standard input closes, because its parent has ended."""
 
     def wait_for_end_of_input() -> None:
         while os.read(0, READ_SIZE_BYTES):
--- a/dunlinlug/command_line/table_commands.py
+++ b/dunlinlug/command_line/table_commands.py
@@ -32,9 +32,9 @@
 
 @table.command("explain")
 @click.argument("file", type=FILE_PATH)
-@click.option("--last", default=20, help="How many rejections, the newest.")
+@click.option("--last", default=20, help="Number of rejections to show, the newest.")
 def table_explain(file: Path, last: int) -> None:
-    """Show which orders a manager's guard has rejected and why, whether the manager runs or not."""
+    """Show the orders that a manager's guard rejected, with reasons; works without the manager."""
     try:
         config = manager_config.load_manager_config(file).section(manager_config.ServerConfig)
         rejections = read_rejections(Path(config.store))
@@ -47,7 +47,7 @@
 
 
 class OverrideOptions(TypedDict):
-    """What `_override_options` adds to a command, as given on the command line."""
+    """The values of the parameters that `_override_options` adds to a command."""
 
     product: str
     weight: tuple[str, ...]
@@ -57,15 +57,17 @@
 
 
 def _override_options(command: Command) -> Command:
-    """Give a command the traffic class and the options that make an override."""
+    """Add the parameters of an override to a command: file, traffic class and options."""
     for option in (
-        click.option("--for", "lasts", required=True, help="How long, with its unit: 10min."),
-        click.option("--without", multiple=True, help="A worker not to be used; may be repeated."),
-        click.option("--only", multiple=True, help="The workers to be used; may be repeated."),
+        click.option(
+            "--for", "lasts", required=True, help="Duration with its unit, such as 10min."
+        ),
+        click.option("--without", multiple=True, help="A worker to exclude; can be repeated."),
+        click.option("--only", multiple=True, help="A worker to keep to; can be repeated."),
         click.option(
             "--weight",
             multiple=True,
-            help="WORKER=WEIGHT in place of the listed one; may be repeated.",
+            help="WORKER=WEIGHT, replaces the listed weight; can be repeated.",
         ),
         click.argument("product"),
         click.argument("file", type=FILE_PATH),
@@ -75,7 +77,7 @@
 
 
 def _override_payload(options: OverrideOptions) -> dict[str, object]:
-    """The request's body, as `admin.requests.OverrideRequest` declares it."""
+    """The request's body, in the form of `admin.requests.OverrideRequest`."""
     weights = _parse_weights(options["weight"])
     try:
         duration = units.parse_seconds(options["lasts"])
@@ -96,7 +98,7 @@
         worker, _, value = assignment.rpartition("=")
         if not worker or worker in weights:
             raise click.UsageError(
-                f"--weight {assignment}: it is WORKER=WEIGHT, once for each worker"
+                f"--weight {assignment}: expected WORKER=WEIGHT, once for each worker"
             )
         try:
             weights[worker] = float(value)
@@ -113,7 +115,7 @@
 @table.command("propose")
 @_override_options
 def table_propose(file: Path, **options: Unpack[OverrideOptions]) -> None:
-    """Ask whether an override would be accepted; nothing changes. Exit status 1 if it would not."""
+    """Validate an override without activating it; exit status 1 if it would be rejected."""
     payload = _override_payload(options)
     answer = request(file, "POST", "/pins/propose", ProposalAnswer, payload)
     for rejection in answer.rejections:
@@ -125,10 +127,10 @@
 
 @table.command("pin")
 @_override_options
-def table_pin(file: Path, **options: Unpack[OverrideOptions]) -> None:
-    """Override a product's weights, keep to a subset, or exclude workers, for a while.
+def table_activate_override(file: Path, **options: Unpack[OverrideOptions]) -> None:
+    """Override a product's weights, keep to a subset, or exclude workers, for a limited time.
 
-    The guard may reject it; the exit status is 1 then.
+    The exit status is 1 if the guard rejects it.
     """
     payload = _override_payload(options)
     answer = request(file, "PUT", "/pins", ActivationAnswer, payload)
@@ -139,8 +141,8 @@
 @table.command("unpin")
 @click.argument("file", type=FILE_PATH)
 @click.argument("product")
-def table_unpin(file: Path, product: str) -> None:
-    """End a product's override before its time."""
+def table_end_override(file: Path, product: str) -> None:
+    """End a product's override before it expires."""
     answer = request(file, "DELETE", f"/pins/{quote(product, safe='')}", EndAnswer)
     click.echo(f"ended the pin of {answer.traffic_class}")
 
@@ -148,7 +150,7 @@
 @table.command("show")
 @click.argument("file", type=FILE_PATH)
 @click.argument("product", default="")
-@click.option("--json", "as_json", is_flag=True, help="All of it, for programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole answer as JSON.")
 def table_show(file: Path, product: str, as_json: bool) -> None:
     """Show the tables in use, by product."""
     answer = request_json(file, "GET", f"/tables?product={quote(product, safe='')}")
--- a/dunlinlug/scenarios/__init__.py
+++ b/dunlinlug/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios: a fleet of stand-ins and managers on loopback, with faults injected by a timeline."""
+"""Scenarios: managers and stand-in processes on loopback, with faults injected on a timeline."""
--- a/dunlinlug/scenarios/commands.py
+++ b/dunlinlug/scenarios/commands.py
@@ -1,7 +1,7 @@
-"""Commands to the processes of a scenario, one JSON object on a line of standard input.
+"""Commands to the processes of a scenario, one JSON object per line of standard input.
 
-`do` says what is to be done; the other keys are its arguments. They are written to the record of
-the scenario as they are.
+`do` is the action, the other keys are its arguments. Commands are recorded unchanged. By target,
+the actions and their arguments are:
 
     workers    slow, silent, voiding, answers_lost: worker, size; well, down, back: worker
     proxies    break, restart, deaf, hear: proxies; cut: proxies, zone
--- a/dunlinlug/scenarios/errors.py
+++ b/dunlinlug/scenarios/errors.py
@@ -1,7 +1,7 @@
-"""The error of a scenario that could not be played."""
+"""The error of a scenario that could not be run."""
 
 from dunlinlug.errors import DunlinlugError
 
 
 class ScenarioError(DunlinlugError):
-    """A scenario that could not be played; the text says which process and why."""
+    """A scenario that could not be run; the message names the process and the fault."""
--- a/dunlinlug/scenarios/process.py
+++ b/dunlinlug/scenarios/process.py
@@ -1,4 +1,4 @@
-"""One process of a scenario: commands to it, its start and its end."""
+"""A process of a scenario: its startup, commands to it, and its shutdown."""
 
 import json
 import signal
@@ -14,7 +14,7 @@
 
 
 class ScenarioProcess:
-    """A running process, by the name under which errors tell of it."""
+    """A running process; errors use its name."""
 
     def __init__(self, name: str, process: trio.Process) -> None:
         self.name = name
@@ -26,7 +26,7 @@
         await self.process.stdin.send_all(json.dumps(command).encode() + b"\n")
 
     async def wait_ready(self) -> None:
-        """Wait until a stand-in says that it is ready. Raises ScenarioError if it does not."""
+        """Wait until a stand-in reports that it is ready. Raises ScenarioError on a timeout."""
         assert self.process.stdout is not None
         with trio.move_on_after(STARTUP_TIMEOUT):
             if b"ready" in await self.process.stdout.receive_some():
@@ -34,7 +34,7 @@
         raise ScenarioError(f"{self.name} did not start")
 
     async def stop(self) -> None:
-        """End the process, by a kill if it does not end in time; also when cancelled."""
+        """Stop the process, and kill it after a timeout; runs to the end even if cancelled."""
         with trio.CancelScope(shield=True):
             if self.process.stdin is not None:
                 await self.process.stdin.aclose()
--- a/dunlinlug/scenarios/run_file.py
+++ b/dunlinlug/scenarios/run_file.py
@@ -1,4 +1,4 @@
-"""Makes the run file of a scenario, which gives every process its address and its part."""
+"""Writes the run file of a scenario, with the address and settings of each process."""
 
 import secrets
 from pathlib import Path
@@ -15,13 +15,13 @@
 def write_run_file(
     scenario_file: Path, run_file: Path, folder: Path, addresses: AddressAllocator
 ) -> ConfigFile:
-    """Write the run file that all processes read, and give its contents.
+    """Write the run file, which all processes read, and return its contents.
 
     Args:
-        scenario_file: The scenario as it was written.
+        scenario_file: The file of the scenario.
         run_file: The file to write.
-        folder: Where stores and keys go.
-        addresses: Gives the address of each process.
+        folder: The folder for stores and keys.
+        addresses: Allocates the address of each process.
 
     Raises:
         ConfigError: The scenario's file cannot be used.
@@ -43,7 +43,7 @@
 def _worker_sections(
     fleet_config: schema.FleetConfig, addresses: AddressAllocator, rng: Random
 ) -> Sections:
-    """The endpoints; their listed weights are somewhat off their true size."""
+    """The endpoints; listed weights follow capacity with a random error of up to 10 %."""
     sections: Sections = {}
     for index in range(fleet_config.workers):
         cores, _, speed = fleet_config.kinds[index % len(fleet_config.kinds)].partition("x")
@@ -58,7 +58,7 @@
 
 
 def _proxy_sections(config: ConfigFile, addresses: AddressAllocator, rng: Random) -> Sections:
-    """The proxies; the load is spread unevenly over them."""
+    """The proxies; the load is distributed unevenly over them."""
     zones = config.section(schema.FleetConfig).zones
     proxies_config = config.section(schema.ProxiesConfig)
     requests_per_second = config.section(schema.LoadConfig).requests_per_second
@@ -75,7 +75,7 @@
 
 
 def _member_sections(config: ConfigFile, folder: Path, addresses: AddressAllocator) -> Sections:
-    """The managers, if there are several, and the file of their key."""
+    """The managers of a fleet and their key file; empty for a standalone manager."""
     members = config.sections(MemberConfig)
     if not members:
         return {}
--- a/dunlinlug/standins/control.py
+++ b/dunlinlug/standins/control.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: commands on standard input, and an end when it closes."""
+"""Shared by all stand-ins: commands on standard input, and shutdown when it closes."""
 
 import json
 import sys
@@ -9,7 +9,7 @@
 from dunlinlug.scenarios.commands import Command
 from dunlinlug.scenarios.records import RecordWriter
 
-FLUSH_INTERVAL = 0.5  # seconds; a process that is killed loses no more of its record
+FLUSH_INTERVAL = 0.5  # seconds; a killed process loses at most this much of its record
 
 Task = Callable[[], Coroutine[object, object, None]]
 CommandHandler = Callable[[Command], Coroutine[object, object, None]]
@@ -18,7 +18,7 @@
 
 
 async def execute_commands(execute: CommandHandler) -> None:
-    """Carry out each line of standard input, until it closes."""
+    """Execute each line of standard input as a command, until it closes."""
     buffer = b""
     async with trio.lowlevel.FdStream(sys.stdin.fileno()) as stream:
         async for data in stream:
@@ -32,9 +32,9 @@
     tasks: list[Task],
     execute: CommandHandler,
 ) -> None:
-    """Run the tasks and carry out commands until standard input closes; then end them.
+    """Run the tasks and execute commands until standard input closes; then cancel the tasks.
 
-    That the stand-in is ready is printed once the tasks have been started.
+    Prints a line of JSON with `ready` once the tasks have been started.
     """
 
     async def flush_periodically() -> None:
